--- a/operate/src/retune.rs
+++ b/crates/admin/src/retune.rs
@@ -3,7 +3,7 @@
 //! A class's place is its number in all tables. Requests hold theirs until they end, so a class that is gone or
 //! changed keeps its place, without its name, until no request holds it.
 
-use cairnroad::ClassId;
+use cairnroad_routing::ClassId;
 use cairnroad_settings::Deployment;
 use serde_json::Value;
 
@@ -146,7 +146,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cairnroad::{Class, Effect, Settings};
+    use cairnroad_routing::{Class, Effect, Settings};
     use quickcheck::{Gen, QuickCheck};
     use serde_json::json;
 
--- a/peers/examples/simulate.rs
+++ b/crates/cluster/examples/simulate.rs
@@ -1,12 +1,12 @@
 //! Groups of many members on a virtual clock: how soon they find each other, how soon a failure is known, how many are
 //! taken for failed though nothing happened, and what it costs. Prints a row of a table for each size and loss.
 //!
-//!     cargo run --release -p cairnroad-peers --example simulate -- 100 1000 --loss 0 0.05 0.2 --schedules 1000
+//!     cargo run --release -p cairnroad-cluster --example simulate -- 100 1000 --loss 0 0.05 0.2 --schedules 1000
 
 #[path = "../tests/sim/mod.rs"]
 mod sim;
 
-use cairnroad_peers::model::State;
+use cairnroad_cluster::model::State;
 use sim::{Fault, Sim};
 
 /// Seconds that are watched for failures that are none.
@@ -50,7 +50,7 @@
         }
     }
     if schedules > 0 {
-        println!("{schedules} schedules of faults in a group of 12: run `SCHEDULES={schedules} cargo test --release -p cairnroad-peers schedule`");
+        println!("{schedules} schedules of faults in a group of 12: run `SCHEDULES={schedules} cargo test --release -p cairnroad-cluster schedule`");
     }
 }
 
--- a/peers/src/decide.rs
+++ b/crates/cluster/src/decide.rs
@@ -6,7 +6,7 @@
 use crate::errors::{Dropped, CAUSES};
 use crate::facts::{Fact, Facts, Phase, What, MOST_DOUBTS};
 use crate::model::{Id, Member, Name, Standing, State, View};
-use cairnroad_words::Time;
+use cairnroad_types::Time;
 use foca::{BroadcastHandler, Foca, Identity, Invalidates, Notification, PeriodicParams, Runtime, Timer};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/peers/src/facts.rs
+++ b/crates/cluster/src/facts.rs
@@ -4,7 +4,7 @@
 use crate::envelope::BUCKETS;
 use crate::model::Name;
 use crate::names;
-use cairnroad_words::Time;
+use cairnroad_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/peers/src/model.rs
+++ b/crates/cluster/src/model.rs
@@ -1,6 +1,6 @@
 //! The words of the group: identities, members, standings, and the one table of what each standing allows.
 
-use cairnroad_words::Time;
+use cairnroad_types::Time;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/peers/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -2,10 +2,10 @@
 //! ship.
 #![allow(dead_code)]
 
-use cairnroad_peers::facts::{Phase, What};
-use cairnroad_peers::model::{Name, Standing, State};
-use cairnroad_peers::{Group, Out, Setup, TICK};
-use cairnroad_words::Time;
+use cairnroad_cluster::facts::{Phase, What};
+use cairnroad_cluster::model::{Name, Standing, State};
+use cairnroad_cluster::{Group, Out, Setup, TICK};
+use cairnroad_types::Time;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
--- a/node/benches/contract.rs
+++ b/crates/coordinator/benches/contract.rs
@@ -1,5 +1,5 @@
 //! What checking costs the running program: CPU of the core's thread a query and latency, with descriptions off,
-//! observed at full share and enforced, in turns: `cargo bench -p cairnroad-node --bench contract [ROUNDS]`.
+//! observed at full share and enforced, in turns: `cargo bench -p cairnroad-coordinator --bench contract [ROUNDS]`.
 //!
 //! Queries of three parts come at a fixed rate on eight connections. Figures are the median over rounds with the least
 //! and the most.
--- a/node/benches/membership.rs
+++ b/crates/coordinator/benches/membership.rs
@@ -1,5 +1,5 @@
 //! A list of 10,000 servers: how long a change takes from its write until it is in force, how long the core's thread is
-//! held up by it, and memory: `cargo bench -p cairnroad-node --bench membership`.
+//! held up by it, and memory: `cargo bench -p cairnroad-coordinator --bench membership`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/node/src/backends/opensearch.rs
+++ b/crates/coordinator/src/backends/opensearch.rs
@@ -3,7 +3,7 @@
 use crate::http::{self, Response};
 use crate::link::{Command, LinkEnd};
 use crate::words::{Job, Text, Value, What};
-use cairnroad::{Outcome, Time};
+use cairnroad_routing::{Outcome, Time};
 use serde::Deserialize;
 use serde_json::json;
 use serde_json::value::RawValue;
--- a/node/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -5,12 +5,12 @@
 use crate::log;
 use crate::members::Page;
 use crate::words::{Index, News, Offer};
+use cairnroad_cluster::facts::MOST_OFFERS;
+use cairnroad_cluster::names;
 use cairnroad_contract::decide::Mode;
 use cairnroad_contract::drift::Interface;
-use cairnroad_peers::facts::MOST_OFFERS;
-use cairnroad_peers::names;
-use cairnroad_roster::decide::USUAL_SHRINK;
-use cairnroad_roster::model::Layout;
+use cairnroad_endpoint_files::decide::USUAL_SHRINK;
+use cairnroad_endpoint_files::model::Layout;
 use cairnroad_settings::Deployment;
 use serde::Deserialize;
 use serde_json::json;
@@ -61,7 +61,7 @@
 impl Config {
     /// The first key that this configuration's file has and another's lacks.
     pub fn lacked_by(&self, other: &Config) -> Option<String> {
-        cairnroad_operate::retune::lacks(&self.stated, &other.stated)
+        cairnroad_admin::retune::lacks(&self.stated, &other.stated)
     }
 
     /// The keys that another file says differently and that take effect only at a restart. `discovery` takes
@@ -579,9 +579,9 @@
             let class = self.offer.deployment.class_names.get(index.class);
             json!({"name": index.name, "class": class, "shards": [index.first, index.last]})
         };
-        let class = |(_, name, class): (usize, &str, &cairnroad::Class)| {
+        let class = |(_, name, class): (usize, &str, &cairnroad_routing::Class)| {
             json!({"name": name, "aim_s": class.aim, "deadline_s": class.deadline, "least_share": class.floor,
-                "may_run_twice": class.effect != cairnroad::Effect::Unsafe})
+                "may_run_twice": class.effect != cairnroad_routing::Effect::Unsafe})
         };
         let contract = |(interface, plan): &(Interface, Plan)| {
             let path = plan.path.display().to_string();
--- a/node/src/discovery.rs
+++ b/crates/coordinator/src/discovery.rs
@@ -5,10 +5,10 @@
 use crate::http;
 use crate::members::Page;
 use crate::words::{Message, News, Row};
-use cairnroad::{ListNews, Listed, ServerId, ServerState};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::schema::Direction;
-use cairnroad_watch::{Ask, Call, Fault, Watch, DIAL};
+use cairnroad_discovery_watch::{Ask, Call, Fault, Watch, DIAL};
+use cairnroad_routing::{ListNews, Listed, ServerId, ServerState};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -217,7 +217,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cairnroad::Time;
+    use cairnroad_routing::Time;
 
     #[test]
     fn a_list_is_understood_and_numbered_by_first_sight() {
--- a/node/src/door.rs
+++ b/crates/coordinator/src/door.rs
@@ -1,10 +1,10 @@
 //! The operators' door: calls over HTTP/1.1 on a listener of its own, one a connection. What a call means is decided
-//! in `cairnroad_operate::call`; the core carries it out.
+//! in `cairnroad_admin::call`; the core carries it out.
 
 use crate::http;
 use crate::peers::Peers;
 use crate::words::{Message, Phase};
-use cairnroad_operate::call::{self, Call, Verdict};
+use cairnroad_admin::call::{self, Call, Verdict};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/node/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -1,12 +1,12 @@
 //! `docs/ERRORS.md` is made from the errors' types; the test here fails when it is stale.
 
 use crate::peers;
-use cairnroad_peers::{names, Dropped};
+use cairnroad_cluster::{names, Dropped};
+use cairnroad_discovery_watch::Fault as Watch;
 use cairnroad_settings::Fault as Settings;
-use cairnroad_watch::Fault as Watch;
 
 /// How to make the page anew.
-const MADE_BY: &str = "UPDATE_ERRORS=1 cargo test -p cairnroad-node errors_page";
+const MADE_BY: &str = "UPDATE_ERRORS=1 cargo test -p cairnroad-coordinator errors_page";
 
 type Row = (String, &'static str);
 
@@ -129,7 +129,7 @@
 
 #[test]
 fn the_page_of_errors_is_not_stale() {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/ERRORS.md");
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/ERRORS.md");
     if std::env::var("UPDATE_ERRORS").is_ok() {
         std::fs::write(path, page()).unwrap();
     }
--- a/node/src/fronts/places.rs
+++ b/crates/coordinator/src/fronts/places.rs
@@ -1,8 +1,8 @@
 //! The places that client connections take up, of all fronts together. One that idles is told to leave when its
 //! place is needed, so that clients who ask nothing don't keep out those who do.
 
-use cairnroad::Time;
-use cairnroad_operate::stop::Seen;
+use cairnroad_admin::stop::Seen;
+use cairnroad_routing::Time;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/node/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -3,7 +3,7 @@
 use super::exchange::{decimal, Exchange, Front, Reply};
 use crate::http;
 use crate::words::{Answer, PartSpec, Request, Text, Value};
-use cairnroad::Time;
+use cairnroad_routing::Time;
 use cairnroad_settings::Deployment;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
--- a/node/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -30,7 +30,7 @@
 mod wheel;
 mod words;
 
-use cairnroad_operate::stop::{Step, Stop};
+use cairnroad_admin::stop::{Step, Stop};
 use clap::Parser;
 use clock::Clock;
 use contract::Contracts;
--- a/node/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -1,7 +1,7 @@
 //! The wire form of the list of servers, as the agent and the configuration tell it.
 
 use crate::words::{News, Row};
-use cairnroad::{ServerState, Time};
+use cairnroad_routing::{ServerState, Time};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
--- a/node/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -1,16 +1,16 @@
 //! The list of servers from watched files: a thread of its own watches, reads and keeps; what is decided about it
-//! stands in `cairnroad_roster`. The core is told whole lists, as by discovery.
+//! stands in `cairnroad_endpoint_files`. The core is told whole lists, as by discovery.
 
 use crate::config::Source;
 use crate::words::{Message, News, Row};
-use cairnroad::{ServerState, Time};
-use cairnroad_roster::decide::{judge, Verdict};
-use cairnroad_roster::keep::{keep, recover, Folder, Kept};
-use cairnroad_roster::model::{lines, Phase, Roster};
-use cairnroad_roster::plan::plan;
-use cairnroad_roster::read::{read, File, MOST_BYTES, MOST_FILES};
-use cairnroad_roster::schedule::Schedule;
-use cairnroad_roster::settle::Settle;
+use cairnroad_endpoint_files::decide::{judge, Verdict};
+use cairnroad_endpoint_files::keep::{keep, recover, Folder, Kept};
+use cairnroad_endpoint_files::model::{lines, Phase, Roster};
+use cairnroad_endpoint_files::plan::plan;
+use cairnroad_endpoint_files::read::{read, File, MOST_BYTES, MOST_FILES};
+use cairnroad_endpoint_files::schedule::Schedule;
+use cairnroad_endpoint_files::settle::Settle;
+use cairnroad_routing::{ServerState, Time};
 use notify::{RecursiveMode, Watcher};
 use std::collections::BTreeMap;
 use std::io::Read;
--- a/node/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -96,7 +96,7 @@
 
 #[test]
 fn only_a_429_proves_that_a_search_never_began() {
-    use cairnroad::Outcome;
+    use cairnroad_routing::Outcome;
     let told = |status: u16, body: &str| {
         let text = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let (response, _) = http::response(text.as_bytes(), false, 999).unwrap().unwrap();
--- a/node/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,14 +1,14 @@
-//! This coordinator's part in its group, on a socket of its own. All that is decided is decided in `cairnroad_peers`;
+//! This coordinator's part in its group, on a socket of its own. All that is decided is decided in `cairnroad_cluster`;
 //! here are the datagrams, the time, the log, and the words that go to and from the core.
 
 use crate::clock::Clock;
 use crate::config;
 use crate::words::{Message, Phase};
-use cairnroad::Time;
-use cairnroad_peers::envelope::MOST_BYTES;
-use cairnroad_peers::facts::{self, What};
-use cairnroad_peers::model::{may, State, FEATURES};
-use cairnroad_peers::{advice, Group, Out, Setup, TICK};
+use cairnroad_cluster::envelope::MOST_BYTES;
+use cairnroad_cluster::facts::{self, What};
+use cairnroad_cluster::model::{may, State, FEATURES};
+use cairnroad_cluster::{advice, Group, Out, Setup, TICK};
+use cairnroad_routing::Time;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -220,10 +220,10 @@
             })
         })
         .collect();
-    let allowed = |feature: &cairnroad_peers::model::Feature| {
+    let allowed = |feature: &cairnroad_cluster::model::Feature| {
         (format!("{feature:?}").to_lowercase(), json!(may(view.standing, *feature)))
     };
-    let dropped = |(cause, count): (cairnroad_peers::Dropped, u64)| (cause.to_string(), json!(count));
+    let dropped = |(cause, count): (cairnroad_cluster::Dropped, u64)| (cause.to_string(), json!(count));
     json!({
         "name": name, "address": view.own.address.to_string(), "generation": view.own.generation,
         "returns": view.own.returns, "standing": view.standing, "epoch": view.epoch,
--- a/node/src/pool.rs
+++ b/crates/coordinator/src/pool.rs
@@ -8,7 +8,7 @@
 use crate::link::{Command, LinkEnd, Shared};
 use crate::tally::{Count, Tally};
 use crate::words::{Attempt, Ended, Job, LinkEvent, Message, Row, What};
-use cairnroad::{Outcome, ServerId, ServerState, Time};
+use cairnroad_routing::{Outcome, ServerId, ServerState, Time};
 use cairnroad_settings::Deployment;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/node/src/pool_tests.rs
+++ b/crates/coordinator/src/pool_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::words::Text;
-use cairnroad::RequestId;
+use cairnroad_routing::RequestId;
 
 /// Runs a test with a pool whose one server the test plays.
 fn before_a_server<F: std::future::Future>(
--- a/node/src/shelf.rs
+++ b/crates/coordinator/src/shelf.rs
@@ -1,7 +1,7 @@
 //! Where bans on data nodes are kept: a folder that all processes of one coordinator share, a file each, so that two
 //! processes never undo each other's changes. A file is written aside and renamed; half a file is never read.
 
-use cairnroad_operate::bans::{Ban, MOST_BANS};
+use cairnroad_admin::bans::{Ban, MOST_BANS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
--- a/node/src/stages/admit.rs
+++ b/crates/coordinator/src/stages/admit.rs
@@ -3,7 +3,7 @@
 use super::{book::Book, route::Route};
 use crate::tally::{Count, Tally};
 use crate::words::{Answer, Ask};
-use cairnroad::{ClassId, Event, Time};
+use cairnroad_routing::{ClassId, Event, Time};
 
 /// Advice for a request that finds the coordinator full, as a share of its class's aim.
 const FULL_ADVICE: f64 = 0.5;
--- a/node/src/stages/book.rs
+++ b/crates/coordinator/src/stages/book.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::words::{Answer, Ask, Attempt, Ended, Job, PartAnswer, PartSpec, Request, Value};
-use cairnroad::{Class, Effect, Outcome, RequestId, Time};
+use cairnroad_routing::{Class, Effect, Outcome, RequestId, Time};
 use cairnroad_settings::Deployment;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/node/src/stages/mod.rs
+++ b/crates/coordinator/src/stages/mod.rs
@@ -20,10 +20,10 @@
 use crate::tally::{Count, Tally};
 use crate::wheel::{Due, Wheel};
 use crate::words::{Ask, Attempt, Ended, Index, Message, News, Offer, Phase, Row};
-use cairnroad::{Action, ClassId, Event, Outcome, ServerId, Time};
-use cairnroad_operate::bans::Bans;
-use cairnroad_operate::call::{Call, Verdict};
-use cairnroad_operate::retune::{self, Retuned};
+use cairnroad_admin::bans::Bans;
+use cairnroad_admin::call::{Call, Verdict};
+use cairnroad_admin::retune::{self, Retuned};
+use cairnroad_routing::{Action, ClassId, Event, Outcome, ServerId, Time};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -347,7 +347,7 @@
         verdict
     }
 
-    fn put(&mut self, id: &str, ban: cairnroad_operate::bans::Ban) -> Verdict {
+    fn put(&mut self, id: &str, ban: cairnroad_admin::bans::Ban) -> Verdict {
         if self.bans.put(id, ban) {
             if let Some(shelf) = &mut self.shelf {
                 shelf.keep(id, ban);
--- a/node/src/stages/relay.rs
+++ b/crates/coordinator/src/stages/relay.rs
@@ -3,7 +3,7 @@
 use super::book::Book;
 use crate::tally::{Count, Tally};
 use crate::words::Answer;
-use cairnroad::{Action, Time};
+use cairnroad_routing::{Action, Time};
 
 /// Advice where the decisions give none, in seconds.
 const ADVICE: f64 = 1.0;
--- a/node/src/stages/route.rs
+++ b/crates/coordinator/src/stages/route.rs
@@ -1,7 +1,7 @@
 //! Route: the decisions, called once with all events of a tick.
 
 use crate::config::Config;
-use cairnroad::{Action, Aggregator, Beliefs, ClassId, Event, ServerId, Time};
+use cairnroad_routing::{Action, Aggregator, Beliefs, ClassId, Event, ServerId, Time};
 use cairnroad_settings::Deployment;
 
 pub struct Route {
--- a/node/src/stages/send.rs
+++ b/crates/coordinator/src/stages/send.rs
@@ -6,7 +6,7 @@
 use crate::tally::{Count, Tally};
 use crate::wheel::{Due, Wheel};
 use crate::words::{Attempt, Ended};
-use cairnroad::{Action, Time};
+use cairnroad_routing::{Action, Time};
 
 pub fn carry(now: Time, action: &Action, book: &mut Book, pool: &mut Pool, wheel: &mut Wheel<Due>) {
     match *action {
--- a/node/src/stages/tests.rs
+++ b/crates/coordinator/src/stages/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::words::{Answer, LinkEvent, PartSpec, Request, Text, What};
-use cairnroad::{RequestId, ServerState};
+use cairnroad_routing::{RequestId, ServerState};
 use tokio::sync::oneshot;
 
 /// A core, and the other ends of its queues.
--- a/node/src/surface.rs
+++ b/crates/coordinator/src/surface.rs
@@ -4,8 +4,8 @@
 use crate::contract::Pages;
 use crate::fronts::{self, opensearch};
 use crate::http;
-use cairnroad::Effect;
 use cairnroad_contract::publish::{self, Class, Index, Limits, Surface};
+use cairnroad_routing::Effect;
 
 /// The surface of a configuration.
 pub fn of(config: &Config) -> Surface {
--- a/node/src/tally.rs
+++ b/crates/coordinator/src/tally.rs
@@ -1,7 +1,7 @@
 //! What this coordinator did and met since its last line, counted for the log: figures that can be added up over a
 //! fleet, to see what many coordinators do together. It decides nothing.
 
-use cairnroad::{Action, Beliefs, Outcome, Time};
+use cairnroad_routing::{Action, Beliefs, Outcome, Time};
 
 /// What is counted, by its name on the line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/node/src/wheel.rs
+++ b/crates/coordinator/src/wheel.rs
@@ -3,7 +3,7 @@
 //! whether it still matters.
 
 use crate::words::Attempt;
-use cairnroad::Time;
+use cairnroad_routing::Time;
 
 const SLOTS: i64 = 1024;
 
--- a/node/src/words.rs
+++ b/crates/coordinator/src/words.rs
@@ -1,9 +1,9 @@
 //! The words that all parts of the program share: requests, attempts, outcomes and news, without any wire. It uses
 //! nothing of the program, so that stages, pool, backends, fronts and discovery can each be read alone.
 
-use cairnroad::{Outcome, RequestId, ServerState, Time};
+use cairnroad_admin::call::{Call, Verdict};
 use cairnroad_contract::decide::InForce;
-use cairnroad_operate::call::{Call, Verdict};
+use cairnroad_routing::{Outcome, RequestId, ServerState, Time};
 use cairnroad_settings::Deployment;
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/watch/src/lib.rs
+++ b/crates/discovery-watch/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use fault::Fault;
 
-use cairnroad_words::Time;
+use cairnroad_types::Time;
 
 /// How long a call of a sound watch may wait for news, in milliseconds. Short, so that a watch whose answer was lost
 /// is soon begun anew.
--- a/pacing/src/agenda.rs
+++ b/crates/flow-control/src/agenda.rs
@@ -1,6 +1,6 @@
 //! What is due when, and when to call again.
 
-use cairnroad_words::Time;
+use cairnroad_types::Time;
 use std::collections::BTreeSet;
 
 /// Things that are due at a moment each, and the moment for which a call was last asked.
--- a/pacing/src/budget.rs
+++ b/crates/flow-control/src/budget.rs
@@ -1,7 +1,7 @@
 //! The stated limit on attempts beyond each part's first, counted.
 
 use crate::Window;
-use cairnroad_words::{AttemptBudget, Time};
+use cairnroad_types::{AttemptBudget, Time};
 
 /// What was taken and what was sent again within the limit's window. Where no limit is stated nobody counts, and
 /// nothing piles up.
--- a/pacing/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -9,7 +9,7 @@
 
 pub use agenda::Agenda;
 pub use budget::Budget;
-use cairnroad_words::Outcome;
+use cairnroad_types::Outcome;
 pub use take::Take;
 pub use turns::owed;
 pub use window::Window;
--- a/pacing/src/take.rs
+++ b/crates/flow-control/src/take.rs
@@ -1,6 +1,6 @@
 //! What servers take.
 
-use cairnroad_words::Time;
+use cairnroad_types::Time;
 
 /// What a warm server of size 1 answers a second at its best: what servers can do doesn't shrink because they answer
 /// less in a jam.
--- a/pacing/src/window.rs
+++ b/crates/flow-control/src/window.rs
@@ -1,6 +1,6 @@
 //! Counting what happened lately.
 
-use cairnroad_words::Time;
+use cairnroad_types::Time;
 use std::collections::VecDeque;
 
 /// Moments within a sliding window.
--- a/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -5,7 +5,7 @@
 //! keeps no clock, opens no socket and shares nothing; the caller does both and feeds the outcomes back.
 //!
 //! ```
-//! use cairnroad::*;
+//! use cairnroad_routing::*;
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
@@ -43,5 +43,5 @@
 
 mod policy;
 
-pub use cairnroad_words::*;
+pub use cairnroad_types::*;
 pub use policy::Aggregator;
--- a/src/policy/beliefs.rs
+++ b/crates/routing/src/policy/beliefs.rs
@@ -1,7 +1,7 @@
 //! What the decisions believe, told for the log. Nothing here decides.
 
 use super::Aggregator;
-use cairnroad_words::{Beliefs, ServerId, Time};
+use cairnroad_types::{Beliefs, ServerId, Time};
 
 impl Aggregator {
     /// How many servers are known.
--- a/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,8 +1,8 @@
 //! All decisions of the aggregator: the turn of events. Its words stand in the package `words`.
 
-use cairnroad_pacing::{owed, Agenda, Asking, Budget, Chance, Probing, Take, Window};
-use cairnroad_words::*;
-use cairnroad_zones::{Sighting, Zones};
+use cairnroad_flow_control::{owed, Agenda, Asking, Budget, Chance, Probing, Take, Window};
+use cairnroad_types::*;
+use cairnroad_zone_outage::{Sighting, Zones};
 use state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/policy/retune.rs
+++ b/crates/routing/src/policy/retune.rs
@@ -1,7 +1,7 @@
 //! Settings that change in service. What was learned of servers stays; nothing here decides about a query.
 
 use super::{Aggregator, Due, FIRST_GUESS, RECENT_AIMS};
-use cairnroad_words::{ClassId, Settings, Time};
+use cairnroad_types::{ClassId, Settings, Time};
 
 impl Aggregator {
     /// Takes other settings. Places of classes only grow; `renewed` names those that hold another class than
--- a/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cairnroad::*;
+use cairnroad_routing::*;
 use common::class;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A hand-driven deployment: builds settings and events, and keeps what the aggregator did.
 #![allow(dead_code)]
 
-use cairnroad::*;
+use cairnroad_routing::*;
 
 pub fn class(effect: Effect) -> Class {
     Class {
--- a/tests/mechanism.rs
+++ b/crates/routing/tests/mechanism.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cairnroad::*;
+use cairnroad_routing::*;
 use common::*;
 
 fn safe() -> Settings {
--- a/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cairnroad::*;
+use cairnroad_routing::*;
 use common::{class, listed, settings};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub use fault::Fault;
 
-use cairnroad::{AttemptBudget, Class, Effect, Settings};
+use cairnroad_routing::{AttemptBudget, Class, Effect, Settings};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
--- a/wirehost/src/frame.rs
+++ b/crates/simulator-host/src/frame.rs
@@ -1,6 +1,8 @@
 //! The binary frames: batches in, replies out.
 
-use cairnroad::{Action, ClassId, Event, ListNews, Listed, Outcome, RequestId, ServerId, ServerState, Time};
+use cairnroad_routing::{
+    Action, ClassId, Event, ListNews, Listed, Outcome, RequestId, ServerId, ServerState, Time,
+};
 use std::io::{ErrorKind, Read};
 
 /// Flag bits of an incoming request.
--- a/wirehost/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -3,7 +3,7 @@
 
 mod frame;
 
-use cairnroad::{Action, Aggregator, Event, Time};
+use cairnroad_routing::{Action, Aggregator, Event, Time};
 use frame::{Batch, Record, Reply};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Read, Write};
@@ -13,7 +13,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u16, Aggregator>,
-    pages: BTreeMap<u8, Vec<cairnroad::Listed>>,
+    pages: BTreeMap<u8, Vec<cairnroad_routing::Listed>>,
 }
 
 impl Host {
@@ -84,7 +84,7 @@
     match run(BufReader::new(io::stdin().lock()), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("cairnroad-wirehost: {text}");
+            eprintln!("cairnroad-simulator-host: {text}");
             ExitCode::FAILURE
         }
     }
--- a/lab/src/chaos/scenario.rs
+++ b/crates/testbed/src/chaos/scenario.rs
@@ -112,7 +112,7 @@
     /// What can be done.
     pub fn help(&self) -> &'static str {
         match self {
-            Error::File { .. } => "name a scenario's file, such as lab/scenarios/twelve.toml",
+            Error::File { .. } => "name a scenario's file, such as crates/testbed/scenarios/twelve.toml",
             Error::Form { .. } => "see docs/LAB.md for the keys of a scenario",
             Error::Key { .. } => "see docs/LAB.md for the kinds of fault and their keys",
         }
--- a/lab/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -599,7 +599,7 @@
     }
     let release = own.parent().is_some_and(|folder| folder.ends_with("release"));
     let mut build = std::process::Command::new(std::env::var("CARGO").unwrap_or_else(|_| "cargo".into()));
-    build.args(["build", "--locked", "-p", "cairnroad-node"]).args(release.then_some("--release"));
+    build.args(["build", "--locked", "-p", "cairnroad-coordinator"]).args(release.then_some("--release"));
     match build.status() {
         Ok(status) if status.success() && beside.exists() => Ok(beside),
         _ => Err(format!(
--- a/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -16,7 +16,7 @@
 
 /// Emulated stock nodes, load, experiments.
 #[derive(Debug, Parser)]
-#[command(name = "cairnroad-lab", version)]
+#[command(name = "cairnroad-testbed", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -31,7 +31,9 @@
         seconds: f64,
     },
     /// Play an experiment's variants in turn and write a report
-    #[command(after_help = "Example:\n  cairnroad-lab run lab/experiments/storm.toml --out /tmp/storm")]
+    #[command(
+        after_help = "Example:\n  cairnroad-testbed run crates/testbed/experiments/storm.toml --out /tmp/storm"
+    )]
     Run {
         /// The experiment's file
         experiment: PathBuf,
@@ -40,7 +42,9 @@
         out: PathBuf,
     },
     /// Play faults between processes and check the whole history
-    #[command(after_help = "Example:\n  cairnroad-lab chaos lab/scenarios/twelve.toml --keep /tmp/twelve")]
+    #[command(
+        after_help = "Example:\n  cairnroad-testbed chaos crates/testbed/scenarios/twelve.toml --keep /tmp/twelve"
+    )]
     Chaos {
         /// The scenario's file
         scenario: PathBuf,
@@ -57,7 +61,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("cairnroad-lab: {e}");
+            eprintln!("cairnroad-testbed: {e}");
             return ExitCode::from(2);
         }
     };
@@ -73,7 +77,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(text) => {
-            eprintln!("cairnroad-lab: {text}");
+            eprintln!("cairnroad-testbed: {text}");
             ExitCode::from(2)
         }
     }
--- a/zones/src/lib.rs
+++ b/crates/zone-outage/src/lib.rs
@@ -4,7 +4,7 @@
 //! lost whole: a few servers of one zone that keep what was sent to them, while none of that zone answers anything
 //! newer and others elsewhere do, tell of all of it.
 
-use cairnroad_words::Time;
+use cairnroad_types::Time;
 use std::collections::BTreeMap;
 
 /// A zone is lost once so many of its servers are silent. One alone may be ill.
