--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -73,5 +73,4 @@
 }
 
 #[cfg(test)]
-#[path = "clock_tests.rs"]
 mod tests;
--- a/crates/coordinator/src/fronts/places.rs
+++ b/crates/coordinator/src/fronts/places.rs
@@ -174,5 +174,4 @@
 }
 
 #[cfg(test)]
-#[path = "places_tests.rs"]
 mod tests;
--- a/crates/coordinator/src/pool.rs
+++ b/crates/coordinator/src/pool.rs
@@ -436,5 +436,4 @@
 }
 
 #[cfg(test)]
-#[path = "pool_tests.rs"]
 mod tests;
--- a/crates/coordinator/src/stages/book.rs
+++ b/crates/coordinator/src/stages/book.rs
@@ -220,5 +220,4 @@
 }
 
 #[cfg(test)]
-#[path = "book_tests.rs"]
 mod tests;
--- a/crates/testbed/src/chaos/check.rs
+++ b/crates/testbed/src/chaos/check.rs
@@ -183,5 +183,4 @@
 }
 
 #[cfg(test)]
-#[path = "check_tests.rs"]
 mod tests;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -335,5 +335,4 @@
 }
 
 #[cfg(test)]
-#[path = "load_tests.rs"]
 mod tests;
