--- a/crates/admin/src/bans.rs
+++ b/crates/admin/src/bans.rs
@@ -63,14 +63,20 @@
     pub fn suspended(&self, id: &str, now: Time) -> Ban {
         match self.bans.get(id) {
             Some(ban) if ban.holds() => *ban,
-            _ => Ban { since_us: now.0, back_us: None },
+            _ => Ban {
+                since_us: now.0,
+                back_us: None,
+            },
         }
     }
 
     /// What a call back leaves, if the data node was left out.
     pub fn resumed(&self, id: &str, now: Time) -> Option<Ban> {
         let ban = self.bans.get(id).filter(|ban| ban.holds())?;
-        Some(Ban { back_us: Some(now.0), ..*ban })
+        Some(Ban {
+            back_us: Some(now.0),
+            ..*ban
+        })
     }
 
     /// Puts a ban, or its end, into force. Whether that changes anything.
@@ -81,7 +87,11 @@
     /// Takes in all that is kept, which another process may have changed. Returns the ids that changed. One that is
     /// kept no more was called back long ago.
     pub fn merge(&mut self, kept: &BTreeMap<String, Ban>) -> Vec<String> {
-        let dropped = self.bans.keys().filter(|id| !kept.contains_key(*id)).cloned();
+        let dropped = self
+            .bans
+            .keys()
+            .filter(|id| !kept.contains_key(*id))
+            .cloned();
         let mut changed: Vec<String> = dropped.collect();
         for id in &changed {
             self.bans.remove(id);
@@ -97,8 +107,12 @@
     /// Ends the memory of those that were called back so long ago that they are warm; their ids.
     pub fn expire(&mut self, now: Time, warm_up: f64) -> Vec<String> {
         let warm = |ban: &Ban| ban.back_us.is_some_and(|at| now - Time(at) > warm_up);
-        let over: Vec<String> =
-            self.bans.iter().filter(|(_, ban)| warm(ban)).map(|(id, _)| id.clone()).collect();
+        let over: Vec<String> = self
+            .bans
+            .iter()
+            .filter(|(_, ban)| warm(ban))
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in &over {
             self.bans.remove(id);
         }
@@ -112,7 +126,9 @@
         state: ServerState,
         started: Option<Time>,
     ) -> (ServerState, Option<Time>) {
-        let Some(ban) = self.bans.get(id) else { return (state, started) };
+        let Some(ban) = self.bans.get(id) else {
+            return (state, started);
+        };
         match (ban.back_us, state) {
             (None, ServerState::Ready) => (ServerState::Draining, started),
             (Some(back), ServerState::Ready) => {
@@ -126,7 +142,10 @@
 
     /// The data nodes that are left out.
     pub fn held(&self) -> impl Iterator<Item = &str> {
-        self.bans.iter().filter(|(_, ban)| ban.holds()).map(|(id, _)| id.as_str())
+        self.bans
+            .iter()
+            .filter(|(_, ban)| ban.holds())
+            .map(|(id, _)| id.as_str())
     }
 }
 
--- a/crates/admin/src/bans/tests.rs
+++ b/crates/admin/src/bans/tests.rs
@@ -17,9 +17,18 @@
         bans.put("s-1", ban);
     }
     // Whatever the list says of it, a start included, it gets nothing new.
-    assert_eq!(bans.overlay("s-1", READY, None), (ServerState::Draining, None));
-    assert_eq!(bans.overlay("s-1", READY, Some(at(2.5))).0, ServerState::Draining);
-    assert_eq!(bans.overlay("s-1", ServerState::Gone, None).0, ServerState::Gone);
+    assert_eq!(
+        bans.overlay("s-1", READY, None),
+        (ServerState::Draining, None)
+    );
+    assert_eq!(
+        bans.overlay("s-1", READY, Some(at(2.5))).0,
+        ServerState::Draining
+    );
+    assert_eq!(
+        bans.overlay("s-1", ServerState::Gone, None).0,
+        ServerState::Gone
+    );
     assert_eq!(bans.overlay("s-2", READY, None), (READY, None));
     let back = bans.resumed("s-1", at(5.0)).unwrap();
     assert!(bans.put("s-1", back) && bans.held().count() == 0);
@@ -30,11 +39,27 @@
 #[test]
 fn a_node_that_is_back_counts_as_started_at_the_call_or_as_the_list_says() {
     let mut bans = Bans::default();
-    bans.put("s-1", Ban { since_us: 1_000_000, back_us: Some(5_000_000) });
+    bans.put(
+        "s-1",
+        Ban {
+            since_us: 1_000_000,
+            back_us: Some(5_000_000),
+        },
+    );
     assert_eq!(bans.overlay("s-1", READY, None), (READY, Some(at(5.0))));
-    assert_eq!(bans.overlay("s-1", READY, Some(at(0.5))), (READY, Some(at(5.0))), "an older start");
-    assert_eq!(bans.overlay("s-1", READY, Some(at(3.0))), (READY, Some(at(3.0))));
-    assert_eq!(bans.overlay("s-1", ServerState::Draining, None), (ServerState::Draining, None));
+    assert_eq!(
+        bans.overlay("s-1", READY, Some(at(0.5))),
+        (READY, Some(at(5.0))),
+        "an older start"
+    );
+    assert_eq!(
+        bans.overlay("s-1", READY, Some(at(3.0))),
+        (READY, Some(at(3.0)))
+    );
+    assert_eq!(
+        bans.overlay("s-1", ServerState::Draining, None),
+        (ServerState::Draining, None)
+    );
     assert!(bans.expire(at(20.0), 16.0).is_empty());
     assert_eq!(bans.expire(at(21.1), 16.0), ["s-1"]);
     assert_eq!(bans.overlay("s-1", READY, None), (READY, None));
@@ -43,11 +68,23 @@
 #[test]
 fn what_another_process_keeps_is_taken_over() {
     let mut bans = Bans::default();
-    let (held, back) = (Ban { since_us: 1, back_us: None }, Ban { since_us: 1, back_us: Some(2) });
+    let (held, back) = (
+        Ban {
+            since_us: 1,
+            back_us: None,
+        },
+        Ban {
+            since_us: 1,
+            back_us: Some(2),
+        },
+    );
     let kept = |ban| BTreeMap::from([("s-1".to_string(), ban)]);
     assert_eq!(bans.merge(&kept(held)), ["s-1"]);
     assert!(bans.merge(&kept(held)).is_empty(), "nothing new");
-    assert!(bans.knows("s-1"), "a call back is taken though no list named it");
+    assert!(
+        bans.knows("s-1"),
+        "a call back is taken though no list named it"
+    );
     assert_eq!(bans.merge(&kept(back)), ["s-1"]);
     assert_eq!(bans.merge(&BTreeMap::new()), ["s-1"]);
     assert_eq!(bans.held().count(), 0);
@@ -61,8 +98,20 @@
     }
     assert!(!bans.knows("s-9") && bans.knows("s-10") && bans.seen.len() == MOST_SEEN);
     for number in 0..MOST_BANS {
-        assert!(bans.put(&format!("s-{number}"), Ban { since_us: 1, back_us: None }));
+        assert!(bans.put(
+            &format!("s-{number}"),
+            Ban {
+                since_us: 1,
+                back_us: None
+            }
+        ));
     }
     assert!(!bans.has_room("s-x") && bans.has_room("s-0"));
-    assert!(!bans.put("s-x", Ban { since_us: 1, back_us: None }));
+    assert!(!bans.put(
+        "s-x",
+        Ban {
+            since_us: 1,
+            back_us: None
+        }
+    ));
 }
--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -58,7 +58,9 @@
         match self {
             Verdict::Yes => "yes",
             Verdict::NotNow(cause) => cause,
-            Verdict::Unknown => "no data node of this id was ever listed: look at the list of data nodes",
+            Verdict::Unknown => {
+                "no data node of this id was ever listed: look at the list of data nodes"
+            }
             Verdict::NoPeers => "this coordinator takes part in no group: see docs/PEERS.md",
             Verdict::NoSuchCall => "there is no such call: see docs/OPERATION.md",
             Verdict::Method("GET") => "this call takes GET",
@@ -72,7 +74,11 @@
 /// The call that a method and a target stand for, or why there is none.
 pub fn read(method: &str, target: &str) -> Result<Call, Verdict> {
     let path = target.split('?').next().unwrap_or("");
-    let steps: Vec<&str> = path.strip_prefix("/v1/").ok_or(Verdict::NoSuchCall)?.split('/').collect();
+    let steps: Vec<&str> = path
+        .strip_prefix("/v1/")
+        .ok_or(Verdict::NoSuchCall)?
+        .split('/')
+        .collect();
     let (call, takes) = match steps[..] {
         ["readyz"] => (Call::Ready, "GET"),
         ["peers"] => (Call::Peers, "GET"),
@@ -99,9 +105,13 @@
             bytes.push(byte);
             continue;
         }
-        let digits = rest.get(..2).and_then(|digits| std::str::from_utf8(digits).ok());
+        let digits = rest
+            .get(..2)
+            .and_then(|digits| std::str::from_utf8(digits).ok());
         let digits = digits.filter(|digits| digits.bytes().all(|b| b.is_ascii_hexdigit()));
-        let value = digits.and_then(|digits| u8::from_str_radix(digits, 16).ok()).ok_or(Verdict::BadId)?;
+        let value = digits
+            .and_then(|digits| u8::from_str_radix(digits, 16).ok())
+            .ok_or(Verdict::BadId)?;
         bytes.push(value);
         rest = &rest[2..];
     }
--- a/crates/admin/src/call/tests.rs
+++ b/crates/admin/src/call/tests.rs
@@ -11,11 +11,23 @@
         ("GET", "/v1/peers", Ok(Call::Peers)),
         ("PUT", "/v1/coordinator/drain", Ok(Call::Drain)),
         ("PUT", "/v1/coordinator/activate", Ok(Call::Activate)),
-        ("POST", "/v1/coordinator/activate", Err(Verdict::Method("PUT"))),
+        (
+            "POST",
+            "/v1/coordinator/activate",
+            Err(Verdict::Method("PUT")),
+        ),
         ("PUT", "/v1/data-nodes/s-1/suspend", suspend("s-1")),
         ("PUT", "/v1/data-nodes/s%2f1%20/suspend", suspend("s/1 ")),
-        ("PUT", "/v1/data-nodes/s-1/resume", Ok(Call::Resume("s-1".into()))),
-        ("GET", "/v1/data-nodes/s-1/resume", Err(Verdict::Method("PUT"))),
+        (
+            "PUT",
+            "/v1/data-nodes/s-1/resume",
+            Ok(Call::Resume("s-1".into())),
+        ),
+        (
+            "GET",
+            "/v1/data-nodes/s-1/resume",
+            Err(Verdict::Method("PUT")),
+        ),
         ("PUT", "/v1/data-nodes//resume", Err(Verdict::BadId)),
         ("PUT", "/v1/data-nodes/%/resume", Err(Verdict::BadId)),
         ("PUT", "/v1/data-nodes/%ff/resume", Err(Verdict::BadId)),
@@ -40,5 +52,8 @@
         !matches!(read("PUT", &target), Ok(Call::Suspend(id)) if id.is_empty() || id.len() > MOST_ID)
     };
     let fixed = Gen::from_size_and_seed(40, 7);
-    QuickCheck::new().rng(fixed).tests(2_000).quickcheck(one as fn(String) -> bool);
+    QuickCheck::new()
+        .rng(fixed)
+        .tests(2_000)
+        .quickcheck(one as fn(String) -> bool);
 }
--- a/crates/admin/src/retune.rs
+++ b/crates/admin/src/retune.rs
@@ -34,10 +34,18 @@
     let mut names = vec![String::new(); in_force.class_names.len()];
     let mut classes = in_force.policy.classes.clone();
     let mut places = vec![None; fresh.class_names.len()];
-    let stated = || fresh.class_names.iter().zip(&fresh.policy.classes).enumerate();
+    let stated = || {
+        fresh
+            .class_names
+            .iter()
+            .zip(&fresh.policy.classes)
+            .enumerate()
+    };
     // Who is the same stays where it was, whatever the order of the file.
     for (at, (name, class)) in stated() {
-        let same = in_force.place(name).filter(|&place| in_force.policy.classes[place] == *class);
+        let same = in_force
+            .place(name)
+            .filter(|&place| in_force.policy.classes[place] == *class);
         if let Some(place) = same.filter(|&place| names[place].is_empty()) {
             names[place] = name.clone();
             places[at] = Some(place);
@@ -55,7 +63,9 @@
         let place = free.unwrap_or(classes.len());
         if place == classes.len() {
             if place >= MOST_PLACES {
-                return Err(format!("settings: requests hold all {MOST_PLACES} places for classes"));
+                return Err(format!(
+                    "settings: requests hold all {MOST_PLACES} places for classes"
+                ));
             }
             classes.push(class.clone());
             names.push(String::new());
@@ -71,8 +81,14 @@
         ("extra.positions", old.policy.cells != new.policy.cells),
         ("extra.span", old.policy.reach != new.policy.reach),
         ("extra.shards", old.shards != new.shards),
-        ("extra.partsACall", old.policy.parts_a_call != new.policy.parts_a_call),
-        ("report.names", old.report_names != new.report_names || old.policy.probes != new.policy.probes),
+        (
+            "extra.partsACall",
+            old.policy.parts_a_call != new.policy.parts_a_call,
+        ),
+        (
+            "report.names",
+            old.report_names != new.report_names || old.policy.probes != new.policy.probes,
+        ),
         ("registryMode", old.policy.must_ask != new.policy.must_ask),
         ("caps.dialTimeoutS", old.dial_timeout != new.dial_timeout),
         ("caps.keepaliveS", old.keepalive != new.keepalive),
@@ -95,7 +111,10 @@
         deployment,
         places: places.into_iter().flatten().map(id).collect(),
         renewed,
-        waiting: waits.into_iter().filter_map(|(key, differs)| differs.then_some(key)).collect(),
+        waiting: waits
+            .into_iter()
+            .filter_map(|(key, differs)| differs.then_some(key))
+            .collect(),
     })
 }
 
@@ -106,12 +125,18 @@
 /// The first key that the file in force has and another lacks, as a path. Guards against a file that was cut or
 /// written badly and is sound all the same because a key has a default.
 pub fn lacks(in_force: &Value, fresh: &Value) -> Option<String> {
-    let Value::Object(keys) = in_force else { return missing(in_force, fresh) };
-    let lasting = keys.iter().filter(|(key, _)| !STARTS.contains(&key.as_str()));
-    lasting.map(|(key, value)| (key, value, fresh.get(key))).find_map(|(key, value, other)| match other {
-        None => Some(key.clone()),
-        Some(other) => missing(value, other).map(|path| join(key, &path)),
-    })
+    let Value::Object(keys) = in_force else {
+        return missing(in_force, fresh);
+    };
+    let lasting = keys
+        .iter()
+        .filter(|(key, _)| !STARTS.contains(&key.as_str()));
+    lasting
+        .map(|(key, value)| (key, value, fresh.get(key)))
+        .find_map(|(key, value, other)| match other {
+            None => Some(key.clone()),
+            Some(other) => missing(value, other).map(|path| join(key, &path)),
+        })
 }
 
 fn join(key: &str, path: &str) -> String {
--- a/crates/admin/src/stop.rs
+++ b/crates/admin/src/stop.rs
@@ -92,8 +92,12 @@
     pub fn step(&mut self, now: Time, seen: Seen) -> Step {
         let (age, for_so_long) = (now - self.ordered, now - self.since);
         let quiet = now - seen.last_asked >= QUIET;
-        let earliest = EARLIEST_DEAF.min(self.kill - EARLIEST_DEAF_BEFORE).max(CLOSE_IDLE);
-        let latest = LATEST_DEAF.min(self.kill - LATEST_DEAF_BEFORE).max(CLOSE_IDLE);
+        let earliest = EARLIEST_DEAF
+            .min(self.kill - EARLIEST_DEAF_BEFORE)
+            .max(CLOSE_IDLE);
+        let latest = LATEST_DEAF
+            .min(self.kill - LATEST_DEAF_BEFORE)
+            .max(CLOSE_IDLE);
         // Whoever is refused needs time to read it, too.
         let refused_by = self.kill - KILL_MARGIN - LAST_WORDS;
         let told = now - self.since.max(seen.last_answered) >= LAST_WORDS;
@@ -104,7 +108,9 @@
             Step::Deaf if seen.coming_in == 0 || for_so_long >= HALF_SENT || age >= refused_by => {
                 Step::Refusing
             }
-            Step::Refusing if seen.serving == 0 && told && (seen.staying == 0 || waited) => Step::Over,
+            Step::Refusing if seen.serving == 0 && told && (seen.staying == 0 || waited) => {
+                Step::Over
+            }
             step => step,
         };
         if next != self.step {
--- a/crates/admin/tests/stop.rs
+++ b/crates/admin/tests/stop.rs
@@ -59,7 +59,10 @@
 
 #[test]
 fn the_rest_of_a_request_is_waited_for() {
-    let all = moments(2.5, |age| Seen { coming_in: usize::from(age < 1.1), ..Seen::default() });
+    let all = moments(2.5, |age| Seen {
+        coming_in: usize::from(age < 1.1),
+        ..Seen::default()
+    });
     assert_eq!(all[3], (Step::Refusing, 1100));
 }
 
@@ -87,7 +90,10 @@
 /// Guards against an end while a connection that was accepted last still waits for its first request.
 #[test]
 fn connections_that_were_not_told_of_the_end_are_waited_for() {
-    let all = moments(2.5, |age| Seen { staying: usize::from(age < 1.0), ..Seen::default() });
+    let all = moments(2.5, |age| Seen {
+        staying: usize::from(age < 1.0),
+        ..Seen::default()
+    });
     assert_eq!(all[4], (Step::Over, 1000));
 }
 
@@ -105,13 +111,20 @@
             ..Seen::default()
         });
         let kill = ((longest.min(3.0) + 0.7) * 1e3) as i64;
-        let at = |step| all.iter().find(|(other, _)| *other == step).map_or(i64::MAX, |(_, at)| *at);
+        let at = |step| {
+            all.iter()
+                .find(|(other, _)| *other == step)
+                .map_or(i64::MAX, |(_, at)| *at)
+        };
         at(Step::Deaf) <= (kill - 400).max(500) + 5
             && at(Step::Refusing) <= (kill - 150).max(505) + 5
             && at(Step::Over) <= (kill - 100).max(555) + 5
     }
     let fixed = Gen::from_size_and_seed(100, 31);
-    QuickCheck::new().rng(fixed).tests(300).quickcheck(kept as fn(u16, bool, bool) -> bool);
+    QuickCheck::new()
+        .rng(fixed)
+        .tests(300)
+        .quickcheck(kept as fn(u16, bool, bool) -> bool);
     for deadline in [0, 180, 330, 430, 480, 2480, 7980] {
         assert!(kept(deadline, true, true), "{deadline}");
     }
--- a/crates/cluster/examples/simulate.rs
+++ b/crates/cluster/examples/simulate.rs
@@ -61,16 +61,27 @@
         sim.play(f64::from(*half) / 2.0);
         sim.alive().into_iter().all(|by| sim.sees(by).len() == size)
     });
-    let found = found.map_or("never".to_string(), |half| format!("{:.1}", f64::from(half) / 2.0));
+    let found = found.map_or("never".to_string(), |half| {
+        format!("{:.1}", f64::from(half) / 2.0)
+    });
     // Until news of the start has been told, traffic is not that of a quiet group.
     sim.play(sim.age() + 20.0);
     let (from, bytes, datagrams) = (sim.age(), sim.bytes.iter().sum::<u64>(), sim.datagrams);
     sim.play(from + WATCHED);
-    let false_failures =
-        sim.failures(from).iter().map(|seen| seen.of).collect::<std::collections::BTreeSet<_>>().len();
+    let false_failures = sim
+        .failures(from)
+        .iter()
+        .map(|seen| seen.of)
+        .collect::<std::collections::BTreeSet<_>>()
+        .len();
     let per = |total: u64| total as f64 / size as f64 / WATCHED;
-    let (bytes, datagrams) = (per(sim.bytes.iter().sum::<u64>() - bytes), per(sim.datagrams - datagrams));
-    let killed: Vec<usize> = (0..KILLED).map(|number| size / 2 + number * 7 % size / 3).collect();
+    let (bytes, datagrams) = (
+        per(sim.bytes.iter().sum::<u64>() - bytes),
+        per(sim.datagrams - datagrams),
+    );
+    let killed: Vec<usize> = (0..KILLED)
+        .map(|number| size / 2 + number * 7 % size / 3)
+        .collect();
     let at = sim.age();
     for &member in &killed {
         sim.plan(at, Fault::Kill(member));
@@ -84,7 +95,9 @@
         .collect();
     known.sort_by(f64::total_cmp);
     let quantile = |share: f64| {
-        known.get(((known.len() as f64 * share) as usize).min(known.len().saturating_sub(1))).copied()
+        known
+            .get(((known.len() as f64 * share) as usize).min(known.len().saturating_sub(1)))
+            .copied()
     };
     let secs = |share| quantile(share).map_or("-".to_string(), |secs| format!("{secs:.1}"));
     let hours = size as f64 * WATCHED / 3600.0;
--- a/crates/cluster/src/advice.rs
+++ b/crates/cluster/src/advice.rs
@@ -13,7 +13,10 @@
 /// list names `listed` data nodes.
 pub fn heeded(doubted: &BTreeMap<String, usize>, there: usize, listed: usize) -> Vec<String> {
     let needed = AT_LEAST.max((SHARE * there as f64).ceil() as usize);
-    let heeded = doubted.iter().filter(|(_, count)| **count >= needed).map(|(id, _)| id.clone());
+    let heeded = doubted
+        .iter()
+        .filter(|(_, count)| **count >= needed)
+        .map(|(id, _)| id.clone());
     let heeded: Vec<String> = heeded.collect();
     if heeded.len() as f64 > TOO_MANY * listed as f64 {
         return Vec::new();
--- a/crates/cluster/src/codec.rs
+++ b/crates/cluster/src/codec.rs
@@ -51,7 +51,11 @@
     /// The library forgets one who has been gone for long.
     pub(crate) fn forget(&mut self, id: &Id) {
         self.known.remove(&id.name);
-        if self.forgotten.insert(id.name, (id.generation, id.returns)).is_none() {
+        if self
+            .forgotten
+            .insert(id.name, (id.generation, id.returns))
+            .is_none()
+        {
             self.order.push_back(id.name);
         }
         if self.order.len() > MOST_FORGOTTEN {
@@ -106,8 +110,10 @@
         let header: Header<Id> = PostcardCodec.decode_header(buf)?;
         let mut observed = self.0.borrow_mut();
         observed.admit(&header.src, State::Alive)?;
-        observed.answers +=
-            u32::from(matches!(header.message, Message::Ack(_) | Message::ForwardedAck { .. }));
+        observed.answers += u32::from(matches!(
+            header.message,
+            Message::Ack(_) | Message::ForwardedAck { .. }
+        ));
         Ok(header)
     }
 
@@ -120,7 +126,10 @@
         let mut observed = self.0.borrow_mut();
         observed.admit(member.id(), member.state())?;
         let id = member.id();
-        let old = observed.forgotten.get(&id.name).is_some_and(|last| (id.generation, id.returns) <= *last);
+        let old = observed
+            .forgotten
+            .get(&id.name)
+            .is_some_and(|last| (id.generation, id.returns) <= *last);
         Ok(if old { Member::down(*id) } else { member })
     }
 }
--- a/crates/cluster/src/decide.rs
+++ b/crates/cluster/src/decide.rs
@@ -7,7 +7,9 @@
 use crate::facts::{Fact, Facts, Phase, What, MOST_DOUBTS};
 use crate::model::{Id, Member, Name, Standing, State, View};
 use cairnroad_types::Time;
-use foca::{BroadcastHandler, Foca, Identity, Invalidates, Notification, PeriodicParams, Runtime, Timer};
+use foca::{
+    BroadcastHandler, Foca, Identity, Invalidates, Notification, PeriodicParams, Runtime, Timer,
+};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -172,7 +174,10 @@
     type Addr = Name;
 
     fn renew(&self) -> Option<Id> {
-        Some(Id { returns: self.returns.checked_add(1)?, ..*self })
+        Some(Id {
+            returns: self.returns.checked_add(1)?,
+            ..*self
+        })
     }
 
     fn addr(&self) -> Name {
@@ -206,7 +211,11 @@
     fn receive_item(&mut self, data: &[u8], _: Option<&Id>) -> Result<Option<Telling>, Unusable> {
         let fact: Fact = postcard::from_bytes(data)?;
         let key = fact.key();
-        Ok(self.facts.borrow_mut().take(self.now.get(), fact).then_some(Telling(key)))
+        Ok(self
+            .facts
+            .borrow_mut()
+            .take(self.now.get(), fact)
+            .then_some(Telling(key)))
     }
 }
 
@@ -269,7 +278,10 @@
 fn config(size: usize) -> foca::Config {
     let many = |number: usize| NonZeroUsize::new(number).unwrap_or(NonZeroUsize::MIN);
     let every = |(frequency, number): (Duration, usize)| {
-        Some(PeriodicParams { frequency, num_members: many(number) })
+        Some(PeriodicParams {
+            frequency,
+            num_members: many(number),
+        })
     };
     let size_or_one = NonZeroU32::new(size as u32).unwrap_or(NonZeroU32::MIN);
     foca::Config {
@@ -291,7 +303,12 @@
     /// A coordinator that knows its setup and nothing else. It is alone until the first [`Group::tick`]s have found others.
     pub fn new(setup: Setup, now: Time) -> Group {
         let name = Name::of(&setup.name);
-        let own = Id { name, generation: setup.generation, returns: 0, address: setup.address };
+        let own = Id {
+            name,
+            generation: setup.generation,
+            returns: 0,
+            address: setup.address,
+        };
         let observed = Rc::new(RefCell::new(Observed::new(own)));
         let facts: Rc<RefCell<Facts>> = Rc::default();
         let local = Rc::new(Cell::new(now));
@@ -333,7 +350,9 @@
             dropped: [0; CAUSES.len()],
             setup,
         };
-        let Setup { name, room, offers, .. } = group.setup.clone();
+        let Setup {
+            name, room, offers, ..
+        } = group.setup.clone();
         group.say_quietly(What::Card { name, room, offers });
         group.say_quietly(What::Phase(Phase::Starting));
         group.standing = group.reckon();
@@ -348,7 +367,10 @@
         now: &Rc<Cell<Time>>,
         seed: u64,
     ) -> Swim {
-        let spread = Spread { facts: facts.clone(), now: now.clone() };
+        let spread = Spread {
+            facts: facts.clone(),
+            now: now.clone(),
+        };
         let config = config(setup.group.len());
         Foca::with_custom_broadcast(
             own,
@@ -376,7 +398,12 @@
 
     fn take(&mut self, bytes: &[u8], out: &mut Vec<Out>) -> Result<(), Dropped> {
         match envelope::open(&self.setup.cluster, bytes)? {
-            Message::Swim { epoch, digest, from, bytes } => {
+            Message::Swim {
+                epoch,
+                digest,
+                from,
+                bytes,
+            } => {
                 if self.replaced {
                     return Ok(());
                 }
@@ -390,7 +417,11 @@
                     _ if self.observed.borrow().is_full() => Dropped::Full,
                     _ => Dropped::Garbage,
                 })?;
-                if self.members.get(&from).is_some_and(|member| member.state.is_there()) {
+                if self
+                    .members
+                    .get(&from)
+                    .is_some_and(|member| member.state.is_there())
+                {
                     self.heard_epoch = self.heard_epoch.max(epoch);
                     self.told.insert(from, digest);
                     if digest == self.digest {
@@ -406,9 +437,18 @@
                     }
                     name => self.members.get(&name).map(|member| member.id),
                 };
-                if let Some(known) = known.filter(|known| known.name != asker.name || *known != asker) {
+                if let Some(known) =
+                    known.filter(|known| known.name != asker.name || *known != asker)
+                {
                     let itself = known.name == self.own.name;
-                    self.send(asker.address, &Message::Here { whom: known, itself }, out);
+                    self.send(
+                        asker.address,
+                        &Message::Here {
+                            whom: known,
+                            itself,
+                        },
+                        out,
+                    );
                 }
                 Ok(())
             }
@@ -416,7 +456,11 @@
                 self.here(whom, itself, out);
                 Ok(())
             }
-            Message::Sums { from: sender, sums, last } => {
+            Message::Sums {
+                from: sender,
+                sums,
+                last,
+            } => {
                 if !self.knows(&sender) {
                     return Err(Dropped::Misdirected);
                 }
@@ -432,7 +476,9 @@
             Message::Facts(facts) => {
                 // News is passed on as if it were this one's own word: others were cut off from it, too.
                 for fact in facts {
-                    let Ok(bytes) = postcard::to_allocvec(&fact) else { continue };
+                    let Ok(bytes) = postcard::to_allocvec(&fact) else {
+                        continue;
+                    };
                     let _ = self.swim.add_broadcast(&bytes);
                 }
                 Ok(())
@@ -452,7 +498,10 @@
             }
         } else if whom.supersedes(&self.own) {
             // Its own word settles it; another's may be about one that has ended since.
-            let asked = self.challenge.as_ref().is_some_and(|challenge| challenge.asked > 0);
+            let asked = self
+                .challenge
+                .as_ref()
+                .is_some_and(|challenge| challenge.asked > 0);
             if itself && asked {
                 self.stand_back(whom, out);
             } else {
@@ -472,7 +521,11 @@
         }
         self.set_clock(now);
         let local = self.now.get();
-        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= local) {
+        while let Some(entry) = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= local)
+        {
             let timer = entry.remove();
             if let Timer::RemoveDown(id) = &timer {
                 // One that came back under a later number since is not meant.
@@ -512,9 +565,19 @@
 
     /// When [`Group::tick`] has something to do at the latest, should nothing come in.
     pub fn next_due(&self) -> Time {
-        let timer = self.timers.first_key_value().map_or(Time(i64::MAX), |((at, _), _)| *at);
-        let challenge = self.challenge.as_ref().map_or(Time(i64::MAX), |challenge| challenge.next);
-        let due = timer.min(challenge).min(self.due_knock).min(self.due_exchange).min(self.due_look);
+        let timer = self
+            .timers
+            .first_key_value()
+            .map_or(Time(i64::MAX), |((at, _), _)| *at);
+        let challenge = self
+            .challenge
+            .as_ref()
+            .map_or(Time(i64::MAX), |challenge| challenge.next);
+        let due = timer
+            .min(challenge)
+            .min(self.due_knock)
+            .min(self.due_exchange)
+            .min(self.due_look);
         due + self.lost
     }
 
@@ -539,7 +602,12 @@
         if self.left || self.replaced {
             return;
         }
-        self.say(now, What::Left { at_ms: (now.0 / 1_000) as u64 });
+        self.say(
+            now,
+            What::Left {
+                at_ms: (now.0 / 1_000) as u64,
+            },
+        );
         let mut taken = Taken::default();
         let _ = self.swim.broadcast(&mut taken);
         let _ = self.swim.leave_cluster(&mut taken);
@@ -552,14 +620,21 @@
     /// What this coordinator sees.
     pub fn view(&self) -> View {
         let told = self.told.values();
-        let agree = told.clone().filter(|digest| **digest == self.digest).count();
+        let agree = told
+            .clone()
+            .filter(|digest| **digest == self.digest)
+            .count();
         View {
             epoch: self.epoch,
             digest: self.digest,
             own: self.own,
             standing: self.standing,
             doubt: self.doubt.score(),
-            replaced_by: self.challenge.as_ref().map(|challenge| challenge.whom).filter(|_| self.replaced),
+            replaced_by: self
+                .challenge
+                .as_ref()
+                .map(|challenge| challenge.whom)
+                .filter(|_| self.replaced),
             agree,
             differ: told.len() - agree,
             members: self.members.values().cloned().collect(),
@@ -573,7 +648,10 @@
         }
         let facts = self.facts.borrow();
         let doubted = facts.doubted(self.now.get(), self.own.name);
-        doubted.into_iter().map(|(id, count)| (id.to_string(), count)).collect()
+        doubted
+            .into_iter()
+            .map(|(id, count)| (id.to_string(), count))
+            .collect()
     }
 
     /// What is known of a member: its name, room and offers, and what it is doing.
@@ -638,7 +716,16 @@
         }
         for (to, bytes) in taken.sends {
             let (epoch, digest, from) = (self.epoch, self.digest, self.own.name);
-            self.send(to.address, &Message::Swim { epoch, digest, from, bytes }, out);
+            self.send(
+                to.address,
+                &Message::Swim {
+                    epoch,
+                    digest,
+                    from,
+                    bytes,
+                },
+                out,
+            );
         }
     }
 
@@ -670,7 +757,11 @@
             Told::Rejoined => {
                 self.take_identity(*self.swim.identity());
                 let now = self.now.get();
-                self.vain = if now - self.returned < VAIN { self.vain + 1 } else { 0 };
+                self.vain = if now - self.returned < VAIN {
+                    self.vain + 1
+                } else {
+                    0
+                };
                 self.returned = now;
                 out.push(Out::Returned);
             }
@@ -687,15 +778,31 @@
             return;
         }
         let since = self.now.get();
-        let before = self.members.insert(id.name, Member { id, state, since, incarnation: 0 });
-        let was = before.filter(|before| before.state.is_there()).map_or(0, |before| before.id.digest());
+        let before = self.members.insert(
+            id.name,
+            Member {
+                id,
+                state,
+                since,
+                incarnation: 0,
+            },
+        );
+        let was = before
+            .filter(|before| before.state.is_there())
+            .map_or(0, |before| before.id.digest());
         self.digest ^= was ^ if state.is_there() { id.digest() } else { 0 };
         self.epoch = self.epoch.max(self.heard_epoch) + 1;
-        self.facts.borrow_mut().seen(since, id.name, state.is_there());
+        self.facts
+            .borrow_mut()
+            .seen(since, id.name, state.is_there());
         if !state.is_there() {
             self.told.remove(&id.name);
         }
-        let name = self.facts.borrow().card(id.name).map(|card| card.0.to_string());
+        let name = self
+            .facts
+            .borrow()
+            .card(id.name)
+            .map(|card| card.0.to_string());
         out.push(Out::Member { id, name, state });
     }
 
@@ -703,7 +810,9 @@
     fn look(&mut self, out: &mut Vec<Out>) {
         let now = self.now.get();
         for member in self.swim.iter_members() {
-            let Some(known) = self.members.get_mut(&member.id().name) else { continue };
+            let Some(known) = self.members.get_mut(&member.id().name) else {
+                continue;
+            };
             let state = match member.state() {
                 foca::State::Suspect => State::Suspected,
                 _ => State::Alive,
@@ -711,16 +820,32 @@
             known.incarnation = member.incarnation();
             if known.state.is_there() && known.state != state {
                 (known.state, known.since) = (state, now);
-                let name = self.facts.borrow().card(known.id.name).map(|card| card.0.to_string());
-                out.push(Out::Member { id: known.id, name, state });
+                let name = self
+                    .facts
+                    .borrow()
+                    .card(known.id.name)
+                    .map(|card| card.0.to_string());
+                out.push(Out::Member {
+                    id: known.id,
+                    name,
+                    state,
+                });
             }
         }
-        for known in self.members.values_mut().filter(|known| known.state == State::Failed) {
+        for known in self
+            .members
+            .values_mut()
+            .filter(|known| known.state == State::Failed)
+        {
             let facts = self.facts.borrow();
             if facts.has_left(known.id.name, known.id.generation) {
                 known.state = State::Left;
                 let name = facts.card(known.id.name).map(|card| card.0.to_string());
-                out.push(Out::Member { id: known.id, name, state: State::Left });
+                out.push(Out::Member {
+                    id: known.id,
+                    name,
+                    state: State::Left,
+                });
             }
         }
         self.facts.borrow_mut().expire(now);
@@ -736,8 +861,14 @@
         let answers = std::mem::take(&mut self.observed.borrow_mut().answers);
         (0..answers).for_each(|_| self.doubt.note(Sign::Answered));
         let superseded = self.observed.borrow_mut().superseded.take();
-        if let Some(whom) = superseded.filter(|whom| whom.supersedes(&self.own) && self.challenge.is_none()) {
-            self.challenge = Some(Challenge { whom, asked: 0, next: self.now.get() });
+        if let Some(whom) =
+            superseded.filter(|whom| whom.supersedes(&self.own) && self.challenge.is_none())
+        {
+            self.challenge = Some(Challenge {
+                whom,
+                asked: 0,
+                next: self.now.get(),
+            });
         }
         // Others keep declaring it failed: there may be a later life under its name, or have been.
         if self.vain >= MOST_VAIN {
@@ -756,7 +887,10 @@
             return Standing::Alone;
         }
         let own = usize::from(self.voters.contains(&self.own.name));
-        let others = self.there().filter(|member| self.voters.contains(&member.id.name)).count();
+        let others = self
+            .there()
+            .filter(|member| self.voters.contains(&member.id.name))
+            .count();
         let standing = Standing::of(own + others, self.voters.len());
         if self.doubt.is_too_much() {
             standing.min(Standing::Minority)
@@ -766,11 +900,15 @@
     }
 
     fn there(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(|member| member.state.is_there())
+        self.members
+            .values()
+            .filter(|member| member.state.is_there())
     }
 
     fn knows(&self, id: &Id) -> bool {
-        self.members.get(&id.name).is_some_and(|member| member.id == *id && member.state.is_there())
+        self.members
+            .get(&id.name)
+            .is_some_and(|member| member.id == *id && member.state.is_there())
     }
 
     // ---- Lives --------------------------------------------------------------------------------------------
@@ -784,11 +922,22 @@
 
     /// Begins anew with nobody known to be there, and looks for those who were.
     fn start_over(&mut self, own: Option<Id>, out: &mut Vec<Out>) {
-        let own = own.unwrap_or(Id { generation: self.own.generation + 1, returns: 0, ..self.own });
+        let own = own.unwrap_or(Id {
+            generation: self.own.generation + 1,
+            returns: 0,
+            ..self.own
+        });
         self.take_identity(own);
         let known: Vec<Id> = self.there().map(|member| member.id).collect();
         let seed = self.chance.random();
-        self.swim = Self::library(&self.setup, own, &self.observed, &self.facts, &self.now, seed);
+        self.swim = Self::library(
+            &self.setup,
+            own,
+            &self.observed,
+            &self.facts,
+            &self.now,
+            seed,
+        );
         self.timers.clear();
         self.members.clear();
         self.told.clear();
@@ -812,7 +961,14 @@
 
     fn begin_life(&mut self, generation: u64, out: &mut Vec<Out>) {
         self.versions = 0;
-        self.start_over(Some(Id { generation, returns: 0, ..self.own }), out);
+        self.start_over(
+            Some(Id {
+                generation,
+                returns: 0,
+                ..self.own
+            }),
+            out,
+        );
     }
 
     /// Another process has this one's place: it says nothing more of the group until that one is gone.
@@ -825,22 +981,40 @@
             self.told.clear();
             self.digest = self.own.digest();
             self.epoch = self.epoch.max(self.heard_epoch) + 1;
-            out.push(Out::Replaced { earlier: self.own, later: whom });
+            out.push(Out::Replaced {
+                earlier: self.own,
+                later: whom,
+            });
         }
-        self.challenge = Some(Challenge { whom, asked: 0, next: now + CHALLENGE_AGAIN });
+        self.challenge = Some(Challenge {
+            whom,
+            asked: 0,
+            next: now + CHALLENGE_AGAIN,
+        });
     }
 
     /// Asks a later process under this one's name whether it is alive; one that does not answer has ended.
     fn meet_challenge(&mut self, out: &mut Vec<Out>) {
         let now = self.now.get();
-        let Some(challenge) = self.challenge.as_mut().filter(|challenge| now >= challenge.next) else {
+        let Some(challenge) = self
+            .challenge
+            .as_mut()
+            .filter(|challenge| now >= challenge.next)
+        else {
             return;
         };
         let whom = challenge.whom;
         if challenge.asked < CHALLENGES && whom.address != self.own.address {
             challenge.asked += 1;
             challenge.next = now + CHALLENGE;
-            self.send(whom.address, &Message::Who { from: self.own, whom }, out);
+            self.send(
+                whom.address,
+                &Message::Who {
+                    from: self.own,
+                    whom,
+                },
+                out,
+            );
             return;
         }
         // Nobody else can be at this one's own address, so a life that was there has ended, too: its clock ran ahead.
@@ -859,7 +1033,15 @@
 
     fn send_sums(&self, to: SocketAddr, last: bool, out: &mut Vec<Out>) {
         let sums = Box::new(self.facts.borrow().sums());
-        self.send(to, &Message::Sums { from: self.own, sums, last }, out);
+        self.send(
+            to,
+            &Message::Sums {
+                from: self.own,
+                sums,
+                last,
+            },
+            out,
+        );
     }
 
     /// Asks seeds who they are: often while nobody is there, now and then while somebody is missing.
@@ -869,11 +1051,21 @@
         if self.standing == Standing::Whole || self.setup.seeds.is_empty() {
             return;
         }
-        let nobody = Id { name: Name(0), ..self.own };
+        let nobody = Id {
+            name: Name(0),
+            ..self.own
+        };
         for _ in 0..KNOCKS.min(self.setup.seeds.len()) {
             let seed = self.setup.seeds[self.chance.random_range(0..self.setup.seeds.len())];
             if seed != self.own.address {
-                self.send(seed, &Message::Who { from: self.own, whom: nobody }, out);
+                self.send(
+                    seed,
+                    &Message::Who {
+                        from: self.own,
+                        whom: nobody,
+                    },
+                    out,
+                );
             }
         }
     }
@@ -885,28 +1077,55 @@
             return;
         }
         self.asked_around = Some(self.now.get() + ASKED_AROUND);
-        let nobody = Id { name: Name(0), ..self.own };
+        let nobody = Id {
+            name: Name(0),
+            ..self.own
+        };
         for _ in 0..ASK_AROUND {
             let to = others[self.chance.random_range(0..others.len())];
-            self.send(to, &Message::Who { from: self.own, whom: nobody }, out);
+            self.send(
+                to,
+                &Message::Who {
+                    from: self.own,
+                    whom: nobody,
+                },
+                out,
+            );
         }
     }
 
     fn ask_for_own_name(&mut self, out: &mut Vec<Out>) {
-        let mut addresses: Vec<SocketAddr> = self.members.values().map(|member| member.id.address).collect();
+        let mut addresses: Vec<SocketAddr> = self
+            .members
+            .values()
+            .map(|member| member.id.address)
+            .collect();
         addresses.extend(&self.setup.seeds);
         for _ in 0..KNOCKS.min(addresses.len()) {
             let to = addresses[self.chance.random_range(0..addresses.len())];
-            self.send(to, &Message::Who { from: self.own, whom: self.own }, out);
+            self.send(
+                to,
+                &Message::Who {
+                    from: self.own,
+                    whom: self.own,
+                },
+                out,
+            );
         }
     }
 
     fn say_quietly(&mut self, what: What) {
         self.versions += 1;
-        let fact =
-            Fact { writer: self.own.name, generation: self.own.generation, version: self.versions, what };
+        let fact = Fact {
+            writer: self.own.name,
+            generation: self.own.generation,
+            version: self.versions,
+            what,
+        };
         self.said.insert(fact.key().1, fact.what.clone());
-        self.facts.borrow_mut().seen(self.now.get(), self.own.name, true);
+        self.facts
+            .borrow_mut()
+            .seen(self.now.get(), self.own.name, true);
         if let Ok(bytes) = postcard::to_allocvec(&fact) {
             let _ = self.swim.add_broadcast(&bytes);
         }
--- a/crates/cluster/src/envelope/tests.rs
+++ b/crates/cluster/src/envelope/tests.rs
@@ -4,8 +4,17 @@
 
 fn message() -> Message {
     let address = "127.0.0.1:4000".parse().unwrap();
-    let id = Id { name: Name::of("n1"), generation: 1_790_000_000_000, returns: 2, address };
-    Message::Sums { from: id, sums: Box::new([7; BUCKETS]), last: false }
+    let id = Id {
+        name: Name::of("n1"),
+        generation: 1_790_000_000_000,
+        returns: 2,
+        address,
+    };
+    Message::Sums {
+        from: id,
+        sums: Box::new([7; BUCKETS]),
+        last: false,
+    }
 }
 
 #[test]
@@ -17,13 +26,22 @@
     later[2] = VERSION + 1;
     assert_eq!(open("sapporo", &later), Err(Dropped::Version));
     assert_eq!(open("sapporo", b""), Err(Dropped::Garbage));
-    assert_eq!(open("sapporo", &[bytes.clone(), vec![0]].concat()), Err(Dropped::Garbage), "a rest");
+    assert_eq!(
+        open("sapporo", &[bytes.clone(), vec![0]].concat()),
+        Err(Dropped::Garbage),
+        "a rest"
+    );
     assert_eq!(open("sapporo", &vec![b'c'; 5_000]), Err(Dropped::Garbage));
 }
 
 #[test]
 fn what_would_be_split_is_not_sent() {
-    let message = |length| Message::Swim { epoch: 1, digest: 2, from: Name(3), bytes: vec![0; length] };
+    let message = |length| Message::Swim {
+        epoch: 1,
+        digest: 2,
+        from: Name(3),
+        bytes: vec![0; length],
+    };
     let longest = "x".repeat(MOST_CLUSTER);
     assert!(seal(&longest, &message(MOST_SWIM)).is_some_and(|bytes| bytes.len() <= MOST_BYTES));
     assert_eq!(seal(&longest, &message(MOST_BYTES)), None);
--- a/crates/cluster/src/errors.rs
+++ b/crates/cluster/src/errors.rs
@@ -21,15 +21,22 @@
 }
 
 /// All causes, in the order in which they are counted.
-pub const CAUSES: [Dropped; 5] =
-    [Dropped::Garbage, Dropped::Version, Dropped::Cluster, Dropped::Misdirected, Dropped::Full];
+pub const CAUSES: [Dropped; 5] = [
+    Dropped::Garbage,
+    Dropped::Version,
+    Dropped::Cluster,
+    Dropped::Misdirected,
+    Dropped::Full,
+];
 
 impl Dropped {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
             Dropped::Garbage => "see who else sends to the address of 'peers.listen'",
-            Dropped::Version => "nothing while a release rolls; else bring all coordinators to one version",
+            Dropped::Version => {
+                "nothing while a release rolls; else bring all coordinators to one version"
+            }
             Dropped::Cluster => {
                 "two fleets share addresses: see 'peers.seeds' and 'peers.cluster' on both sides"
             }
--- a/crates/cluster/src/facts.rs
+++ b/crates/cluster/src/facts.rs
@@ -74,7 +74,8 @@
         let short = |text: &String| text.len() <= names::MOST_NAME;
         match self {
             What::Card { name, room, offers } => {
-                let bounded = short(room) && offers.len() <= MOST_OFFERS && offers.iter().all(short);
+                let bounded =
+                    short(room) && offers.len() <= MOST_OFFERS && offers.iter().all(short);
                 names::is_name(name) && Name::of(name) == writer && bounded
             }
             What::Phase(_) | What::Left { .. } => true,
@@ -119,7 +120,9 @@
     fn until(&self) -> Option<Time> {
         match self.what {
             What::Left { at_ms } => {
-                let at = i64::try_from(at_ms).unwrap_or(i64::MAX).saturating_mul(1_000);
+                let at = i64::try_from(at_ms)
+                    .unwrap_or(i64::MAX)
+                    .saturating_mul(1_000);
                 Some(Time(at) + LEFT_KEPT)
             }
             _ => None,
@@ -154,9 +157,16 @@
     pub fn take(&mut self, now: Time, fact: Fact) -> bool {
         let life = self.life(fact.writer);
         let newest = life.unwrap_or(0);
-        let known = self.held.get(&fact.key()).map_or((0, 0), |held| held.fact.age());
+        let known = self
+            .held
+            .get(&fact.key())
+            .map_or((0, 0), |held| held.fact.age());
         let over = fact.until().is_some_and(|until| until <= now);
-        if over || !fact.what.is_sound(fact.writer) || fact.generation < newest || fact.age() <= known {
+        if over
+            || !fact.what.is_sound(fact.writer)
+            || fact.generation < newest
+            || fact.age() <= known
+        {
             return false;
         }
         if !self.held.contains_key(&fact.key()) && self.held.len() >= MOST_FACTS {
@@ -164,8 +174,11 @@
         }
         if life.is_some_and(|newest| fact.generation > newest) {
             // What an earlier life said is void.
-            let earlier: Vec<_> =
-                self.held.range((fact.writer, 0)..=(fact.writer, u8::MAX)).map(|(key, _)| *key).collect();
+            let earlier: Vec<_> = self
+                .held
+                .range((fact.writer, 0)..=(fact.writer, u8::MAX))
+                .map(|(key, _)| *key)
+                .collect();
             earlier.iter().for_each(|key| drop(self.held.remove(key)));
         }
         self.seen.entry(fact.writer).or_insert(now);
@@ -181,7 +194,8 @@
 
     /// A writer is there from now on, or was up to now.
     pub fn seen(&mut self, now: Time, writer: Name, there: bool) {
-        self.seen.insert(writer, if there { Time(i64::MAX) } else { now });
+        self.seen
+            .insert(writer, if there { Time(i64::MAX) } else { now });
     }
 
     /// Forgets the facts of those who have been gone for long.
@@ -189,10 +203,11 @@
         let over = |at: &Time| *at < now && now - *at > KEPT_AFTER;
         self.seen.retain(|_, at| !over(at));
         let seen = &self.seen;
-        self.held.retain(|(writer, _), held| match held.fact.until() {
-            Some(until) => until > now,
-            None => seen.contains_key(writer),
-        });
+        self.held
+            .retain(|(writer, _), held| match held.fact.until() {
+                Some(until) => until > now,
+                None => seen.contains_key(writer),
+            });
     }
 
     /// What a writer says of itself: its name, room and offers.
@@ -205,7 +220,10 @@
 
     /// What a life of a writer was last doing.
     pub fn phase(&self, writer: Name, generation: u64) -> Option<Phase> {
-        let held = self.held.get(&(writer, 1)).filter(|held| held.fact.generation == generation)?;
+        let held = self
+            .held
+            .get(&(writer, 1))
+            .filter(|held| held.fact.generation == generation)?;
         match held.fact.what {
             What::Phase(phase) => Some(phase),
             _ => None,
@@ -228,7 +246,9 @@
 
     /// Whether a life of a writer, or a later one under its name, has left by its own word.
     pub fn has_left(&self, writer: Name, generation: u64) -> bool {
-        self.held.get(&(writer, 3)).is_some_and(|held| held.fact.generation >= generation)
+        self.held
+            .get(&(writer, 3))
+            .is_some_and(|held| held.fact.generation >= generation)
     }
 
     fn is_there(&self, writer: Name) -> bool {
@@ -247,14 +267,23 @@
     /// The facts in those buckets whose sums differ.
     pub(crate) fn differing(&self, others: &[u64; BUCKETS]) -> Vec<Fact> {
         let own = self.sums();
-        self.lasting().filter(|fact| own[fact.bucket()] != others[fact.bucket()]).cloned().collect()
+        self.lasting()
+            .filter(|fact| own[fact.bucket()] != others[fact.bucket()])
+            .cloned()
+            .collect()
     }
 
     fn lasting(&self) -> impl Iterator<Item = &Fact> {
-        let facts = self.held.iter().map(|((writer, _), held)| (writer, &held.fact));
-        let lasts =
-            |writer: &Name, fact: &Fact| fact.until().is_some() || fact.lasts() && self.is_there(*writer);
-        facts.filter(move |(writer, fact)| lasts(writer, fact)).map(|(_, fact)| fact)
+        let facts = self
+            .held
+            .iter()
+            .map(|((writer, _), held)| (writer, &held.fact));
+        let lasts = |writer: &Name, fact: &Fact| {
+            fact.until().is_some() || fact.lasts() && self.is_there(*writer)
+        };
+        facts
+            .filter(move |(writer, fact)| lasts(writer, fact))
+            .map(|(_, fact)| fact)
     }
 
     /// How many are kept.
--- a/crates/cluster/src/facts/tests.rs
+++ b/crates/cluster/src/facts/tests.rs
@@ -5,7 +5,12 @@
 }
 
 fn fact(writer: &str, generation: u64, version: u32, what: What) -> Fact {
-    Fact { writer: Name::of(writer), generation, version, what }
+    Fact {
+        writer: Name::of(writer),
+        generation,
+        version,
+        what,
+    }
 }
 
 fn doubts(ids: &[&str]) -> What {
@@ -24,7 +29,11 @@
         for number in order {
             facts.take(at(1.0), phases[number].clone());
         }
-        assert_eq!(facts.phase(Name::of("a"), 6), Some(Phase::Starting), "{order:?}");
+        assert_eq!(
+            facts.phase(Name::of("a"), 6),
+            Some(Phase::Starting),
+            "{order:?}"
+        );
         assert_eq!(facts.phase(Name::of("a"), 5), None);
         assert!(!facts.take(at(2.0), phases[1].clone()), "old news is none");
     }
@@ -38,19 +47,35 @@
     assert_eq!(facts.doubted(at(1.0), Name(0)).len(), 1);
     assert!(facts.take(at(1.0), fact("a", 6, 1, What::Phase(Phase::Starting))));
     assert!(facts.doubted(at(1.0), Name(0)).is_empty());
-    assert!(!facts.take(at(1.0), fact("a", 5, 10, doubts(&["s-1"]))), "an earlier life writes no more");
+    assert!(
+        !facts.take(at(1.0), fact("a", 5, 10, doubts(&["s-1"]))),
+        "an earlier life writes no more"
+    );
 }
 
 #[test]
 fn doubts_are_counted_while_fresh_of_those_who_are_there() {
     let mut facts = Facts::default();
-    for (writer, ids) in [("a", vec!["s-1", "s-2"]), ("b", vec!["s-1"]), ("c", vec!["s-1"])] {
+    for (writer, ids) in [
+        ("a", vec!["s-1", "s-2"]),
+        ("b", vec!["s-1"]),
+        ("c", vec!["s-1"]),
+    ] {
         facts.take(at(1.0), fact(writer, 1, 1, doubts(&ids)));
         facts.seen(at(1.0), Name::of(writer), writer != "c");
     }
-    assert_eq!(facts.doubted(at(2.0), Name(0)), BTreeMap::from([("s-1", 2), ("s-2", 1)]));
-    assert_eq!(facts.doubted(at(2.0), Name::of("b"))["s-1"], 1, "one's own word is no advice");
-    assert!(facts.doubted(at(1.0 + DOUBTS_LAST + 0.1), Name(0)).is_empty());
+    assert_eq!(
+        facts.doubted(at(2.0), Name(0)),
+        BTreeMap::from([("s-1", 2), ("s-2", 1)])
+    );
+    assert_eq!(
+        facts.doubted(at(2.0), Name::of("b"))["s-1"],
+        1,
+        "one's own word is no advice"
+    );
+    assert!(facts
+        .doubted(at(1.0 + DOUBTS_LAST + 0.1), Name(0))
+        .is_empty());
     // The same word again, from one who heard it late, is no news.
     assert!(!facts.take(at(20.0), fact("a", 1, 1, doubts(&["s-1", "s-2"]))));
 }
@@ -77,7 +102,10 @@
     facts.expire(at(3_699.0));
     assert!(facts.has_left(Name::of("a"), 1) && !facts.has_left(Name::of("a"), 2));
     facts.expire(at(3_701.0));
-    assert!(facts.is_empty() && !facts.take(at(3_701.0), left), "not by one who expires it later either");
+    assert!(
+        facts.is_empty() && !facts.take(at(3_701.0), left),
+        "not by one who expires it later either"
+    );
 }
 
 #[test]
@@ -89,16 +117,28 @@
         offers: vec!["x".into(); offers],
     };
     let long = "x".repeat(65);
-    assert!(!facts.take(at(1.0), fact("a", 1, 1, card("b", "r", 0))), "another's name");
+    assert!(
+        !facts.take(at(1.0), fact("a", 1, 1, card("b", "r", 0))),
+        "another's name"
+    );
     assert!(!facts.take(at(1.0), fact("a", 1, 1, card("a", &long, 0))));
     assert!(!facts.take(at(1.0), fact("a", 1, 1, card("a", "r", MOST_OFFERS + 1))));
     assert!(!facts.take(at(1.0), fact("a", 1, 1, doubts(&[&long]))));
     assert!(!facts.take(at(1.0), fact("a", 1, 1, doubts(&["s"; MOST_DOUBTS + 1]))));
     assert!(facts.take(at(1.0), fact("a", 1, 1, card("a", "r", MOST_OFFERS))));
-    assert_eq!(facts.card(Name::of("a")).map(|card| (card.0, card.1, card.2.len())), Some(("a", "r", 8)));
+    assert_eq!(
+        facts
+            .card(Name::of("a"))
+            .map(|card| (card.0, card.1, card.2.len())),
+        Some(("a", "r", 8))
+    );
     for number in 0..MOST_FACTS as u64 + 10 {
-        let fact =
-            Fact { writer: Name(number), generation: 1, version: 1, what: What::Phase(Phase::Serving) };
+        let fact = Fact {
+            writer: Name(number),
+            generation: 1,
+            version: 1,
+            what: What::Phase(Phase::Serving),
+        };
         facts.take(at(1.0), fact);
     }
     assert_eq!(facts.len(), MOST_FACTS);
--- a/crates/cluster/src/model.rs
+++ b/crates/cluster/src/model.rs
@@ -5,7 +5,9 @@
 use std::net::SocketAddr;
 
 /// A name as it travels: the hash of the text, which the member's card spells out.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Name(pub u64);
 
 impl Name {
@@ -31,7 +33,8 @@
 impl Id {
     /// Whether this one is meant where both bear one name.
     pub fn supersedes(&self, other: &Id) -> bool {
-        (self.generation, self.returns, self.address) > (other.generation, other.returns, other.address)
+        (self.generation, self.returns, self.address)
+            > (other.generation, other.returns, other.address)
     }
 
     /// Whether it is another process than the other one.
@@ -125,8 +128,13 @@
 }
 
 /// All features, in the order of the table.
-pub const FEATURES: [Feature; 5] =
-    [Feature::Serve, Feature::Tell, Feature::Heed, Feature::ActForAll, Feature::TakeOver];
+pub const FEATURES: [Feature; 5] = [
+    Feature::Serve,
+    Feature::Tell,
+    Feature::Heed,
+    Feature::ActForAll,
+    Feature::TakeOver,
+];
 
 /// The one table of what each feature may do in each standing.
 ///
@@ -176,7 +184,11 @@
 impl View {
     /// How many are there, this one included.
     pub fn there(&self) -> usize {
-        1 + self.members.iter().filter(|member| member.state.is_there()).count()
+        1 + self
+            .members
+            .iter()
+            .filter(|member| member.state.is_there())
+            .count()
     }
 
     /// Whether this coordinator may do a thing now.
--- a/crates/cluster/src/model/tests.rs
+++ b/crates/cluster/src/model/tests.rs
@@ -17,15 +17,30 @@
     assert_eq!([of(12), of(13)], [Standing::Whole; 2]);
     assert_eq!(
         [of(7), of(6), of(2), of(1), of(0)],
-        [Standing::Majority, Standing::Minority, Standing::Minority, Standing::Alone, Standing::Alone]
+        [
+            Standing::Majority,
+            Standing::Minority,
+            Standing::Minority,
+            Standing::Alone,
+            Standing::Alone
+        ]
+    );
+    assert_eq!(
+        Standing::of(1, 1),
+        Standing::Whole,
+        "a group of one is whole"
     );
-    assert_eq!(Standing::of(1, 1), Standing::Whole, "a group of one is whole");
 }
 
 /// The table in the documentation is this one.
 #[test]
 fn more_of_the_group_never_allows_less() {
-    let standings = [Standing::Alone, Standing::Minority, Standing::Majority, Standing::Whole];
+    let standings = [
+        Standing::Alone,
+        Standing::Minority,
+        Standing::Majority,
+        Standing::Whole,
+    ];
     let row = |feature| standings.map(|standing| may(standing, feature));
     assert_eq!(
         FEATURES.map(row),
--- a/crates/cluster/src/names.rs
+++ b/crates/cluster/src/names.rs
@@ -85,7 +85,11 @@
     let (first, last) = (first.parse::<u32>().ok()?, last.parse::<u32>().ok()?);
     // One more than may be named is enough to tell that there are too many.
     let last = last.min(first.checked_add(MOST_NAMES as u32 + 1)?);
-    (first <= last).then(|| (first..=last).map(|number| format!("{before}{number}{after}")).collect())
+    (first <= last).then(|| {
+        (first..=last)
+            .map(|number| format!("{before}{number}{after}"))
+            .collect()
+    })
 }
 
 #[cfg(test)]
--- a/crates/cluster/src/names/tests.rs
+++ b/crates/cluster/src/names/tests.rs
@@ -7,7 +7,10 @@
 
 #[test]
 fn names_and_ranges_are_read() {
-    assert_eq!(names(&["b", "a[1-3]x", "n[9-10]"]).unwrap(), ["a1x", "a2x", "a3x", "b", "n10", "n9"]);
+    assert_eq!(
+        names(&["b", "a[1-3]x", "n[9-10]"]).unwrap(),
+        ["a1x", "a2x", "a3x", "b", "n10", "n9"]
+    );
 }
 
 #[test]
--- a/crates/cluster/tests/group.rs
+++ b/crates/cluster/tests/group.rs
@@ -33,9 +33,14 @@
         sim.play(600.0);
         assert_eq!((sim.wrong(), sim.failures(0.0).len()), (None, 0));
         let view = sim.groups[3].as_ref().unwrap().view();
-        assert_eq!((view.agree, view.differ), (SIZE - 1, 0), "all last spoke from an equal view");
-        let epochs: BTreeSet<u64> =
-            (0..SIZE).map(|by| sim.groups[by].as_ref().unwrap().view().epoch).collect();
+        assert_eq!(
+            (view.agree, view.differ),
+            (SIZE - 1, 0),
+            "all last spoke from an equal view"
+        );
+        let epochs: BTreeSet<u64> = (0..SIZE)
+            .map(|by| sim.groups[by].as_ref().unwrap().view().epoch)
+            .collect();
         assert_eq!(epochs.len(), 1, "equal views bear one epoch");
     }
 }
@@ -51,7 +56,11 @@
         let view = sim.groups[by].as_ref().unwrap().view();
         let state = |of: usize| {
             let name = cairnroad_cluster::model::Name::of(&format!("n{of}"));
-            view.members.iter().find(|member| member.id.name == name).unwrap().state
+            view.members
+                .iter()
+                .find(|member| member.id.name == name)
+                .unwrap()
+                .state
         };
         assert_eq!((state(4), state(5)), (State::Failed, State::Left));
         assert_eq!(view.standing, Standing::Majority);
@@ -67,9 +76,16 @@
         sim.play(20.0 + 2.0 * DETECTED);
         for by in 0..SIZE {
             let minority = side.contains(&by);
-            let expected = if minority { Standing::Minority } else { Standing::Majority };
+            let expected = if minority {
+                Standing::Minority
+            } else {
+                Standing::Majority
+            };
             assert_eq!(sim.standing(by), Some(expected), "{by}");
-            assert!(may(expected, Feature::Serve), "both sides serve their clients");
+            assert!(
+                may(expected, Feature::Serve),
+                "both sides serve their clients"
+            );
             assert_eq!(may(expected, Feature::ActForAll), !minority);
             assert_eq!(sim.sees(by).len(), if minority { 5 } else { 7 });
         }
@@ -91,12 +107,28 @@
         sim.play(45.0);
         assert!(!sim.sees(0).contains(&2), "the others know that it is gone");
         sim.play(51.0);
-        let first = sim.standings.iter().find(|(at, by, _)| *at >= 50.0 && *by == 2).unwrap();
-        assert_eq!(first.2, Standing::Alone, "it acts for nobody before others know it again");
+        let first = sim
+            .standings
+            .iter()
+            .find(|(at, by, _)| *at >= 50.0 && *by == 2)
+            .unwrap();
+        assert_eq!(
+            first.2,
+            Standing::Alone,
+            "it acts for nobody before others know it again"
+        );
         sim.settle(SETTLED).unwrap();
-        let said: Vec<_> = sim.failures(20.0).into_iter().filter(|seen| seen.by == 2).collect();
+        let said: Vec<_> = sim
+            .failures(20.0)
+            .into_iter()
+            .filter(|seen| seen.by == 2)
+            .collect();
         assert!(said.is_empty(), "{said:?}");
-        let of_others: Vec<_> = sim.failures(20.0).into_iter().filter(|seen| seen.of != 2).collect();
+        let of_others: Vec<_> = sim
+            .failures(20.0)
+            .into_iter()
+            .filter(|seen| seen.of != 2)
+            .collect();
         assert!(of_others.is_empty(), "{of_others:?}");
     }
 }
@@ -105,7 +137,10 @@
 fn short_stops_fail_nobody() {
     let mut sim = whole(3);
     for round in 0..20 {
-        sim.plan(20.0 + f64::from(round) * 5.0, Fault::Stop(round as usize % SIZE, 2.0));
+        sim.plan(
+            20.0 + f64::from(round) * 5.0,
+            Fault::Stop(round as usize % SIZE, 2.0),
+        );
     }
     sim.play(130.0);
     assert_eq!((sim.failures(0.0).len(), sim.wrong()), (0, None));
@@ -122,8 +157,11 @@
         }
         assert!(!may(sim.standing(6).unwrap(), Feature::ActForAll));
         sim.play(60.0);
-        let said: Vec<_> =
-            sim.failures(20.0).into_iter().filter(|seen| seen.by != 6 && seen.of != 6).collect();
+        let said: Vec<_> = sim
+            .failures(20.0)
+            .into_iter()
+            .filter(|seen| seen.by != 6 && seen.of != 6)
+            .collect();
         assert!(said.is_empty(), "its word counts for nothing: {said:?}");
         sim.plan(60.0, Fault::Heal);
         sim.play(60.1);
@@ -202,8 +240,10 @@
     sim.plan(60.0, Fault::Heal);
     sim.play(60.1);
     sim.settle(SETTLED).unwrap();
-    let alive_again =
-        sim.seen.iter().any(|seen| seen.of == 9 && seen.state == State::Alive && seen.at > 25.0);
+    let alive_again = sim
+        .seen
+        .iter()
+        .any(|seen| seen.of == 9 && seen.state == State::Alive && seen.at > 25.0);
     assert!(!alive_again);
 }
 
@@ -219,7 +259,11 @@
     sim.play(3_700.0);
     assert_eq!(sim.wrong(), None);
     let view = sim.groups[0].as_ref().unwrap().view();
-    assert_eq!((view.members.len(), sim.failures(100.0).len()), (SIZE - 2, 0), "who stays away is forgotten");
+    assert_eq!(
+        (view.members.len(), sim.failures(100.0).len()),
+        (SIZE - 2, 0),
+        "who stays away is forgotten"
+    );
 }
 
 /// A schedule from a seed: a handful of faults within a minute, then all is healed.
@@ -231,7 +275,9 @@
         let member = chance.random_range(0..SIZE);
         let side = |chance: &mut StdRng| -> Vec<usize> {
             let share = chance.random::<f64>();
-            (0..SIZE).filter(|_| chance.random::<f64>() < share).collect()
+            (0..SIZE)
+                .filter(|_| chance.random::<f64>() < share)
+                .collect()
         };
         faults.push((
             at,
@@ -240,7 +286,14 @@
                 2 => Fault::Mute(vec![member]),
                 3 => Fault::Heal,
                 4 => Fault::Kill(member),
-                5 => Fault::Restart(member, if chance.random::<f64>() < 0.3 { -600.0 } else { 0.0 }),
+                5 => Fault::Restart(
+                    member,
+                    if chance.random::<f64>() < 0.3 {
+                        -600.0
+                    } else {
+                        0.0
+                    },
+                ),
                 6 => Fault::Stop(member, 20.0 * chance.random::<f64>()),
                 7 => Fault::Leave(member),
                 _ => Fault::Loss(0.3 * chance.random::<f64>(), 0.1),
@@ -292,11 +345,17 @@
 
 #[test]
 fn views_converge_after_any_schedule() {
-    let seeds: u64 = std::env::var("SCHEDULES").ok().and_then(|text| text.parse().ok()).unwrap_or(60);
+    let seeds: u64 = std::env::var("SCHEDULES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(60);
     for seed in 0..seeds {
         let faults = schedule(seed);
         if let Some(wrong) = broken(seed, &faults) {
-            panic!("seed {seed}: {wrong}\nthe least that breaks: {:?}", shrunk(seed, faults));
+            panic!(
+                "seed {seed}: {wrong}\nthe least that breaks: {:?}",
+                shrunk(seed, faults)
+            );
         }
     }
 }
--- a/crates/cluster/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -35,7 +35,11 @@
 }
 
 enum Event {
-    Datagram { from: usize, to: SocketAddr, bytes: Vec<u8> },
+    Datagram {
+        from: usize,
+        to: SocketAddr,
+        bytes: Vec<u8>,
+    },
     Tick(usize),
     Fault(Fault),
 }
@@ -129,7 +133,9 @@
             muted: BTreeSet::new(),
             loss: 0.0,
             twice: 0.0,
-            names: (0..size).map(|member| (Name::of(&format!("n{member}")), member)).collect(),
+            names: (0..size)
+                .map(|member| (Name::of(&format!("n{member}")), member))
+                .collect(),
             seeds: 3.min(size),
         };
         for member in 0..size {
@@ -177,8 +183,14 @@
     /// Plays until so many seconds after the start.
     pub fn play(&mut self, until: f64) {
         let end = self.start + until;
-        while self.queue.peek().is_some_and(|Reverse(Entry(at, ..))| *at <= end) {
-            let Some(Reverse(Entry(at, _, event))) = self.queue.pop() else { break };
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse(Entry(at, ..))| *at <= end)
+        {
+            let Some(Reverse(Entry(at, _, event))) = self.queue.pop() else {
+                break;
+            };
             self.now = at;
             match event {
                 Event::Datagram { from, to, bytes } => self.deliver(from, to, bytes),
@@ -200,7 +212,9 @@
             None => None,
         };
         let now = self.now;
-        let Some(group) = &mut self.groups[member] else { return };
+        let Some(group) = &mut self.groups[member] else {
+            return;
+        };
         let mut out = Vec::new();
         for bytes in waiting.into_iter().flatten() {
             group.datagram(now, &bytes, &mut out);
@@ -221,12 +235,26 @@
                             continue;
                         }
                         let at = self.now + (0.0002 + 0.003 * self.chance.random::<f64>());
-                        self.push(at, Event::Datagram { from, to, bytes: bytes.clone() });
+                        self.push(
+                            at,
+                            Event::Datagram {
+                                from,
+                                to,
+                                bytes: bytes.clone(),
+                            },
+                        );
                     }
                 }
                 Out::Member { id, state, .. } => {
-                    let Some(&of) = self.names.get(&id.name) else { continue };
-                    self.seen.push(Seen { at: self.age(), by: from, of, state });
+                    let Some(&of) = self.names.get(&id.name) else {
+                        continue;
+                    };
+                    self.seen.push(Seen {
+                        at: self.age(),
+                        by: from,
+                        of,
+                        state,
+                    });
                 }
                 Out::Standing(standing) => self.standings.push((self.age(), from, standing)),
                 _ => {}
@@ -236,7 +264,10 @@
 
     fn deliver(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let to = member(to);
-        let cut = self.cuts.iter().any(|side| side.contains(&from) != side.contains(&to));
+        let cut = self
+            .cuts
+            .iter()
+            .any(|side| side.contains(&from) != side.contains(&to));
         if to >= self.size || cut || self.muted.contains(&from) {
             return;
         }
@@ -246,7 +277,9 @@
             }
             return;
         }
-        let Some(group) = &mut self.groups[to] else { return };
+        let Some(group) = &mut self.groups[to] else {
+            return;
+        };
         let mut out = Vec::new();
         group.datagram(self.now, &bytes, &mut out);
         self.carry_out(to, out);
@@ -270,7 +303,9 @@
             }
             Fault::Stop(member, secs) => {
                 if self.groups[member].is_some() {
-                    self.stopped.entry(member).or_insert((self.now + secs, VecDeque::new()));
+                    self.stopped
+                        .entry(member)
+                        .or_insert((self.now + secs, VecDeque::new()));
                 }
             }
             Fault::Leave(member) => {
@@ -289,15 +324,22 @@
 
     /// Who is alive.
     pub fn alive(&self) -> BTreeSet<usize> {
-        (0..self.size).filter(|member| self.groups[*member].is_some()).collect()
+        (0..self.size)
+            .filter(|member| self.groups[*member].is_some())
+            .collect()
     }
 
     /// Whom a member sees there, itself included.
     pub fn sees(&self, by: usize) -> BTreeSet<usize> {
-        let Some(group) = &self.groups[by] else { return BTreeSet::new() };
+        let Some(group) = &self.groups[by] else {
+            return BTreeSet::new();
+        };
         let view = group.view();
         let there = view.members.iter().filter(|member| member.state.is_there());
-        there.filter_map(|member| self.names.get(&member.id.name).copied()).chain([by]).collect()
+        there
+            .filter_map(|member| self.names.get(&member.id.name).copied())
+            .chain([by])
+            .collect()
     }
 
     pub fn standing(&self, by: usize) -> Option<Standing> {
@@ -314,7 +356,10 @@
             if sees != alive {
                 let missing: Vec<&usize> = alive.difference(&sees).collect();
                 let surplus: Vec<&usize> = sees.difference(&alive).collect();
-                return Some(format!("{by} misses {missing:?} and sees {surplus:?} at {:.1} s", self.age()));
+                return Some(format!(
+                    "{by} misses {missing:?} and sees {surplus:?} at {:.1} s",
+                    self.age()
+                ));
             }
             if let Some(group) = &self.groups[by] {
                 let view = group.view();
@@ -329,16 +374,22 @@
         }
         // The last word of one who left in the middle of a cut may be lost; all know it, or nobody does.
         if let Some((of, states)) = left.iter().find(|(_, states)| states.len() > 1) {
-            return Some(format!("{of}, who left, is taken for {states:?} at {:.1} s", self.age()));
+            return Some(format!(
+                "{of}, who left, is taken for {states:?} at {:.1} s",
+                self.age()
+            ));
         }
-        (digests.len() > 1).then(|| format!("{} views differ at {:.1} s", digests.len(), self.age()))
+        (digests.len() > 1)
+            .then(|| format!("{} views differ at {:.1} s", digests.len(), self.age()))
     }
 
     /// Plays on until all views are right, and says after how many seconds; `Err` with what is wrong at the end.
     pub fn settle(&mut self, within: f64) -> Result<f64, String> {
         let from = self.age();
         loop {
-            let Some(wrong) = self.wrong() else { return Ok(self.age() - from) };
+            let Some(wrong) = self.wrong() else {
+                return Ok(self.age() - from);
+            };
             if self.age() - from >= within {
                 return Err(wrong);
             }
@@ -348,6 +399,9 @@
 
     /// Who was told to have failed, by whom, from a moment on.
     pub fn failures(&self, from: f64) -> Vec<&Seen> {
-        self.seen.iter().filter(|seen| seen.at >= from && seen.state == State::Failed).collect()
+        self.seen
+            .iter()
+            .filter(|seen| seen.at >= from && seen.state == State::Failed)
+            .collect()
     }
 }
--- a/crates/contract/benches/check.rs
+++ b/crates/contract/benches/check.rs
@@ -38,22 +38,34 @@
 
 fn body(hits: usize) -> Vec<u8> {
     let hit = |at: usize| json!({"_id": format!("h-{at}"), "_score": 1.5, "_source": {"sku": "A-17", "count": at, "room": "kita"}});
-    json!({"took": 3, "hits": {"hits": (0..hits).map(hit).collect::<Vec<_>>()}}).to_string().into_bytes()
+    json!({"took": 3, "hits": {"hits": (0..hits).map(hit).collect::<Vec<_>>()}})
+        .to_string()
+        .into_bytes()
 }
 
 fn checks(c: &mut Criterion) {
     let description = Description::from_text("bench.yaml", DESCRIPTION).unwrap();
     let fields = vec![("Content-Type".to_string(), "application/json".to_string())];
-    for (name, hits, wrong) in
-        [("200 bytes", 2, false), ("20 KB", 245, false), ("20 KB, departing", 245, true)]
-    {
+    for (name, hits, wrong) in [
+        ("200 bytes", 2, false),
+        ("20 KB", 245, false),
+        ("20 KB, departing", 245, true),
+    ] {
         let mut body = body(hits);
         if wrong {
             let at = body.iter().rposition(|&b| b == b'k').unwrap();
             body[at] = b'x';
         }
-        let answered = Answered { status: 200, fields: &fields, body: &body, whole: true };
-        assert_eq!(description.judge_answer(0, &answered).departures.len(), usize::from(wrong));
+        let answered = Answered {
+            status: 200,
+            fields: &fields,
+            body: &body,
+            whole: true,
+        };
+        assert_eq!(
+            description.judge_answer(0, &answered).departures.len(),
+            usize::from(wrong)
+        );
         println!("{name}: {} bytes", body.len());
         c.bench_function(&format!("answer of {name}"), |b| {
             b.iter(|| black_box(description.judge_answer(0, black_box(&answered))));
--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -16,8 +16,15 @@
     if build.object(&root.at("info")).is_some() {
         build.needs(&root.at("info"), &["title", "version"]);
     }
-    for name in build.object(&root.at("components").at("schemas")).unwrap_or_default().keys() {
-        build.slot(&root.at("components").at("schemas").at(name), Direction::Request);
+    for name in build
+        .object(&root.at("components").at("schemas"))
+        .unwrap_or_default()
+        .keys()
+    {
+        build.slot(
+            &root.at("components").at("schemas").at(name),
+            Direction::Request,
+        );
     }
     let usual = build.text(&root.at("defaultContentType"));
     match build.version.starts_with("2.") {
@@ -32,8 +39,12 @@
     let channels = root.at("channels");
     let mut ids: BTreeMap<String, Loc> = BTreeMap::new();
     for name in build.object(&channels).unwrap_or_default().keys() {
-        let Some(loc) = build.sources.resolve(&channels.at(name)) else { continue };
-        let Some(map) = build.object(&loc) else { continue };
+        let Some(loc) = build.sources.resolve(&channels.at(name)) else {
+            continue;
+        };
+        let Some(map) = build.object(&loc) else {
+            continue;
+        };
         variables(build, &loc, name);
         for key in map.keys().filter(|key| !key.starts_with("x-")) {
             let direction = match key.as_str() {
@@ -62,17 +73,30 @@
                 }
             }
             let one = at.at("message");
-            let all = match build.sources.get(&one.at("oneOf")).and_then(|v| v.as_array()).map(Vec::len) {
-                Some(count) => (0..count).map(|number| one.at("oneOf").item(number)).collect(),
+            let all = match build
+                .sources
+                .get(&one.at("oneOf"))
+                .and_then(|v| v.as_array())
+                .map(Vec::len)
+            {
+                Some(count) => (0..count)
+                    .map(|number| one.at("oneOf").item(number))
+                    .collect(),
                 None if build.sources.get(&one).is_some() => vec![one],
                 None => Vec::new(),
             };
             for at in all {
                 let target = build.sources.resolve(&at);
-                let named = target.as_ref().and_then(|loc| build.sources.get(&loc.at("name")).cloned());
-                let last = target.as_ref().and_then(|loc| Some(loc.pointer.rsplit('/').next()?.to_string()));
-                let word =
-                    named.and_then(|name| name.as_str().map(str::to_string)).or(last).unwrap_or_default();
+                let named = target
+                    .as_ref()
+                    .and_then(|loc| build.sources.get(&loc.at("name")).cloned());
+                let last = target
+                    .as_ref()
+                    .and_then(|loc| Some(loc.pointer.rsplit('/').next()?.to_string()));
+                let word = named
+                    .and_then(|name| name.as_str().map(str::to_string))
+                    .or(last)
+                    .unwrap_or_default();
                 message(build, name, &word, &at, direction, usual);
             }
         }
@@ -97,8 +121,14 @@
         named.insert(name);
         rest = after;
     }
-    for name in declared.keys().filter(|name| !named.contains(name.as_str())) {
-        build.fault(&loc.at("parameters").at(name), format!("the address has no variable {{{name}}}"));
+    for name in declared
+        .keys()
+        .filter(|name| !named.contains(name.as_str()))
+    {
+        build.fault(
+            &loc.at("parameters").at(name),
+            format!("the address has no variable {{{name}}}"),
+        );
     }
 }
 
@@ -107,8 +137,14 @@
     // By channel: its name, and its messages' places with their names.
     let mut channels: BTreeMap<Loc, (String, Vec<(Loc, String)>)> = BTreeMap::new();
     let mut addresses: BTreeMap<String, String> = BTreeMap::new();
-    for name in build.object(&root.at("channels")).unwrap_or_default().keys() {
-        let Some(loc) = build.sources.resolve(&root.at("channels").at(name)) else { continue };
+    for name in build
+        .object(&root.at("channels"))
+        .unwrap_or_default()
+        .keys()
+    {
+        let Some(loc) = build.sources.resolve(&root.at("channels").at(name)) else {
+            continue;
+        };
         if build.object(&loc).is_none() {
             continue;
         }
@@ -119,16 +155,28 @@
         variables(build, &loc, address.as_deref().unwrap_or(""));
         if let Some(address) = address {
             if let Some(other) = addresses.insert(address, name.clone()) {
-                build.fault(&loc.at("address"), format!("this is the address of the channel '{other}', too"));
+                build.fault(
+                    &loc.at("address"),
+                    format!("this is the address of the channel '{other}', too"),
+                );
             }
         }
         let messages = build.object(&loc.at("messages")).unwrap_or_default();
-        let messages = messages.keys().map(|word| (loc.at("messages").at(word), word.clone())).collect();
+        let messages = messages
+            .keys()
+            .map(|word| (loc.at("messages").at(word), word.clone()))
+            .collect();
         channels.insert(loc, (name.clone(), messages));
     }
     let mut sent: BTreeMap<(Loc, String), Direction> = BTreeMap::new();
-    for name in build.object(&root.at("operations")).unwrap_or_default().keys() {
-        let Some(loc) = build.sources.resolve(&root.at("operations").at(name)) else { continue };
+    for name in build
+        .object(&root.at("operations"))
+        .unwrap_or_default()
+        .keys()
+    {
+        let Some(loc) = build.sources.resolve(&root.at("operations").at(name)) else {
+            continue;
+        };
         if build.object(&loc).is_none() {
             continue;
         }
@@ -137,7 +185,10 @@
             Some("receive") => Direction::Request,
             Some("send") => Direction::Answer,
             Some(other) => {
-                build.fault(&loc.at("action"), format!("'{other}' is neither send nor receive"));
+                build.fault(
+                    &loc.at("action"),
+                    format!("'{other}' is neither send nor receive"),
+                );
                 continue;
             }
             None => continue,
@@ -148,12 +199,19 @@
             }
             continue;
         };
-        let Some(target) = build.sources.follow(&loc.at("channel"), &reference) else { continue };
+        let Some(target) = build.sources.follow(&loc.at("channel"), &reference) else {
+            continue;
+        };
         let Some((_, messages)) = channels.get(&target).cloned() else {
             build.fault(&loc.at("channel"), format!("'{reference}' is no channel"));
             continue;
         };
-        let own = match build.sources.get(&loc.at("messages")).and_then(|v| v.as_array()).map(Vec::len) {
+        let own = match build
+            .sources
+            .get(&loc.at("messages"))
+            .and_then(|v| v.as_array())
+            .map(Vec::len)
+        {
             None => messages,
             Some(count) => {
                 let mut own = Vec::new();
@@ -163,11 +221,15 @@
                         build.fault(&at, "this must be a reference to a message of the channel");
                         continue;
                     };
-                    let Some(found) = build.sources.follow(&at, &reference) else { continue };
+                    let Some(found) = build.sources.follow(&at, &reference) else {
+                        continue;
+                    };
                     match messages.iter().find(|(loc, _)| *loc == found) {
                         Some(message) => own.push(message.clone()),
-                        None => build
-                            .fault(&at, format!("'{reference}' is no message of the operation's channel")),
+                        None => build.fault(
+                            &at,
+                            format!("'{reference}' is no message of the operation's channel"),
+                        ),
                     }
                 }
                 own
@@ -179,7 +241,10 @@
     }
     for (loc, (name, messages)) in channels {
         for (at, word) in messages {
-            let direction = sent.get(&(loc.clone(), word.clone())).copied().unwrap_or(Direction::Request);
+            let direction = sent
+                .get(&(loc.clone(), word.clone()))
+                .copied()
+                .unwrap_or(Direction::Request);
             message(build, &name, &word, &at, direction, usual);
         }
     }
@@ -193,37 +258,68 @@
     direction: Direction,
     usual: Option<&str>,
 ) {
-    let Some(loc) = build.sources.resolve(at) else { return };
+    let Some(loc) = build.sources.resolve(at) else {
+        return;
+    };
     if build.object(&loc).is_none() {
         return;
     }
     if build.messages.len() >= MOST_MESSAGES {
-        return build.fault(&loc, format!("there are more than {MOST_MESSAGES} messages"));
+        return build.fault(
+            &loc,
+            format!("there are more than {MOST_MESSAGES} messages"),
+        );
     }
     let frame = build.text(&loc.at("x-frame"));
     let name = format!("{channel} {word}").into();
     let word = frame.unwrap_or_else(|| word.to_string());
-    if build.messages.iter().any(|known| known.channel == channel && known.word == word) {
-        return build.fault(at, format!("the channel '{channel}' has two messages '{word}'"));
+    if build
+        .messages
+        .iter()
+        .any(|known| known.channel == channel && known.word == word)
+    {
+        return build.fault(
+            at,
+            format!("the channel '{channel}' has two messages '{word}'"),
+        );
     }
-    let kind = build.text(&loc.at("contentType")).or(usual.map(str::to_string));
+    let kind = build
+        .text(&loc.at("contentType"))
+        .or(usual.map(str::to_string));
     let range = kind.as_deref().map(MediaRange::read);
     if range == Some(None) {
-        build.fault(&loc.at("contentType"), "this is no media type, such as application/json");
+        build.fault(
+            &loc.at("contentType"),
+            "this is no media type, such as application/json",
+        );
     }
     let json = range.flatten().is_none_or(|range| range.is_json());
     let slots = ["headers", "payload"].map(|key| schema(build, &loc.at(key), direction));
     let [headers, payload] = slots;
     let channel = channel.to_string();
-    build.messages.push(Message { name, channel, word, loc, headers, payload, json, direction });
+    build.messages.push(Message {
+        name,
+        channel,
+        word,
+        loc,
+        headers,
+        payload,
+        json,
+        direction,
+    });
 }
 
 /// A schema, plain or in a multi-format object; of the formats, only JSON Schema's and AsyncAPI's own are read.
 fn schema(build: &mut Build, loc: &Loc, direction: Direction) -> Slot {
-    let Some(value) = build.sources.get(loc) else { return Slot::default() };
+    let Some(value) = build.sources.get(loc) else {
+        return Slot::default();
+    };
     let wrapped = value.get("schemaFormat").is_some();
     let beside = loc.pointer.ends_with("/payload").then(|| {
-        let message = Loc { file: loc.file, pointer: loc.pointer.trim_end_matches("/payload").into() };
+        let message = Loc {
+            file: loc.file,
+            pointer: loc.pointer.trim_end_matches("/payload").into(),
+        };
         message.at("schemaFormat")
     });
     let format = match (wrapped, beside) {
@@ -232,14 +328,27 @@
         _ => None,
     };
     if let Some(format) = format {
-        let known = ["application/vnd.aai.asyncapi", "application/schema+json", "application/schema+yaml"];
+        let known = [
+            "application/vnd.aai.asyncapi",
+            "application/schema+json",
+            "application/schema+yaml",
+        ];
         if !known.iter().any(|known| format.starts_with(known)) {
             build.fault(
                 loc,
-                format!("schemas in the format '{format}' are not read: JSON Schema and AsyncAPI's are"),
+                format!(
+                    "schemas in the format '{format}' are not read: JSON Schema and AsyncAPI's are"
+                ),
             );
             return Slot::default();
         }
     }
-    build.slot(&if wrapped { loc.at("schema") } else { loc.clone() }, direction)
+    build.slot(
+        &if wrapped {
+            loc.at("schema")
+        } else {
+            loc.clone()
+        },
+        direction,
+    )
 }
--- a/crates/contract/src/check.rs
+++ b/crates/contract/src/check.rs
@@ -1,6 +1,8 @@
 //! Traffic held against a description: what departs from it, where, and from what.
 
-use crate::model::{Description, Media, MediaRange, Operation, Parameter, Response, Slot, Status, Within};
+use crate::model::{
+    Description, Media, MediaRange, Operation, Parameter, Response, Slot, Status, Within,
+};
 use crate::openapi::best;
 use crate::route::Found;
 use crate::schema::{clip, place_of, Direction};
@@ -106,7 +108,10 @@
 }
 
 fn field<'m>(fields: &'m [(String, String)], name: &str) -> Option<&'m str> {
-    fields.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+    fields
+        .iter()
+        .find(|(known, _)| known.eq_ignore_ascii_case(name))
+        .map(|(_, value)| value.as_str())
 }
 
 /// What is shown where a value must not be.
@@ -121,17 +126,40 @@
 impl Description {
     /// Holds a request against the description.
     pub fn judge_request(&self, asked: &Asked) -> Judged<'_> {
-        let mut report = Report { description: self, all: Vec::new() };
+        let mut report = Report {
+            description: self,
+            all: Vec::new(),
+        };
         let (path, query) = asked.target.split_once('?').unwrap_or((asked.target, ""));
         let (number, values) = match self.router.find(asked.method, path) {
             Found::Operation(number, values) => (number, values),
             Found::OtherMethods(methods) => {
-                report.add(Departs::Unknown, "method", None, &methods.join(" or "), asked.method);
-                return Judged { operation: None, number: None, departures: report.all };
+                report.add(
+                    Departs::Unknown,
+                    "method",
+                    None,
+                    &methods.join(" or "),
+                    asked.method,
+                );
+                return Judged {
+                    operation: None,
+                    number: None,
+                    departures: report.all,
+                };
             }
             Found::Nothing => {
-                report.add(Departs::Unknown, "path", None, "a path that is described", &clip(path));
-                return Judged { operation: None, number: None, departures: report.all };
+                report.add(
+                    Departs::Unknown,
+                    "path",
+                    None,
+                    "a path that is described",
+                    &clip(path),
+                );
+                return Judged {
+                    operation: None,
+                    number: None,
+                    departures: report.all,
+                };
             }
         };
         let operation = &self.operations[number];
@@ -145,9 +173,10 @@
                     .filter(|(name, _)| name.as_deref() == Some(&parameter.name))
                     .map(|(_, value)| value)
                     .collect(),
-                Within::Header => {
-                    field(asked.fields, &parameter.name).map(|v| Some(v.into())).into_iter().collect()
-                }
+                Within::Header => field(asked.fields, &parameter.name)
+                    .map(|v| Some(v.into()))
+                    .into_iter()
+                    .collect(),
                 Within::Cookie => {
                     let cookies = field(asked.fields, "Cookie").unwrap_or("").split(';');
                     let named = cookies
@@ -171,21 +200,47 @@
                 _ => None,
             };
             let kind = kind.or(only.as_deref());
-            report.body(&operation.body, &operation.loc.at("requestBody"), kind, asked.body);
+            report.body(
+                &operation.body,
+                &operation.loc.at("requestBody"),
+                kind,
+                asked.body,
+            );
+        }
+        Judged {
+            operation: Some(&operation.name),
+            number: Some(number),
+            departures: report.all,
         }
-        Judged { operation: Some(&operation.name), number: Some(number), departures: report.all }
     }
 
     /// Holds an answer against the description of the operation of this number.
     pub fn judge_answer(&self, number: usize, answered: &Answered) -> Judged<'_> {
-        let mut report = Report { description: self, all: Vec::new() };
+        let mut report = Report {
+            description: self,
+            all: Vec::new(),
+        };
         let Some(operation) = self.operations.get(number) else {
-            return Judged { operation: None, number: None, departures: Vec::new() };
+            return Judged {
+                operation: None,
+                number: None,
+                departures: Vec::new(),
+            };
+        };
+        let judged = |all| Judged {
+            operation: Some(&operation.name),
+            number: Some(number),
+            departures: all,
         };
-        let judged = |all| Judged { operation: Some(&operation.name), number: Some(number), departures: all };
         if !answered.whole {
             let bytes = format!("{} bytes, then the end", answered.body.len());
-            report.add(Departs::Truncated, "body", Some(&operation.loc), "a whole answer", &bytes);
+            report.add(
+                Departs::Truncated,
+                "body",
+                Some(&operation.loc),
+                "a whole answer",
+                &bytes,
+            );
             return judged(report.all);
         }
         let Some(response) = response(operation, answered.status) else {
@@ -196,7 +251,13 @@
             });
             let words = words.collect::<Vec<_>>().join(", ");
             let loc = operation.loc.at("responses");
-            report.add(Departs::Status, "status", Some(&loc), &clip(&words), &answered.status.to_string());
+            report.add(
+                Departs::Status,
+                "status",
+                Some(&loc),
+                &clip(&words),
+                &answered.status.to_string(),
+            );
             return judged(report.all);
         };
         for header in &response.headers {
@@ -212,19 +273,48 @@
             && !bodiless
             && response.content.iter().any(|m| m.slot.loc.is_some())
         {
-            report.add(Departs::Missing, "body", Some(&response.loc), "a body", "nothing");
+            report.add(
+                Departs::Missing,
+                "body",
+                Some(&response.loc),
+                "a body",
+                "nothing",
+            );
         }
         judged(report.all)
     }
 
     /// Holds a message of a channel against the description: its head's fields, and its payload's bytes.
-    pub fn judge_message(&self, channel: &str, word: &str, headers: &Value, payload: &[u8]) -> Judged<'_> {
-        let mut report = Report { description: self, all: Vec::new() };
+    pub fn judge_message(
+        &self,
+        channel: &str,
+        word: &str,
+        headers: &Value,
+        payload: &[u8],
+    ) -> Judged<'_> {
+        let mut report = Report {
+            description: self,
+            all: Vec::new(),
+        };
         let Some(message) = self.message(channel, word) else {
-            let known = self.messages.iter().filter(|m| m.channel == channel).map(|m| m.word.as_str());
+            let known = self
+                .messages
+                .iter()
+                .filter(|m| m.channel == channel)
+                .map(|m| m.word.as_str());
             let known = known.collect::<Vec<_>>().join(", ");
-            report.add(Departs::Unknown, "message", None, &format!("one of: {}", clip(&known)), &clip(word));
-            return Judged { operation: None, number: None, departures: report.all };
+            report.add(
+                Departs::Unknown,
+                "message",
+                None,
+                &format!("one of: {}", clip(&known)),
+                &clip(word),
+            );
+            return Judged {
+                operation: None,
+                number: None,
+                departures: report.all,
+            };
         };
         report.value(&message.headers, "head", headers);
         if message.payload.loc.is_some() {
@@ -233,12 +323,17 @@
                 false => report.text(&message.payload, &message.loc, payload),
             }
         }
-        Judged { operation: Some(&message.name), number: None, departures: report.all }
+        Judged {
+            operation: Some(&message.name),
+            number: None,
+            departures: report.all,
+        }
     }
 
     /// Which way a message of a channel goes.
     pub fn direction(&self, channel: &str, word: &str) -> Direction {
-        self.message(channel, word).map_or(Direction::Request, |message| message.direction)
+        self.message(channel, word)
+            .map_or(Direction::Request, |message| message.direction)
     }
 }
 
@@ -249,16 +344,24 @@
         Status::Hundred(first) => first == status / 100,
         Status::Default => true,
     };
-    operation.responses.iter().filter(fits).min_by_key(|response| response.status)
+    operation
+        .responses
+        .iter()
+        .filter(fits)
+        .min_by_key(|response| response.status)
 }
 
 /// A query string's names and values; `None` where the encoding is broken.
 fn pairs(query: &str) -> impl Iterator<Item = (Option<String>, Option<String>)> + '_ {
     let word = |text: &str| decode(&text.replace('+', " "));
-    query.split('&').filter(|pair| !pair.is_empty()).take(MOST_PAIRS).map(move |pair| {
-        let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        (word(name), word(value))
-    })
+    query
+        .split('&')
+        .filter(|pair| !pair.is_empty())
+        .take(MOST_PAIRS)
+        .map(move |pair| {
+            let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
+            (word(name), word(value))
+        })
 }
 
 impl Report<'_> {
@@ -267,7 +370,9 @@
             self.all.push(Departure {
                 kind,
                 place: place.into(),
-                described: loc.map(|loc| self.description.place(loc)).unwrap_or_default(),
+                described: loc
+                    .map(|loc| self.description.place(loc))
+                    .unwrap_or_default(),
                 expected: expected.into(),
                 found: found.into(),
             });
@@ -278,9 +383,19 @@
         let range = kind.and_then(MediaRange::read);
         let media = range.as_ref().and_then(|range| best(content, range));
         let (Some(range), Some(media)) = (range, media) else {
-            let words = content.iter().map(|media| media.range.to_string()).collect::<Vec<_>>().join(", ");
+            let words = content
+                .iter()
+                .map(|media| media.range.to_string())
+                .collect::<Vec<_>>()
+                .join(", ");
             let found = kind.map_or("no Content-Type".into(), clip);
-            return self.add(Departs::MediaType, "header Content-Type", Some(loc), &clip(&words), &found);
+            return self.add(
+                Departs::MediaType,
+                "header Content-Type",
+                Some(loc),
+                &clip(&words),
+                &found,
+            );
         };
         if media.slot.loc.is_none() {
         } else if range.is_json() {
@@ -295,10 +410,24 @@
             Ok(value) => self.value(slot, "body", &value),
             Err(e) => {
                 // The text around the fault may hold what must not be shown; its place says enough.
-                let found =
-                    format!("{} bytes with a fault at line {}, column {}", body.len(), e.line(), e.column());
-                let kind = if e.is_eof() { Departs::Truncated } else { Departs::NotJson };
-                self.add(kind, "body", slot.loc.as_ref().or(Some(loc)), "JSON", &found);
+                let found = format!(
+                    "{} bytes with a fault at line {}, column {}",
+                    body.len(),
+                    e.line(),
+                    e.column()
+                );
+                let kind = if e.is_eof() {
+                    Departs::Truncated
+                } else {
+                    Departs::NotJson
+                };
+                self.add(
+                    kind,
+                    "body",
+                    slot.loc.as_ref().or(Some(loc)),
+                    "JSON",
+                    &found,
+                );
             }
         }
     }
@@ -308,7 +437,13 @@
             Ok(text) => self.value(slot, "body", &Value::String(text.into())),
             Err(e) => {
                 let found = format!("a byte at {} that is none", e.valid_up_to());
-                self.add(Departs::Encoding, "body", slot.loc.as_ref().or(Some(loc)), "UTF-8 text", &found);
+                self.add(
+                    Departs::Encoding,
+                    "body",
+                    slot.loc.as_ref().or(Some(loc)),
+                    "UTF-8 text",
+                    &found,
+                );
             }
         }
     }
@@ -318,7 +453,13 @@
         let place = format!("{} {}", parameter.within.word(), parameter.name);
         if found.is_empty() {
             if parameter.required {
-                self.add(Departs::Missing, &place, Some(&parameter.loc), "this to be given", "nothing");
+                self.add(
+                    Departs::Missing,
+                    &place,
+                    Some(&parameter.loc),
+                    "this to be given",
+                    "nothing",
+                );
             }
             return;
         }
@@ -334,7 +475,9 @@
         if parameter.empty && texts.iter().all(String::is_empty) {
             return;
         }
-        let Some(validator) = &parameter.slot.validator else { return };
+        let Some(validator) = &parameter.slot.validator else {
+            return;
+        };
         let read = candidates(parameter, &texts);
         // A text may stand for several values; it departs if it does as all of them.
         if !read.iter().any(|value| validator.is_valid(value)) {
@@ -345,7 +488,9 @@
     }
 
     fn value(&mut self, slot: &Slot, place: &str, value: &Value) {
-        let Some(validator) = &slot.validator else { return };
+        let Some(validator) = &slot.validator else {
+            return;
+        };
         if validator.is_valid(value) {
             return;
         }
@@ -357,12 +502,19 @@
     fn error(&mut self, place: &str, error: &ValidationError) {
         let (kind, expected) = wanted(error.kind());
         let pointer = error.instance_path().as_str();
-        let address = error.absolute_keyword_location().and_then(|uri| place_of(uri.as_str()));
+        let address = error
+            .absolute_keyword_location()
+            .and_then(|uri| place_of(uri.as_str()));
         let secrets = &self.description.secrets;
         let hidden = |pointer: &str| pointer.split('/').any(|key| secrets.contains(&plain(key)));
         let at = |key: &str| crate::tree::step(pointer, key);
-        let full =
-            |pointer: &str| if pointer.is_empty() { place.into() } else { format!("{place} {pointer}") };
+        let full = |pointer: &str| {
+            if pointer.is_empty() {
+                place.into()
+            } else {
+                format!("{place} {pointer}")
+            }
+        };
         let shown = |pointer: &str, value: &Value| match hidden(pointer) {
             true => LEFT_OUT.to_string(),
             false => clip(&show(value, secrets)),
@@ -372,7 +524,8 @@
             Bad::Required { property } => {
                 vec![(full(&at(property.as_str().unwrap_or(""))), "nothing".into())]
             }
-            Bad::AdditionalProperties { unexpected } | Bad::UnevaluatedProperties { unexpected } => {
+            Bad::AdditionalProperties { unexpected }
+            | Bad::UnevaluatedProperties { unexpected } => {
                 let one = |name: &String| {
                     let value = instance.get(name).unwrap_or(&Value::Null);
                     (full(&at(name)), shown(&at(name), value))
@@ -424,7 +577,9 @@
 fn candidates(parameter: &Parameter, texts: &[String]) -> Vec<Value> {
     let types = &parameter.slot.types;
     if parameter.json {
-        let parsed = texts.first().and_then(|text| serde_json::from_str(text).ok());
+        let parsed = texts
+            .first()
+            .and_then(|text| serde_json::from_str(text).ok());
         return vec![parsed.unwrap_or_else(|| Value::String(texts.concat()))];
     }
     let typed = |text: &String| match serde_json::from_str::<Value>(text) {
@@ -433,20 +588,36 @@
     };
     if types.iter().any(|kind| kind == "array") {
         let split: Vec<String> = match parameter.parted_by {
-            Some(by) => texts.iter().flat_map(|text| text.split(by)).map(str::to_string).collect(),
+            Some(by) => texts
+                .iter()
+                .flat_map(|text| text.split(by))
+                .map(str::to_string)
+                .collect(),
             None => texts.to_vec(),
         };
-        let plain = split.iter().map(|text| Value::String(text.clone())).collect();
-        return vec![Value::Array(split.iter().map(typed).collect()), Value::Array(plain)];
+        let plain = split
+            .iter()
+            .map(|text| Value::String(text.clone()))
+            .collect();
+        return vec![
+            Value::Array(split.iter().map(typed).collect()),
+            Value::Array(plain),
+        ];
     }
     if types.iter().any(|kind| kind == "object") {
         // Members as pairs of items: `a,1,b,2`.
         let words: Vec<&str> = texts.iter().flat_map(|text| text.split(',')).collect();
-        let pairs =
-            words.chunks(2).map(|pair| (pair[0].to_string(), typed(&pair.get(1).unwrap_or(&"").to_string())));
+        let pairs = words.chunks(2).map(|pair| {
+            (
+                pair[0].to_string(),
+                typed(&pair.get(1).unwrap_or(&"").to_string()),
+            )
+        });
         return vec![Value::Object(pairs.collect())];
     }
-    let Some(text) = texts.first() else { return Vec::new() };
+    let Some(text) = texts.first() else {
+        return Vec::new();
+    };
     let (read, plain) = (typed(text), Value::String(text.clone()));
     match types.iter().any(|kind| kind == "string") || read == plain {
         true => vec![plain, read],
@@ -458,7 +629,10 @@
 fn wanted(kind: &Bad) -> (Departs, String) {
     let text = |value: &Value| clip(&value.to_string());
     let nearest = |context: &Vec<Vec<ValidationError>>| {
-        let branch = context.iter().filter(|branch| !branch.is_empty()).min_by_key(|branch| branch.len());
+        let branch = context
+            .iter()
+            .filter(|branch| !branch.is_empty())
+            .min_by_key(|branch| branch.len());
         let near = branch.and_then(|branch| branch.first()).map(|error| {
             let (_, wanted) = self::wanted(error.kind());
             let at = error.instance_path().as_str();
@@ -472,9 +646,17 @@
         format!("one of {} forms{}", context.len(), near.unwrap_or_default())
     };
     match kind {
-        Bad::Type { kind: TypeKind::Single(kind) } => (Departs::Type, format!("the type {kind}")),
-        Bad::Type { kind: TypeKind::Multiple(kinds) } => {
-            let kinds = kinds.iter().map(|kind| kind.to_string()).collect::<Vec<_>>().join(" or ");
+        Bad::Type {
+            kind: TypeKind::Single(kind),
+        } => (Departs::Type, format!("the type {kind}")),
+        Bad::Type {
+            kind: TypeKind::Multiple(kinds),
+        } => {
+            let kinds = kinds
+                .iter()
+                .map(|kind| kind.to_string())
+                .collect::<Vec<_>>()
+                .join(" or ");
             (Departs::Type, format!("the type {kinds}"))
         }
         Bad::Required { .. } => (Departs::Missing, "this to be given".into()),
@@ -496,21 +678,37 @@
         Bad::MaxItems { limit } => (Departs::Bounds, format!("{limit} items or less")),
         Bad::MinProperties { limit } => (Departs::Bounds, format!("{limit} members or more")),
         Bad::MaxProperties { limit } => (Departs::Bounds, format!("{limit} members or less")),
-        Bad::MultipleOf { multiple_of } => (Departs::Bounds, format!("a multiple of {multiple_of}")),
+        Bad::MultipleOf { multiple_of } => {
+            (Departs::Bounds, format!("a multiple of {multiple_of}"))
+        }
         Bad::UniqueItems => (Departs::Bounds, "no item twice".into()),
-        Bad::Contains => (Departs::Bounds, "an item of the kind that 'contains' asks for".into()),
+        Bad::Contains => (
+            Departs::Bounds,
+            "an item of the kind that 'contains' asks for".into(),
+        ),
         Bad::Pattern { pattern } => (Departs::Pattern, format!("a match of {}", clip(pattern))),
-        Bad::PropertyNames { .. } => (Departs::Pattern, "members' names as 'propertyNames' has them".into()),
+        Bad::PropertyNames { .. } => (
+            Departs::Pattern,
+            "members' names as 'propertyNames' has them".into(),
+        ),
         Bad::Format { format } => (Departs::Format, format!("the format {format}")),
         Bad::ContentEncoding { content_encoding } => {
             (Departs::Format, format!("the encoding {content_encoding}"))
         }
-        Bad::ContentMediaType { content_media_type } => (Departs::Format, content_media_type.clone()),
-        Bad::AnyOf { context } | Bad::OneOfNotValid { context } => (Departs::Alternatives, nearest(context)),
-        Bad::OneOfMultipleValid { context } => {
-            (Departs::Alternatives, format!("exactly one of {} forms, not several", context.len()))
+        Bad::ContentMediaType { content_media_type } => {
+            (Departs::Format, content_media_type.clone())
+        }
+        Bad::AnyOf { context } | Bad::OneOfNotValid { context } => {
+            (Departs::Alternatives, nearest(context))
         }
-        Bad::Not { .. } => (Departs::Alternatives, "anything but the form under 'not'".into()),
+        Bad::OneOfMultipleValid { context } => (
+            Departs::Alternatives,
+            format!("exactly one of {} forms, not several", context.len()),
+        ),
+        Bad::Not { .. } => (
+            Departs::Alternatives,
+            "anything but the form under 'not'".into(),
+        ),
         _ => (Departs::Other, "what the schema asks for".into()),
     }
 }
--- a/crates/contract/src/decide.rs
+++ b/crates/contract/src/decide.rs
@@ -30,8 +30,15 @@
 impl Sampler {
     /// For a share from 0 to 1. The first message is taken, so that a share however small shows something.
     pub fn new(share: f64) -> Sampler {
-        let share = if share.is_finite() { share.clamp(0.0, 1.0) } else { 0.0 };
-        Sampler { share, credit: if share > 0.0 { 1.0 - share } else { 0.0 } }
+        let share = if share.is_finite() {
+            share.clamp(0.0, 1.0)
+        } else {
+            0.0
+        };
+        Sampler {
+            share,
+            credit: if share > 0.0 { 1.0 - share } else { 0.0 },
+        }
     }
 
     /// Whether the next message is looked at.
@@ -60,7 +67,13 @@
 impl Room {
     /// For so many messages of so many bytes in all.
     pub fn new(most_messages: usize, most_bytes: usize) -> Room {
-        Room { messages: 0, bytes: 0, most_messages, most_bytes, missed: 0 }
+        Room {
+            messages: 0,
+            bytes: 0,
+            most_messages,
+            most_bytes,
+            missed: 0,
+        }
     }
 
     /// Whether a message may wait; if so, its room is taken.
@@ -96,7 +109,11 @@
     match departures.first() {
         Some(first) if mode == Mode::Enforce && first.kind != Departs::Unknown => {
             let more = departures.len() - 1;
-            let more = if more > 0 { format!("; {more} more") } else { String::new() };
+            let more = if more > 0 {
+                format!("; {more} more")
+            } else {
+                String::new()
+            };
             Request::Refuse(format!(
                 "{}: wanted {}, found {}{more}",
                 first.place, first.expected, first.found
@@ -157,14 +174,18 @@
     ) -> Result<(InForce, BTreeSet<Interface>), String> {
         let faults: Vec<String> = read
             .iter()
-            .filter_map(|(interface, held)| Some(format!("contract.{interface}: {}", held.as_ref().err()?)))
+            .filter_map(|(interface, held)| {
+                Some(format!("contract.{interface}: {}", held.as_ref().err()?))
+            })
             .collect();
         if !faults.is_empty() {
             return Err(faults.join("\n"));
         }
         let mut by = BTreeMap::new();
         for (interface, held) in read {
-            let Some(mut held) = held.ok().filter(|held| held.mode != Mode::Off) else { continue };
+            let Some(mut held) = held.ok().filter(|held| held.mode != Mode::Off) else {
+                continue;
+            };
             if let Some(old) = self.by.get(&interface) {
                 if old.description.fingerprint == held.description.fingerprint {
                     held.description = old.description.clone();
@@ -176,8 +197,20 @@
             (Some(old), Some(new)) => Arc::ptr_eq(&old.description, &new.description),
             (old, new) => old.is_none() && new.is_none(),
         };
-        let changed = self.by.keys().chain(by.keys()).filter(|interface| !same(interface)).copied().collect();
-        Ok((InForce { generation: self.generation + 1, by }, changed))
+        let changed = self
+            .by
+            .keys()
+            .chain(by.keys())
+            .filter(|interface| !same(interface))
+            .copied()
+            .collect();
+        Ok((
+            InForce {
+                generation: self.generation + 1,
+                by,
+            },
+            changed,
+        ))
     }
 }
 
--- a/crates/contract/src/decide/tests.rs
+++ b/crates/contract/src/decide/tests.rs
@@ -2,7 +2,13 @@
 
 fn departure(kind: Departs) -> Departure {
     let text = |text: &str| text.to_string();
-    Departure { kind, place: text("body /q"), described: text("#"), expected: text("x"), found: text("y") }
+    Departure {
+        kind,
+        place: text("body /q"),
+        described: text("#"),
+        expected: text("x"),
+        found: text("y"),
+    }
 }
 
 #[test]
@@ -32,11 +38,20 @@
 #[test]
 fn only_enforce_refuses_and_never_what_is_not_described() {
     let wrong = [departure(Departs::Type), departure(Departs::Missing)];
-    let Request::Refuse(reason) = request(Mode::Enforce, &wrong) else { panic!("served") };
+    let Request::Refuse(reason) = request(Mode::Enforce, &wrong) else {
+        panic!("served")
+    };
     assert_eq!(reason, "body /q: wanted x, found y; 1 more");
     assert_eq!(request(Mode::Observe, &wrong), Request::Serve);
-    assert_eq!(request(Mode::Enforce, &[departure(Departs::Unknown)]), Request::Serve);
-    assert!(usable(Mode::Observe, &wrong) && usable(Mode::Enforce, &[]) && !usable(Mode::Enforce, &wrong));
+    assert_eq!(
+        request(Mode::Enforce, &[departure(Departs::Unknown)]),
+        Request::Serve
+    );
+    assert!(
+        usable(Mode::Observe, &wrong)
+            && usable(Mode::Enforce, &[])
+            && !usable(Mode::Enforce, &wrong)
+    );
 }
 
 #[test]
@@ -44,17 +59,35 @@
     let text = r#"{"openapi":"3.1.0","info":{"title":"t","version":"1"},"paths":{}}"#;
     let held = |mode| {
         let description = Description::from_text("a.json", text).unwrap();
-        Ok(Held { mode, share: 1.0, description: Arc::new(description) })
+        Ok(Held {
+            mode,
+            share: 1.0,
+            description: Arc::new(description),
+        })
     };
-    let (first, changed) = InForce::default().next(vec![(Interface::Query, held(Mode::Observe))]).unwrap();
+    let (first, changed) = InForce::default()
+        .next(vec![(Interface::Query, held(Mode::Observe))])
+        .unwrap();
     assert_eq!(changed, [Interface::Query].into());
-    let faulty =
-        vec![(Interface::Query, held(Mode::Enforce)), (Interface::Servers, Err("x.yaml: bad".into()))];
-    assert_eq!(first.next(faulty).unwrap_err(), "contract.servers: x.yaml: bad");
-    assert_eq!((first.generation, first.of(Interface::Query).unwrap().mode), (1, Mode::Observe));
+    let faulty = vec![
+        (Interface::Query, held(Mode::Enforce)),
+        (Interface::Servers, Err("x.yaml: bad".into())),
+    ];
+    assert_eq!(
+        first.next(faulty).unwrap_err(),
+        "contract.servers: x.yaml: bad"
+    );
+    assert_eq!(
+        (first.generation, first.of(Interface::Query).unwrap().mode),
+        (1, Mode::Observe)
+    );
     // The same text read again is the same description, in another mode.
-    let (again, changed) = first.next(vec![(Interface::Query, held(Mode::Enforce))]).unwrap();
+    let (again, changed) = first
+        .next(vec![(Interface::Query, held(Mode::Enforce))])
+        .unwrap();
     assert!(changed.is_empty() && again.of(Interface::Query).unwrap().mode == Mode::Enforce);
-    let (off, changed) = again.next(vec![(Interface::Query, held(Mode::Off))]).unwrap();
+    let (off, changed) = again
+        .next(vec![(Interface::Query, held(Mode::Off))])
+        .unwrap();
     assert!(off.is_off() && off.generation == 3 && changed.len() == 1);
 }
--- a/crates/contract/src/diff.rs
+++ b/crates/contract/src/diff.rs
@@ -1,7 +1,9 @@
 //! What changed between two descriptions, and for whom it breaks. A request may ask for less and an answer may hold
 //! less variety without harm; the other way round breaks those who rely on the old form.
 
-use crate::model::{Description, Kind, Media, Operation, Parameter, Response, Slot, Status, Within};
+use crate::model::{
+    Description, Kind, Media, Operation, Parameter, Response, Slot, Status, Within,
+};
 use crate::schema::{clip, Direction};
 use crate::source::{Loc, Sources};
 use serde::Serialize;
@@ -56,17 +58,36 @@
     if old.kind != new.kind {
         return Err("an OpenAPI and an AsyncAPI description can't be compared".into());
     }
-    let mut diff =
-        Diff { old, new, changes: BTreeSet::new(), operation: String::new(), seen: BTreeSet::new() };
+    let mut diff = Diff {
+        old,
+        new,
+        changes: BTreeSet::new(),
+        operation: String::new(),
+        seen: BTreeSet::new(),
+    };
     match old.kind {
         Kind::OpenApi => diff.operations(),
         Kind::AsyncApi => diff.messages(),
     }
-    if diff.changes.iter().all(|change| change.weight == Weight::Cosmetic) {
-        let values = |d: &Description| d.sources.files().iter().map(|f| f.value.clone()).collect::<Vec<_>>();
+    if diff
+        .changes
+        .iter()
+        .all(|change| change.weight == Weight::Cosmetic)
+    {
+        let values = |d: &Description| {
+            d.sources
+                .files()
+                .iter()
+                .map(|f| f.value.clone())
+                .collect::<Vec<_>>()
+        };
         if diff.changes.is_empty() && values(old) != values(new) {
             diff.operation = "the description".into();
-            diff.add(Weight::Cosmetic, "", "only texts, names, the order or the arrangement differ".into());
+            diff.add(
+                Weight::Cosmetic,
+                "",
+                "only texts, names, the order or the arrangement differ".into(),
+            );
         }
     }
     Ok(diff.changes.into_iter().collect())
@@ -96,13 +117,20 @@
     fn add(&mut self, weight: Weight, place: &str, what: String) {
         if self.changes.len() < MOST_CHANGES {
             let operation = self.operation.clone();
-            self.changes.insert(Change { weight, operation, place: place.into(), what });
+            self.changes.insert(Change {
+                weight,
+                operation,
+                place: place.into(),
+                what,
+            });
         }
     }
 
     fn set(&mut self, direction: Direction, place: &str, change: Set, what: String) {
         let weight = match (direction, change) {
-            (Direction::Request, Set::Wider) | (Direction::Answer, Set::Narrower) => Weight::Compatible,
+            (Direction::Request, Set::Wider) | (Direction::Answer, Set::Narrower) => {
+                Weight::Compatible
+            }
             _ => Weight::Breaking,
         };
         self.add(weight, place, what);
@@ -114,10 +142,16 @@
         let by_shape = |d: &'_ Description| -> BTreeMap<String, usize> {
             let key = |operation: &Operation| {
                 let (method, path) = operation.name.split_once(' ').unwrap_or(("", ""));
-                let shape = crate::route::Template::read(path).map(|t| t.shape()).unwrap_or_default();
+                let shape = crate::route::Template::read(path)
+                    .map(|t| t.shape())
+                    .unwrap_or_default();
                 format!("{method} {shape}")
             };
-            d.operations.iter().enumerate().map(|(at, operation)| (key(operation), at)).collect()
+            d.operations
+                .iter()
+                .enumerate()
+                .map(|(at, operation)| (key(operation), at))
+                .collect()
         };
         let (before, after) = (by_shape(old), by_shape(new));
         for (key, &at) in &before {
@@ -137,21 +171,48 @@
     fn operation(&mut self, old: &Operation, new: &Operation) {
         self.seen.clear();
         if old.name != new.name {
-            self.add(Weight::Cosmetic, "path", format!("a variable's name differs: {}", new.name));
+            self.add(
+                Weight::Cosmetic,
+                "path",
+                format!("a variable's name differs: {}", new.name),
+            );
         }
         if old.id != new.id {
             let words = |id: &Option<String>| id.clone().unwrap_or_else(|| "none".into());
-            let what = format!("the operation's id was {} and is {}", words(&old.id), words(&new.id));
+            let what = format!(
+                "the operation's id was {} and is {}",
+                words(&old.id),
+                words(&new.id)
+            );
             self.add(Weight::Cosmetic, "", what);
         }
         self.texts("", &old.loc, &new.loc);
         self.parameters(Direction::Request, "", &old.parameters, &new.parameters);
-        match (old.body.is_empty(), new.body.is_empty(), old.body_required, new.body_required) {
-            (true, false, _, true) => self.add(Weight::Breaking, "body", "a body is now required".into()),
-            (true, false, _, false) => self.add(Weight::Compatible, "body", "a body may now be given".into()),
-            (false, true, ..) => self.add(Weight::Breaking, "body", "no body is described any more".into()),
-            (_, _, false, true) => self.add(Weight::Breaking, "body", "the body became required".into()),
-            (_, _, true, false) => self.add(Weight::Compatible, "body", "the body became optional".into()),
+        match (
+            old.body.is_empty(),
+            new.body.is_empty(),
+            old.body_required,
+            new.body_required,
+        ) {
+            (true, false, _, true) => {
+                self.add(Weight::Breaking, "body", "a body is now required".into())
+            }
+            (true, false, _, false) => {
+                self.add(Weight::Compatible, "body", "a body may now be given".into())
+            }
+            (false, true, ..) => self.add(
+                Weight::Breaking,
+                "body",
+                "no body is described any more".into(),
+            ),
+            (_, _, false, true) => {
+                self.add(Weight::Breaking, "body", "the body became required".into())
+            }
+            (_, _, true, false) => self.add(
+                Weight::Compatible,
+                "body",
+                "the body became optional".into(),
+            ),
             _ => {}
         }
         if !old.body.is_empty() && !new.body.is_empty() {
@@ -162,7 +223,8 @@
             Status::Hundred(first) => format!("{first}XX"),
             Status::Default => "default".into(),
         };
-        let find = |all: &'_ [Response], status: Status| all.iter().position(|r| r.status == status);
+        let find =
+            |all: &'_ [Response], status: Status| all.iter().position(|r| r.status == status);
         for response in &old.responses {
             let place = format!("answer {}", word(response.status));
             match find(&new.responses, response.status) {
@@ -171,28 +233,50 @@
                     self.texts(&place, &response.loc, &new.loc);
                     self.parameters(Direction::Answer, &place, &response.headers, &new.headers);
                     match (response.content.is_empty(), new.content.is_empty()) {
-                        (false, true) => self.add(Weight::Breaking, &place, "its body is gone".into()),
-                        (true, false) => self.add(Weight::Compatible, &place, "it has a body now".into()),
+                        (false, true) => {
+                            self.add(Weight::Breaking, &place, "its body is gone".into())
+                        }
+                        (true, false) => {
+                            self.add(Weight::Compatible, &place, "it has a body now".into())
+                        }
                         _ => self.media(Direction::Answer, &place, &response.content, &new.content),
                     }
                 }
                 // An answer that is never given any more harms nobody, unless it was the good one.
-                None if matches!(response.status, Status::Exactly(200..=299) | Status::Hundred(2)) => {
+                None if matches!(
+                    response.status,
+                    Status::Exactly(200..=299) | Status::Hundred(2)
+                ) =>
+                {
                     self.add(Weight::Breaking, &place, "this answer is gone".into());
                 }
                 None => self.add(Weight::Compatible, &place, "this answer is gone".into()),
             }
         }
-        for response in new.responses.iter().filter(|r| find(&old.responses, r.status).is_none()) {
+        for response in new
+            .responses
+            .iter()
+            .filter(|r| find(&old.responses, r.status).is_none())
+        {
             let place = format!("answer {}", word(response.status));
-            let covered = old.responses.iter().any(|o| match (o.status, response.status) {
-                (Status::Hundred(first), Status::Exactly(status)) => first == status / 100,
-                (Status::Default, _) => true,
-                _ => false,
-            });
+            let covered = old
+                .responses
+                .iter()
+                .any(|o| match (o.status, response.status) {
+                    (Status::Hundred(first), Status::Exactly(status)) => first == status / 100,
+                    (Status::Default, _) => true,
+                    _ => false,
+                });
             // Clients handle an error they don't know as its hundred says; a new good answer they can't read.
-            let good = matches!(response.status, Status::Exactly(200..=299) | Status::Hundred(2));
-            let weight = if good && !covered { Weight::Breaking } else { Weight::Compatible };
+            let good = matches!(
+                response.status,
+                Status::Exactly(200..=299) | Status::Hundred(2)
+            );
+            let weight = if good && !covered {
+                Weight::Breaking
+            } else {
+                Weight::Compatible
+            };
             self.add(weight, &place, "this answer is new".into());
         }
     }
@@ -205,14 +289,25 @@
                 _ => parameter.name.clone(),
             };
             // A path's variables are told apart by their place, not by name.
-            (parameter.within, if parameter.within == Within::Path { String::new() } else { name })
+            (
+                parameter.within,
+                if parameter.within == Within::Path {
+                    String::new()
+                } else {
+                    name
+                },
+            )
         };
         let place = |parameter: &Parameter| match at.is_empty() {
             true => format!("{} {}", parameter.within.word(), parameter.name),
             false => format!("{at}, {} {}", parameter.within.word(), parameter.name),
         };
         let path = |all: &[Parameter]| {
-            let mut all: Vec<Parameter> = all.iter().filter(|p| p.within == Within::Path).cloned().collect();
+            let mut all: Vec<Parameter> = all
+                .iter()
+                .filter(|p| p.within == Within::Path)
+                .cloned()
+                .collect();
             all.sort_by(|a, b| a.name.cmp(&b.name));
             all
         };
@@ -223,7 +318,11 @@
             match new.iter().find(|p| key(p) == key(parameter)) {
                 Some(new) => self.parameter(direction, &place(parameter), parameter, new),
                 None if direction == Direction::Answer && !parameter.required => {
-                    self.add(Weight::Compatible, &place(parameter), "it is no longer given".into());
+                    self.add(
+                        Weight::Compatible,
+                        &place(parameter),
+                        "it is no longer given".into(),
+                    );
                 }
                 None => self.add(Weight::Breaking, &place(parameter), "it is gone".into()),
             }
@@ -231,9 +330,16 @@
         for parameter in new.iter().filter(|p| p.within != Within::Path) {
             if !old.iter().any(|p| key(p) == key(parameter)) {
                 let breaks = direction == Direction::Request && parameter.required;
-                let weight = if breaks { Weight::Breaking } else { Weight::Compatible };
-                let word =
-                    if parameter.required { "it is new and required" } else { "it is new and optional" };
+                let weight = if breaks {
+                    Weight::Breaking
+                } else {
+                    Weight::Compatible
+                };
+                let word = if parameter.required {
+                    "it is new and required"
+                } else {
+                    "it is new and optional"
+                };
                 self.add(weight, &place(parameter), word.into());
             }
         }
@@ -247,7 +353,11 @@
             _ => {}
         }
         if (old.json, old.parted_by) != (new.json, new.parted_by) {
-            self.add(Weight::Breaking, place, "the way in which its value is written differs".into());
+            self.add(
+                Weight::Breaking,
+                place,
+                "the way in which its value is written differs".into(),
+            );
         }
         self.slots(direction, place, &old.slot, &new.slot);
     }
@@ -263,7 +373,10 @@
                 None => self.add(Weight::Breaking, place, format!("{} is gone", media.range)),
             }
         }
-        for media in new.iter().filter(|media| !old.iter().any(|m| m.range == media.range)) {
+        for media in new
+            .iter()
+            .filter(|media| !old.iter().any(|m| m.range == media.range))
+        {
             // An answer in another form is only given to those who ask for it.
             self.add(Weight::Compatible, place, format!("{} is new", media.range));
         }
@@ -289,7 +402,11 @@
                 }
             }
         }
-        for message in new.messages.iter().filter(|m| old.message(&m.channel, &m.word).is_none()) {
+        for message in new
+            .messages
+            .iter()
+            .filter(|m| old.message(&m.channel, &m.word).is_none())
+        {
             self.operation = message.name.to_string();
             let weight = match message.direction {
                 Direction::Request => Weight::Compatible,
@@ -308,7 +425,8 @@
                 self.add(Weight::Cosmetic, place, format!("its {key} differs"));
             }
         }
-        let deprecated = |d: &Description, loc: &Loc| word(d, loc, "deprecated") == Some(Value::Bool(true));
+        let deprecated =
+            |d: &Description, loc: &Loc| word(d, loc, "deprecated") == Some(Value::Bool(true));
         if !deprecated(self.old, old) && deprecated(self.new, new) {
             self.add(Weight::Compatible, place, "it is deprecated now".into());
         }
@@ -317,7 +435,12 @@
     fn slots(&mut self, direction: Direction, place: &str, old: &Slot, new: &Slot) {
         match (&old.loc, &new.loc) {
             (Some(old), Some(new)) => self.schemas(direction, place, old, new),
-            (None, Some(_)) => self.set(direction, place, Set::Narrower, "it has a schema now".into()),
+            (None, Some(_)) => self.set(
+                direction,
+                place,
+                Set::Narrower,
+                "it has a schema now".into(),
+            ),
             (Some(_), None) => self.set(direction, place, Set::Wider, "its schema is gone".into()),
             (None, None) => {}
         }
@@ -332,7 +455,11 @@
         let before = View::of(&self.old.sources, old, direction);
         let after = View::of(&self.new.sources, new, direction);
         if before.text != after.text {
-            self.add(Weight::Cosmetic, place, "its texts for people differ".into());
+            self.add(
+                Weight::Cosmetic,
+                place,
+                "its texts for people differ".into(),
+            );
         }
         let narrower = Set::Narrower;
         let wider = Set::Wider;
@@ -343,7 +470,12 @@
                     set.contains(kind) || kind == "integer" && set.contains("number")
                 };
                 for kind in old.iter().filter(|kind| !has(new, kind)) {
-                    self.set(direction, place, narrower, format!("the type {kind} is gone"));
+                    self.set(
+                        direction,
+                        place,
+                        narrower,
+                        format!("the type {kind} is gone"),
+                    );
                 }
                 for kind in new.iter().filter(|kind| !has(old, kind)) {
                     self.set(direction, place, wider, format!("the type {kind} is new"));
@@ -362,32 +494,49 @@
         match (&before.values, &after.values) {
             (Some(old), Some(new)) => {
                 for value in old.difference(new) {
-                    self.set(direction, place, narrower, format!("the value {} is gone", clip(value)));
+                    self.set(
+                        direction,
+                        place,
+                        narrower,
+                        format!("the value {} is gone", clip(value)),
+                    );
                 }
                 for value in new.difference(old) {
-                    self.set(direction, place, wider, format!("the value {} is new", clip(value)));
+                    self.set(
+                        direction,
+                        place,
+                        wider,
+                        format!("the value {} is new", clip(value)),
+                    );
                 }
             }
             (None, Some(new)) => {
                 let what = format!("only these values now: {}", clip(&join(new)));
                 self.set(direction, place, narrower, what);
             }
-            (Some(_), None) => {
-                self.set(direction, place, wider, "any value now, not only those listed".into())
-            }
+            (Some(_), None) => self.set(
+                direction,
+                place,
+                wider,
+                "any value now, not only those listed".into(),
+            ),
             (None, None) => {}
         }
         self.bounds(direction, place, &before, &after);
         self.members(direction, place, &before, &after);
         self.items(direction, place, &before, &after);
-        for (word, old, new) in
-            [("oneOf", &before.one_of, &after.one_of), ("anyOf", &before.any_of, &after.any_of)]
-        {
+        for (word, old, new) in [
+            ("oneOf", &before.one_of, &after.one_of),
+            ("anyOf", &before.any_of, &after.any_of),
+        ] {
             self.forms(direction, place, word, old, new);
         }
         if before.rest != after.rest {
             let keys: BTreeSet<&String> = before.rest.keys().chain(after.rest.keys()).collect();
-            for key in keys.into_iter().filter(|key| before.rest.get(*key) != after.rest.get(*key)) {
+            for key in keys
+                .into_iter()
+                .filter(|key| before.rest.get(*key) != after.rest.get(*key))
+            {
                 self.set(direction, place, Set::Other, format!("its '{key}' differs"));
             }
         }
@@ -428,12 +577,18 @@
                     let what = format!("{key} was {} and is {}", clip(a), clip(b));
                     self.set(direction, place, Set::Other, what);
                 }
-                (None, Some(b)) => {
-                    self.set(direction, place, Set::Narrower, format!("{key} {} is new", clip(b)))
-                }
-                (Some(a), None) => {
-                    self.set(direction, place, Set::Wider, format!("{key} {} is gone", clip(a)))
-                }
+                (None, Some(b)) => self.set(
+                    direction,
+                    place,
+                    Set::Narrower,
+                    format!("{key} {} is new", clip(b)),
+                ),
+                (Some(a), None) => self.set(
+                    direction,
+                    place,
+                    Set::Wider,
+                    format!("{key} {} is gone", clip(a)),
+                ),
                 _ => {}
             }
         }
@@ -442,10 +597,20 @@
     fn members(&mut self, direction: Direction, place: &str, old: &View, new: &View) {
         let at = |name: &str| format!("{place} {name}");
         for name in new.required.difference(&old.required) {
-            self.set(direction, &at(name), Set::Narrower, "it became required".into());
+            self.set(
+                direction,
+                &at(name),
+                Set::Narrower,
+                "it became required".into(),
+            );
         }
         for name in old.required.difference(&new.required) {
-            self.set(direction, &at(name), Set::Wider, "it became optional".into());
+            self.set(
+                direction,
+                &at(name),
+                Set::Wider,
+                "it became optional".into(),
+            );
         }
         for (name, loc) in &old.properties {
             match (new.properties.get(name), direction) {
@@ -454,37 +619,69 @@
                     self.add(Weight::Breaking, &at(name), "it is no longer taken".into());
                 }
                 (None, Direction::Request) => {
-                    self.add(Weight::Compatible, &at(name), "it is no longer looked at".into());
+                    self.add(
+                        Weight::Compatible,
+                        &at(name),
+                        "it is no longer looked at".into(),
+                    );
                 }
                 // One that was required has been told as having become optional.
                 (None, Direction::Answer) if old.required.contains(name) => {}
-                (None, Direction::Answer) => {
-                    self.add(Weight::Compatible, &at(name), "it is no longer given".into())
-                }
+                (None, Direction::Answer) => self.add(
+                    Weight::Compatible,
+                    &at(name),
+                    "it is no longer given".into(),
+                ),
             }
         }
-        for name in new.properties.keys().filter(|name| !old.properties.contains_key(*name)) {
+        for name in new
+            .properties
+            .keys()
+            .filter(|name| !old.properties.contains_key(*name))
+        {
             match direction {
                 Direction::Answer if old.closed => {
-                    self.add(Weight::Breaking, &at(name), "it is new, where no others were to come".into());
+                    self.add(
+                        Weight::Breaking,
+                        &at(name),
+                        "it is new, where no others were to come".into(),
+                    );
                 }
                 _ => self.add(Weight::Compatible, &at(name), "it is new".into()),
             }
         }
         match (old.closed, new.closed) {
-            (false, true) => {
-                self.set(direction, place, Set::Narrower, "no other members are taken now".into())
-            }
-            (true, false) => self.set(direction, place, Set::Wider, "other members may come now".into()),
+            (false, true) => self.set(
+                direction,
+                place,
+                Set::Narrower,
+                "no other members are taken now".into(),
+            ),
+            (true, false) => self.set(
+                direction,
+                place,
+                Set::Wider,
+                "other members may come now".into(),
+            ),
             _ => {}
         }
         match (&old.others, &new.others) {
             (Some(a), Some(b)) => self.schemas(direction, &at("*"), a, b),
             (None, Some(_)) if !old.closed => {
-                self.set(direction, &at("*"), Set::Narrower, "other members are held to a schema now".into());
+                self.set(
+                    direction,
+                    &at("*"),
+                    Set::Narrower,
+                    "other members are held to a schema now".into(),
+                );
             }
             (Some(_), None) if !new.closed => {
-                self.set(direction, &at("*"), Set::Wider, "other members are held to no schema now".into());
+                self.set(
+                    direction,
+                    &at("*"),
+                    Set::Wider,
+                    "other members are held to no schema now".into(),
+                );
             }
             _ => {}
         }
@@ -494,26 +691,41 @@
         let inner = format!("{place} []");
         match (&old.items, &new.items) {
             (Some(a), Some(b)) => self.schemas(direction, &inner, a, b),
-            (None, Some(_)) => {
-                self.set(direction, &inner, Set::Narrower, "items are held to a schema now".into())
-            }
-            (Some(_), None) => {
-                self.set(direction, &inner, Set::Wider, "items are held to no schema now".into())
-            }
+            (None, Some(_)) => self.set(
+                direction,
+                &inner,
+                Set::Narrower,
+                "items are held to a schema now".into(),
+            ),
+            (Some(_), None) => self.set(
+                direction,
+                &inner,
+                Set::Wider,
+                "items are held to no schema now".into(),
+            ),
             (None, None) => {}
         }
         for (a, b) in old.first_items.iter().zip(&new.first_items) {
             self.schemas(direction, &inner, a, b);
         }
         if old.first_items.len() != new.first_items.len() {
-            self.set(direction, &inner, Set::Other, "the number of first items differs".into());
+            self.set(
+                direction,
+                &inner,
+                Set::Other,
+                "the number of first items differs".into(),
+            );
         }
     }
 
     /// Alternatives: those that are the same pair up wherever they stand, the others in their order.
     fn forms(&mut self, direction: Direction, place: &str, word: &str, old: &[Loc], new: &[Loc]) {
         if old.is_empty() != new.is_empty() {
-            let change = if old.is_empty() { Set::Narrower } else { Set::Wider };
+            let change = if old.is_empty() {
+                Set::Narrower
+            } else {
+                Set::Wider
+            };
             return self.set(
                 direction,
                 place,
@@ -525,7 +737,9 @@
         let mut rest: Vec<&Loc> = new.iter().collect();
         let mut unpaired = Vec::new();
         for loc in old {
-            let same = rest.iter().position(|other| value(self.old, loc) == value(self.new, other));
+            let same = rest
+                .iter()
+                .position(|other| value(self.old, loc) == value(self.new, other));
             match same {
                 Some(at) => self.schemas(direction, place, loc, rest.remove(at)),
                 None => unpaired.push(loc),
@@ -536,25 +750,45 @@
             self.schemas(direction, place, a, b);
         }
         for _ in &unpaired[paired..] {
-            self.set(direction, place, Set::Narrower, format!("a form of its {word} is gone"));
+            self.set(
+                direction,
+                place,
+                Set::Narrower,
+                format!("a form of its {word} is gone"),
+            );
         }
         for _ in &rest[paired..] {
-            self.set(direction, place, Set::Wider, format!("a form of its {word} is new"));
+            self.set(
+                direction,
+                place,
+                Set::Wider,
+                format!("a form of its {word} is new"),
+            );
         }
     }
 }
 
 /// What a reference without siblings leads to; anything else itself.
 fn bare(sources: &Sources, loc: &Loc) -> Loc {
-    let alone = sources.get(loc).and_then(Value::as_object).is_some_and(|map| map.len() == 1);
-    match sources.reference(loc).filter(|_| alone).and_then(|_| sources.target(loc)) {
+    let alone = sources
+        .get(loc)
+        .and_then(Value::as_object)
+        .is_some_and(|map| map.len() == 1);
+    match sources
+        .reference(loc)
+        .filter(|_| alone)
+        .and_then(|_| sources.target(loc))
+    {
         Some(target) => target,
         None => loc.clone(),
     }
 }
 
 fn join(set: &BTreeSet<String>) -> String {
-    set.iter().map(String::as_str).collect::<Vec<_>>().join(", ")
+    set.iter()
+        .map(String::as_str)
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 /// What a schema asks for, `allOf` and references worked in, 3.0's words in 3.1's.
@@ -592,7 +826,9 @@
 
     fn take(&mut self, sources: &Sources, loc: &Loc, direction: Direction, depth: usize) {
         let reference = sources.reference(loc).is_some();
-        let Some(map) = sources.get(loc).and_then(Value::as_object) else { return };
+        let Some(map) = sources.get(loc).and_then(Value::as_object) else {
+            return;
+        };
         if depth > MOST_DEEP {
             return;
         }
@@ -609,13 +845,22 @@
         };
         let properties = map.get("properties").and_then(Value::as_object);
         let goes = |name: &str| {
-            properties.and_then(|p| p.get(name)).is_none_or(|member| member[skipped] != Value::Bool(true))
+            properties
+                .and_then(|p| p.get(name))
+                .is_none_or(|member| member[skipped] != Value::Bool(true))
         };
-        for name in map.get("required").and_then(Value::as_array).into_iter().flatten() {
-            self.required.extend(name.as_str().filter(|name| goes(name)).map(str::to_string));
+        for name in map
+            .get("required")
+            .and_then(Value::as_array)
+            .into_iter()
+            .flatten()
+        {
+            self.required
+                .extend(name.as_str().filter(|name| goes(name)).map(str::to_string));
         }
         for name in properties.into_iter().flatten().map(|(name, _)| name) {
-            self.properties.insert(name.clone(), loc.at("properties").at(name));
+            self.properties
+                .insert(name.clone(), loc.at("properties").at(name));
         }
         match map.get("additionalProperties") {
             Some(Value::Bool(false)) => self.closed = true,
@@ -624,15 +869,19 @@
         }
         match map.get("items") {
             Some(Value::Array(list)) => {
-                self.first_items.extend((0..list.len()).map(|at| loc.at("items").item(at)));
+                self.first_items
+                    .extend((0..list.len()).map(|at| loc.at("items").item(at)));
             }
             Some(_) => self.items = Some(loc.at("items")),
             None => {}
         }
         let list = |key: &str| map.get(key).and_then(Value::as_array).map_or(0, Vec::len);
-        self.first_items.extend((0..list("prefixItems")).map(|at| loc.at("prefixItems").item(at)));
-        self.one_of.extend((0..list("oneOf")).map(|at| loc.at("oneOf").item(at)));
-        self.any_of.extend((0..list("anyOf")).map(|at| loc.at("anyOf").item(at)));
+        self.first_items
+            .extend((0..list("prefixItems")).map(|at| loc.at("prefixItems").item(at)));
+        self.one_of
+            .extend((0..list("oneOf")).map(|at| loc.at("oneOf").item(at)));
+        self.any_of
+            .extend((0..list("anyOf")).map(|at| loc.at("anyOf").item(at)));
         for at in 0..list("allOf") {
             self.take(sources, &loc.at("allOf").item(at), direction, depth + 1);
         }
@@ -642,9 +891,11 @@
         let nullable = map.get("nullable") == Some(&Value::Bool(true));
         let kinds: Option<BTreeSet<String>> = match map.get("type") {
             Some(Value::String(one)) => Some([one.clone()].into()),
-            Some(Value::Array(many)) => {
-                Some(many.iter().filter_map(|v| Some(v.as_str()?.to_string())).collect())
-            }
+            Some(Value::Array(many)) => Some(
+                many.iter()
+                    .filter_map(|v| Some(v.as_str()?.to_string()))
+                    .collect(),
+            ),
             _ => None,
         };
         if let Some(mut kinds) = kinds {
@@ -667,8 +918,15 @@
         }
         let number = |key: &str| map.get(key).and_then(Value::as_f64);
         let strict = |key: &str| map.get(key) == Some(&Value::Bool(true));
-        for (key, exclusive) in [("minimum", "exclusiveMinimum"), ("maximum", "exclusiveMaximum")] {
-            let side = if key == "minimum" { &mut self.least } else { &mut self.most };
+        for (key, exclusive) in [
+            ("minimum", "exclusiveMinimum"),
+            ("maximum", "exclusiveMaximum"),
+        ] {
+            let side = if key == "minimum" {
+                &mut self.least
+            } else {
+                &mut self.most
+            };
             let name = if strict(exclusive) { exclusive } else { key };
             side.extend(number(key).map(|value| (name, value)));
             side.extend(number(exclusive).map(|value| (exclusive, value)));
@@ -680,10 +938,22 @@
             self.most.extend(number(key).map(|value| (key, value)));
         }
         for key in ["pattern", "format", "contentEncoding", "contentMediaType"] {
-            self.texts.extend(map.get(key).and_then(Value::as_str).map(|text| (key, text.to_string())));
+            self.texts.extend(
+                map.get(key)
+                    .and_then(Value::as_str)
+                    .map(|text| (key, text.to_string())),
+            );
         }
-        for key in ["description", "title", "example", "examples", "summary", "$comment"] {
-            self.text.extend(map.get(key).map(|value| (key, value.clone())));
+        for key in [
+            "description",
+            "title",
+            "example",
+            "examples",
+            "summary",
+            "$comment",
+        ] {
+            self.text
+                .extend(map.get(key).map(|value| (key, value.clone())));
         }
         let compared = [
             "not",
@@ -703,7 +973,8 @@
             "additionalItems",
         ];
         for key in compared {
-            self.rest.extend(map.get(key).map(|value| (key.to_string(), value.clone())));
+            self.rest
+                .extend(map.get(key).map(|value| (key.to_string(), value.clone())));
         }
     }
 }
--- a/crates/contract/src/drift.rs
+++ b/crates/contract/src/drift.rs
@@ -161,7 +161,11 @@
 /// A place with its lists' numbers left out: each item of a list is the same place of the description.
 fn place_of(place: &str) -> String {
     let number = |step: &&str| !step.is_empty() && step.bytes().all(|b| b.is_ascii_digit());
-    place.split('/').map(|step| if number(&step) { "*" } else { step }).collect::<Vec<_>>().join("/")
+    place
+        .split('/')
+        .map(|step| if number(&step) { "*" } else { step })
+        .collect::<Vec<_>>()
+        .join("/")
 }
 
 impl Ledger {
@@ -194,7 +198,11 @@
         for departure in seen.departures {
             let place = place_of(&departure.place);
             if places.insert((place.clone(), departure.kind)) {
-                let key = Key { operation: operation.clone(), place, kind: departure.kind };
+                let key = Key {
+                    operation: operation.clone(),
+                    place,
+                    kind: departure.kind,
+                };
                 new |= self.enter(now, key, seen.party, departure, good_before);
             }
         }
@@ -210,11 +218,20 @@
         good_before: u64,
     ) -> bool {
         if !self.entries.contains_key(&key) {
-            if self.entries.keys().filter(|known| known.operation == key.operation).count() >= MOST_OF_ONE {
+            if self
+                .entries
+                .keys()
+                .filter(|known| known.operation == key.operation)
+                .count()
+                >= MOST_OF_ONE
+            {
                 key.place = ELSEWHERE.into();
             }
             if self.entries.len() >= MOST_ENTRIES && !self.entries.contains_key(&key) {
-                let oldest = self.entries.iter().min_by(|a, b| a.1.last.total_cmp(&b.1.last));
+                let oldest = self
+                    .entries
+                    .iter()
+                    .min_by(|a, b| a.1.last.total_cmp(&b.1.last));
                 if let Some(oldest) = oldest.map(|(key, _)| key.clone()) {
                     self.entries.remove(&oldest);
                     self.dropped += 1;
@@ -242,14 +259,25 @@
             entry.others += 1;
             return new;
         }
-        entry.parties.insert(party.clone(), Span { first: now, last: now, count: 1, good_before });
+        entry.parties.insert(
+            party.clone(),
+            Span {
+                first: now,
+                last: now,
+                count: 1,
+                good_before,
+            },
+        );
         true
     }
 
     /// Takes in the list of servers. One that is not on it was replaced and is forgotten: what only it did leaves the
     /// ledger with it.
     pub fn servers(&mut self, list: &[Server]) {
-        self.servers = list.iter().map(|server| (server.id.clone(), server.started)).collect();
+        self.servers = list
+            .iter()
+            .map(|server| (server.id.clone(), server.started))
+            .collect();
         let servers = &self.servers;
         for (operation, checked) in &mut self.checked {
             if operation.interface == Interface::Servers {
@@ -271,8 +299,10 @@
 
     /// Drops all of an interface: its description is another one now.
     pub fn forget(&mut self, interface: Interface) {
-        self.entries.retain(|key, _| key.operation.interface != interface);
-        self.checked.retain(|operation, _| operation.interface != interface);
+        self.entries
+            .retain(|key, _| key.operation.interface != interface);
+        self.checked
+            .retain(|operation, _| operation.interface != interface);
     }
 
     /// How many entries there are.
@@ -287,7 +317,11 @@
 
     /// All entries, the latest first.
     pub fn rows(&self) -> Vec<Row> {
-        let mut rows: Vec<Row> = self.entries.iter().map(|(key, entry)| self.row(key, entry)).collect();
+        let mut rows: Vec<Row> = self
+            .entries
+            .iter()
+            .map(|(key, entry)| self.row(key, entry))
+            .collect();
         rows.sort_by(|a, b| b.last.total_cmp(&a.last));
         rows
     }
@@ -299,19 +333,29 @@
             operation: seen.operation.clone(),
             direction: seen.direction,
         };
-        let mut key = Key { operation, place: place_of(&departure.place), kind: departure.kind };
+        let mut key = Key {
+            operation,
+            place: place_of(&departure.place),
+            kind: departure.kind,
+        };
         if !self.entries.contains_key(&key) {
             key.place = ELSEWHERE.into();
         }
-        self.entries.get(&key).map(|entry| self.row(&key, entry).summary)
+        self.entries
+            .get(&key)
+            .map(|entry| self.row(&key, entry).summary)
     }
 
     fn row(&self, key: &Key, entry: &Entry) -> Row {
         let checked = self.checked.get(&key.operation);
-        let looked_at = checked.map_or(entry.count, |checked| checked.count).max(entry.count);
+        let looked_at = checked
+            .map_or(entry.count, |checked| checked.count)
+            .max(entry.count);
         let mut parties: Vec<(&Arc<str>, &Span)> = entry.parties.iter().collect();
         parties.sort_by(|a, b| a.1.first.total_cmp(&b.1.first));
-        let all = checked.map_or(parties.len(), |checked| checked.by.len()).max(parties.len());
+        let all = checked
+            .map_or(parties.len(), |checked| checked.by.len())
+            .max(parties.len());
         Row {
             interface: key.operation.interface,
             operation: key.operation.operation.to_string(),
@@ -325,11 +369,20 @@
             example: entry.example.clone(),
             of: (parties.len(), all),
             summary: self.sentence(key, entry, &parties, all),
-            parties: parties.into_iter().map(|(party, span)| (party.to_string(), span.count)).collect(),
+            parties: parties
+                .into_iter()
+                .map(|(party, span)| (party.to_string(), span.count))
+                .collect(),
         }
     }
 
-    fn sentence(&self, key: &Key, entry: &Entry, parties: &[(&Arc<str>, &Span)], all: usize) -> String {
+    fn sentence(
+        &self,
+        key: &Key,
+        entry: &Entry,
+        parties: &[(&Arc<str>, &Span)],
+        all: usize,
+    ) -> String {
         let example = &entry.example;
         let what = format!(
             "{}, {}: wanted {}, found {}",
@@ -344,7 +397,11 @@
             );
         }
         const NAMED: usize = 4;
-        let names: Vec<&str> = parties.iter().take(NAMED).map(|(party, _)| party.as_ref()).collect();
+        let names: Vec<&str> = parties
+            .iter()
+            .take(NAMED)
+            .map(|(party, _)| party.as_ref())
+            .collect();
         let names = match parties.len() > NAMED {
             true => format!("{} and {} more", names.join(", "), parties.len() - NAMED),
             false => names.join(", "),
@@ -352,7 +409,11 @@
         // A change in service: they kept to the description before.
         let began = parties.iter().all(|(_, span)| span.good_before > 0);
         let verb = if began { "began to depart" } else { "depart" };
-        let newer = if self.newer(parties) { ", all of them newer than the rest" } else { "" };
+        let newer = if self.newer(parties) {
+            ", all of them newer than the rest"
+        } else {
+            ""
+        };
         format!(
             "{} of {all} servers ({names}) {verb} at {}{newer}: {what}",
             parties.len(),
@@ -364,23 +425,36 @@
     fn newer(&self, parties: &[(&Arc<str>, &Span)]) -> bool {
         let departing: BTreeSet<&Arc<str>> = parties.iter().map(|(party, _)| *party).collect();
         let started = |id: &Arc<str>| self.servers.get(id).copied().flatten();
-        let Some(oldest) =
-            departing.iter().map(|id| started(id)).try_fold(f64::MAX, |least, at| Some(least.min(at?)))
+        let Some(oldest) = departing
+            .iter()
+            .map(|id| started(id))
+            .try_fold(f64::MAX, |least, at| Some(least.min(at?)))
         else {
             return false;
         };
-        let rest: Vec<_> = self.servers.keys().filter(|id| !departing.contains(id)).collect();
+        let rest: Vec<_> = self
+            .servers
+            .keys()
+            .filter(|id| !departing.contains(id))
+            .collect();
         // A server without a start time started long ago.
         !rest.is_empty()
             && !departing.is_empty()
-            && rest.iter().all(|id| started(id).unwrap_or(f64::MIN) < oldest)
+            && rest
+                .iter()
+                .all(|id| started(id).unwrap_or(f64::MIN) < oldest)
     }
 }
 
 /// The time of day of a moment in Unix seconds, in UTC.
 pub fn clock(at: f64) -> String {
     let secs = at.max(0.0) as u64 % 86_400;
-    format!("{:02}:{:02}:{:02} UTC", secs / 3600, secs / 60 % 60, secs % 60)
+    format!(
+        "{:02}:{:02}:{:02} UTC",
+        secs / 3600,
+        secs / 60 % 60,
+        secs % 60
+    )
 }
 
 #[cfg(test)]
--- a/crates/contract/src/drift/tests.rs
+++ b/crates/contract/src/drift/tests.rs
@@ -23,24 +23,45 @@
 }
 
 fn servers(ids: &[(&str, Option<f64>)]) -> Vec<Server> {
-    ids.iter().map(|(id, started)| Server { id: (*id).into(), started: *started }).collect()
+    ids.iter()
+        .map(|(id, started)| Server {
+            id: (*id).into(),
+            started: *started,
+        })
+        .collect()
 }
 
 #[test]
 fn those_that_began_to_depart_are_named_with_the_moment() {
     let mut ledger = Ledger::default();
-    ledger.servers(&servers(&[("s-1", None), ("s-2", Some(40.0)), ("s-3", Some(50.0)), ("s-4", Some(10.0))]));
+    ledger.servers(&servers(&[
+        ("s-1", None),
+        ("s-2", Some(40.0)),
+        ("s-3", Some(50.0)),
+        ("s-4", Some(10.0)),
+    ]));
     for at in 0..8 {
         for party in ["s-1", "s-2", "s-3", "s-4"] {
             note(&mut ledger, f64::from(at), party, &[]);
         }
     }
-    assert!(note(&mut ledger, 43_380.0, "s-3", &["body /hits/0/doc", "body /hits/7/doc"]));
-    assert!(note(&mut ledger, 43_381.0, "s-2", &["body /hits/2/doc"]), "a new party is news");
+    assert!(note(
+        &mut ledger,
+        43_380.0,
+        "s-3",
+        &["body /hits/0/doc", "body /hits/7/doc"]
+    ));
+    assert!(
+        note(&mut ledger, 43_381.0, "s-2", &["body /hits/2/doc"]),
+        "a new party is news"
+    );
     assert!(!note(&mut ledger, 43_382.0, "s-2", &["body /hits/2/doc"]));
     let rows = ledger.rows();
     assert_eq!(rows.len(), 1, "items of a list are one place: {rows:?}");
-    assert_eq!((rows[0].place.as_str(), rows[0].count, rows[0].of), ("body /hits/*/doc", 3, (2, 4)));
+    assert_eq!(
+        (rows[0].place.as_str(), rows[0].count, rows[0].of),
+        ("body /hits/*/doc", 3, (2, 4))
+    );
     assert!((rows[0].share - 3.0 / 35.0).abs() < 1e-9);
     assert_eq!(
         rows[0].summary,
@@ -48,7 +69,11 @@
          A, body /hits/*/doc: wanted the type string, found 3"
     );
     // One that started as late keeps to the description: being new is not the cause.
-    ledger.servers(&servers(&[("s-1", Some(60.0)), ("s-2", Some(40.0)), ("s-3", Some(50.0))]));
+    ledger.servers(&servers(&[
+        ("s-1", Some(60.0)),
+        ("s-2", Some(40.0)),
+        ("s-3", Some(50.0)),
+    ]));
     assert!(!ledger.rows()[0].summary.contains("newer"));
 }
 
@@ -70,7 +95,14 @@
     note(&mut ledger, 0.0, "s-1", &["body /a"]);
     note(&mut ledger, KEPT, "s-1", &["body /b"]);
     ledger.age(KEPT + 1.0);
-    assert_eq!(ledger.rows().iter().map(|row| row.place.as_str()).collect::<Vec<_>>(), ["body /b"]);
+    assert_eq!(
+        ledger
+            .rows()
+            .iter()
+            .map(|row| row.place.as_str())
+            .collect::<Vec<_>>(),
+        ["body /b"]
+    );
     ledger.forget(Interface::Query);
     assert_eq!(ledger.len(), 1);
     ledger.forget(Interface::Servers);
@@ -83,7 +115,12 @@
     let mut ledger = Ledger::default();
     note(&mut ledger, 0.0, "s-1", &["body /real"]);
     for at in 0..5_000 {
-        note(&mut ledger, f64::from(at), &format!("s-{}", at % 400), &[&format!("body /made-up-{at}")]);
+        note(
+            &mut ledger,
+            f64::from(at),
+            &format!("s-{}", at % 400),
+            &[&format!("body /made-up-{at}")],
+        );
     }
     assert!(ledger.len() <= MOST_OF_ONE + 1, "{}", ledger.len());
     let rows = ledger.rows();
@@ -101,6 +138,8 @@
         ledger.note(9_000.0 + f64::from(operation), &seen);
     }
     assert!(
-        ledger.len() <= MOST_ENTRIES && ledger.dropped > 2_000 && ledger.checked.len() <= MOST_OPERATIONS
+        ledger.len() <= MOST_ENTRIES
+            && ledger.dropped > 2_000
+            && ledger.checked.len() <= MOST_OPERATIONS
     );
 }
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -43,15 +43,24 @@
         let essence = text.split(';').next()?.trim().to_ascii_lowercase();
         let (kind, sub) = essence.split_once('/')?;
         let token = |t: &str| {
-            !t.is_empty() && t.bytes().all(|b| b.is_ascii_alphanumeric() || b"!#$&^_.+-*".contains(&b))
+            !t.is_empty()
+                && t.bytes()
+                    .all(|b| b.is_ascii_alphanumeric() || b"!#$&^_.+-*".contains(&b))
         };
-        (token(kind) && token(sub) && (kind != "*" || sub == "*"))
-            .then(|| MediaRange { kind: kind.into(), sub: sub.into() })
+        (token(kind) && token(sub) && (kind != "*" || sub == "*")).then(|| MediaRange {
+            kind: kind.into(),
+            sub: sub.into(),
+        })
     }
 
     /// How exactly it covers a type; `None`: not at all.
     pub fn covers(&self, other: &MediaRange) -> Option<u8> {
-        match (self.kind == other.kind, self.sub == other.sub, self.kind.as_str(), self.sub.as_str()) {
+        match (
+            self.kind == other.kind,
+            self.sub == other.sub,
+            self.kind.as_str(),
+            self.sub.as_str(),
+        ) {
             (true, true, ..) => Some(0),
             (true, _, _, "*") => Some(1),
             (_, _, "*", "*") => Some(2),
@@ -226,7 +235,10 @@
     }
 
     fn read(sources: Result<Sources, Fault>) -> Result<Description, Faults> {
-        let sources = sources.map_err(|fault| Faults { list: vec![fault], more: 0 })?;
+        let sources = sources.map_err(|fault| Faults {
+            list: vec![fault],
+            more: 0,
+        })?;
         let mut build = Build::new(sources)?;
         match build.kind {
             Kind::OpenApi => openapi::read(&mut build),
@@ -248,7 +260,10 @@
 
     /// The number of the operation that a request means, without judging it.
     pub fn operation_of(&self, method: &str, target: &str) -> Option<usize> {
-        match self.router.find(method, target.split('?').next().unwrap_or(target)) {
+        match self
+            .router
+            .find(method, target.split('?').next().unwrap_or(target))
+        {
             crate::route::Found::Operation(number, _) => Some(number),
             _ => None,
         }
@@ -261,7 +276,9 @@
 
     /// The message of a channel that goes by this name.
     pub fn message(&self, channel: &str, word: &str) -> Option<&Message> {
-        self.messages.iter().find(|message| message.channel == channel && message.word == word)
+        self.messages
+            .iter()
+            .find(|message| message.channel == channel && message.word == word)
     }
 }
 
@@ -285,13 +302,24 @@
     fn new(mut sources: Sources) -> Result<Build, Faults> {
         let root = sources.root();
         let version = |sources: &Sources, key: &str| sources.get(&root.at(key)).cloned();
-        let words = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_string);
-        let found = [("openapi", Kind::OpenApi), ("asyncapi", Kind::AsyncApi), ("swagger", Kind::OpenApi)];
-        let found = found.into_iter().find_map(|(key, kind)| Some((key, kind, version(&sources, key)?)));
+        let words = |value: &Value| {
+            value
+                .as_str()
+                .map_or_else(|| value.to_string(), str::to_string)
+        };
+        let found = [
+            ("openapi", Kind::OpenApi),
+            ("asyncapi", Kind::AsyncApi),
+            ("swagger", Kind::OpenApi),
+        ];
+        let found = found
+            .into_iter()
+            .find_map(|(key, kind)| Some((key, kind, version(&sources, key)?)));
         let (key, kind, value) = match found {
             Some(found) => found,
             None => {
-                let cause = format!("neither 'openapi' nor 'asyncapi' names a version here: {READ}");
+                let cause =
+                    format!("neither 'openapi' nor 'asyncapi' names a version here: {READ}");
                 sources.fault(&root, cause);
                 return Err(sources.faults);
             }
@@ -300,7 +328,9 @@
         let mut numbers = text.split(['.', '-']);
         let minor = (numbers.next().unwrap_or(""), numbers.next().unwrap_or(""));
         let sound = value.is_string()
-            && numbers.next().is_some_and(|patch| patch.bytes().all(|b| b.is_ascii_digit()));
+            && numbers
+                .next()
+                .is_some_and(|patch| patch.bytes().all(|b| b.is_ascii_digit()));
         let dialect = match (key, minor) {
             ("openapi", ("3", "0")) if sound => Dialect::OpenApi30,
             ("openapi", ("3", "1")) if sound => Dialect::Json2020,
@@ -316,7 +346,10 @@
                     ("openapi", ("3", "0" | "1")) | ("asyncapi", ("2", "6") | ("3", "0"))
                 );
                 let cause = match known {
-                    true => format!("the version must be a string such as \"{}.{}.0\"", minor.0, minor.1),
+                    true => format!(
+                        "the version must be a string such as \"{}.{}.0\"",
+                        minor.0, minor.1
+                    ),
                     false => format!("this is {name} {}: {READ}", crate::schema::clip(&text)),
                 };
                 sources.fault(&root.at(key), cause);
@@ -340,7 +373,11 @@
     pub fn slot(&mut self, loc: &Loc, direction: Direction) -> Slot {
         self.survey.visit(&mut self.sources, loc);
         self.wanted.insert((loc.clone(), direction));
-        Slot { loc: Some(loc.clone()), validator: None, types: self.types(loc) }
+        Slot {
+            loc: Some(loc.clone()),
+            validator: None,
+            types: self.types(loc),
+        }
     }
 
     /// The types that a schema names, its references followed.
@@ -349,10 +386,15 @@
         let before = self.sources.faults.clone();
         let target = self.sources.resolve(loc);
         self.sources.faults = before;
-        let value = target.and_then(|loc| self.sources.get(&loc).cloned()).unwrap_or_default();
+        let value = target
+            .and_then(|loc| self.sources.get(&loc).cloned())
+            .unwrap_or_default();
         match &value["type"] {
             Value::String(one) => vec![one.clone()],
-            Value::Array(many) => many.iter().filter_map(|v| v.as_str().map(str::to_string)).collect(),
+            Value::Array(many) => many
+                .iter()
+                .filter_map(|v| v.as_str().map(str::to_string))
+                .collect(),
             _ => Vec::new(),
         }
     }
@@ -459,7 +501,11 @@
             fill(&mut message.payload, message.direction);
         }
         let root = self.sources.root();
-        let info = self.sources.get(&root.at("info")).cloned().unwrap_or_default();
+        let info = self
+            .sources
+            .get(&root.at("info"))
+            .cloned()
+            .unwrap_or_default();
         let word = |key: &str| info[key].as_str().unwrap_or("").to_string();
         Ok(Description {
             kind: self.kind,
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -1,13 +1,17 @@
 //! OpenAPI 3.0 and 3.1: operations with their parameters, bodies and answers.
 
-use crate::model::{Build, Media, MediaRange, Operation, Parameter, Response, Slot, Status, Within};
+use crate::model::{
+    Build, Media, MediaRange, Operation, Parameter, Response, Slot, Status, Within,
+};
 use crate::route::Template;
 use crate::schema::{Dialect, Direction};
 use crate::source::Loc;
 use std::collections::BTreeMap;
 
 /// The methods that a path item may describe.
-const METHODS: [&str; 8] = ["get", "put", "post", "delete", "options", "head", "patch", "trace"];
+const METHODS: [&str; 8] = [
+    "get", "put", "post", "delete", "options", "head", "patch", "trace",
+];
 /// The most operations of a description.
 const MOST_OPERATIONS: usize = 5_000;
 
@@ -19,9 +23,14 @@
     }
     if build.dialect == Dialect::OpenApi30 {
         build.needs(&root, &["paths"]);
-    } else if ["paths", "webhooks", "components"].iter().all(|key| build.sources.get(&root.at(key)).is_none())
+    } else if ["paths", "webhooks", "components"]
+        .iter()
+        .all(|key| build.sources.get(&root.at(key)).is_none())
     {
-        build.fault(&root, "one of 'paths', 'webhooks' and 'components' must be there");
+        build.fault(
+            &root,
+            "one of 'paths', 'webhooks' and 'components' must be there",
+        );
     }
     components(build, &root.at("components"));
     let bases = bases(build, &root.at("servers"));
@@ -55,8 +64,15 @@
     }
     for name in build.object(&loc.at("schemas")).unwrap_or_default().keys() {
         let at = loc.at("schemas").at(name);
-        if !name.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b)) || name.is_empty() {
-            build.fault(&at, "a component's name has letters, digits, '.', '_' and '-' only");
+        if !name
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b))
+            || name.is_empty()
+        {
+            build.fault(
+                &at,
+                "a component's name has letters, digits, '.', '_' and '-' only",
+            );
         }
         build.slot(&at, Direction::Request);
     }
@@ -64,7 +80,9 @@
 
 /// The paths that servers' addresses put before all templates.
 fn bases(build: &mut Build, loc: &Loc) -> Vec<String> {
-    let Some(value) = build.sources.get(loc).cloned() else { return vec![String::new()] };
+    let Some(value) = build.sources.get(loc).cloned() else {
+        return vec![String::new()];
+    };
     let Some(servers) = value.as_array() else {
         build.fault(loc, "this must be a list of servers");
         return vec![String::new()];
@@ -73,23 +91,35 @@
     for (at, server) in servers.iter().enumerate() {
         let at = loc.item(at);
         build.needs(&at, &["url"]);
-        let Some(mut url) = build.text(&at.at("url")) else { continue };
+        let Some(mut url) = build.text(&at.at("url")) else {
+            continue;
+        };
         for (name, variable) in server["variables"].as_object().into_iter().flatten() {
             if variable["default"].as_str().is_none() {
                 build.fault(&at.at("variables").at(name), "'default' is missing");
             }
-            url = url.replace(&format!("{{{name}}}"), variable["default"].as_str().unwrap_or(""));
+            url = url.replace(
+                &format!("{{{name}}}"),
+                variable["default"].as_str().unwrap_or(""),
+            );
         }
         if let Some((_, rest)) = url.split_once('{') {
             let name = rest.split('}').next().unwrap_or("");
-            build.fault(&at.at("url"), format!("the variable {{{name}}} is not declared in 'variables'"));
+            build.fault(
+                &at.at("url"),
+                format!("the variable {{{name}}} is not declared in 'variables'"),
+            );
         }
         let path = match url.split_once("://") {
             Some((_, rest)) => rest.split_once('/').map_or("", |(_, path)| path),
             None => url.trim_start_matches('/'),
         };
         let path = path.trim_end_matches('/');
-        bases.push(if path.is_empty() { String::new() } else { format!("/{path}") });
+        bases.push(if path.is_empty() {
+            String::new()
+        } else {
+            format!("/{path}")
+        });
     }
     bases.sort();
     bases.dedup();
@@ -107,8 +137,12 @@
     bases: &[String],
     ids: &mut BTreeMap<String, Loc>,
 ) {
-    let Some(loc) = build.sources.resolve(loc) else { return };
-    let Some(map) = build.object(&loc) else { return };
+    let Some(loc) = build.sources.resolve(loc) else {
+        return;
+    };
+    let Some(map) = build.object(&loc) else {
+        return;
+    };
     let own = match map.contains_key("servers") {
         true => self::bases(build, &loc.at("servers")),
         false => bases.to_vec(),
@@ -121,29 +155,46 @@
         }
         let at = loc.at(key);
         if !METHODS.contains(&key.as_str()) {
-            build.fault(&at, format!("'{key}' is no method: {} are", METHODS.join(", ")));
+            build.fault(
+                &at,
+                format!("'{key}' is no method: {} are", METHODS.join(", ")),
+            );
             continue;
         }
         if build.operations.len() >= MOST_OPERATIONS {
-            return build.fault(&at, format!("there are more than {MOST_OPERATIONS} operations"));
+            return build.fault(
+                &at,
+                format!("there are more than {MOST_OPERATIONS} operations"),
+            );
         }
-        let Some(operation) = build.object(&at) else { continue };
+        let Some(operation) = build.object(&at) else {
+            continue;
+        };
         let id = build.text(&at.at("operationId"));
         if let Some(id) = &id {
             if let Some(other) = ids.insert(id.clone(), at.clone()) {
                 let other = build.sources.name(&other);
-                build.fault(&at.at("operationId"), format!("'{id}' is the operation's id at {other}, too"));
+                build.fault(
+                    &at.at("operationId"),
+                    format!("'{id}' is the operation's id at {other}, too"),
+                );
             }
         }
         let mut all = parameters(build, &at.at("parameters"));
         let inherited: Vec<Parameter> = shared
             .iter()
-            .filter(|s| !all.iter().any(|own| own.name == s.name && own.within == s.within))
+            .filter(|s| {
+                !all.iter()
+                    .any(|own| own.name == s.name && own.within == s.within)
+            })
             .cloned()
             .collect();
         all.extend(inherited);
         for name in template.variables() {
-            if !all.iter().any(|p| p.within == Within::Path && p.name == name) {
+            if !all
+                .iter()
+                .any(|p| p.within == Within::Path && p.name == name)
+            {
                 build.fault(
                     &at,
                     format!("the path's variable {{{name}}} is not declared among the parameters"),
@@ -153,7 +204,10 @@
         for parameter in all.iter().filter(|p| p.within == Within::Path) {
             if !template.variables().any(|name| name == parameter.name) {
                 let loc = parameter.loc.clone();
-                build.fault(&loc, format!("the path {path} has no variable {{{}}}", parameter.name));
+                build.fault(
+                    &loc,
+                    format!("the path {path} has no variable {{{}}}", parameter.name),
+                );
             }
         }
         let body = at.at("requestBody");
@@ -161,7 +215,10 @@
             true => match build.sources.resolve(&body) {
                 Some(body) => {
                     build.needs(&body, &["content"]);
-                    (build.flag(&body.at("required")), build.content(&body.at("content"), Direction::Request))
+                    (
+                        build.flag(&body.at("required")),
+                        build.content(&body.at("content"), Direction::Request),
+                    )
                 }
                 None => (false, Vec::new()),
             },
@@ -191,7 +248,9 @@
 }
 
 fn parameters(build: &mut Build, loc: &Loc) -> Vec<Parameter> {
-    let Some(value) = build.sources.get(loc) else { return Vec::new() };
+    let Some(value) = build.sources.get(loc) else {
+        return Vec::new();
+    };
     let Some(count) = value.as_array().map(Vec::len) else {
         build.fault(loc, "this must be a list of parameters");
         return Vec::new();
@@ -199,27 +258,49 @@
     let mut all: Vec<Parameter> = Vec::new();
     for at in 0..count {
         let named = loc.item(at);
-        let Some(at) = build.sources.resolve(&named) else { continue };
+        let Some(at) = build.sources.resolve(&named) else {
+            continue;
+        };
         if build.object(&at).is_none() {
             continue;
         }
         build.needs(&at, &["name", "in"]);
-        let (Some(name), Some(word)) = (build.text(&at.at("name")), build.text(&at.at("in"))) else {
+        let (Some(name), Some(word)) = (build.text(&at.at("name")), build.text(&at.at("in")))
+        else {
             continue;
         };
         let Some(within) = Within::read(&word) else {
-            build.fault(&at.at("in"), format!("'{word}' is none of path, query, header and cookie"));
+            build.fault(
+                &at.at("in"),
+                format!("'{word}' is none of path, query, header and cookie"),
+            );
             continue;
         };
-        if all.iter().any(|known| known.name == name && known.within == within) {
-            build.fault(&named, format!("the {word} parameter '{name}' is there twice"));
+        if all
+            .iter()
+            .any(|known| known.name == name && known.within == within)
+        {
+            build.fault(
+                &named,
+                format!("the {word} parameter '{name}' is there twice"),
+            );
             continue;
         }
         let required = build.flag(&at.at("required"));
         if within == Within::Path && !required {
-            build.fault(&at, format!("the path parameter '{name}' must have 'required': true"));
+            build.fault(
+                &at,
+                format!("the path parameter '{name}' must have 'required': true"),
+            );
         }
-        all.push(parameter(build, &at, name, within, required, Direction::Request));
+        all.push(parameter(
+            build,
+            &at,
+            name,
+            within,
+            required,
+            Direction::Request,
+        ));
     }
     all
 }
@@ -244,8 +325,16 @@
         build.fault(loc, cause);
     }
     let style = build.text(&loc.at("style"));
-    let explode = build.sources.get(&loc.at("explode")).is_some().then(|| build.flag(&loc.at("explode")));
-    let usual = if matches!(within, Within::Query | Within::Cookie) { "form" } else { "simple" };
+    let explode = build
+        .sources
+        .get(&loc.at("explode"))
+        .is_some()
+        .then(|| build.flag(&loc.at("explode")));
+    let usual = if matches!(within, Within::Query | Within::Cookie) {
+        "form"
+    } else {
+        "simple"
+    };
     let style = style.unwrap_or_else(|| usual.into());
     let styles: &[&str] = match within {
         Within::Path => &["simple", "label", "matrix"],
@@ -254,7 +343,11 @@
         Within::Cookie => &["form"],
     };
     if !styles.contains(&style.as_str()) {
-        let cause = format!("'{style}' is no style of a {} parameter: {}", within.word(), styles.join(", "));
+        let cause = format!(
+            "'{style}' is no style of a {} parameter: {}",
+            within.word(),
+            styles.join(", ")
+        );
         build.fault(&loc.at("style"), cause);
     }
     let parted_by = match style.as_str() {
@@ -282,21 +375,37 @@
         slot = Slot::default();
     }
     let empty = within == Within::Query && build.flag(&loc.at("allowEmptyValue"));
-    Parameter { name, within, required, loc: loc.clone(), slot, json, empty, parted_by }
+    Parameter {
+        name,
+        within,
+        required,
+        loc: loc.clone(),
+        slot,
+        json,
+        empty,
+        parted_by,
+    }
 }
 
 fn responses(build: &mut Build, loc: &Loc) -> Vec<Response> {
-    let Some(map) = build.object(loc) else { return Vec::new() };
+    let Some(map) = build.object(loc) else {
+        return Vec::new();
+    };
     if !map.keys().any(|key| !key.starts_with("x-")) {
         build.fault(loc, "at least one answer must be described");
     }
     let mut all = Vec::new();
     for key in map.keys().filter(|key| !key.starts_with("x-")) {
         let Some(status) = Status::read(key) else {
-            build.fault(&loc.at(key), "a status is three digits, a range such as 2XX, or 'default'");
+            build.fault(
+                &loc.at(key),
+                "a status is three digits, a range such as 2XX, or 'default'",
+            );
+            continue;
+        };
+        let Some(at) = build.sources.resolve(&loc.at(key)) else {
             continue;
         };
-        let Some(at) = build.sources.resolve(&loc.at(key)) else { continue };
         if build.object(&at).is_none() {
             continue;
         }
@@ -307,7 +416,9 @@
             if name.eq_ignore_ascii_case("content-type") {
                 continue;
             }
-            let Some(header) = build.sources.resolve(&at.at("headers").at(name)) else { continue };
+            let Some(header) = build.sources.resolve(&at.at("headers").at(name)) else {
+                continue;
+            };
             if build.object(&header).is_none() {
                 continue;
             }
@@ -322,13 +433,22 @@
             ));
         }
         let content = build.content(&at.at("content"), Direction::Answer);
-        all.push(Response { status, loc: at, headers, content });
+        all.push(Response {
+            status,
+            loc: at,
+            headers,
+            content,
+        });
     }
     all
 }
 
 /// The best of some media for a type.
 pub(crate) fn best<'m>(content: &'m [Media], range: &MediaRange) -> Option<&'m Media> {
-    let covering = content.iter().filter_map(|media| Some((media.range.covers(range)?, media)));
-    covering.min_by_key(|(rank, _)| *rank).map(|(_, media)| media)
+    let covering = content
+        .iter()
+        .filter_map(|media| Some((media.range.covers(range)?, media)));
+    covering
+        .min_by_key(|(rank, _)| *rank)
+        .map(|(_, media)| media)
 }
