--- a/crates/contract/src/publish.rs
+++ b/crates/contract/src/publish.rs
@@ -86,7 +86,10 @@
 fn advised(mut answer: Value, whole: bool, required: bool) -> Value {
     let (pattern, words) = match whole {
         true => ("^[0-9]+$", "Whole seconds after which to come back."),
-        false => ("^[0-9]+(\\.[0-9]+)?$", "Seconds after which to come back, whole or decimal."),
+        false => (
+            "^[0-9]+(\\.[0-9]+)?$",
+            "Seconds after which to come back, whole or decimal.",
+        ),
     };
     answer["headers"] = json!({"Retry-After": {
         "required": required, "description": words, "schema": {"type": "string", "pattern": pattern}}});
@@ -114,7 +117,9 @@
         ),
         ("503", advised(error("Refused, or not ready. Trying again is harmless."), whole, true)),
     ];
-    all.into_iter().map(|(status, answer)| (status.to_string(), answer)).collect()
+    all.into_iter()
+        .map(|(status, answer)| (status.to_string(), answer))
+        .collect()
 }
 
 /// The description of the HTTP interfaces, in OpenAPI 3.1.
@@ -170,15 +175,28 @@
     let error = |words: &str| answer(words, "PlatformError");
     let mut responses = common(&surface.limits, "PlatformError", false);
     responses.extend([
-        ("200".to_string(), answer("Served, in whole or in part.", "PlatformAnswer")),
+        (
+            "200".to_string(),
+            answer("Served, in whole or in part.", "PlatformAnswer"),
+        ),
         ("409".to_string(), error("X-Request-Id was used before.")),
         ("500".to_string(), error("Failed: nothing is promised.")),
-        ("502".to_string(), error("A server's value can't be carried.")),
+        (
+            "502".to_string(),
+            error("A server's value can't be carried."),
+        ),
         ("504".to_string(), error("Failed: no answer in time.")),
     ]);
-    let names: Vec<&str> = surface.classes.iter().map(|class| class.name.as_str()).collect();
-    let deadlines: Vec<String> =
-        surface.classes.iter().map(|class| format!("{} {} s", class.name, class.deadline)).collect();
+    let names: Vec<&str> = surface
+        .classes
+        .iter()
+        .map(|class| class.name.as_str())
+        .collect();
+    let deadlines: Vec<String> = surface
+        .classes
+        .iter()
+        .map(|class| format!("{} {} s", class.name, class.deadline))
+        .collect();
     let deadline = format!(
         "Seconds that the client waits, from when it sent the request. Classes are planned for: {}.",
         deadlines.join(", ")
@@ -201,13 +219,18 @@
 
 fn query(surface: &Surface) -> Vec<(&'static str, Value)> {
     let time = json!({"type": "string", "pattern": "^(-1|[0-9]+(nanos|micros|ms|s|m|h|d))$"});
-    let longest = surface.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+    let longest = surface
+        .classes
+        .iter()
+        .map(|class| class.deadline)
+        .fold(0.0, f64::max);
     let limit = format!("The client's limit; capped by the class's deadline, {longest} s at most.");
     let count = |words: &str| {
         let schema = json!({"type": "integer", "minimum": 0, "maximum": surface.limits.window});
         (words.to_string(), schema)
     };
-    let optional = |name: &str, words: &str, schema: Value| parameter(name, "query", false, words, schema);
+    let optional =
+        |name: &str, words: &str, schema: Value| parameter(name, "query", false, words, schema);
     let shared = vec![
         optional(
             "preference",
@@ -222,27 +245,49 @@
     ];
     let (from, size) = (
         count("First hit."),
-        count(&format!("Most hits; from + size is {} at most.", surface.limits.window)),
+        count(&format!(
+            "Most hits; from + size is {} at most.",
+            surface.limits.window
+        )),
     );
     let mut own = shared.clone();
     own.extend([
         optional("from", &from.0, from.1),
         optional("size", &size.0, size.1),
         optional("q", "A query string.", json!({"type": "string"})),
-        optional("track_total_hits", "Passed on to the servers.", json!({"type": ["boolean", "integer"]})),
+        optional(
+            "track_total_hits",
+            "Passed on to the servers.",
+            json!({"type": ["boolean", "integer"]}),
+        ),
     ]);
-    let names: Vec<&str> = surface.indices.iter().map(|index| index.name.as_str()).collect();
+    let names: Vec<&str> = surface
+        .indices
+        .iter()
+        .map(|index| index.name.as_str())
+        .collect();
     let about: Vec<String> = surface
         .indices
         .iter()
         .map(|index| {
-            format!("{} ({}, shards {} to {})", index.name, index.class, index.shards.0, index.shards.1)
+            format!(
+                "{} ({}, shards {} to {})",
+                index.name, index.class, index.shards.0, index.shards.1
+            )
         })
         .collect();
-    let about = format!("A class of query over a range of shards: {}.", about.join("; "));
+    let about = format!(
+        "A class of query over a range of shards: {}.",
+        about.join("; ")
+    );
     // Any name is a path; which are known is told by 404.
-    let index =
-        json!([parameter("index", "path", true, &about, json!({"type": "string", "examples": names}))]);
+    let index = json!([parameter(
+        "index",
+        "path",
+        true,
+        &about,
+        json!({"type": "string", "examples": names})
+    )]);
     let error = |words: &str| answer(words, "QueryError");
     let mut found = common(&surface.limits, "QueryError", true);
     found.extend([
@@ -254,13 +299,25 @@
             ),
         ),
         ("404".to_string(), error("No such index.")),
-        ("409".to_string(), error("The search's name was used before.")),
-        ("500".to_string(), error("Failed: a part failed and may have run.")),
+        (
+            "409".to_string(),
+            error("The search's name was used before."),
+        ),
+        (
+            "500".to_string(),
+            error("Failed: a part failed and may have run."),
+        ),
         ("502".to_string(), error("A server's hits can't be read.")),
-        ("504".to_string(), error("No answer in time, or a partial one that was not allowed.")),
+        (
+            "504".to_string(),
+            error("No answer in time, or a partial one that was not allowed."),
+        ),
     ]);
     let mut many = common(&surface.limits, "QueryError", true);
-    let answers = answer("Each search's own answer or error, in order.", "MultiResponse");
+    let answers = answer(
+        "Each search's own answer or error, in order.",
+        "MultiResponse",
+    );
     many.insert("200".into(), advised(answers, true, false));
     let search = |id: &str, method: &str| {
         json!({
@@ -301,11 +358,27 @@
             json!({"parameters": index, "get": searches("msearchOfIndexByGet", "GET"),
                 "post": searches("msearchOfIndex", "POST")}),
         ),
-        ("/_msearch", json!({"get": searches("msearchByGet", "GET"), "post": searches("msearch", "POST")})),
-        ("/openapi.json", told("openapi", "This description.", "OpenAPI 3.1.", document("openapi"))),
+        (
+            "/_msearch",
+            json!({"get": searches("msearchByGet", "GET"), "post": searches("msearch", "POST")}),
+        ),
+        (
+            "/openapi.json",
+            told(
+                "openapi",
+                "This description.",
+                "OpenAPI 3.1.",
+                document("openapi"),
+            ),
+        ),
         (
             "/asyncapi.json",
-            told("asyncapi", "The wires to servers and discovery.", "AsyncAPI 3.0.", document("asyncapi")),
+            told(
+                "asyncapi",
+                "The wires to servers and discovery.",
+                "AsyncAPI 3.0.",
+                document("asyncapi"),
+            ),
         ),
         (
             "/_contract",
@@ -491,7 +564,8 @@
         servers["dataNode"] = server("tcp", "A data node, at the address that discovery gives.");
         channels["frames"] = frames(surface);
         operations["sendFrames"] = operation("send", "frames", &["call", "giveUp", "askLoad"]);
-        operations["receiveFrames"] = operation("receive", "frames", &["answer", "load", "complaint"]);
+        operations["receiveFrames"] =
+            operation("receive", "frames", &["answer", "load", "complaint"]);
     }
     json!({
         "asyncapi": "3.0.0",
@@ -518,8 +592,11 @@
     let id = json!({"type": "string", "pattern": "^[A-Za-z0-9._-]{1,128}\\.[0-9]+$",
         "description": "The query's id, a dot, the shard."});
     let text = |words: &str| json!({"type": "string", "description": words});
-    let numbers: Map<String, Value> =
-        surface.report.iter().map(|name| (name.clone(), json!({"type": "number"}))).collect();
+    let numbers: Map<String, Value> = surface
+        .report
+        .iter()
+        .map(|name| (name.clone(), json!({"type": "number"})))
+        .collect();
     let report = json!({"type": "object", "properties": numbers,
         "description": "The load report; without members where the line has '-'."});
     let message = |letter: &str, summary: &str, headers: Value, payload: Value| json!({"x-frame": letter, "summary": summary, "contentType": "text/plain", "headers": headers, "payload": payload});
--- a/crates/contract/src/replay.rs
+++ b/crates/contract/src/replay.rs
@@ -78,7 +78,9 @@
         let mut table = BTreeMap::new();
         for departed in &self.departures {
             let place = format!("{} {}", departed.side, departed.departure.place);
-            *table.entry((departed.operation.clone(), place, departed.departure.kind)).or_default() += 1;
+            *table
+                .entry((departed.operation.clone(), place, departed.departure.kind))
+                .or_default() += 1;
         }
         table
     }
@@ -102,7 +104,10 @@
             continue;
         }
         let read = match line.len() > MOST_LINE {
-            true => Err(format!("the line has {} bytes: {MOST_LINE} at most", line.len())),
+            true => Err(format!(
+                "the line has {} bytes: {MOST_LINE} at most",
+                line.len()
+            )),
             false => serde_json::from_slice::<Line>(line).map_err(|e| e.to_string()),
         };
         if let Err(cause) = read.and_then(|line| one(description, at + 1, line, &mut outcome)) {
@@ -112,39 +117,85 @@
     outcome
 }
 
-fn one(description: &Description, number: usize, line: Line, outcome: &mut Outcome) -> Result<(), String> {
+fn one(
+    description: &Description,
+    number: usize,
+    line: Line,
+    outcome: &mut Outcome,
+) -> Result<(), String> {
     let mut note = |operation: &str, side, departures: Vec<Departure>| {
         outcome.messages += 1;
-        let departed = |departure| Departed { line: number, operation: operation.into(), side, departure };
-        outcome.departures.extend(departures.into_iter().map(departed));
+        let departed = |departure| Departed {
+            line: number,
+            operation: operation.into(),
+            side,
+            departure,
+        };
+        outcome
+            .departures
+            .extend(departures.into_iter().map(departed));
     };
     match (description.kind, line) {
-        (Kind::OpenApi, Line { method: Some(method), target: Some(target), fields, body, answer, .. }) => {
+        (
+            Kind::OpenApi,
+            Line {
+                method: Some(method),
+                target: Some(target),
+                fields,
+                body,
+                answer,
+                ..
+            },
+        ) => {
             let fields: Vec<_> = fields.into_iter().collect();
             let body = bytes(&body);
             let method = method.to_ascii_uppercase();
-            let asked = Asked { method: &method, target: &target, fields: &fields, body: &body };
+            let asked = Asked {
+                method: &method,
+                target: &target,
+                fields: &fields,
+                body: &body,
+            };
             let judged = description.judge_request(&asked);
-            let operation =
-                judged.operation.map_or_else(|| format!("{method} {target}"), |name| name.to_string());
+            let operation = judged
+                .operation
+                .map_or_else(|| format!("{method} {target}"), |name| name.to_string());
             let known = judged.number;
             note(&operation, "request", judged.departures);
             if let (Some(operation_number), Some(answer)) = (known, answer) {
                 let fields: Vec<_> = answer.fields.into_iter().collect();
                 let body = bytes(&answer.body);
-                let answered =
-                    Answered { status: answer.status, fields: &fields, body: &body, whole: answer.whole };
+                let answered = Answered {
+                    status: answer.status,
+                    fields: &fields,
+                    body: &body,
+                    whole: answer.whole,
+                };
                 let judged = description.judge_answer(operation_number, &answered);
                 note(&operation, "answer", judged.departures);
             }
             Ok(())
         }
         (Kind::OpenApi, _) => Err("'method' and 'target' are needed".into()),
-        (Kind::AsyncApi, Line { channel: Some(channel), message: Some(word), headers, payload, .. }) => {
-            let judged =
-                description.judge_message(&channel, &word, &Value::Object(headers), &bytes(&payload));
-            let operation =
-                judged.operation.map_or_else(|| format!("{channel} {word}"), |name| name.to_string());
+        (
+            Kind::AsyncApi,
+            Line {
+                channel: Some(channel),
+                message: Some(word),
+                headers,
+                payload,
+                ..
+            },
+        ) => {
+            let judged = description.judge_message(
+                &channel,
+                &word,
+                &Value::Object(headers),
+                &bytes(&payload),
+            );
+            let operation = judged
+                .operation
+                .map_or_else(|| format!("{channel} {word}"), |name| name.to_string());
             note(&operation, "message", judged.departures);
             Ok(())
         }
--- a/crates/contract/src/route.rs
+++ b/crates/contract/src/route.rs
@@ -19,15 +19,18 @@
 impl Template {
     /// Reads a template; the error says what is wrong with it.
     pub fn read(text: &str) -> Result<Template, String> {
-        let Some(path) = text.strip_prefix('/') else { return Err("a path must begin with '/'".into()) };
+        let Some(path) = text.strip_prefix('/') else {
+            return Err("a path must begin with '/'".into());
+        };
         let mut names: Vec<String> = Vec::new();
         let mut segments = Vec::new();
         for segment in path.split('/') {
             let mut pieces = Vec::new();
             let mut rest = segment;
             while !rest.is_empty() {
-                let (text, after) =
-                    rest.split_once('{').map_or((rest, None), |(text, after)| (text, Some(after)));
+                let (text, after) = rest
+                    .split_once('{')
+                    .map_or((rest, None), |(text, after)| (text, Some(after)));
                 if text.contains('}') {
                     return Err("a '}' stands without its '{'".into());
                 }
@@ -45,7 +48,9 @@
                     return Err(format!("the variable {{{name}}} is there twice"));
                 }
                 if matches!(pieces.last(), Some(Piece::Variable(_))) {
-                    return Err("two variables stand side by side: nothing tells where one ends".into());
+                    return Err(
+                        "two variables stand side by side: nothing tells where one ends".into(),
+                    );
                 }
                 names.push(name.into());
                 pieces.push(Piece::Variable(name.into()));
@@ -61,10 +66,13 @@
 
     /// The names of its variables.
     pub fn variables(&self) -> impl Iterator<Item = &str> {
-        self.segments.iter().flatten().filter_map(|piece| match piece {
-            Piece::Variable(name) => Some(name.as_str()),
-            Piece::Text(_) => None,
-        })
+        self.segments
+            .iter()
+            .flatten()
+            .filter_map(|piece| match piece {
+                Piece::Variable(name) => Some(name.as_str()),
+                Piece::Text(_) => None,
+            })
     }
 
     /// The template with its variables' names left out: two of one shape match the same paths.
@@ -73,15 +81,29 @@
             Piece::Text(text) => text.clone(),
             Piece::Variable(_) => "{}".into(),
         };
-        self.segments.iter().map(|s| format!("/{}", s.iter().map(piece).collect::<String>())).collect()
+        self.segments
+            .iter()
+            .map(|s| format!("/{}", s.iter().map(piece).collect::<String>()))
+            .collect()
     }
 
     /// How concrete it is, segment by segment: the most concrete sorts first.
     fn rank(&self) -> Vec<(u8, usize)> {
         let rank = |pieces: &Vec<Piece>| {
-            let text: usize =
-                pieces.iter().map(|p| if let Piece::Text(text) = p { text.len() } else { 0 }).sum();
-            match pieces.iter().any(|piece| matches!(piece, Piece::Variable(_))) {
+            let text: usize = pieces
+                .iter()
+                .map(|p| {
+                    if let Piece::Text(text) = p {
+                        text.len()
+                    } else {
+                        0
+                    }
+                })
+                .sum();
+            match pieces
+                .iter()
+                .any(|piece| matches!(piece, Piece::Variable(_)))
+            {
                 false => (0, 0),
                 true if text > 0 => (1, usize::MAX - text),
                 true => (2, 0),
@@ -107,7 +129,11 @@
                         let mut after = pieces.clone();
                         after.next();
                         let last = !after.any(|piece| matches!(piece, Piece::Text(_)));
-                        let at = if last { rest.rfind(text.as_str()) } else { rest.find(text.as_str()) }?;
+                        let at = if last {
+                            rest.rfind(text.as_str())
+                        } else {
+                            rest.find(text.as_str())
+                        }?;
                         if at == 0 {
                             return None;
                         }
@@ -155,7 +181,9 @@
         match self.routes.iter_mut().find(|(known, _)| known == template) {
             Some((_, methods)) => methods.push(entry),
             None => {
-                let at = self.routes.partition_point(|(known, _)| known.rank() <= template.rank());
+                let at = self
+                    .routes
+                    .partition_point(|(known, _)| known.rank() <= template.rank());
                 self.routes.insert(at, (template.clone(), vec![entry]));
             }
         }
@@ -167,7 +195,9 @@
         let segments: Vec<&str> = path.strip_prefix('/').unwrap_or(path).split('/').collect();
         let mut others = Vec::new();
         for (template, methods) in &self.routes {
-            let Some(values) = template.matches(&segments) else { continue };
+            let Some(values) = template.matches(&segments) else {
+                continue;
+            };
             match methods.iter().find(|(known, _)| known == method) {
                 Some((_, operation)) => return Found::Operation(*operation, values),
                 None => others.extend(methods.iter().map(|(known, _)| known.as_str())),
--- a/crates/contract/src/route/tests.rs
+++ b/crates/contract/src/route/tests.rs
@@ -10,7 +10,13 @@
 
 #[test]
 fn the_most_concrete_template_wins_in_any_order() {
-    let paths = ["/{a}/{b}", "/{a}/_search", "/stock/{b}", "/stock/_search", "/{a}/x-{b}"];
+    let paths = [
+        "/{a}/{b}",
+        "/{a}/_search",
+        "/stock/{b}",
+        "/stock/_search",
+        "/{a}/x-{b}",
+    ];
     for turn in 0..paths.len() {
         let mut turned = paths;
         turned.rotate_left(turn);
@@ -22,7 +28,9 @@
             ("/other/x-1", "/{a}/x-{b}"),
             ("/other/x", "/{a}/{b}"),
         ] {
-            let Found::Operation(at, _) = router.find("GET", path) else { panic!("{path}") };
+            let Found::Operation(at, _) = router.find("GET", path) else {
+                panic!("{path}")
+            };
             assert_eq!(turned[at], wins, "{path}");
         }
     }
@@ -31,7 +39,9 @@
 #[test]
 fn variables_take_whole_pieces_and_never_nothing() {
     let router = router(&["/files/{name}.json", "/{a}"]);
-    let Found::Operation(0, values) = router.find("GET", "/files/a.b.json") else { panic!() };
+    let Found::Operation(0, values) = router.find("GET", "/files/a.b.json") else {
+        panic!()
+    };
     assert_eq!(values, [("name", "a.b")]);
     assert_eq!(router.find("GET", "/files/.json"), Found::Nothing);
     assert_eq!(router.find("GET", "/"), Found::Nothing);
--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -86,7 +86,9 @@
 
 /// The subschemas of a schema, by place.
 fn children(value: &Value, loc: &Loc) -> Vec<(Loc, Applied)> {
-    let Some(map) = value.as_object() else { return Vec::new() };
+    let Some(map) = value.as_object() else {
+        return Vec::new();
+    };
     let schema = |value: &Value| value.is_object() || value.is_boolean();
     let mut found = Vec::new();
     for (key, how) in ONE {
@@ -95,14 +97,25 @@
         }
     }
     for (key, how) in LIST {
-        for (at, item) in map.get(key).and_then(Value::as_array).into_iter().flatten().enumerate() {
+        for (at, item) in map
+            .get(key)
+            .and_then(Value::as_array)
+            .into_iter()
+            .flatten()
+            .enumerate()
+        {
             if schema(item) {
                 found.push((loc.at(key).item(at), how));
             }
         }
     }
     for (key, how) in NAMED {
-        for (name, item) in map.get(key).and_then(Value::as_object).into_iter().flatten() {
+        for (name, item) in map
+            .get(key)
+            .and_then(Value::as_object)
+            .into_iter()
+            .flatten()
+        {
             if schema(item) {
                 found.push((loc.at(key).at(name), how));
             }
@@ -156,8 +169,11 @@
                 sources.fault(&loc, format!("there are more than {MOST_SCHEMAS} schemas"));
                 return;
             }
-            let Some(value) = sources.get(&loc).cloned() else { continue };
-            let flag = self.dialect != Dialect::OpenApi30 || loc.pointer.ends_with("/additionalProperties");
+            let Some(value) = sources.get(&loc).cloned() else {
+                continue;
+            };
+            let flag = self.dialect != Dialect::OpenApi30
+                || loc.pointer.ends_with("/additionalProperties");
             if !(value.is_object() || value.is_boolean() && flag) {
                 sources.fault(&loc, "a schema must be an object");
                 continue;
@@ -194,43 +210,78 @@
         }
         if let Some(pattern) = value.get("pattern").and_then(Value::as_str) {
             if pattern.len() > MOST_PATTERN {
-                let cause = format!("the expression has {} bytes: {MOST_PATTERN} at most", pattern.len());
+                let cause = format!(
+                    "the expression has {} bytes: {MOST_PATTERN} at most",
+                    pattern.len()
+                );
                 sources.fault(&loc.at("pattern"), cause);
             } else if let Err(e) = regex_syntax::Parser::new().parse(pattern) {
                 // The last line says what is wrong, those before it draw where.
-                let cause =
-                    e.to_string().lines().last().unwrap_or("").trim_start_matches("error: ").to_string();
-                sources.fault(&loc.at("pattern"), format!("this expression can't be used: {cause}"));
+                let cause = e
+                    .to_string()
+                    .lines()
+                    .last()
+                    .unwrap_or("")
+                    .trim_start_matches("error: ")
+                    .to_string();
+                sources.fault(
+                    &loc.at("pattern"),
+                    format!("this expression can't be used: {cause}"),
+                );
             }
             self.patterns += 1;
             if self.patterns == MOST_PATTERNS + 1 {
-                sources.fault(&loc.at("pattern"), format!("there are more than {MOST_PATTERNS} expressions"));
+                sources.fault(
+                    &loc.at("pattern"),
+                    format!("there are more than {MOST_PATTERNS} expressions"),
+                );
             }
         }
         let kinds = match value.get("type") {
             Some(Value::Array(many)) => many.iter().collect(),
             one => one.into_iter().collect::<Vec<_>>(),
         };
-        const KINDS: [&str; 7] = ["array", "boolean", "integer", "null", "number", "object", "string"];
-        for kind in kinds.into_iter().filter(|kind| !kind.as_str().is_some_and(|kind| KINDS.contains(&kind)))
+        const KINDS: [&str; 7] = [
+            "array", "boolean", "integer", "null", "number", "object", "string",
+        ];
+        for kind in kinds
+            .into_iter()
+            .filter(|kind| !kind.as_str().is_some_and(|kind| KINDS.contains(&kind)))
         {
             sources.fault(
                 &loc.at("type"),
-                format!("{} is no type: {} are", clip(&kind.to_string()), KINDS.join(", ")),
+                format!(
+                    "{} is no type: {} are",
+                    clip(&kind.to_string()),
+                    KINDS.join(", ")
+                ),
             );
         }
         if self.dialect == Dialect::OpenApi30 {
             if value.get("type").is_some_and(Value::is_array) {
-                sources.fault(&loc.at("type"), "OpenAPI 3.0 has one type, or 'nullable': true beside it");
+                sources.fault(
+                    &loc.at("type"),
+                    "OpenAPI 3.0 has one type, or 'nullable': true beside it",
+                );
             }
             for word in ["exclusiveMinimum", "exclusiveMaximum"] {
                 if value.get(word).is_some_and(Value::is_number) {
-                    sources.fault(&loc.at(word), format!("in OpenAPI 3.0 {word} is true or false"));
+                    sources.fault(
+                        &loc.at(word),
+                        format!("in OpenAPI 3.0 {word} is true or false"),
+                    );
                 }
             }
         }
-        self.one_way |= ["readOnly", "writeOnly"].iter().any(|word| value[*word] == json!(true));
-        for (name, member) in value.get("properties").and_then(Value::as_object).into_iter().flatten() {
+        self.one_way |= ["readOnly", "writeOnly"]
+            .iter()
+            .any(|word| value[*word] == json!(true));
+        for (name, member) in value
+            .get("properties")
+            .and_then(Value::as_object)
+            .into_iter()
+            .flatten()
+        {
             if member["writeOnly"] == json!(true) || member["format"] == json!("password") {
                 self.secrets.insert(name.clone());
             }
@@ -270,8 +321,10 @@
                         Some(Mark::Done(more)) => *looks = looks.saturating_add(*more),
                         Some(Mark::Open) => {
                             let loc = (*loc).clone();
-                            let cause =
-                                format!("this schema only leads to itself, by {}", sources.name(child));
+                            let cause = format!(
+                                "this schema only leads to itself, by {}",
+                                sources.name(child)
+                            );
                             sources.fault(&loc, cause);
                         }
                         None => {
@@ -287,12 +340,17 @@
             _ => 0,
         };
         for (loc, next) in &self.met {
-            let within =
-                next.iter().filter(|(_, how)| *how == Applied::Here).map(|(loc, _)| looks(loc)).max();
+            let within = next
+                .iter()
+                .filter(|(_, how)| *how == Applied::Here)
+                .map(|(loc, _)| looks(loc))
+                .max();
             // Told where it begins, not at all that lie around it.
             if looks(loc) > MOST_LOOKS && within.unwrap_or(0) <= MOST_LOOKS {
-                let cause =
-                    format!("one value would be looked at {} times: {MOST_LOOKS} at most", looks(loc));
+                let cause = format!(
+                    "one value would be looked at {} times: {MOST_LOOKS} at most",
+                    looks(loc)
+                );
                 sources.fault(loc, cause);
             }
         }
@@ -314,7 +372,8 @@
             bundles.insert(direction, self.bundle(sources, direction));
         }
         for root in &self.roots {
-            let Some(schema) = bundles[&Direction::Request][root.file].pointer(&root.pointer) else {
+            let Some(schema) = bundles[&Direction::Request][root.file].pointer(&root.pointer)
+            else {
                 continue;
             };
             let checked = match draft {
@@ -322,10 +381,18 @@
                 _ => jsonschema::draft202012::meta::validate(schema),
             };
             if let Err(e) = checked {
-                if sources.faults.list.iter().any(|fault| fault.pointer.starts_with(&root.pointer)) {
+                if sources
+                    .faults
+                    .list
+                    .iter()
+                    .any(|fault| fault.pointer.starts_with(&root.pointer))
+                {
                     continue; // told before, in plainer words
                 }
-                let at = Loc { file: root.file, pointer: format!("{}{}", root.pointer, e.instance_path()) };
+                let at = Loc {
+                    file: root.file,
+                    pointer: format!("{}{}", root.pointer, e.instance_path()),
+                };
                 sources.fault(&at, format!("this is no schema: {}", clip(&e.to_string())));
             }
         }
@@ -336,8 +403,10 @@
             let mut registry = Registry::new().draft(draft);
             for (number, file) in files.iter().enumerate() {
                 // The address is this module's own form: it can be parsed.
-                let Ok(with) = registry.add(format!("{BASE}{number}"), draft.create_resource(file.clone()))
-                else {
+                let Ok(with) = registry.add(
+                    format!("{BASE}{number}"),
+                    draft.create_resource(file.clone()),
+                ) else {
                     return compiled;
                 };
                 registry = with;
@@ -345,7 +414,10 @@
             let registry = match registry.prepare() {
                 Ok(registry) => registry,
                 Err(e) => {
-                    sources.fault(&sources.root(), format!("the schemas can't be compiled: {e}"));
+                    sources.fault(
+                        &sources.root(),
+                        format!("the schemas can't be compiled: {e}"),
+                    );
                     return compiled;
                 }
             };
@@ -370,8 +442,7 @@
                         // The compiler names a faulty expression, but not its place.
                         let pattern = e.instance().as_ref();
                         let holds = |at: &&Loc| sources.get(&at.at("pattern")) == Some(pattern);
-                        let regex =
-                            matches!(e.kind(), ValidationErrorKind::Format { format } if format == "regex");
+                        let regex = matches!(e.kind(), ValidationErrorKind::Format { format } if format == "regex");
                         match self.met.keys().find(holds).cloned().filter(|_| regex) {
                             Some(at) => {
                                 let most = MOST_PATTERN_MEMORY;
@@ -380,8 +451,10 @@
                                 sources.fault(&at.at("pattern"), cause);
                             }
                             None => {
-                                let cause =
-                                    format!("this schema can't be compiled: {}", clip(&e.to_string()));
+                                let cause = format!(
+                                    "this schema can't be compiled: {}",
+                                    clip(&e.to_string())
+                                );
                                 sources.fault(loc, cause);
                             }
                         }
@@ -394,9 +467,15 @@
 
     /// The files with their schemas in the compiler's dialect, references written out as addresses.
     fn bundle(&self, sources: &Sources, direction: Direction) -> Vec<Value> {
-        let mut files: Vec<Value> = sources.files().iter().map(|file| file.value.clone()).collect();
+        let mut files: Vec<Value> = sources
+            .files()
+            .iter()
+            .map(|file| file.value.clone())
+            .collect();
         for (loc, next) in &self.met {
-            let Some(schema) = files[loc.file].pointer_mut(&loc.pointer).and_then(Value::as_object_mut)
+            let Some(schema) = files[loc.file]
+                .pointer_mut(&loc.pointer)
+                .and_then(Value::as_object_mut)
             else {
                 continue;
             };
@@ -419,14 +498,20 @@
                     Direction::Request => "readOnly",
                     Direction::Answer => "writeOnly",
                 };
-                let properties = sources.get(&loc.at("properties")).cloned().unwrap_or_default();
+                let properties = sources
+                    .get(&loc.at("properties"))
+                    .cloned()
+                    .unwrap_or_default();
                 if let Some(required) = schema.get_mut("required").and_then(Value::as_array_mut) {
                     let goes = |name: &Value| {
                         let member = &properties[name.as_str().unwrap_or("")];
-                        let target = self.met.get(&loc.at("properties").at(name.as_str().unwrap_or("")));
+                        let target = self
+                            .met
+                            .get(&loc.at("properties").at(name.as_str().unwrap_or("")));
                         let target = target.and_then(|next| sources.get(&next.first()?.0));
                         let marked = |value: &Value| value[skipped] == json!(true);
-                        !(marked(member) || member.get("$ref").is_some() && target.is_some_and(marked))
+                        !(marked(member)
+                            || member.get("$ref").is_some() && target.is_some_and(marked))
                     };
                     required.retain(goes);
                 }
@@ -444,7 +529,10 @@
             schema.insert("type".into(), kinds);
         }
     }
-    for (limit, exclusive) in [("minimum", "exclusiveMinimum"), ("maximum", "exclusiveMaximum")] {
+    for (limit, exclusive) in [
+        ("minimum", "exclusiveMinimum"),
+        ("maximum", "exclusiveMaximum"),
+    ] {
         if let Some(Value::Bool(strict)) = schema.get(exclusive).cloned() {
             schema.remove(exclusive);
             if strict {
@@ -472,7 +560,10 @@
 /// The place that an address of the compiler's means: the file's number and the pointer.
 pub fn place_of(address: &str) -> Option<Loc> {
     let (file, pointer) = address.strip_prefix(BASE)?.split_once('#')?;
-    Some(Loc { file: file.parse().ok()?, pointer: crate::source::decode(pointer)? })
+    Some(Loc {
+        file: file.parse().ok()?,
+        pointer: crate::source::decode(pointer)?,
+    })
 }
 
 /// A text cut to what a line of a report can hold.
--- a/crates/contract/src/source.rs
+++ b/crates/contract/src/source.rs
@@ -25,12 +25,18 @@
 impl Loc {
     /// The member of that name.
     pub fn at(&self, key: &str) -> Loc {
-        Loc { file: self.file, pointer: step(&self.pointer, key) }
+        Loc {
+            file: self.file,
+            pointer: step(&self.pointer, key),
+        }
     }
 
     /// The item of that number.
     pub fn item(&self, number: usize) -> Loc {
-        Loc { file: self.file, pointer: format!("{}/{number}", self.pointer) }
+        Loc {
+            file: self.file,
+            pointer: format!("{}/{number}", self.pointer),
+        }
     }
 }
 
@@ -47,8 +53,14 @@
 impl Sources {
     /// Reads the description's first file.
     pub fn open(path: &Path) -> Result<Sources, Fault> {
-        let name = path.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
-        let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+        let name = path
+            .file_name()
+            .map(|name| name.to_string_lossy().into_owned())
+            .unwrap_or_default();
+        let folder = path
+            .parent()
+            .filter(|p| !p.as_os_str().is_empty())
+            .unwrap_or(Path::new("."));
         let fault = |cause: String| Fault {
             file: path.display().to_string(),
             line: 0,
@@ -63,16 +75,27 @@
 
     /// A description that is at hand as text. References to other files find none.
     pub fn text(name: &str, text: &str) -> Result<Sources, Fault> {
-        Ok(Sources::new(PathBuf::new(), Document::read(name, text.as_bytes())?))
+        Ok(Sources::new(
+            PathBuf::new(),
+            Document::read(name, text.as_bytes())?,
+        ))
     }
 
     fn new(folder: PathBuf, first: Document) -> Sources {
-        Sources { folder, files: vec![first], unreadable: BTreeSet::new(), faults: Faults::default() }
+        Sources {
+            folder,
+            files: vec![first],
+            unreadable: BTreeSet::new(),
+            faults: Faults::default(),
+        }
     }
 
     /// The description's first node.
     pub fn root(&self) -> Loc {
-        Loc { file: 0, pointer: String::new() }
+        Loc {
+            file: 0,
+            pointer: String::new(),
+        }
     }
 
     /// All files.
@@ -120,15 +143,27 @@
         let mut at = loc.clone();
         let mut passed = vec![at.clone()];
         loop {
-            let Some(reference) = self.reference(&at) else { return Some(at) };
+            let Some(reference) = self.reference(&at) else {
+                return Some(at);
+            };
             let next = self.follow(&at, &reference)?;
             if passed.contains(&next) {
-                let way: Vec<_> = passed.iter().chain([&next]).map(|loc| self.name(loc)).collect();
-                self.fault(loc, format!("this reference only leads to itself: {}", way.join(" -> ")));
+                let way: Vec<_> = passed
+                    .iter()
+                    .chain([&next])
+                    .map(|loc| self.name(loc))
+                    .collect();
+                self.fault(
+                    loc,
+                    format!("this reference only leads to itself: {}", way.join(" -> ")),
+                );
                 return None;
             }
             if passed.len() > MOST_HOPS {
-                self.fault(loc, format!("more than {MOST_HOPS} references lead from one to the next"));
+                self.fault(
+                    loc,
+                    format!("more than {MOST_HOPS} references lead from one to the next"),
+                );
                 return None;
             }
             passed.push(next.clone());
@@ -154,7 +189,11 @@
 
     fn find(&mut self, from: usize, reference: &str) -> Result<Loc, String> {
         let (path, fragment) = reference.split_once('#').unwrap_or((reference, ""));
-        let file = if path.is_empty() { from } else { self.file(from, path)? };
+        let file = if path.is_empty() {
+            from
+        } else {
+            self.file(from, path)?
+        };
         let pointer = decode(fragment).ok_or("the fragment's percent-encoding is broken")?;
         if !pointer.is_empty() && !pointer.starts_with('/') {
             return Err("only JSON pointers (#/...) are followed, no anchors".into());
@@ -170,7 +209,9 @@
     pub fn target(&self, loc: &Loc) -> Option<Loc> {
         let mut at = loc.clone();
         for _ in 0..MOST_HOPS {
-            let Some(reference) = self.reference(&at) else { return Some(at) };
+            let Some(reference) = self.reference(&at) else {
+                return Some(at);
+            };
             let (path, fragment) = reference.split_once('#').unwrap_or((&reference, ""));
             let file = match path.is_empty() {
                 true => at.file,
@@ -179,7 +220,10 @@
                     self.files.iter().position(|file| file.name == name)?
                 }
             };
-            at = Loc { file, pointer: decode(fragment)? };
+            at = Loc {
+                file,
+                pointer: decode(fragment)?,
+            };
         }
         None
     }
@@ -187,20 +231,28 @@
     /// The name of the file that a reference in another means.
     fn beside(&self, from: usize, path: &str) -> Result<String, String> {
         if path.contains(':') || path.starts_with("//") {
-            return Err("network addresses are not followed: put the file beside the description".into());
+            return Err(
+                "network addresses are not followed: put the file beside the description".into(),
+            );
         }
         let path = decode(path).ok_or("the path's percent-encoding is broken")?;
         if path.starts_with('/') {
-            return Err("absolute paths are not followed: put the file beside the description".into());
+            return Err(
+                "absolute paths are not followed: put the file beside the description".into(),
+            );
         }
-        let beside = Path::new(&self.files[from].name).parent().unwrap_or(Path::new(""));
+        let beside = Path::new(&self.files[from].name)
+            .parent()
+            .unwrap_or(Path::new(""));
         // Worked out in words first, so that a way that leads out of the folder and back is refused, too.
         let mut parts: Vec<String> = Vec::new();
         for part in beside.join(&path).components() {
             match part {
                 std::path::Component::CurDir => {}
                 std::path::Component::ParentDir if parts.pop().is_some() => {}
-                std::path::Component::Normal(name) => parts.push(name.to_string_lossy().into_owned()),
+                std::path::Component::Normal(name) => {
+                    parts.push(name.to_string_lossy().into_owned())
+                }
                 _ => return Err("this leads out of the description's folder".into()),
             }
         }
@@ -233,7 +285,9 @@
         }
         let path = self.folder.join(name);
         // A link may lead out of the folder although its name doesn't.
-        let real = path.canonicalize().map_err(|e| format!("the file {name}: {e}"))?;
+        let real = path
+            .canonicalize()
+            .map_err(|e| format!("the file {name}: {e}"))?;
         if !real.starts_with(&self.folder) {
             return Err("this leads out of the description's folder".into());
         }
@@ -252,7 +306,10 @@
         return Err("this is no plain file".into());
     }
     if about.len() > MOST_BYTES as u64 {
-        return Err(format!("the file has {} bytes: {MOST_BYTES} at most", about.len()));
+        return Err(format!(
+            "the file has {} bytes: {MOST_BYTES} at most",
+            about.len()
+        ));
     }
     std::fs::read(path).map_err(|e| e.to_string())
 }
--- a/crates/contract/src/tree.rs
+++ b/crates/contract/src/tree.rs
@@ -37,10 +37,19 @@
             cause,
         };
         if bytes.len() > MOST_BYTES {
-            return Err(fault(0, 0, "", format!("the file has {} bytes: {MOST_BYTES} at most", bytes.len())));
+            return Err(fault(
+                0,
+                0,
+                "",
+                format!("the file has {} bytes: {MOST_BYTES} at most", bytes.len()),
+            ));
         }
         let text = std::str::from_utf8(bytes).map_err(|e| {
-            let line = bytes[..e.valid_up_to()].iter().filter(|&&b| b == b'\n').count() + 1;
+            let line = bytes[..e.valid_up_to()]
+                .iter()
+                .filter(|&&b| b == b'\n')
+                .count()
+                + 1;
             fault(line, 1, "", "the file is not UTF-8 text".into())
         })?;
         let text = text.strip_prefix('\u{feff}').unwrap_or(text);
@@ -50,11 +59,25 @@
             "yaml" | "yml" => false,
             _ => text.trim_start().starts_with('{'),
         };
-        let mut reader = Reader { text, nodes: 0, places: HashMap::new(), lines: line_starts(text) };
+        let mut reader = Reader {
+            text,
+            nodes: 0,
+            places: HashMap::new(),
+            lines: line_starts(text),
+        };
         let read = if json { reader.json() } else { reader.yaml() };
         match read {
-            Ok(value) => Ok(Document { name: name.into(), value, places: reader.places }),
-            Err(Bad { line, column, pointer, cause }) => Err(fault(line, column, &pointer, cause)),
+            Ok(value) => Ok(Document {
+                name: name.into(),
+                value,
+                places: reader.places,
+            }),
+            Err(Bad {
+                line,
+                column,
+                pointer,
+                cause,
+            }) => Err(fault(line, column, &pointer, cause)),
         }
     }
 
@@ -80,7 +103,13 @@
     /// A fault at a node.
     pub fn fault(&self, pointer: &str, cause: impl Into<String>) -> Fault {
         let (line, column) = self.place(pointer);
-        Fault { file: self.name.clone(), line, column, pointer: pointer.into(), cause: cause.into() }
+        Fault {
+            file: self.name.clone(),
+            line,
+            column,
+            pointer: pointer.into(),
+            cause: cause.into(),
+        }
     }
 }
 
@@ -108,7 +137,12 @@
 
 fn line_starts(text: &str) -> Vec<usize> {
     std::iter::once(0)
-        .chain(text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(at, _)| at + 1))
+        .chain(
+            text.bytes()
+                .enumerate()
+                .filter(|(_, b)| *b == b'\n')
+                .map(|(at, _)| at + 1),
+        )
         .collect()
 }
 
@@ -177,7 +211,12 @@
             self.places.insert(pointer.into(), place);
             return Ok(());
         };
-        Err(Bad { line: place.0, column: place.1, pointer: pointer.into(), cause })
+        Err(Bad {
+            line: place.0,
+            column: place.1,
+            pointer: pointer.into(),
+            cause,
+        })
     }
 
     fn at(&self, raw: &str) -> (usize, usize) {
@@ -191,7 +230,12 @@
             let cause = e.to_string();
             let cause = cause.split(" at line ").next().unwrap_or("").to_string();
             let (line, column) = (e.line(), e.column().max(1));
-            Bad { line, column, pointer: String::new(), cause: format!("this is no JSON: {cause}") }
+            Bad {
+                line,
+                column,
+                pointer: String::new(),
+                cause: format!("this is no JSON: {cause}"),
+            }
         })?;
         self.json_value(raw, "", 0)
     }
@@ -236,7 +280,10 @@
     }
 
     fn yaml(&mut self) -> Result<Value, Bad> {
-        let mut events = Events { parser: Parser::new_from_str(self.text), anchors: HashMap::new() };
+        let mut events = Events {
+            parser: Parser::new_from_str(self.text),
+            anchors: HashMap::new(),
+        };
         let mut value = None;
         loop {
             let (event, span) = events.next()?;
@@ -244,7 +291,11 @@
                 Event::StreamStart | Event::Nothing | Event::DocumentEnd => {}
                 Event::StreamEnd => break,
                 Event::DocumentStart(_) if value.is_some() => {
-                    return Err(bad_at(&span.start, "", "there is a second document in this file"));
+                    return Err(bad_at(
+                        &span.start,
+                        "",
+                        "there is a second document in this file",
+                    ));
                 }
                 Event::DocumentStart(_) => {
                     let (event, span) = events.next()?;
@@ -253,7 +304,12 @@
                 _ => return Err(bad_at(&span.start, "", "this is no YAML document")),
             }
         }
-        value.ok_or(Bad { line: 1, column: 1, pointer: String::new(), cause: "the file is empty".into() })
+        value.ok_or(Bad {
+            line: 1,
+            column: 1,
+            pointer: String::new(),
+            cause: "the file is empty".into(),
+        })
     }
 
     fn yaml_value(
@@ -267,7 +323,13 @@
         let place = place(&span.start);
         if let Event::Alias(id) = event {
             let known = events.anchors.get(&id).cloned();
-            let unknown = || bad_at(&span.start, pointer, "an alias stands inside of what it repeats");
+            let unknown = || {
+                bad_at(
+                    &span.start,
+                    pointer,
+                    "an alias stands inside of what it repeats",
+                )
+            };
             let (value, nodes) = known.ok_or_else(unknown)?;
             self.nodes = self.nodes.saturating_add(nodes.saturating_sub(1));
             self.enter(pointer, depth + height(&value), place)?;
@@ -280,12 +342,17 @@
                 let value = scalar(
                     &text,
                     style,
-                    tag.as_deref().map(|tag| (tag.handle.as_str(), tag.suffix.as_str())),
+                    tag.as_deref()
+                        .map(|tag| (tag.handle.as_str(), tag.suffix.as_str())),
                 );
-                (value.map_err(|cause| bad_at(&span.start, pointer, &cause))?, anchor)
+                (
+                    value.map_err(|cause| bad_at(&span.start, pointer, &cause))?,
+                    anchor,
+                )
             }
             Event::SequenceStart(anchor, tag) => {
-                known_tag(tag.as_deref(), "seq").map_err(|cause| bad_at(&span.start, pointer, &cause))?;
+                known_tag(tag.as_deref(), "seq")
+                    .map_err(|cause| bad_at(&span.start, pointer, &cause))?;
                 let mut items = Vec::new();
                 loop {
                     let (event, span) = events.next()?;
@@ -298,7 +365,8 @@
                 (Value::Array(items), anchor)
             }
             Event::MappingStart(anchor, tag) => {
-                known_tag(tag.as_deref(), "map").map_err(|cause| bad_at(&span.start, pointer, &cause))?;
+                known_tag(tag.as_deref(), "map")
+                    .map_err(|cause| bad_at(&span.start, pointer, &cause))?;
                 let mut map = Map::new();
                 loop {
                     let (event, span) = events.next()?;
@@ -310,7 +378,9 @@
                             return Err(bad_at(&span.start, pointer, cause));
                         }
                         Event::Scalar(text, ..) => text.into_owned(),
-                        _ => return Err(bad_at(&span.start, pointer, "a key must be a plain word")),
+                        _ => {
+                            return Err(bad_at(&span.start, pointer, "a key must be a plain word"))
+                        }
                     };
                     let inner = step(pointer, &key);
                     if map.contains_key(&key) {
@@ -327,7 +397,9 @@
             _ => return Err(bad_at(&span.start, pointer, "a value is missing")),
         };
         if anchor > 0 {
-            events.anchors.insert(anchor, (value.clone(), self.nodes - before + 1));
+            events
+                .anchors
+                .insert(anchor, (value.clone(), self.nodes - before + 1));
         }
         Ok(value)
     }
@@ -345,7 +417,9 @@
         self.parser
             .next_event()
             .unwrap_or_else(end)
-            .map_err(|e: ScanError| bad_at(e.marker(), "", &format!("this is no YAML: {}", e.info())))
+            .map_err(|e: ScanError| {
+                bad_at(e.marker(), "", &format!("this is no YAML: {}", e.info()))
+            })
     }
 }
 
@@ -355,7 +429,12 @@
 
 fn bad_at(marker: &Marker, pointer: &str, cause: &str) -> Bad {
     let (line, column) = place(marker);
-    Bad { line, column, pointer: pointer.into(), cause: cause.into() }
+    Bad {
+        line,
+        column,
+        pointer: pointer.into(),
+        cause: cause.into(),
+    }
 }
 
 fn height(value: &Value) -> usize {
@@ -397,16 +476,25 @@
         _ if text.starts_with("0o") => number(i64::from_str_radix(&text[2..], 8).ok()),
         _ if !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit()) => {
             let whole = text.strip_prefix('+').unwrap_or(text);
-            number(whole.parse().ok()).or_else(|| Some(Value::Number(Number::from_f64(whole.parse().ok()?)?)))
+            number(whole.parse().ok())
+                .or_else(|| Some(Value::Number(Number::from_f64(whole.parse().ok()?)?)))
         }
         _ if matches!(digits, ".inf" | ".Inf" | ".INF" | ".nan" | ".NaN" | ".NAN") => {
             return Err(format!("{text} has no equal in JSON"));
         }
-        _ if digits.bytes().next().is_some_and(|b| b.is_ascii_digit() || b == b'.')
+        _ if digits
+            .bytes()
+            .next()
+            .is_some_and(|b| b.is_ascii_digit() || b == b'.')
             && digits.bytes().any(|b| b.is_ascii_digit())
-            && digits.bytes().all(|b| b.is_ascii_digit() || b".eE+-".contains(&b)) =>
+            && digits
+                .bytes()
+                .all(|b| b.is_ascii_digit() || b".eE+-".contains(&b)) =>
         {
-            text.parse::<f64>().ok().and_then(Number::from_f64).map(Value::Number)
+            text.parse::<f64>()
+                .ok()
+                .and_then(Number::from_f64)
+                .map(Value::Number)
         }
         _ => None,
     };
@@ -428,7 +516,10 @@
             Value::Array(items) => return YamlOwned::Sequence(items.iter().map(convert).collect()),
             Value::Object(map) => {
                 let pair = |(key, value): (&String, &Value)| {
-                    (YamlOwned::Value(ScalarOwned::String(key.clone())), convert(value))
+                    (
+                        YamlOwned::Value(ScalarOwned::String(key.clone())),
+                        convert(value),
+                    )
                 };
                 return YamlOwned::Mapping(map.iter().map(pair).collect());
             }
--- a/crates/contract/tests/compare.rs
+++ b/crates/contract/tests/compare.rs
@@ -33,9 +33,14 @@
 "##;
 
 fn changes(old: &str, new: &str) -> Vec<String> {
-    let read =
-        |text: &str| Description::from_text("d.yaml", text).unwrap_or_else(|faults| panic!("{faults}"));
-    diff(&read(old), &read(new)).unwrap().iter().map(ToString::to_string).collect()
+    let read = |text: &str| {
+        Description::from_text("d.yaml", text).unwrap_or_else(|faults| panic!("{faults}"))
+    };
+    diff(&read(old), &read(new))
+        .unwrap()
+        .iter()
+        .map(ToString::to_string)
+        .collect()
 }
 
 /// One edit of the old text, and all that it changes.
@@ -55,21 +60,64 @@
             true => ("breaking", "compatible"),
             false => ("compatible", "breaking"),
         };
-        let at =
-            |place: &str| if member.is_empty() { place.to_string() } else { format!("{place} {member}") };
-        let mut wanted =
-            vec![format!("{asking}: {}: {what}", at(post)), format!("{given}: {}: {what}", at(get))];
+        let at = |place: &str| {
+            if member.is_empty() {
+                place.to_string()
+            } else {
+                format!("{place} {member}")
+            }
+        };
+        let mut wanted = vec![
+            format!("{asking}: {}: {what}", at(post)),
+            format!("{given}: {}: {what}", at(get)),
+        ];
         wanted.sort();
         let mut found = found;
         found.sort();
         assert_eq!(found, wanted, "{from} -> {to}");
     };
-    both("required: [sku, count]", "required: [sku, count, note]", "note", "it became required", true);
-    both("required: [sku, count]", "required: [sku]", "count", "it became optional", false);
-    both("maxLength: 20", "maxLength: 10", "sku", "maxLength fell from 20 to 10", true);
-    both("maxLength: 20", "maxLength: 30", "sku", "maxLength rose from 20 to 30", false);
-    both("count: {type: integer", "count: {type: number", "count", "the type number is new", false);
-    both("[string, \"null\"]", "string", "note", "the type null is gone", true);
+    both(
+        "required: [sku, count]",
+        "required: [sku, count, note]",
+        "note",
+        "it became required",
+        true,
+    );
+    both(
+        "required: [sku, count]",
+        "required: [sku]",
+        "count",
+        "it became optional",
+        false,
+    );
+    both(
+        "maxLength: 20",
+        "maxLength: 10",
+        "sku",
+        "maxLength fell from 20 to 10",
+        true,
+    );
+    both(
+        "maxLength: 20",
+        "maxLength: 30",
+        "sku",
+        "maxLength rose from 20 to 30",
+        false,
+    );
+    both(
+        "count: {type: integer",
+        "count: {type: number",
+        "count",
+        "the type number is new",
+        false,
+    );
+    both(
+        "[string, \"null\"]",
+        "string",
+        "note",
+        "the type null is gone",
+        true,
+    );
     both(
         "      type: object\n",
         "      type: object\n      additionalProperties: false\n",
@@ -94,9 +142,17 @@
     one(
         "maximum: 100",
         "maximum: 200",
-        &[&format!("compatible: {at}, query size: maximum rose from 100 to 200")],
+        &[&format!(
+            "compatible: {at}, query size: maximum rose from 100 to 200"
+        )],
+    );
+    one(
+        "enum: [a, b]",
+        "enum: [b]",
+        &[&format!(
+            "breaking: {at}, header X-Shop: the value \"a\" is gone"
+        )],
     );
-    one("enum: [a, b]", "enum: [b]", &[&format!("breaking: {at}, header X-Shop: the value \"a\" is gone")]);
     one(
         "in: header, schema: {enum: [a, b]}",
         "in: header, schema: {enum: [b, a]}",
@@ -105,7 +161,9 @@
     one(
         "\"404\": {description: none}",
         "\"404\": {description: nothing}",
-        &[&format!("cosmetic: {at}, answer 404: its description differs")],
+        &[&format!(
+            "cosmetic: {at}, answer 404: its description differs"
+        )],
     );
     one(
         "\"404\": {description: none}",
@@ -126,7 +184,9 @@
     one(
         "operationId: read",
         "operationId: look",
-        &[&format!("cosmetic: {at}: the operation's id was read and is look")],
+        &[&format!(
+            "cosmetic: {at}: the operation's id was read and is look"
+        )],
     );
     one(
         "    get:",
@@ -144,9 +204,14 @@
             "cosmetic: POST /stock/{sku}, body note: its texts for people differ",
         ],
     );
-    let renamed = OLD.replace("{sku}:", "{code}:").replace("{name: sku, in: path", "{name: code, in: path");
+    let renamed = OLD
+        .replace("{sku}:", "{code}:")
+        .replace("{name: sku, in: path", "{name: code, in: path");
     let found = changes(OLD, &renamed);
-    assert!(found.iter().all(|change| change.starts_with("cosmetic")) && !found.is_empty(), "{found:?}");
+    assert!(
+        found.iter().all(|change| change.starts_with("cosmetic")) && !found.is_empty(),
+        "{found:?}"
+    );
 }
 
 /// Guards against a rearrangement that is told as a change: the meaning is the same.
@@ -157,11 +222,14 @@
         "      allOf:\n        - {type: object, required: [count, sku]}\n        - {properties: {sku: {$ref: \"#/components/schemas/Sku\"}}}\n      properties:\n",
     ) + "    Sku: {type: string, maxLength: 20}\n";
     assert_ne!(flat, OLD);
-    let cosmetic = "cosmetic: the description: only texts, names, the order or the arrangement differ";
+    let cosmetic =
+        "cosmetic: the description: only texts, names, the order or the arrangement differ";
     assert_eq!(changes(OLD, &flat), [cosmetic]);
     assert_eq!(changes(OLD, &OLD.replace("3.1.0", "3.1.1")), [cosmetic]);
     assert!(changes(OLD, OLD).is_empty());
-    let old = OLD.replace("3.1.0", "3.0.3").replace("[string, \"null\"]", "string, nullable: true");
+    let old = OLD
+        .replace("3.1.0", "3.0.3")
+        .replace("[string, \"null\"]", "string, nullable: true");
     assert_eq!(changes(OLD, &old), [cosmetic], "3.0's words for the same");
 }
 
@@ -181,18 +249,33 @@
 #[test]
 fn messages_break_by_their_direction() {
     let edited = |from: &str, to: &str| changes(FRAMES, &FRAMES.replacen(from, to, 1));
-    assert_eq!(edited("required: [n], ", ""), ["breaking: frames answer, payload n: it became optional"]);
     assert_eq!(
-        edited("payload: {type: string}", "payload: {type: [string, integer]}"),
+        edited("required: [n], ", ""),
+        ["breaking: frames answer, payload n: it became optional"]
+    );
+    assert_eq!(
+        edited(
+            "payload: {type: string}",
+            "payload: {type: [string, integer]}"
+        ),
         ["compatible: frames call, payload: the type integer is new",]
     );
     assert_eq!(
         edited("x-frame: A", "x-frame: B"),
-        ["breaking: frames answer: the message is gone", "breaking: frames answer: the message is new",]
+        [
+            "breaking: frames answer: the message is gone",
+            "breaking: frames answer: the message is new",
+        ]
     );
     let read = |text: &str| Description::from_text("d.yaml", text).unwrap();
     assert!(diff(&read(OLD), &read(FRAMES)).is_err());
-    let breaking =
-        diff(&read(FRAMES), &read(&FRAMES.replacen("action: send", "action: receive", 1))).unwrap();
-    assert_eq!((breaking[0].weight, breaking[0].what.as_str()), (Weight::Breaking, "it goes the other way"));
+    let breaking = diff(
+        &read(FRAMES),
+        &read(&FRAMES.replacen("action: send", "action: receive", 1)),
+    )
+    .unwrap();
+    assert_eq!(
+        (breaking[0].weight, breaking[0].what.as_str()),
+        (Weight::Breaking, "it goes the other way")
+    );
 }
--- a/crates/contract/tests/corpus.rs
+++ b/crates/contract/tests/corpus.rs
@@ -11,10 +11,17 @@
 use std::thread;
 
 fn files(folder: &str) -> Vec<PathBuf> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus").join(folder);
-    let mut all: Vec<PathBuf> =
-        std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
-    all.retain(|path| path.extension().is_some_and(|ending| ending == "yaml" || ending == "json"));
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/corpus")
+        .join(folder);
+    let mut all: Vec<PathBuf> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
+    all.retain(|path| {
+        path.extension()
+            .is_some_and(|ending| ending == "yaml" || ending == "json")
+    });
     all.sort();
     all
 }
@@ -42,16 +49,23 @@
 /// A message as it came off the wire: its first line, its fields, its body, and whether that is whole.
 fn read(stream: &mut impl BufRead) -> Option<(String, Fields, Vec<u8>, bool)> {
     let mut first = String::new();
-    stream.read_line(&mut first).ok().filter(|&bytes| bytes > 0)?;
+    stream
+        .read_line(&mut first)
+        .ok()
+        .filter(|&bytes| bytes > 0)?;
     let mut fields = Vec::new();
     loop {
         let mut line = String::new();
         stream.read_line(&mut line).ok()?;
-        let Some((name, value)) = line.trim_end().split_once(": ") else { break };
+        let Some((name, value)) = line.trim_end().split_once(": ") else {
+            break;
+        };
         fields.push((name.to_string(), value.to_string()));
     }
-    let length =
-        fields.iter().find(|(name, _)| name == "Content-Length").map_or(0, |(_, n)| n.parse().unwrap());
+    let length = fields
+        .iter()
+        .find(|(name, _)| name == "Content-Length")
+        .map_or(0, |(_, n)| n.parse().unwrap());
     let mut body = Vec::new();
     stream.take(length).read_to_end(&mut body).ok()?;
     let whole = body.len() as u64 == length;
@@ -68,7 +82,9 @@
 
 fn head(first: &str, fields: &Value, length: usize) -> String {
     let fields = fields.as_object().into_iter().flatten();
-    let fields: String = fields.map(|(name, value)| format!("{name}: {}\r\n", text(value))).collect();
+    let fields: String = fields
+        .map(|(name, value)| format!("{name}: {}\r\n", text(value)))
+        .collect();
     format!("{first}\r\n{fields}Content-Length: {length}\r\n\r\n")
 }
 
@@ -79,10 +95,22 @@
     let answer = &row["answer"];
     let body = text(&answer["body"]);
     // One that ends early promises more than it sends.
-    let cut = if answer["whole"] == json!(false) { 10 } else { 0 };
-    let first = format!("HTTP/1.1 {} Words", answer["status"].as_u64().unwrap_or(200));
+    let cut = if answer["whole"] == json!(false) {
+        10
+    } else {
+        0
+    };
+    let first = format!(
+        "HTTP/1.1 {} Words",
+        answer["status"].as_u64().unwrap_or(200)
+    );
     let mut stream = stream;
-    write!(stream, "{}{body}", head(&first, &answer["fields"], body.len() + cut)).unwrap();
+    write!(
+        stream,
+        "{}{body}",
+        head(&first, &answer["fields"], body.len() + cut)
+    )
+    .unwrap();
     asked
 }
 
@@ -98,12 +126,22 @@
     let (first, fields, body, whole) = read(&mut BufReader::new(client)).unwrap();
     let asked = server.join().unwrap();
     let words: Vec<&str> = asked.0.split(' ').collect();
-    let request = Asked { method: words[0], target: words[1], fields: &asked.1, body: &asked.2 };
+    let request = Asked {
+        method: words[0],
+        target: words[1],
+        fields: &asked.1,
+        body: &asked.2,
+    };
     let judged = description.judge_request(&request);
     let mut departures = judged.departures;
     if let Some(number) = judged.number.filter(|_| row["answer"].is_object()) {
         let status = first.split(' ').nth(1).unwrap().parse().unwrap();
-        let answered = Answered { status, fields: &fields, body: &body, whole };
+        let answered = Answered {
+            status,
+            fields: &fields,
+            body: &body,
+            whole,
+        };
         departures.extend(description.judge_answer(number, &answered).departures);
     }
     departures
@@ -113,7 +151,11 @@
 fn message(description: &Description, row: &Value) -> Vec<Departure> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut sender = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let fields = if row["headers"].is_null() { json!({}) } else { row["headers"].clone() };
+    let fields = if row["headers"].is_null() {
+        json!({})
+    } else {
+        row["headers"].clone()
+    };
     write!(sender, "{fields}\n{}", text(&row["payload"])).unwrap();
     drop(sender);
     let mut reader = BufReader::new(listener.accept().unwrap().0);
@@ -121,7 +163,14 @@
     reader.read_line(&mut line).unwrap();
     reader.read_to_end(&mut payload).unwrap();
     let fields = serde_json::from_str(&line).unwrap();
-    description.judge_message(&text(&row["channel"]), &text(&row["message"]), &fields, &payload).departures
+    description
+        .judge_message(
+            &text(&row["channel"]),
+            &text(&row["message"]),
+            &fields,
+            &payload,
+        )
+        .departures
 }
 
 /// Guards against right traffic that is reported and wrong traffic that is not, or elsewhere than it is wrong.
@@ -139,17 +188,34 @@
                 Kind::OpenApi => exchange(&description, &row),
                 Kind::AsyncApi => message(&description, &row),
             };
-            let words = found.iter().map(|d| format!("{} {}", text(&json!(d.kind)), d.place));
-            let wanted: BTreeSet<String> = row["expects"].as_array().unwrap().iter().map(text).collect();
-            assert_eq!(words.collect::<BTreeSet<_>>(), wanted, "{name}: {line}\n{found:#?}");
+            let words = found
+                .iter()
+                .map(|d| format!("{} {}", text(&json!(d.kind)), d.place));
+            let wanted: BTreeSet<String> = row["expects"]
+                .as_array()
+                .unwrap()
+                .iter()
+                .map(text)
+                .collect();
+            assert_eq!(
+                words.collect::<BTreeSet<_>>(),
+                wanted,
+                "{name}: {line}\n{found:#?}"
+            );
             for departure in &found {
-                assert!(!departure.expected.is_empty() && !departure.found.is_empty(), "{departure:?}");
+                assert!(
+                    !departure.expected.is_empty() && !departure.found.is_empty(),
+                    "{departure:?}"
+                );
                 // A place in the description is one that can be looked up.
                 let known = departure.kind == Departs::Unknown || departure.described.contains('#');
                 assert!(known, "{name}: {departure:?}");
                 if let Some(secret) = row["secret"].as_str() {
                     let shown = format!("{} {}", departure.found, departure.expected);
-                    assert!(!shown.contains(secret), "{name}: a secret is shown: {departure:?}");
+                    assert!(
+                        !shown.contains(secret),
+                        "{name}: a secret is shown: {departure:?}"
+                    );
                 }
             }
             kinds.extend(found.iter().map(|d| d.kind));
@@ -168,22 +234,38 @@
 #[test]
 fn openapi_30_and_its_31_twin_judge_alike() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus/valid");
-    let [old, new] =
-        ["30", "31"].map(|v| Description::open(&folder.join(format!("openapi-{v}-stock.yaml"))).unwrap());
+    let [old, new] = ["30", "31"]
+        .map(|v| Description::open(&folder.join(format!("openapi-{v}-stock.yaml"))).unwrap());
     let kind = vec![("Content-Type".to_string(), "application/json".to_string())];
-    let values =
-        [json!(null), json!(0), json!(0.5), json!(-1), json!("text"), json!("eleven chars"), json!(true)];
+    let values = [
+        json!(null),
+        json!(0),
+        json!(0.5),
+        json!(-1),
+        json!("text"),
+        json!("eleven chars"),
+        json!(true),
+    ];
     let mut departing = 0;
-    for (member, value) in
-        ["note", "price", "count", "sku"].iter().flat_map(|m| values.iter().map(move |v| (m, v)))
+    for (member, value) in ["note", "price", "count", "sku"]
+        .iter()
+        .flat_map(|m| values.iter().map(move |v| (m, v)))
     {
         let mut body = json!({"sku": "A-1", "count": 1});
         body[*member] = value.clone();
         let body = body.to_string();
-        let answered = Answered { status: 200, fields: &kind, body: body.as_bytes(), whole: true };
+        let answered = Answered {
+            status: 200,
+            fields: &kind,
+            body: body.as_bytes(),
+            whole: true,
+        };
         let places = |d: &Description| {
             let found = d.judge_answer(0, &answered).departures;
-            found.into_iter().map(|departure| (departure.kind, departure.place)).collect::<Vec<_>>()
+            found
+                .into_iter()
+                .map(|departure| (departure.kind, departure.place))
+                .collect::<Vec<_>>()
         };
         assert_eq!(places(&old), places(&new), "{body}");
         departing += usize::from(!places(&old).is_empty());
--- a/crates/contract/tests/damage.rs
+++ b/crates/contract/tests/damage.rs
@@ -13,11 +13,20 @@
 
 fn corpus() -> Vec<(String, String)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus/valid");
-    let mut paths: Vec<_> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
-    paths.retain(|path| path.extension().is_some_and(|ending| ending == "yaml" || ending == "json"));
+    let mut paths: Vec<_> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
+    paths.retain(|path| {
+        path.extension()
+            .is_some_and(|ending| ending == "yaml" || ending == "json")
+    });
     paths.sort();
     let read = |path: std::path::PathBuf| {
-        (path.file_name().unwrap().to_string_lossy().into_owned(), std::fs::read_to_string(path).unwrap())
+        (
+            path.file_name().unwrap().to_string_lossy().into_owned(),
+            std::fs::read_to_string(path).unwrap(),
+        )
     };
     paths.into_iter().map(read).collect()
 }
@@ -44,8 +53,8 @@
             }
             4 => {
                 let words = [
-                    "true", "null", "[]", "{}", "-1", "1e400", "\"#/\"", "integer", "$ref", "&a", "*a",
-                    "\u{0}",
+                    "true", "null", "[]", "{}", "-1", "1e400", "\"#/\"", "integer", "$ref", "&a",
+                    "*a", "\u{0}",
                 ];
                 let word = words[below(gen, words.len())];
                 let mut parts: Vec<&str> = lines[at].split_inclusive([' ', ':', ',']).collect();
@@ -58,7 +67,12 @@
             5 => {
                 let letters: Vec<char> = lines[at].chars().collect();
                 let cut = below(gen, letters.len());
-                lines[at] = letters.iter().enumerate().filter(|(n, _)| *n != cut).map(|(_, c)| c).collect();
+                lines[at] = letters
+                    .iter()
+                    .enumerate()
+                    .filter(|(n, _)| *n != cut)
+                    .map(|(_, c)| c)
+                    .collect();
             }
             _ => {
                 let letter = char::arbitrary(gen);
@@ -84,25 +98,38 @@
                 let body = text.as_bytes();
                 let fields = vec![("Content-Type".to_string(), "application/json".to_string())];
                 for operation in 0..description.operations.len() {
-                    let answered = Answered { status: 200, fields: &fields, body, whole: true };
+                    let answered = Answered {
+                        status: 200,
+                        fields: &fields,
+                        body,
+                        whole: true,
+                    };
                     description.judge_answer(operation, &answered);
                 }
             }
             Err(faults) => {
                 broken += 1;
                 assert!(faults.list.len() <= 100 && !faults.to_string().is_empty());
-                assert!(faults.list.iter().all(|fault| !fault.cause.is_empty()), "{faults}");
+                assert!(
+                    faults.list.iter().all(|fault| !fault.cause.is_empty()),
+                    "{faults}"
+                );
             }
         }
         assert!(start.elapsed() < SOON, "seed {seed}");
     }
-    assert!(sound > 100 && broken > 1_000, "{sound} sound, {broken} broken");
+    assert!(
+        sound > 100 && broken > 1_000,
+        "{sound} sound, {broken} broken"
+    );
 }
 
 /// Any JSON value of a few members.
 fn value(gen: &mut Gen, depth: usize) -> Value {
-    let names =
-        ["sku", "count", "note", "price", "lines", "pin", "paid", "card", "name", "children", "room", "hits"];
+    let names = [
+        "sku", "count", "note", "price", "lines", "pin", "paid", "card", "name", "children",
+        "room", "hits",
+    ];
     match below(gen, if depth == 0 { 5 } else { 7 }) {
         0 => Value::Null,
         1 => json!(bool::arbitrary(gen)),
@@ -111,7 +138,12 @@
         4 => json!(String::arbitrary(gen)),
         5 => (0..below(gen, 4)).map(|_| value(gen, depth - 1)).collect(),
         _ => {
-            let member = |gen: &mut Gen| (names[below(gen, names.len())].to_string(), value(gen, depth - 1));
+            let member = |gen: &mut Gen| {
+                (
+                    names[below(gen, names.len())].to_string(),
+                    value(gen, depth - 1),
+                )
+            };
             Value::Object((0..below(gen, 5)).map(|_| member(gen)).collect())
         }
     }
@@ -132,7 +164,10 @@
             body[at] = u8::arbitrary(&mut gen);
         }
         let fields: Vec<(String, String)> = vec![
-            ("Content-Type".into(), ["application/json", "text/plain", "", "x"][below(&mut gen, 4)].into()),
+            (
+                "Content-Type".into(),
+                ["application/json", "text/plain", "", "x"][below(&mut gen, 4)].into(),
+            ),
             ("Cookie".into(), String::arbitrary(&mut gen)),
         ];
         let target = format!(
@@ -151,18 +186,28 @@
         let mut found = description.judge_request(&asked).departures;
         for operation in 0..description.operations.len() {
             let status = u16::arbitrary(&mut gen) % 700;
-            let answered =
-                Answered { status, fields: &fields, body: &body, whole: bool::arbitrary(&mut gen) };
+            let answered = Answered {
+                status,
+                fields: &fields,
+                body: &body,
+                whole: bool::arbitrary(&mut gen),
+            };
             found.extend(description.judge_answer(operation, &answered).departures);
         }
         for message in &description.messages {
             let (channel, word) = message.name.split_once(' ').unwrap();
             let head = value(&mut gen, 2);
-            found.extend(description.judge_message(channel, word, &head, &body).departures);
+            found.extend(
+                description
+                    .judge_message(channel, word, &head, &body)
+                    .departures,
+            );
         }
         departures += found.len();
         assert!(
-            found.iter().all(|d| d.found.chars().count() <= 90 && !d.expected.is_empty()),
+            found
+                .iter()
+                .all(|d| d.found.chars().count() <= 90 && !d.expected.is_empty()),
             "seed {seed}: {found:?}"
         );
     }
@@ -172,7 +217,8 @@
 /// Descriptions made to cost: each must be refused, or be read and checked, within the bounds.
 #[test]
 fn hostile_descriptions_cost_a_bounded_time() {
-    let head = "openapi: 3.1.0\ninfo: {title: t, version: \"1\"}\npaths: {}\ncomponents:\n  schemas:\n";
+    let head =
+        "openapi: 3.1.0\ninfo: {title: t, version: \"1\"}\npaths: {}\ncomponents:\n  schemas:\n";
     let many = |count: usize, line: &dyn Fn(usize) -> String| -> String {
         head.to_string() + &(0..count).map(|at| line(at) + "\n").collect::<String>()
     };
@@ -183,30 +229,56 @@
                 format!("    S{at}: {{anyOf: [{{$ref: \"#/components/schemas/S{0}\"}}, {{$ref: \"#/components/schemas/S{0}\"}}]}}", (at + 1).min(59))
             }),
         ),
-        ("wide.yaml", many(40_000, &|at| format!("    S{at}: {{type: string}}"))),
+        (
+            "wide.yaml",
+            many(40_000, &|at| format!("    S{at}: {{type: string}}")),
+        ),
         (
             "patterns.yaml",
             many(3_000, &|at| {
-                format!("    S{at}: {{type: string, pattern: \"(a{{1,60}}b{{1,60}}){{1,{}}}\"}}", at % 90 + 1)
+                format!(
+                    "    S{at}: {{type: string, pattern: \"(a{{1,60}}b{{1,60}}){{1,{}}}\"}}",
+                    at % 90 + 1
+                )
             }),
         ),
         (
             "chain.yaml",
             many(5_000, &|at| {
-                format!("    S{at}: {{properties: {{a: {{$ref: \"#/components/schemas/S{}\"}}}}}}", at + 1)
+                format!(
+                    "    S{at}: {{properties: {{a: {{$ref: \"#/components/schemas/S{}\"}}}}}}",
+                    at + 1
+                )
             }),
         ),
         ("brackets.json", "[".repeat(4_000_000)),
-        ("quotes.json", format!("{{\"openapi\":\"{}\"}}", "3".repeat(3_000_000))),
-        ("keys.yaml", (0..100_000).map(|at| format!("k{at}: {at}\n")).collect()),
+        (
+            "quotes.json",
+            format!("{{\"openapi\":\"{}\"}}", "3".repeat(3_000_000)),
+        ),
+        (
+            "keys.yaml",
+            (0..100_000).map(|at| format!("k{at}: {at}\n")).collect(),
+        ),
         ("large.yaml", "a".repeat(5_000_000)),
-        ("flow.yaml", format!("openapi: 3.1.0\nx: {}", "[".repeat(100_000))),
-        ("indent.yaml", (0..2_000).map(|at| " ".repeat(at) + "a:\n").collect()),
+        (
+            "flow.yaml",
+            format!("openapi: 3.1.0\nx: {}", "[".repeat(100_000)),
+        ),
+        (
+            "indent.yaml",
+            (0..2_000).map(|at| " ".repeat(at) + "a:\n").collect(),
+        ),
     ];
     for (name, text) in hostile {
         let start = Instant::now();
         let read = Description::from_text(name, &text);
         assert!(start.elapsed() < SOON, "{name}: {:?}", start.elapsed());
-        assert_eq!(read.is_ok(), name == "wide.yaml", "{name}: {:?}", read.map(|d| d.title));
+        assert_eq!(
+            read.is_ok(),
+            name == "wide.yaml",
+            "{name}: {:?}",
+            read.map(|d| d.title)
+        );
     }
 }
--- a/crates/coordinator/benches/contract.rs
+++ b/crates/coordinator/benches/contract.rs
@@ -64,10 +64,15 @@
 
 /// Nanoseconds that a thread of the program has run.
 fn ran(pid: u32, core: bool) -> u64 {
-    let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).unwrap().flatten();
+    let tasks = std::fs::read_dir(format!("/proc/{pid}/task"))
+        .unwrap()
+        .flatten();
     let of = |name: std::ffi::OsString| {
-        let text =
-            std::fs::read_to_string(format!("/proc/{pid}/task/{}/schedstat", name.to_string_lossy())).ok()?;
+        let text = std::fs::read_to_string(format!(
+            "/proc/{pid}/task/{}/schedstat",
+            name.to_string_lossy()
+        ))
+        .ok()?;
         text.split(' ').next()?.parse::<u64>().ok()
     };
     tasks
@@ -89,12 +94,25 @@
     let own = match mode {
         "off" => String::new(),
         mode => ["platform", "servers"]
-            .map(|name| format!("[contract.{name}]\nmode = \"{mode}\"\ndescription = \"{name}.yaml\"\n"))
+            .map(|name| {
+                format!("[contract.{name}]\nmode = \"{mode}\"\ndescription = \"{name}.yaml\"\n")
+            })
             .concat(),
     };
-    let servers = if wire == Wire::OpenSearch { SEARCH } else { FRAMES };
+    let servers = if wire == Wire::OpenSearch {
+        SEARCH
+    } else {
+        FRAMES
+    };
     let files = [("platform.yaml", PLATFORM), ("servers.yaml", servers)];
-    let rig = Arc::new(Rig::start_own(wire, stage, (1000, 1024), members, &own, &files));
+    let rig = Arc::new(Rig::start_own(
+        wire,
+        stage,
+        (1000, 1024),
+        members,
+        &own,
+        &files,
+    ));
     let pid = rig.child.id();
     let start = Instant::now();
     let client = |number: usize| {
@@ -154,8 +172,13 @@
 }
 
 fn main() {
-    let rounds = std::env::args().skip(1).find_map(|word| word.parse().ok()).unwrap_or(5);
-    println!("{RATE} queries a second of three parts, {rounds} rounds in turns: median (least to most)");
+    let rounds = std::env::args()
+        .skip(1)
+        .find_map(|word| word.parse().ok())
+        .unwrap_or(5);
+    println!(
+        "{RATE} queries a second of three parts, {rounds} rounds in turns: median (least to most)"
+    );
     for wire in [Wire::Platform, Wire::OpenSearch] {
         let modes = ["off", "observe", "enforce"];
         let mut all: Vec<Vec<Figures>> = modes.iter().map(|_| Vec::new()).collect();
--- a/crates/coordinator/benches/membership.rs
+++ b/crates/coordinator/benches/membership.rs
@@ -19,20 +19,30 @@
 fn roster(generation: u64) -> String {
     // A tenth of the servers is replaced with each list; no two share an address.
     let one = |number: usize| {
-        let part = if number.is_multiple_of(10) { generation } else { 0 };
+        let part = if number.is_multiple_of(10) {
+            generation
+        } else {
+            0
+        };
         format!(
             "[[server]]\nid = \"s-{number}-{part}\"\naddress = \"127.{}.{}.{}:9\"\ncell = {}\nweight = {}\nstarted = 2026-01-01T00:00:00Z\n",
             1 + part % 100, number / 250, number % 250 + 1, number % 2, 1 + (number as u64 + generation) % 3
         )
     };
-    format!("generation = {generation}\n{}# end\n", (0..SERVERS).map(one).collect::<String>())
+    format!(
+        "generation = {generation}\n{}# end\n",
+        (0..SERVERS).map(one).collect::<String>()
+    )
 }
 
 fn main() {
     let stage = Stage::new(|_, _, _| Act::Serve);
     let own = "[membership]\nsource = \"files\"\npath = \"servers.toml\"\nstate = \"state\"\n";
     let files = [("servers.toml", roster(1)), ("state/.keep", String::new())];
-    let files: Vec<(&str, &str)> = files.iter().map(|(name, text)| (*name, text.as_str())).collect();
+    let files: Vec<(&str, &str)> = files
+        .iter()
+        .map(|(name, text)| (*name, text.as_str()))
+        .collect();
     let rig = Rig::start_own(Wire::Platform, stage, (1000, 1024), Vec::new(), own, &files);
     rig.wait_for_line("roster in force generation=1 ");
     let stop = Arc::new(AtomicBool::new(false));
@@ -45,7 +55,9 @@
         let mut seen = Histogram::<u64>::new(3).unwrap();
         while !done.load(Ordering::Relaxed) {
             let start = Instant::now();
-            stream.write_all(b"GET /_health HTTP/1.1\r\nHost: b\r\n\r\n").unwrap();
+            stream
+                .write_all(b"GET /_health HTTP/1.1\r\nHost: b\r\n\r\n")
+                .unwrap();
             assert_eq!(response(&mut reader).status, 200);
             seen.record(start.elapsed().as_micros() as u64).unwrap();
             thread::sleep(Duration::from_micros(200));
@@ -67,8 +79,13 @@
     let seen = pings.join().unwrap();
     took.sort_by(f64::total_cmp);
     let status = std::fs::read_to_string(format!("/proc/{}/status", rig.child.id())).unwrap();
-    let memory = status.lines().find(|line| line.starts_with("VmHWM")).unwrap();
-    println!("{SERVERS} servers, {CHANGES} lists, a tenth replaced and all weights changed with each");
+    let memory = status
+        .lines()
+        .find(|line| line.starts_with("VmHWM"))
+        .unwrap();
+    println!(
+        "{SERVERS} servers, {CHANGES} lists, a tenth replaced and all weights changed with each"
+    );
     println!(
         "from the write until in force, ms: median {:.0}, {:.0} to {:.0}",
         took[took.len() / 2],
--- a/crates/coordinator/src/backends/frames.rs
+++ b/crates/coordinator/src/backends/frames.rs
@@ -33,7 +33,13 @@
 /// A frame from a server.
 #[derive(Debug, PartialEq)]
 pub enum Frame<'a> {
-    Answer { id: &'a str, end: &'a str, score: &'a str, report: &'a [u8], value: &'a [u8] },
+    Answer {
+        id: &'a str,
+        end: &'a str,
+        score: &'a str,
+        report: &'a [u8],
+        value: &'a [u8],
+    },
     Ping,
     Load(&'a [u8]),
     Complaint(String),
@@ -47,7 +53,9 @@
     if rest.len() < 4 {
         return Ok(None);
     }
-    let length = be_u32::<_, ErrMode<ContextError>>.parse_next(&mut rest).map_err(|_| "no length")?;
+    let length = be_u32::<_, ErrMode<ContextError>>
+        .parse_next(&mut rest)
+        .map_err(|_| "no length")?;
     if length == 0 || length > MOST_FRAME {
         return Err("a frame's length is out of bounds");
     }
@@ -59,7 +67,9 @@
         [b'A' | b'P' | b'L' | b'E', ..] | [] => {}
         _ => return Err("a frame's letter is unknown"),
     }
-    let Some(frame) = rest.get(..length as usize) else { return Ok(None) };
+    let Some(frame) = rest.get(..length as usize) else {
+        return Ok(None);
+    };
     let used = 4 + frame.len();
     let (letter, mut body) = (frame[0], &frame[1..]);
     let frame = match letter {
@@ -72,7 +82,9 @@
 }
 
 fn word<'a>(input: &mut &'a [u8]) -> Res<&'a str> {
-    take_till(1.., |b: u8| b <= b' ').try_map(std::str::from_utf8).parse_next(input)
+    take_till(1.., |b: u8| b <= b' ')
+        .try_map(std::str::from_utf8)
+        .parse_next(input)
 }
 
 fn answer<'a>(input: &mut &'a [u8]) -> Res<Frame<'a>> {
@@ -81,16 +93,28 @@
     let score = terminated(word, literal(" ")).parse_next(input)?;
     // A report that can't be read is lost; the value isn't.
     let report = terminated(take_till(0.., b'\n'), literal("\n")).parse_next(input)?;
-    Ok(Frame::Answer { id, end, score, report, value: input })
+    Ok(Frame::Answer {
+        id,
+        end,
+        score,
+        report,
+        value: input,
+    })
 }
 
 /// A load report's values in the order of `names`; empty where there is none or one is missing.
 pub fn report(text: &str, names: &[String]) -> Vec<f64> {
     let find = |name: &String| {
         let mut pairs = text.split(',').filter_map(|pair| pair.split_once('='));
-        pairs.find(|(key, _)| key == name).and_then(|(_, value)| value.parse().ok())
+        pairs
+            .find(|(key, _)| key == name)
+            .and_then(|(_, value)| value.parse().ok())
     };
-    names.iter().map(find).collect::<Option<_>>().unwrap_or_default()
+    names
+        .iter()
+        .map(find)
+        .collect::<Option<_>>()
+        .unwrap_or_default()
 }
 
 /// The `Q` frame of a call.
@@ -98,7 +122,13 @@
     let mut body = vec![b'Q'];
     for job in jobs {
         let text = job.text.as_str();
-        let line = format!("{} {} d={} {}\n", id(job), job.shard, wait(job, now), text.len());
+        let line = format!(
+            "{} {} d={} {}\n",
+            id(job),
+            job.shard,
+            wait(job, now),
+            text.len()
+        );
         body.extend_from_slice(line.as_bytes());
         body.extend_from_slice(text.as_bytes());
     }
@@ -121,8 +151,14 @@
     line: impl FnOnce() -> String,
     head: Head,
 ) -> bool {
-    let part = Part { channel: "frames", word, direction, payload };
-    end.contracts.frame(judge, Interface::Servers, &end.server, part, line, head)
+    let part = Part {
+        channel: "frames",
+        word,
+        direction,
+        payload,
+    };
+    end.contracts
+        .frame(judge, Interface::Servers, &end.server, part, line, head)
 }
 
 /// The fields of a call's part, of an answer, and of a frame without a line.
@@ -146,8 +182,14 @@
 fn members(report: &str) -> serde_json::Map<String, Json> {
     let pair = |pair: &str| {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        let number = value.parse::<f64>().ok().and_then(serde_json::Number::from_f64);
-        (name.to_string(), number.map_or_else(|| json!(value), Json::Number))
+        let number = value
+            .parse::<f64>()
+            .ok()
+            .and_then(serde_json::Number::from_f64);
+        (
+            name.to_string(),
+            number.map_or_else(|| json!(value), Json::Number),
+        )
     };
     if report == "-" {
         return serde_json::Map::new();
@@ -247,9 +289,24 @@
                         self.frame = call(&jobs, now);
                         for job in jobs.iter().filter(|job| job.judge.is_some()) {
                             let text = job.text.as_str();
-                            let line =
-                                || format!("{} {} {} {}", id(job), job.shard, wait(job, now), text.len());
-                            told(end, &job.judge, "Q", Direction::Request, text.as_bytes(), line, call_head);
+                            let line = || {
+                                format!(
+                                    "{} {} {} {}",
+                                    id(job),
+                                    job.shard,
+                                    wait(job, now),
+                                    text.len()
+                                )
+                            };
+                            told(
+                                end,
+                                &job.judge,
+                                "Q",
+                                Direction::Request,
+                                text.as_bytes(),
+                                line,
+                                call_head,
+                            );
                         }
                         self.writing = jobs;
                     }
@@ -275,7 +332,15 @@
                 }
                 Some(Command::Probe) => {
                     self.probes += 1;
-                    told(end, &end.contracts.current(), "L?", Direction::Request, b"", String::new, no_head);
+                    told(
+                        end,
+                        &end.contracts.current(),
+                        "L?",
+                        Direction::Request,
+                        b"",
+                        String::new,
+                        no_head,
+                    );
                     self.frame = framed(b"L");
                 }
             }
@@ -312,7 +377,9 @@
 
 /// A connection's life.
 pub async fn run(mut end: LinkEnd) {
-    let Some(stream) = end.dial().await else { return end.close(Vec::new(), Outcome::ConnectFailed).await };
+    let Some(stream) = end.dial().await else {
+        return end.close(Vec::new(), Outcome::ConnectFailed).await;
+    };
     let (mut reader, mut writer) = stream.into_split();
     let mut wire = Wire::default();
     let mut buffer = Vec::new();
@@ -321,7 +388,9 @@
     let mut spoilt = false;
     loop {
         while wire.has_room() {
-            let Ok(command) = end.commands.try_recv() else { break };
+            let Ok(command) = end.commands.try_recv() else {
+                break;
+            };
             wire.queue(command);
         }
         for (job, outcome) in wire.load(&end, !buffer.is_empty()) {
@@ -379,14 +448,22 @@
         end.ended(attempt, cut, None).await;
     }
     for _ in 0..wire.probes {
-        end.tell(What::Probed { outcome: Outcome::Reset, report: Vec::new() }).await;
+        end.tell(What::Probed {
+            outcome: Outcome::Reset,
+            report: Vec::new(),
+        })
+        .await;
     }
     let mut unsent = wire.writing;
     for command in wire.pending {
         match command {
             Command::Call(jobs) => unsent.extend(jobs),
             Command::Probe => {
-                end.tell(What::Probed { outcome: Outcome::ConnectFailed, report: Vec::new() }).await
+                end.tell(What::Probed {
+                    outcome: Outcome::ConnectFailed,
+                    report: Vec::new(),
+                })
+                .await
             }
             Command::Cancel(_) => {}
         }
@@ -401,7 +478,13 @@
     while let Some((frame, length)) = parse(&buffer[used..])? {
         used += length;
         match frame {
-            Frame::Answer { id, end: word, score, report, value } => {
+            Frame::Answer {
+                id,
+                end: word,
+                score,
+                report,
+                value,
+            } => {
                 let Some((attempt, judge)) = wire.out.remove(id) else {
                     wire.answer_to_nobody(id)?;
                     if wire.spent {
@@ -417,22 +500,52 @@
                     end.spend();
                 }
                 let line = || format!("{id} {word} {score} {}", String::from_utf8_lossy(report));
-                let usable = told(end, &judge, "A", Direction::Answer, value, line, answer_head);
-                let outcome = if usable { outcome } else { outcome.and(Some(Outcome::Error)) };
+                let usable = told(
+                    end,
+                    &judge,
+                    "A",
+                    Direction::Answer,
+                    value,
+                    line,
+                    answer_head,
+                );
+                let outcome = if usable {
+                    outcome
+                } else {
+                    outcome.and(Some(Outcome::Error))
+                };
                 let value = (outcome == Some(Outcome::Ok)).then(|| Value::Plain(value.into()));
-                end.ended(attempt, outcome.unwrap_or(Outcome::Error), value).await;
+                end.ended(attempt, outcome.unwrap_or(Outcome::Error), value)
+                    .await;
                 if outcome.is_none() {
-                    return Err(format!("an answer's end is unknown: {}", word.escape_default()));
+                    return Err(format!(
+                        "an answer's end is unknown: {}",
+                        word.escape_default()
+                    ));
                 }
             }
             Frame::Load(text) if wire.probes > 0 => {
                 wire.probes -= 1;
-                told(end, &end.contracts.current(), "L", Direction::Answer, text, String::new, no_head);
-                let outcome = if text == b"err" { Outcome::Error } else { Outcome::Ok };
+                told(
+                    end,
+                    &end.contracts.current(),
+                    "L",
+                    Direction::Answer,
+                    text,
+                    String::new,
+                    no_head,
+                );
+                let outcome = if text == b"err" {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                };
                 let report = report(&String::from_utf8_lossy(text), &end.report_names);
                 end.tell(What::Probed { outcome, report }).await;
             }
-            Frame::Ping | Frame::Load(_) => return Err("a probe's answer that nobody asked for".into()),
+            Frame::Ping | Frame::Load(_) => {
+                return Err("a probe's answer that nobody asked for".into())
+            }
             Frame::Complaint(text) => {
                 told(
                     end,
--- a/crates/coordinator/src/backends/opensearch.rs
+++ b/crates/coordinator/src/backends/opensearch.rs
@@ -21,7 +21,9 @@
 pub fn search(job: &Job, host: &str, now: Time) -> Vec<u8> {
     let body = match &job.text {
         Text::Query(text) => text.to_string(),
-        Text::Plain(text) => json!({"query": {"query_string": {"query": text.as_ref()}}}).to_string(),
+        Text::Plain(text) => {
+            json!({"query": {"query_string": {"query": text.as_ref()}}}).to_string()
+        }
     };
     let wait = (((job.until - now) * 1000.0) as i64).max(1);
     let head = format!(
@@ -70,11 +72,17 @@
         429 => return (Outcome::Full, None),
         _ => return (Outcome::Error, None),
     }
-    let Ok(text) = std::str::from_utf8(&response.body) else { return (Outcome::Error, None) };
+    let Ok(text) = std::str::from_utf8(&response.body) else {
+        return (Outcome::Error, None);
+    };
     match serde_json::from_str::<Answer>(text) {
-        Ok(Answer { timed_out: false, shards, hits: Some(hits), error: None })
-            if serde_json::from_str::<Hits>(hits.get()).is_ok()
-                && shards.as_ref().is_none_or(|shards| shards.failed == 0) =>
+        Ok(Answer {
+            timed_out: false,
+            shards,
+            hits: Some(hits),
+            error: None,
+        }) if serde_json::from_str::<Hits>(hits.get()).is_ok()
+            && shards.as_ref().is_none_or(|shards| shards.failed == 0) =>
         {
             (Outcome::Ok, Some(Value::Hits(hits.get().into())))
         }
@@ -128,7 +136,11 @@
             Some(Command::Cancel(_)) => {}
             // This API has no report of the platform's kind.
             Some(Command::Probe) => {
-                end.tell(What::Probed { outcome: Outcome::Moot, report: Vec::new() }).await;
+                end.tell(What::Probed {
+                    outcome: Outcome::Moot,
+                    report: Vec::new(),
+                })
+                .await;
             }
         }
     }
@@ -137,7 +149,12 @@
 }
 
 /// One search. Whether the connection can take another.
-async fn exchange(end: &mut LinkEnd, stream: &mut TcpStream, buffer: &mut Vec<u8>, job: Job) -> bool {
+async fn exchange(
+    end: &mut LinkEnd,
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    job: Job,
+) -> bool {
     let host = end.address.to_string();
     let request = search(&job, &host, end.clock.now());
     let mut written = 0;
@@ -213,14 +230,23 @@
         }
     }
     // Before its last byte the request cannot have run; after it, it may have, however the answer was cut.
-    let outcome = if written < request.len() { Outcome::ConnectFailed } else { Outcome::Reset };
+    let outcome = if written < request.len() {
+        Outcome::ConnectFailed
+    } else {
+        Outcome::Reset
+    };
     end.ended(job.attempt, outcome, None).await;
     false
 }
 
 /// Tells of an answer that began and did not come whole.
 fn cut(end: &LinkEnd, job: &Job, request: &[u8], buffer: &[u8]) {
-    let response =
-        Response { status: 0, fields: http::Fields::default(), body: buffer.to_vec(), close: true };
-    end.contracts.exchange(&job.judge, &end.server, request, &response, false);
+    let response = Response {
+        status: 0,
+        fields: http::Fields::default(),
+        body: buffer.to_vec(),
+        close: true,
+    };
+    end.contracts
+        .exchange(&job.judge, &end.server, request, &response, false);
 }
--- a/crates/coordinator/src/cli.rs
+++ b/crates/coordinator/src/cli.rs
@@ -21,7 +21,9 @@
     /// Run the coordinator (the default)
     Serve,
     /// Read all configuration and print what takes effect
-    #[command(after_help = "Example:\n  NODE_CONFIG=/run/balancer/config.json cairnroad check-config")]
+    #[command(
+        after_help = "Example:\n  NODE_CONFIG=/run/balancer/config.json cairnroad check-config"
+    )]
     CheckConfig(Output),
     /// Descriptions of interfaces, in OpenAPI and AsyncAPI
     #[command(subcommand)]
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -30,10 +30,15 @@
 impl Clock {
     /// A clock that is told of a beat with each tick of so many seconds.
     pub fn new(tick: f64) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let unix = Time(unix.as_micros() as i64);
         let start = Instant::now();
-        let spans = (STALL.max(STALL_TICKS * tick), AFTER_STALL.max(AFTER_STALL_TICKS * tick));
+        let spans = (
+            STALL.max(STALL_TICKS * tick),
+            AFTER_STALL.max(AFTER_STALL_TICKS * tick),
+        );
         Clock(Rc::new(ClockState {
             start,
             unix,
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -34,8 +34,9 @@
 /// `check-config`: the configuration with all descriptions that it names.
 pub fn check_config(output: Output) -> u8 {
     let read = config::load(crate::variable).and_then(|config| {
-        let faulty =
-            contract::read(&config.contracts, config.backend).into_iter().filter_map(|(interface, held)| {
+        let faulty = contract::read(&config.contracts, config.backend)
+            .into_iter()
+            .filter_map(|(interface, held)| {
                 let cause = held.err()?;
                 Some(format!("contract.{interface}: {cause}"))
             });
@@ -47,12 +48,16 @@
         }
     });
     match (read, output.json) {
-        (Ok(config), true) => {
-            print(&format!("{}\n", json!({"sound": true, "effective": config.effective()})))
-        }
+        (Ok(config), true) => print(&format!(
+            "{}\n",
+            json!({"sound": true, "effective": config.effective()})
+        )),
         (Ok(config), false) => print(&to_yaml(&config.effective()).replacen("---\n", "", 1)),
         (Err(text), true) => {
-            print(&format!("{}\n", json!({"sound": false, "faults": text.lines().collect::<Vec<_>>()})));
+            print(&format!(
+                "{}\n",
+                json!({"sound": false, "faults": text.lines().collect::<Vec<_>>()})
+            ));
             return FAULTY;
         }
         (Err(text), false) => {
@@ -69,7 +74,11 @@
         Contract::Check { files, output } => check(&files, output),
         Contract::Show { kind, yaml } => show(kind, yaml),
         Contract::Diff { old, new, output } => compare(&old, &new, output),
-        Contract::Replay { description, traffic, output } => play(&description, &traffic, output),
+        Contract::Replay {
+            description,
+            traffic,
+            output,
+        } => play(&description, &traffic, output),
     }
 }
 
@@ -77,7 +86,9 @@
 fn readable(path: &Path) -> Result<(), String> {
     let about = std::fs::metadata(path).map_err(|e| format!("{}: {e}", path.display()))?;
     match about.is_file() {
-        true => std::fs::File::open(path).map(drop).map_err(|e| format!("{}: {e}", path.display())),
+        true => std::fs::File::open(path)
+            .map(drop)
+            .map_err(|e| format!("{}: {e}", path.display())),
         false => Err(format!("{}: this is no plain file", path.display())),
     }
 }
@@ -137,7 +148,11 @@
         Kind::Openapi => publish::openapi(&surface),
         Kind::Asyncapi => publish::asyncapi(&surface),
     };
-    print(&if yaml { to_yaml(&document) } else { pretty(&document) });
+    print(&if yaml {
+        to_yaml(&document)
+    } else {
+        pretty(&document)
+    });
     0
 }
 
@@ -149,8 +164,9 @@
 /// Reads a description that is used, not checked: whatever is wrong with it, the command can't be done.
 fn open(path: &Path) -> Result<Description, u8> {
     let read = readable(path).map_err(|text| (text, UNREADABLE));
-    let read = read
-        .and_then(|()| Description::open(path).map_err(|faults: Faults| (faults.to_string(), UNREADABLE)));
+    let read = read.and_then(|()| {
+        Description::open(path).map_err(|faults: Faults| (faults.to_string(), UNREADABLE))
+    });
     read.map_err(|(text, code)| {
         complain(&text);
         code
@@ -172,9 +188,14 @@
     match output.json {
         true => print(&format!("{}\n", json!({ "changes": changes }))),
         false if changes.is_empty() => print("no difference\n"),
-        false => changes.iter().for_each(|change| print(&format!("{change}\n"))),
+        false => changes
+            .iter()
+            .for_each(|change| print(&format!("{change}\n"))),
     }
-    if changes.iter().any(|change| change.weight == Weight::Breaking) {
+    if changes
+        .iter()
+        .any(|change| change.weight == Weight::Breaking)
+    {
         FAULTY
     } else {
         0
@@ -218,7 +239,11 @@
     if output.json {
         print(&format!("{}\n", json!(outcome)));
     } else {
-        let mut text = format!("{} messages, {} departures\n", outcome.messages, outcome.departures.len());
+        let mut text = format!(
+            "{} messages, {} departures\n",
+            outcome.messages,
+            outcome.departures.len()
+        );
         for ((operation, place, kind), count) in outcome.table() {
             let kind = json!(kind);
             let kind = kind.as_str().unwrap_or("");
@@ -266,7 +291,8 @@
 /// The roster's source in the configuration.
 fn source() -> Result<config::Source, (u8, String)> {
     let config = config::load(crate::variable).map_err(|text| (UNREADABLE, text))?;
-    let cause = "'membership.source' is not \"files\" in the project's own file: there is no roster";
+    let cause =
+        "'membership.source' is not \"files\" in the project's own file: there is no roster";
     config.files.ok_or((UNREADABLE, cause.into()))
 }
 
@@ -308,7 +334,11 @@
     let source = source()?;
     let (old, new) = (read_roster(old.unwrap_or(&source.path))?, read_roster(new)?);
     let plan = plan(&old, &new, &source.layout);
-    print(&if output.json { format!("{}\n", json!(plan)) } else { plan.to_string() });
+    print(&if output.json {
+        format!("{}\n", json!(plan))
+    } else {
+        plan.to_string()
+    });
     Ok(0)
 }
 
@@ -317,11 +347,23 @@
     let cause = "'membership.state' is not set in the project's own file: no list is kept";
     let folder = source.state.ok_or((UNREADABLE, cause.to_string()))?;
     let (kept, wrong) = recover(&Folder(folder.clone()));
-    wrong.iter().for_each(|cause| complain(&format!("{}: {cause}", folder.display())));
-    let kept = kept.ok_or((UNREADABLE, format!("{}: no list is kept here", folder.display())))?;
+    wrong
+        .iter()
+        .for_each(|cause| complain(&format!("{}: {cause}", folder.display())));
+    let kept = kept.ok_or((
+        UNREADABLE,
+        format!("{}: no list is kept here", folder.display()),
+    ))?;
     match output.json {
-        true => print(&format!("{}\n", json!({"since": kept.saved, "roster": kept.roster}))),
-        false => print(&format!("# in force since {}\n{}", moment(kept.saved), write(&kept.roster))),
+        true => print(&format!(
+            "{}\n",
+            json!({"since": kept.saved, "roster": kept.roster})
+        )),
+        false => print(&format!(
+            "# in force since {}\n{}",
+            moment(kept.saved),
+            write(&kept.roster)
+        )),
     }
     Ok(0)
 }
@@ -330,9 +372,16 @@
     let source = source()?;
     let mut roster = read_roster(new)?;
     // What is in force: the files as they stand or, where they are broken, what was kept.
-    let kept = source.state.clone().and_then(|folder| recover(&Folder(folder)).0).map(|kept| kept.roster);
+    let kept = source
+        .state
+        .clone()
+        .and_then(|folder| recover(&Folder(folder)).0)
+        .map(|kept| kept.roster);
     let standing = read(&membership::files(&source.path)).ok();
-    let old = [standing, kept].into_iter().flatten().max_by_key(|roster| roster.generation);
+    let old = [standing, kept]
+        .into_iter()
+        .flatten()
+        .max_by_key(|roster| roster.generation);
     roster.generation = old.as_ref().map_or(0, |old| old.generation) + 1;
     roster.allow_shrink |= allow_shrink;
     if let Verdict::Refuse(faults) = judge(old.as_ref(), &roster, &source.layout, source.shrink) {
@@ -340,16 +389,25 @@
     }
     let failed = |path: &Path, e: std::io::Error| (UNREADABLE, format!("{}: {e}", path.display()));
     let folder = source.path.is_dir();
-    let target = if folder { source.path.join("roster.toml") } else { source.path.clone() };
+    let target = if folder {
+        source.path.join("roster.toml")
+    } else {
+        source.path.clone()
+    };
     replace(&target, write(&roster).as_bytes()).map_err(|e| failed(&target, e))?;
     // Until the last file of the old generation is gone, the folder is refused as a mix.
-    for (name, _) in
-        membership::files(&source.path).iter().filter(|(name, _)| folder && name != "roster.toml")
+    for (name, _) in membership::files(&source.path)
+        .iter()
+        .filter(|(name, _)| folder && name != "roster.toml")
     {
         let path = source.path.join(name);
         std::fs::remove_file(&path).map_err(|e| failed(&path, e))?;
     }
     let plan = plan(&old.unwrap_or_default(), &roster, &source.layout);
-    print(&format!("generation {} written to {}\n{plan}", roster.generation, target.display()));
+    print(&format!(
+        "generation {} written to {}\n{plan}",
+        roster.generation,
+        target.display()
+    ));
     Ok(0)
 }
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -78,7 +78,9 @@
             ("membership", self.files != other.files),
             ("peers", self.peers != other.peers),
         ];
-        keys.into_iter().filter_map(|(key, differs)| differs.then_some(key)).collect()
+        keys.into_iter()
+            .filter_map(|(key, differs)| differs.then_some(key))
+            .collect()
     }
 }
 
@@ -145,7 +147,11 @@
 
 impl From<String> for Fault {
     fn from(text: String) -> Fault {
-        Fault { own: false, line: 0, text }
+        Fault {
+            own: false,
+            line: 0,
+            text,
+        }
     }
 }
 
@@ -175,16 +181,30 @@
     for (number, row) in own.lines().enumerate() {
         let row = row.trim();
         if let Some(header) = row.strip_prefix('[') {
-            here = header.trim_start_matches('[').split(']').next().unwrap_or("").trim();
+            here = header
+                .trim_start_matches('[')
+                .split(']')
+                .next()
+                .unwrap_or("")
+                .trim();
             if here == table && line == 0 {
                 line = number + 1;
             }
-        } else if here == table && row.split('=').next().is_some_and(|name| name.trim() == last) {
+        } else if here == table
+            && row
+                .split('=')
+                .next()
+                .is_some_and(|name| name.trim() == last)
+        {
             line = number + 1;
             break;
         }
     }
-    Fault { own: true, line, text: format!("'{key}': {text}") }
+    Fault {
+        own: true,
+        line,
+        text: format!("'{key}': {text}"),
+    }
 }
 
 /// Shares of the descriptors and of memory, worked out once.
@@ -210,7 +230,12 @@
         let by_memory = (memory_mb as usize).saturating_mul(1024) / 160 / 2;
         let clients = (sockets / 2).min(by_memory).max(8);
         let kept = (sockets / 5).clamp(8, clients);
-        Limits { kept, clients, accepted: sockets / 2 + sockets / 16, links: (sockets * 3 / 8).max(8) }
+        Limits {
+            kept,
+            clients,
+            accepted: sockets / 2 + sockets / 16,
+            links: (sockets * 3 / 8).max(8),
+        }
     }
 }
 
@@ -372,7 +397,10 @@
     }
     let json: Json = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let own: Own = toml::from_str(own_text).map_err(|e: toml::de::Error| {
-        let before = e.span().and_then(|span| own_text.get(..span.start)).unwrap_or("");
+        let before = e
+            .span()
+            .and_then(|span| own_text.get(..span.start))
+            .unwrap_or("");
         Fault {
             own: true,
             line: before.matches('\n').count() + 1,
@@ -381,10 +409,13 @@
     })?;
     // The environment and the JSON say the same; either will do.
     let told = |key: &str, variable: &str, value: Option<String>| {
-        value.or_else(|| var(variable)).ok_or(format!("'{key}' ({variable}) is missing"))
+        value
+            .or_else(|| var(variable))
+            .ok_or(format!("'{key}' ({variable}) is missing"))
     };
     let address = |key: &str, text: String| {
-        text.parse::<SocketAddr>().map_err(|_| format!("'{key}': '{text}' is not an address and a port"))
+        text.parse::<SocketAddr>()
+            .map_err(|_| format!("'{key}': '{text}' is not an address and a port"))
     };
     let mut deployment = cairnroad_settings::parse(json.settings.get().as_bytes())?;
     if deployment.class_names.iter().any(String::is_empty) {
@@ -394,12 +425,20 @@
     let longest = deployment.longest_advice;
     deployment.policy.retry_after.get_or_insert(longest);
     let seed = json.seed.unwrap_or_else(|| "0".into());
-    let limits = json.limits.unwrap_or(JsonLimits { memory_mb: None, sockets: None });
+    let limits = json.limits.unwrap_or(JsonLimits {
+        memory_mb: None,
+        sockets: None,
+    });
     let opensearch = match (own.opensearch.enabled, own.opensearch.listen) {
         (false, _) => None,
         (true, Some(listen)) => {
-            let wrong =
-                |_| at(own_text, "opensearch.listen", format!("'{listen}' is not an address and a port"));
+            let wrong = |_| {
+                at(
+                    own_text,
+                    "opensearch.listen",
+                    format!("'{listen}' is not an address and a port"),
+                )
+            };
             Some(listen.parse().map_err(wrong)?)
         }
         (true, None) => {
@@ -416,7 +455,11 @@
         None => None,
         Some(text) => match text.parse::<i32>() {
             Ok(number) if number > 2 => Some(number),
-            _ => return Err(format!("NODE_INHERITED_FD: '{text}' is not a descriptor above 2").into()),
+            _ => {
+                return Err(
+                    format!("NODE_INHERITED_FD: '{text}' is not a descriptor above 2").into(),
+                )
+            }
         },
     };
     let admin = json.admin.or_else(|| var("NODE_ADMIN"));
@@ -427,10 +470,14 @@
         listen: address("listen", told("listen", "NODE_LISTEN", json.listen)?)?,
         discovery: match files {
             Some(_) => None,
-            None => Some(address("discovery", told("discovery", "NODE_DISCOVERY", json.discovery)?)?),
+            None => Some(address(
+                "discovery",
+                told("discovery", "NODE_DISCOVERY", json.discovery)?,
+            )?),
         },
         files,
-        seed: u64::from_str_radix(&seed, 16).map_err(|_| format!("'seed': '{seed}' is not hexadecimal"))?,
+        seed: u64::from_str_radix(&seed, 16)
+            .map_err(|_| format!("'seed': '{seed}' is not hexadecimal"))?,
         admin: admin.map(|text| address("admin", text)).transpose()?,
         passing: var("TMPDIR").map(PathBuf::from),
         inherited,
@@ -439,7 +486,10 @@
             limits.sockets.unwrap_or(DEFAULT_SOCKETS) / sharers as usize,
         ),
         known: json.known.map(Page::news).unwrap_or_default(),
-        offer: Arc::new(Offer { deployment, indices }),
+        offer: Arc::new(Offer {
+            deployment,
+            indices,
+        }),
         opensearch,
         backend: own.backend.kind,
         log: own.log,
@@ -454,21 +504,48 @@
     let last = deployment.shards.saturating_sub(1);
     if own.is_empty() {
         let names = deployment.class_names.iter().enumerate();
-        return Ok(names.map(|(class, name)| Index { name: name.clone(), class, first: 0, last }).collect());
+        return Ok(names
+            .map(|(class, name)| Index {
+                name: name.clone(),
+                class,
+                first: 0,
+                last,
+            })
+            .collect());
     }
     let index = |own: OwnIndex| {
-        let class = deployment.class_names.iter().position(|name| *name == own.class);
-        let class = class
-            .ok_or_else(|| at(text, "opensearch.index.class", format!("'{}' is no class", own.class)))?;
+        let class = deployment
+            .class_names
+            .iter()
+            .position(|name| *name == own.class);
+        let class = class.ok_or_else(|| {
+            at(
+                text,
+                "opensearch.index.class",
+                format!("'{}' is no class", own.class),
+            )
+        })?;
         let [first, end] = own.shards.unwrap_or([0, last]);
         if first > end || end > last {
             let cause = format!("of '{}': there are shards 0 to {last}", own.name);
             return Err(at(text, "opensearch.index.shards", cause));
         }
-        if own.name.is_empty() || own.name.starts_with('_') || own.name.contains(['/', ',', '*', '?']) {
-            return Err(at(text, "opensearch.index.name", format!("'{}' can't be an index", own.name)));
+        if own.name.is_empty()
+            || own.name.starts_with('_')
+            || own.name.contains(['/', ',', '*', '?'])
+        {
+            return Err(at(
+                text,
+                "opensearch.index.name",
+                format!("'{}' can't be an index", own.name),
+            ));
         }
-        Ok(Index { name: own.name, class, first, last: end })
+        Ok(Index {
+            name: own.name,
+            class,
+            first,
+            last: end,
+        })
     };
     own.into_iter().map(index).collect()
 }
@@ -483,16 +560,34 @@
     if own.source == MembershipKind::Agent {
         return Ok(None);
     }
-    let missing =
-        || at(text, "membership.path", "the folder of the roster's files, or its one file, is missing");
+    let missing = || {
+        at(
+            text,
+            "membership.path",
+            "the folder of the roster's files, or its one file, is missing",
+        )
+    };
     let path = folder.join(own.path.ok_or_else(missing)?);
     let shrink = own.shrink.unwrap_or(USUAL_SHRINK);
     if !(0.0..=1.0).contains(&shrink) {
-        return Err(at(text, "membership.shrink", format!("{shrink} is not from 0 to 1")));
+        return Err(at(
+            text,
+            "membership.shrink",
+            format!("{shrink} is not from 0 to 1"),
+        ));
     }
     let policy = &deployment.policy;
-    let layout = Layout { cells: policy.cells, reach: policy.reach, shards: deployment.shards };
-    Ok(Some(Source { path, state: own.state.map(|state| folder.join(state)), shrink, layout }))
+    let layout = Layout {
+        cells: policy.cells,
+        reach: policy.reach,
+        shards: deployment.shards,
+    };
+    Ok(Some(Source {
+        path,
+        state: own.state.map(|state| folder.join(state)),
+        shrink,
+        layout,
+    }))
 }
 
 /// The group that this coordinator takes part in, where it does.
@@ -505,8 +600,14 @@
             .map_err(|_| at(text, key, format!("'{told}' is not an address and a port")))
     };
     let missing = |key: &str| at(text, key, "this is missing though 'peers.enabled' is true");
-    let listen = address("peers.listen", own.listen.ok_or_else(|| missing("peers.listen"))?)?;
-    let advertise = own.advertise.map(|told| address("peers.advertise", told)).transpose()?;
+    let listen = address(
+        "peers.listen",
+        own.listen.ok_or_else(|| missing("peers.listen"))?,
+    )?;
+    let advertise = own
+        .advertise
+        .map(|told| address("peers.advertise", told))
+        .transpose()?;
     if advertise.is_some_and(|address| address.port() == 0) {
         return Err(at(
             text,
@@ -520,12 +621,22 @@
     }
     let short = |key: &str, told: &String| match told.len() <= names::MOST_NAME {
         true => Ok(()),
-        false => Err(at(text, key, format!("'{told}' is longer than {} bytes", names::MOST_NAME))),
+        false => Err(at(
+            text,
+            key,
+            format!("'{told}' is longer than {} bytes", names::MOST_NAME),
+        )),
     };
     short("peers.room", &own.room)?;
-    own.offers.iter().try_for_each(|offer| short("peers.offers", offer))?;
+    own.offers
+        .iter()
+        .try_for_each(|offer| short("peers.offers", offer))?;
     if own.offers.len() > MOST_OFFERS {
-        return Err(at(text, "peers.offers", format!("there are more than {MOST_OFFERS}")));
+        return Err(at(
+            text,
+            "peers.offers",
+            format!("there are more than {MOST_OFFERS}"),
+        ));
     }
     let fault = |fault: names::Fault| at(text, "peers.group", format!("{fault}: {}", fault.help()));
     let group = names::read(&own.group).map_err(fault)?;
@@ -540,13 +651,29 @@
         let cause = format!("'{name}', the name of this coordinator, is not among them");
         return Err(at(text, "peers.group", cause));
     }
-    let seeds = own.seeds.into_iter().map(|seed| address("peers.seeds", seed)).collect::<Result<_, _>>()?;
+    let seeds = own
+        .seeds
+        .into_iter()
+        .map(|seed| address("peers.seeds", seed))
+        .collect::<Result<_, _>>()?;
     let (room, offers) = (own.room, own.offers);
-    Ok(Some(Peers { listen, advertise, cluster, room, offers, group, seeds }))
+    Ok(Some(Peers {
+        listen,
+        advertise,
+        cluster,
+        room,
+        offers,
+        group,
+        seeds,
+    }))
 }
 
 /// The interfaces whose traffic is held against a description.
-fn contracts(own: OwnContracts, folder: &Path, text: &str) -> Result<Vec<(Interface, Plan)>, Fault> {
+fn contracts(
+    own: OwnContracts,
+    folder: &Path,
+    text: &str,
+) -> Result<Vec<(Interface, Plan)>, Fault> {
     let named = [
         (Interface::Platform, own.platform),
         (Interface::Query, own.query),
@@ -555,19 +682,42 @@
     ];
     let mut all = Vec::new();
     for (interface, contract) in named {
-        let Some(contract) = contract.filter(|contract| contract.mode != Mode::Off) else { continue };
+        let Some(contract) = contract.filter(|contract| contract.mode != Mode::Off) else {
+            continue;
+        };
         let key = |key: &str| format!("contract.{interface}.{key}");
-        let missing = || at(text, &key("description"), "the description's file is missing");
+        let missing = || {
+            at(
+                text,
+                &key("description"),
+                "the description's file is missing",
+            )
+        };
         let path = folder.join(contract.description.ok_or_else(missing)?);
         let share = contract.share.unwrap_or(1.0);
         if !(share > 0.0 && share <= 1.0) {
-            return Err(at(text, &key("share"), format!("{share} is not above 0 and 1 at most")));
+            return Err(at(
+                text,
+                &key("share"),
+                format!("{share} is not above 0 and 1 at most"),
+            ));
         }
         // A list that is not taken would leave servers in use that drain or are gone.
         if (interface, contract.mode) == (Interface::Discovery, Mode::Enforce) {
-            return Err(at(text, &key("mode"), "discovery's news can be observed, not refused"));
+            return Err(at(
+                text,
+                &key("mode"),
+                "discovery's news can be observed, not refused",
+            ));
         }
-        all.push((interface, Plan { mode: contract.mode, share, path }));
+        all.push((
+            interface,
+            Plan {
+                mode: contract.mode,
+                share,
+                path,
+            },
+        ));
     }
     Ok(all)
 }
@@ -585,7 +735,10 @@
         };
         let contract = |(interface, plan): &(Interface, Plan)| {
             let path = plan.path.display().to_string();
-            (interface.to_string(), json!({"mode": plan.mode, "share": plan.share, "description": path}))
+            (
+                interface.to_string(),
+                json!({"mode": plan.mode, "share": plan.share, "description": path}),
+            )
         };
         let text = |value: &dyn fmt::Debug| format!("{value:?}").to_lowercase();
         json!({
@@ -650,7 +803,10 @@
     #[test]
     fn defaults_stand_where_nothing_is_told() {
         let config = sample();
-        assert_eq!((config.seed, config.opensearch, config.backend), (255, None, BackendKind::Frames));
+        assert_eq!(
+            (config.seed, config.opensearch, config.backend),
+            (255, None, BackendKind::Frames)
+        );
         assert!(config.limits.accepted + config.limits.links + 64 <= DEFAULT_SOCKETS);
         assert_eq!(
             config.offer.deployment.policy.retry_after,
@@ -665,7 +821,10 @@
         for (sockets, memory) in [(256, 32), (384, 48), (1024, 128), (1024, 32)] {
             let limits = Limits::new(memory, sockets);
             assert!(limits.kept * 3 / 2 <= sockets / 3, "{limits:?}");
-            assert!(limits.accepted + limits.links + sockets / 16 <= sockets, "{limits:?}");
+            assert!(
+                limits.accepted + limits.links + sockets / 16 <= sockets,
+                "{limits:?}"
+            );
         }
     }
 
@@ -674,7 +833,11 @@
     #[test]
     fn a_coordinator_keeps_a_connection_to_each_server_of_a_large_fleet() {
         for (sockets, servers) in [(512, 190), (1024, 380)] {
-            assert!(Limits::new(64, sockets).links >= servers, "{:?}", Limits::new(64, sockets));
+            assert!(
+                Limits::new(64, sockets).links >= servers,
+                "{:?}",
+                Limits::new(64, sockets)
+            );
         }
     }
 
@@ -682,12 +845,23 @@
     fn what_takes_a_restart_is_named() {
         let read = |text: String| read(text.as_bytes(), "", Path::new(""), |_| None).unwrap();
         let (old, text) = (sample(), json(SETTINGS));
-        assert!(old.needs_restart(&read(text.replace("127.0.0.1:1", "127.0.0.1:2"))).is_empty());
-        assert_eq!(old.needs_restart(&read(text.replace("\"n1\"", "\"n2\""))), ["name"]);
+        assert!(old
+            .needs_restart(&read(text.replace("127.0.0.1:1", "127.0.0.1:2")))
+            .is_empty());
+        assert_eq!(
+            old.needs_restart(&read(text.replace("\"n1\"", "\"n2\""))),
+            ["name"]
+        );
         // A key with a default may be left out of a first file, not of a later one.
         let cut = read(text.replace(r#""dialTimeoutS":0.25,"#, ""));
-        assert_eq!(old.lacked_by(&cut).as_deref(), Some("settings.caps.dialTimeoutS"));
-        assert_eq!((cut.lacked_by(&old), old.lacked_by(&sample())), (None, None));
+        assert_eq!(
+            old.lacked_by(&cut).as_deref(),
+            Some("settings.caps.dialTimeoutS")
+        );
+        assert_eq!(
+            (cut.lacked_by(&old), old.lacked_by(&sample())),
+            (None, None)
+        );
     }
 
     #[test]
@@ -698,7 +872,9 @@
         };
         assert!(fault(json(SETTINGS).replace("127.0.0.1:0", "nowhere"), "").contains("'listen'"));
         assert!(fault(json(SETTINGS).replace("\"ff\"", "\"xyz\""), "").contains("'seed'"));
-        assert!(fault(json(SETTINGS).replace("\"discovery\"", "\"d\""), "").contains("NODE_DISCOVERY"));
+        assert!(
+            fault(json(SETTINGS).replace("\"discovery\"", "\"d\""), "").contains("NODE_DISCOVERY")
+        );
         assert!(fault(json(&SETTINGS.replace("tickS", "tick")), "").contains("tickS"));
         assert!(fault(json(SETTINGS), "[opensearch]\nenabled = true").contains("opensearch.listen"));
         assert!(fault(json(SETTINGS), "[opensearch]\nport = 3").contains("port"));
@@ -714,14 +890,27 @@
             ("group", "[\"n2\"]", "'n1', the name of this coordinator"),
             ("group", "[]", "the group names nobody"),
             ("seeds", "[\"x\"]", "is not an address"),
-            ("offers", "[\"1\",\"2\",\"3\",\"4\",\"5\",\"6\",\"7\",\"8\",\"9\"]", "more than 8"),
+            (
+                "offers",
+                "[\"1\",\"2\",\"3\",\"4\",\"5\",\"6\",\"7\",\"8\",\"9\"]",
+                "more than 8",
+            ),
         ] {
-            let sound = [("listen", "\"127.0.0.1:0\""), ("cluster", "\"c\""), ("group", "[\"n[1-3]\"]")];
+            let sound = [
+                ("listen", "\"127.0.0.1:0\""),
+                ("cluster", "\"c\""),
+                ("group", "[\"n[1-3]\"]"),
+            ];
             let rest = sound.iter().filter(|(other, _)| *other != key);
-            let rest: String = rest.map(|(key, value)| format!("{key} = {value}\n")).collect();
+            let rest: String = rest
+                .map(|(key, value)| format!("{key} = {value}\n"))
+                .collect();
             let own = format!("[peers]\nenabled = true\n{key} = {value}\n{rest}");
             let told = fault(json(SETTINGS), &own);
-            assert!(told.starts_with(&format!("3:'peers.{key}': ")) && told.contains(cause), "{told}");
+            assert!(
+                told.starts_with(&format!("3:'peers.{key}': ")) && told.contains(cause),
+                "{told}"
+            );
         }
         assert!(fault(json(SETTINGS), "[peers]\nenabled = true").starts_with("1:'peers.listen'"));
         let own = "[log]\n\n[contract.servers]\nmode = \"enforce\"";
@@ -733,8 +922,14 @@
     #[test]
     fn a_contracts_path_counts_from_the_file_that_names_it() {
         let config = with("[contract.query]\nmode = \"observe\"\ndescription = \"q.yaml\"");
-        let plan = Plan { mode: Mode::Observe, share: 1.0, path: "d/q.yaml".into() };
+        let plan = Plan {
+            mode: Mode::Observe,
+            share: 1.0,
+            path: "d/q.yaml".into(),
+        };
         assert_eq!(config.contracts, [(Interface::Query, plan)]);
-        assert!(with("[contract.query]\nmode = \"off\"").contracts.is_empty());
+        assert!(with("[contract.query]\nmode = \"off\"")
+            .contracts
+            .is_empty());
     }
 }
--- a/crates/coordinator/src/contract.rs
+++ b/crates/coordinator/src/contract.rs
@@ -119,13 +119,15 @@
 }
 
 /// Reads the descriptions that a configuration names. This takes files and time: not for the core's thread.
-pub fn read(plans: &[(Interface, Plan)], backend: BackendKind) -> Vec<(Interface, Result<Held, String>)> {
+pub fn read(
+    plans: &[(Interface, Plan)],
+    backend: BackendKind,
+) -> Vec<(Interface, Result<Held, String>)> {
     let one = |interface: Interface, plan: &Plan| {
         let description = Description::open(&plan.path).map_err(|faults| faults.to_string())?;
         let wanted = match (interface, backend) {
-            (Interface::Platform | Interface::Query, _) | (Interface::Servers, BackendKind::OpenSearch) => {
-                Kind::OpenApi
-            }
+            (Interface::Platform | Interface::Query, _)
+            | (Interface::Servers, BackendKind::OpenSearch) => Kind::OpenApi,
             _ => Kind::AsyncApi,
         };
         if description.kind != wanted {
@@ -135,9 +137,16 @@
                 description.kind
             ));
         }
-        Ok(Held { mode: plan.mode, share: plan.share, description: Arc::new(description.slim()) })
+        Ok(Held {
+            mode: plan.mode,
+            share: plan.share,
+            description: Arc::new(description.slim()),
+        })
     };
-    plans.iter().map(|(interface, plan)| (*interface, one(*interface, plan))).collect()
+    plans
+        .iter()
+        .map(|(interface, plan)| (*interface, one(*interface, plan)))
+        .collect()
 }
 
 impl Contracts {
@@ -166,9 +175,14 @@
         let old = self.in_force.borrow().clone().unwrap_or_default();
         let (next, changed) = old.next(read)?;
         let mut ledger = lock(&self.ledger);
-        changed.iter().for_each(|interface| ledger.forget(*interface));
+        changed
+            .iter()
+            .for_each(|interface| ledger.forget(*interface));
         drop(ledger);
-        let samplers = next.all().map(|(interface, held)| (interface, Sampler::new(held.share))).collect();
+        let samplers = next
+            .all()
+            .map(|(interface, held)| (interface, Sampler::new(held.share)))
+            .collect();
         self.samplers.replace(samplers);
         for (interface, held) in next.all() {
             let (mode, share, title) = (held.mode, held.share, &held.description.title);
@@ -177,11 +191,14 @@
         if !next.is_off() && !self.looking.get() {
             let (ledger, waiting) = (self.ledger.clone(), self.waiting.clone());
             let thread = std::thread::Builder::new().name("contract".into());
-            thread.spawn(move || look(&waiting, &ledger)).map_err(|e| format!("a thread: {e}"))?;
+            thread
+                .spawn(move || look(&waiting, &ledger))
+                .map_err(|e| format!("a thread: {e}"))?;
             self.looking.set(true);
         }
         // With nothing in force, requests carry nothing and nothing is asked of them.
-        self.in_force.replace((!next.is_off()).then(|| Arc::new(next)));
+        self.in_force
+            .replace((!next.is_off()).then(|| Arc::new(next)));
         self.tell_servers();
         Ok(())
     }
@@ -201,7 +218,10 @@
         for row in rows {
             match row.state {
                 ServerState::Gone => servers.remove(row.id.as_str()),
-                _ => servers.insert(row.id.as_str().into(), row.ready_at.map(|at| at.0 as f64 / 1e6)),
+                _ => servers.insert(
+                    row.id.as_str().into(),
+                    row.ready_at.map(|at| at.0 as f64 / 1e6),
+                ),
             };
         }
         drop(servers);
@@ -213,7 +233,10 @@
     /// Tells the ledger who is there.
     fn tell_servers(&self) {
         let servers = self.servers.borrow();
-        let server = |(id, started): (&Arc<str>, &Option<f64>)| Server { id: id.clone(), started: *started };
+        let server = |(id, started): (&Arc<str>, &Option<f64>)| Server {
+            id: id.clone(),
+            started: *started,
+        };
         lock(&self.ledger).servers(&servers.iter().map(server).collect::<Vec<_>>());
     }
 
@@ -222,7 +245,10 @@
     }
 
     fn sampled(&self, interface: Interface) -> bool {
-        self.samplers.borrow_mut().get_mut(&interface).is_some_and(Sampler::take)
+        self.samplers
+            .borrow_mut()
+            .get_mut(&interface)
+            .is_some_and(Sampler::take)
     }
 
     /// Hands a message to the thread aside, if there is room.
@@ -243,7 +269,13 @@
         found: &[Departure],
     ) {
         let operation = operation.unwrap_or(&self.unknown);
-        let seen = Observation { interface, party, operation, direction, departures: found };
+        let seen = Observation {
+            interface,
+            party,
+            operation,
+            direction,
+            departures: found,
+        };
         note(&mut lock(&self.ledger), self.now(), &seen);
     }
 
@@ -254,13 +286,26 @@
         interface: Interface,
         request: &http::Request,
     ) -> Result<Option<Watched>, String> {
-        let Some(held) = in_force.of(interface) else { return Ok(None) };
+        let Some(held) = in_force.of(interface) else {
+            return Ok(None);
+        };
         let (method, target) = (request.method.as_str(), request.target.as_str());
         let judged = held.mode == Mode::Enforce;
         if judged {
-            let asked = Asked { method, target, fields: request.fields.pairs(), body: &request.body };
+            let asked = Asked {
+                method,
+                target,
+                fields: request.fields.pairs(),
+                body: &request.body,
+            };
             let found = held.description.judge_request(&asked);
-            self.note(interface, &self.clients, found.operation, Direction::Request, &found.departures);
+            self.note(
+                interface,
+                &self.clients,
+                found.operation,
+                Direction::Request,
+                &found.departures,
+            );
             if let decide::Request::Refuse(reason) = decide::request(held.mode, &found.departures) {
                 return Err(reason);
             }
@@ -272,19 +317,56 @@
             method: method.into(),
             target: target.into(),
             fields: request.fields.pairs().to_vec(),
-            body: if judged { Vec::new() } else { request.body.clone() },
+            body: if judged {
+                Vec::new()
+            } else {
+                request.body.clone()
+            },
         }))
     }
 
     /// The answer that a client's request got.
-    pub fn answered(&self, watched: Watched, status: u16, kind: &str, extra: &[(&str, String)], body: &[u8]) {
+    pub fn answered(
+        &self,
+        watched: Watched,
+        status: u16,
+        kind: &str,
+        extra: &[(&str, String)],
+        body: &[u8],
+    ) {
         let mut fields = vec![("Content-Type".to_string(), kind.to_string())];
-        fields.extend(extra.iter().map(|(name, value)| (name.to_string(), value.clone())));
-        let Watched { held, interface, judged, method, target, fields: asked, body: sent } = watched;
+        fields.extend(
+            extra
+                .iter()
+                .map(|(name, value)| (name.to_string(), value.clone())),
+        );
+        let Watched {
+            held,
+            interface,
+            judged,
+            method,
+            target,
+            fields: asked,
+            body: sent,
+        } = watched;
         let bytes = sent.len() + body.len() + target.len();
         let answer = Some((status, fields, body.to_vec(), true));
-        let what = What::Exchange { method, target, fields: asked, body: sent, judged, answer };
-        self.send(Item { held, interface, party: self.clients.clone(), now: self.now(), bytes, what });
+        let what = What::Exchange {
+            method,
+            target,
+            fields: asked,
+            body: sent,
+            judged,
+            answer,
+        };
+        self.send(Item {
+            held,
+            interface,
+            party: self.clients.clone(),
+            now: self.now(),
+            bytes,
+            what,
+        });
     }
 
     /// A request to a server and what came for it; `whole`: all of it. Whether the answer may be used.
@@ -296,7 +378,10 @@
         response: &http::Response,
         whole: bool,
     ) -> bool {
-        let Some(held) = judge.as_ref().and_then(|in_force| in_force.of(Interface::Servers)) else {
+        let Some(held) = judge
+            .as_ref()
+            .and_then(|in_force| in_force.of(Interface::Servers))
+        else {
             return true;
         };
         let interface = Interface::Servers;
@@ -315,14 +400,27 @@
             // An operation that is not described promises nothing that could be held against its answer.
             let Some(number) = number else { return true };
             let found = held.description.judge_answer(number, &answered);
-            self.note(interface, party, found.operation, Direction::Answer, &found.departures);
+            self.note(
+                interface,
+                party,
+                found.operation,
+                Direction::Answer,
+                &found.departures,
+            );
             return decide::usable(held.mode, &found.departures);
         }
         if !self.sampled(interface) {
             return true;
         }
-        let Ok(Some((asked, _))) = http::request(request) else { return true };
-        let answer = Some((response.status, response.fields.pairs().to_vec(), response.body.clone(), whole));
+        let Ok(Some((asked, _))) = http::request(request) else {
+            return true;
+        };
+        let answer = Some((
+            response.status,
+            response.fields.pairs().to_vec(),
+            response.body.clone(),
+            whole,
+        ));
         let what = What::Exchange {
             method: asked.method,
             target: asked.target,
@@ -332,7 +430,14 @@
             answer,
         };
         let bytes = request.len() + response.body.len();
-        self.send(Item { held: held.clone(), interface, party: party.clone(), now: self.now(), bytes, what });
+        self.send(Item {
+            held: held.clone(),
+            interface,
+            party: party.clone(),
+            now: self.now(),
+            bytes,
+            what,
+        });
         true
     }
 
@@ -346,17 +451,42 @@
         line: impl FnOnce() -> String,
         head: Head,
     ) -> bool {
-        let Some(held) = judge.as_ref().and_then(|in_force| in_force.of(interface)) else { return true };
-        let Part { channel, word, direction, payload } = part;
+        let Some(held) = judge.as_ref().and_then(|in_force| in_force.of(interface)) else {
+            return true;
+        };
+        let Part {
+            channel,
+            word,
+            direction,
+            payload,
+        } = part;
         if held.mode == Mode::Enforce && direction == Direction::Answer {
-            let found = held.description.judge_message(channel, word, &head(&line()), payload);
-            self.note(interface, party, found.operation, direction, &found.departures);
+            let found = held
+                .description
+                .judge_message(channel, word, &head(&line()), payload);
+            self.note(
+                interface,
+                party,
+                found.operation,
+                direction,
+                &found.departures,
+            );
             return decide::usable(held.mode, &found.departures);
         }
         if self.sampled(interface) {
-            let party = if direction == Direction::Request { &self.own } else { party };
-            let what =
-                What::Frame { channel, word, direction, line: line(), head, payload: payload.to_vec() };
+            let party = if direction == Direction::Request {
+                &self.own
+            } else {
+                party
+            };
+            let what = What::Frame {
+                channel,
+                word,
+                direction,
+                line: line(),
+                head,
+                payload: payload.to_vec(),
+            };
             let bytes = payload.len();
             self.send(Item {
                 held: held.clone(),
@@ -443,32 +573,69 @@
 }
 
 fn look_at(item: Item, ledger: &Mutex<Ledger>) {
-    let Item { held, interface, party, now, what, .. } = item;
+    let Item {
+        held,
+        interface,
+        party,
+        now,
+        what,
+        ..
+    } = item;
     let description = &held.description;
     let note = |operation: Option<&Arc<str>>, direction, found: &[Departure]| {
         let unknown = || Arc::from(UNKNOWN);
         let operation = &operation.cloned().unwrap_or_else(unknown);
-        let seen = Observation { interface, party: &party, operation, direction, departures: found };
+        let seen = Observation {
+            interface,
+            party: &party,
+            operation,
+            direction,
+            departures: found,
+        };
         note(&mut lock(ledger), now, &seen);
     };
     match what {
-        What::Exchange { method, target, fields, body, judged, answer } => {
+        What::Exchange {
+            method,
+            target,
+            fields,
+            body,
+            judged,
+            answer,
+        } => {
             let number = match judged {
                 true => description.operation_of(&method, &target),
                 false => {
-                    let asked = Asked { method: &method, target: &target, fields: &fields, body: &body };
+                    let asked = Asked {
+                        method: &method,
+                        target: &target,
+                        fields: &fields,
+                        body: &body,
+                    };
                     let found = description.judge_request(&asked);
                     note(found.operation, Direction::Request, &found.departures);
                     found.number
                 }
             };
             if let (Some(number), Some((status, fields, body, whole))) = (number, answer) {
-                let answered = Answered { status, fields: &fields, body: &body, whole };
+                let answered = Answered {
+                    status,
+                    fields: &fields,
+                    body: &body,
+                    whole,
+                };
                 let found = description.judge_answer(number, &answered);
                 note(found.operation, Direction::Answer, &found.departures);
             }
         }
-        What::Frame { channel, word, direction, line, head, payload } => {
+        What::Frame {
+            channel,
+            word,
+            direction,
+            line,
+            head,
+            payload,
+        } => {
             let found = description.judge_message(channel, word, &head(&line), &payload);
             note(found.operation, direction, &found.departures);
         }
--- a/crates/coordinator/src/discovery.rs
+++ b/crates/coordinator/src/discovery.rs
@@ -57,7 +57,8 @@
         }
         if news.complete && !rows.is_empty() {
             let listed: BTreeSet<ServerId> = rows.iter().map(|(number, _)| *number).collect();
-            self.numbers.retain(|_, (number, _)| listed.contains(number));
+            self.numbers
+                .retain(|_, (number, _)| listed.contains(number));
         }
         rows
     }
@@ -69,7 +70,10 @@
 
     /// The ids of these servers.
     pub fn ids<'a>(&'a self, servers: &'a [ServerId]) -> impl Iterator<Item = &'a str> {
-        let listed = self.numbers.iter().filter(|(_, (server, _))| servers.contains(server));
+        let listed = self
+            .numbers
+            .iter()
+            .filter(|(_, (server, _))| servers.contains(server));
         listed.map(|(id, _)| id.as_str())
     }
 
@@ -154,7 +158,9 @@
     watch: &mut Watch,
 ) -> Result<(), Fault> {
     let connect = tokio::time::timeout(Duration::from_secs_f64(DIAL), TcpStream::connect(agent));
-    let mut stream = connect.await.map_err(|_| Fault::NoConnection { secs: DIAL })??;
+    let mut stream = connect
+        .await
+        .map_err(|_| Fault::NoConnection { secs: DIAL })??;
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     loop {
@@ -167,20 +173,41 @@
         };
         let judge = contracts.current();
         let party: Arc<str> = "agent".into();
-        let ask = Part { channel: "watch", word: "ask", direction: Direction::Request, payload: b"" };
+        let ask = Part {
+            channel: "watch",
+            word: "ask",
+            direction: Direction::Request,
+            payload: b"",
+        };
         let asked = || target.clone();
         contracts.frame(&judge, Interface::Discovery, &party, ask, asked, ask_head);
         let call = format!("GET {target} HTTP/1.1\r\nHost: {agent}\r\n\r\n");
         let patience = Duration::from_secs_f64(patience);
-        let answer = tokio::time::timeout(patience, exchange(&mut stream, &call, &mut buffer)).await;
-        let answer = answer.map_err(|_| Fault::Silent { secs: patience.as_secs_f64() })??;
+        let answer =
+            tokio::time::timeout(patience, exchange(&mut stream, &call, &mut buffer)).await;
+        let answer = answer.map_err(|_| Fault::Silent {
+            secs: patience.as_secs_f64(),
+        })??;
         if answer.status != 200 {
             return Err(Fault::Status(answer.status));
         }
         let payload = &answer.body;
-        let list = Part { channel: "watch", word: "list", direction: Direction::Answer, payload };
-        contracts.frame(&judge, Interface::Discovery, &party, list, String::new, |_| json!({}));
-        let page: Page = serde_json::from_slice(&answer.body).map_err(|e| Fault::NoList(e.to_string()))?;
+        let list = Part {
+            channel: "watch",
+            word: "list",
+            direction: Direction::Answer,
+            payload,
+        };
+        contracts.frame(
+            &judge,
+            Interface::Discovery,
+            &party,
+            list,
+            String::new,
+            |_| json!({}),
+        );
+        let page: Page =
+            serde_json::from_slice(&answer.body).map_err(|e| Fault::NoList(e.to_string()))?;
         let news = page.news();
         if watch.answered(clock.now(), news.revision) {
             tracing::warn!(server = %agent, "discovery: the list came after it counted as told");
@@ -199,11 +226,17 @@
     Value::Object(pairs.map(number).collect())
 }
 
-async fn exchange(stream: &mut TcpStream, call: &str, buffer: &mut Vec<u8>) -> Result<http::Response, Fault> {
+async fn exchange(
+    stream: &mut TcpStream,
+    call: &str,
+    buffer: &mut Vec<u8>,
+) -> Result<http::Response, Fault> {
     stream.write_all(call.as_bytes()).await?;
     loop {
         let read = stream.read_buf(buffer).await?;
-        match http::response(buffer, read == 0, MOST_LIST).map_err(|bad| Fault::Unreadable(bad.text()))? {
+        match http::response(buffer, read == 0, MOST_LIST)
+            .map_err(|bad| Fault::Unreadable(bad.text()))?
+        {
             Some((response, used)) => {
                 buffer.drain(..used);
                 return Ok(response);
--- a/crates/coordinator/src/door.rs
+++ b/crates/coordinator/src/door.rs
@@ -57,7 +57,9 @@
         callers.retain(|(task, _)| !task.is_finished());
         // Who has said too little for longest makes room; a call that was read is carried out and answered.
         while callers.len() >= MOST_CALLERS {
-            let Some(place) = callers.iter().position(|(_, read)| !read.get()) else { break };
+            let Some(place) = callers.iter().position(|(_, read)| !read.get()) else {
+                break;
+            };
             if let Some((task, _)) = callers.remove(place) {
                 task.abort();
             }
@@ -95,7 +97,11 @@
             (verdict.status(), allow, verdict.text())
         }
         Ok(Some(Err(bad))) => (bad.status(), Vec::new(), bad.text()),
-        Err(_) => (http::Bad::TooSlow.status(), Vec::new(), http::Bad::TooSlow.text()),
+        Err(_) => (
+            http::Bad::TooSlow.status(),
+            Vec::new(),
+            http::Bad::TooSlow.text(),
+        ),
     };
     let key = if status < 300 { "answer" } else { "error" };
     let body = view.unwrap_or_else(|| serde_json::json!({ key: text }).to_string());
@@ -105,11 +111,17 @@
     }
     let _ = stream.shutdown().await;
     let mut rest = [0; 1024];
-    let _ = timeout(LINGER, async { while matches!(stream.read(&mut rest).await, Ok(1..)) {} }).await;
+    let _ = timeout(LINGER, async {
+        while matches!(stream.read(&mut rest).await, Ok(1..)) {}
+    })
+    .await;
 }
 
 /// The connection's call; `None` where the caller left without one.
-async fn next(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Result<http::Request, http::Bad>> {
+async fn next(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> Option<Result<http::Request, http::Bad>> {
     loop {
         match http::request(buffer) {
             Ok(Some((request, _))) => return Some(Ok(request)),
@@ -120,7 +132,9 @@
             return Some(Err(http::Bad::Malformed("calls have no body")));
         }
         match stream.read_buf(buffer).await {
-            Ok(0) if !buffer.is_empty() => return Some(Err(http::Bad::Malformed("the call is not whole"))),
+            Ok(0) if !buffer.is_empty() => {
+                return Some(Err(http::Bad::Malformed("the call is not whole")))
+            }
             Ok(0) | Err(_) => return None,
             Ok(_) => {}
         }
@@ -138,7 +152,9 @@
         if call == Call::Ready {
             return match *self.phase.borrow() {
                 Phase::Serving => Verdict::Yes,
-                Phase::Starting => Verdict::NotNow("not ready yet: the list of data nodes has not come"),
+                Phase::Starting => {
+                    Verdict::NotNow("not ready yet: the list of data nodes has not come")
+                }
                 Phase::Drained => Verdict::NotNow("drained: activate the coordinator first"),
                 Phase::Stopping | Phase::Closing | Phase::Refusing => {
                     Verdict::NotNow("the process was told to stop")
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -11,7 +11,9 @@
 type Row = (String, &'static str);
 
 fn rows<T: std::fmt::Display>(all: Vec<T>, help: impl Fn(&T) -> &'static str) -> Vec<Row> {
-    all.iter().map(|fault| (fault.to_string(), help(fault))).collect()
+    all.iter()
+        .map(|fault| (fault.to_string(), help(fault)))
+        .collect()
 }
 
 fn io() -> std::io::Error {
@@ -21,13 +23,30 @@
 /// One of each cause. The matches below fail to compile when a cause is added that is not here.
 fn settings() -> Vec<Row> {
     let all = vec![
-        Settings::Form { key: "classes[0].aimS".into(), cause: "invalid type".into() },
-        Settings::NotPositive { key: "tickS".into(), value: 0.0 },
+        Settings::Form {
+            key: "classes[0].aimS".into(),
+            cause: "invalid type".into(),
+        },
+        Settings::NotPositive {
+            key: "tickS".into(),
+            value: 0.0,
+        },
         Settings::NoClasses,
-        Settings::Twice { at: 1, name: "stock-search".into() },
-        Settings::Lacks { key: "minShare", at: 1 },
-        Settings::Unknown { key: "registryMode".into(), word: "sometimes".into() },
-        Settings::Missing { key: "safety.mustAskInS" },
+        Settings::Twice {
+            at: 1,
+            name: "stock-search".into(),
+        },
+        Settings::Lacks {
+            key: "minShare",
+            at: 1,
+        },
+        Settings::Unknown {
+            key: "registryMode".into(),
+            word: "sometimes".into(),
+        },
+        Settings::Missing {
+            key: "safety.mustAskInS",
+        },
     ];
     let place = |fault: &Settings| match fault {
         Settings::Form { .. } => 0,
@@ -85,7 +104,13 @@
 }
 
 fn dropped() -> Vec<Row> {
-    let all = vec![Dropped::Garbage, Dropped::Version, Dropped::Cluster, Dropped::Misdirected, Dropped::Full];
+    let all = vec![
+        Dropped::Garbage,
+        Dropped::Version,
+        Dropped::Cluster,
+        Dropped::Misdirected,
+        Dropped::Full,
+    ];
     let place = |fault: &Dropped| match fault {
         Dropped::Garbage => 0,
         Dropped::Version => 1,
@@ -98,7 +123,10 @@
 }
 
 fn part() -> Vec<Row> {
-    let all = vec![peers::Fault::Listen { address: ([127, 0, 0, 1], 7400).into(), cause: io() }];
+    let all = vec![peers::Fault::Listen {
+        address: ([127, 0, 0, 1], 7400).into(),
+        cause: io(),
+    }];
     let place = |fault: &peers::Fault| match fault {
         peers::Fault::Listen { .. } => 0,
     };
@@ -119,7 +147,9 @@
         ("Datagrams that are dropped (`GET /v1/peers`)", dropped()),
     ];
     for (title, rows) in sections {
-        page.push_str(&format!("\n## {title}\n\n| told as | what to do |\n| --- | --- |\n"));
+        page.push_str(&format!(
+            "\n## {title}\n\n| told as | what to do |\n| --- | --- |\n"
+        ));
         for (told, help) in rows {
             page.push_str(&format!("| {} | {help} |\n", told.replace('|', "\\|")));
         }
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -77,7 +77,12 @@
 
 impl Reply {
     pub fn json(status: u16, body: Vec<u8>) -> Self {
-        Reply { status, kind: "application/json", extra: Vec::new(), body }
+        Reply {
+            status,
+            kind: "application/json",
+            extra: Vec::new(),
+            body,
+        }
     }
 
     pub fn with(mut self, name: &'static str, value: String) -> Self {
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -55,10 +55,17 @@
             () = accept(&listener, &front) => {}
         }
     }
-    let Ok(listener) = listener.into_std() else { return };
+    let Ok(listener) = listener.into_std() else {
+        return;
+    };
     while front.places.open() < front.limits.accepted {
-        let Ok((stream, _)) = listener.accept() else { return };
-        if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
+        let Ok((stream, _)) = listener.accept() else {
+            return;
+        };
+        if let Ok(stream) = stream
+            .set_nonblocking(true)
+            .and_then(|()| TcpStream::from_std(stream))
+        {
             take(stream, &front);
         }
     }
@@ -100,7 +107,16 @@
     let mut ahead = None;
     let mut overrun = false;
     loop {
-        let request = match next(front, &mut stream, &mut buffer, &place, first.take(), overrun).await {
+        let request = match next(
+            front,
+            &mut stream,
+            &mut buffer,
+            &place,
+            first.take(),
+            overrun,
+        )
+        .await
+        {
             Ok(Next::Request(request)) => request,
             Ok(Next::Gone) => return,
             Ok(Next::Rests) => return linger(front, &mut stream, &place, PARTING).await,
@@ -121,7 +137,13 @@
         let judge = front.contracts.current();
         let watched = hold_against(front, &judge, &request);
         let (stream, buffer, overrun) = (&mut stream, &mut buffer, &mut overrun);
-        let mut exchange = Exchange { front, stream, buffer, overrun, judge };
+        let mut exchange = Exchange {
+            front,
+            stream,
+            buffer,
+            overrun,
+            judge,
+        };
         let path = request.target.split('?').next().unwrap_or("");
         let reply = match (crowded, front.kind) {
             _ if path == "/_health" => Ok(health(front, &request.method)),
@@ -130,12 +152,18 @@
                 Ok(refusal_of(front, 400, reason))
             }
             (true, _) => Ok(later(front, 503, "too many connections")),
-            (false, Kind::Platform) => platform::answer(front, &request, arrived, &mut exchange).await,
-            (false, Kind::OpenSearch) => opensearch::answer(front, &request, arrived, &mut exchange).await,
+            (false, Kind::Platform) => {
+                platform::answer(front, &request, arrived, &mut exchange).await
+            }
+            (false, Kind::OpenSearch) => {
+                opensearch::answer(front, &request, arrived, &mut exchange).await
+            }
         };
         let Ok(reply) = reply else { return };
         if let Ok(Some(watched)) = watched {
-            front.contracts.answered(watched, reply.status, reply.kind, &reply.extra, &reply.body);
+            front
+                .contracts
+                .answered(watched, reply.status, reply.kind, &reply.extra, &reply.body);
         }
         let close = asked_to_close || crowded || stopping(*front.phase.borrow());
         if !write(stream, reply, close).await {
@@ -177,8 +205,14 @@
 }
 
 /// Holds a request against its front's description, if one is in force. `Err`: it must not be served.
-fn hold_against(front: &Front, judge: &Judge, request: &http::Request) -> Result<Option<Watched>, String> {
-    let Some(in_force) = judge else { return Ok(None) };
+fn hold_against(
+    front: &Front,
+    judge: &Judge,
+    request: &http::Request,
+) -> Result<Option<Watched>, String> {
+    let Some(in_force) = judge else {
+        return Ok(None);
+    };
     let interface = match front.kind {
         Kind::Platform => Interface::Platform,
         Kind::OpenSearch => Interface::Query,
@@ -187,7 +221,10 @@
 }
 
 fn stopping(phase: Phase) -> bool {
-    matches!(phase, Phase::Drained | Phase::Stopping | Phase::Closing | Phase::Refusing)
+    matches!(
+        phase,
+        Phase::Drained | Phase::Stopping | Phase::Closing | Phase::Refusing
+    )
 }
 
 /// How a wait for a connection's next request ended.
@@ -223,7 +260,11 @@
         }
         if !continued && http::awaits_continue(buffer) {
             continued = true;
-            if stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
+            if stream
+                .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
+                .await
+                .is_err()
+            {
                 return Ok(Next::Gone);
             }
         }
@@ -236,14 +277,20 @@
         }
         // A connection that came late in the closing gets the time for its request to follow.
         let closing = async {
-            let ends = phase.wait_for(|phase| stopping(*phase) && *phase != Phase::Stopping).await;
+            let ends = phase
+                .wait_for(|phase| stopping(*phase) && *phase != Phase::Stopping)
+                .await;
             if ends.is_ok_and(|phase| *phase == Phase::Drained) {
                 tokio::time::sleep(DRAINED_IDLE).await;
             }
             tokio::time::sleep(LAST_GRACE).await;
         };
         let ending = async {
-            if last_phase.wait_for(|phase| *phase == Phase::Refusing).await.is_err() {
+            if last_phase
+                .wait_for(|phase| *phase == Phase::Refusing)
+                .await
+                .is_err()
+            {
                 std::future::pending::<()>().await;
             }
         };
@@ -275,7 +322,10 @@
 
 async fn write(stream: &mut TcpStream, reply: Reply, close: bool) -> bool {
     let bytes = http::write_response(reply.status, reply.kind, &reply.extra, close, &reply.body);
-    matches!(tokio::time::timeout(UNREAD, stream.write_all(&bytes)).await, Ok(Ok(())))
+    matches!(
+        tokio::time::timeout(UNREAD, stream.write_all(&bytes)).await,
+        Ok(Ok(()))
+    )
 }
 
 /// Tells a client of the end, then reads and drops what it still sends, for a while or until its place is needed:
--- a/crates/coordinator/src/fronts/opensearch.rs
+++ b/crates/coordinator/src/fronts/opensearch.rs
@@ -76,13 +76,23 @@
     arrived: Time,
     exchange: &mut Exchange<'_>,
 ) -> Result<Reply, ()> {
-    let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
-    let segments: Vec<&str> = path.split('/').filter(|segment| !segment.is_empty()).collect();
+    let (path, query) = request
+        .target
+        .split_once('?')
+        .unwrap_or((&request.target, ""));
+    let segments: Vec<&str> = path
+        .split('/')
+        .filter(|segment| !segment.is_empty())
+        .collect();
     if let Some(page) = front.contracts.page(path) {
         return Ok(match request.method.as_str() {
             "GET" => Reply::json(200, page),
-            _ => error(405, "method_not_allowed_exception", "only GET is answered here")
-                .with("Allow", "GET".into()),
+            _ => error(
+                405,
+                "method_not_allowed_exception",
+                "only GET is answered here",
+            )
+            .with("Allow", "GET".into()),
         });
     }
     let (index, many) = match segments.as_slice() {
@@ -90,14 +100,27 @@
         ["_msearch"] => (None, true),
         [index, "_msearch"] if !index.starts_with('_') => (Some(*index), true),
         ["_search"] => return Ok(reply_to(illegal("an index is needed: /{index}/_search"))),
-        _ => return Ok(error(404, "resource_not_found_exception", "there is nothing at this path")),
+        _ => {
+            return Ok(error(
+                404,
+                "resource_not_found_exception",
+                "there is nothing at this path",
+            ))
+        }
     };
     if !matches!(request.method.as_str(), "GET" | "POST") {
-        let reply = error(405, "method_not_allowed_exception", "only GET and POST are answered here");
+        let reply = error(
+            405,
+            "method_not_allowed_exception",
+            "only GET and POST are answered here",
+        );
         return Ok(reply.with("Allow", "GET, POST".into()));
     }
     let terms = match parameters(query) {
-        Ok(terms) => Terms { index: index.map(|i| decode(i).unwrap_or_else(|| i.into())), ..terms },
+        Ok(terms) => Terms {
+            index: index.map(|i| decode(i).unwrap_or_else(|| i.into())),
+            ..terms
+        },
         Err(fault) => return Ok(reply_to(fault)),
     };
     if many {
@@ -129,7 +152,11 @@
         Ok(read) => read,
         Err(fault) => return Ok(reply_to(fault)),
     };
-    let requests = read.iter().flatten().map(|search| asked(front, search, arrived)).collect();
+    let requests = read
+        .iter()
+        .flatten()
+        .map(|search| asked(front, search, arrived))
+        .collect();
     let mut answers = exchange.ask(requests).await?.into_iter();
     let took = front.clock.now() - arrived;
     let replies: Vec<Reply> = read
@@ -143,8 +170,13 @@
         })
         .collect();
     // Each item has a status of its own; the advice of the refused ones stands in the one head there is.
-    let advice = replies.iter().flat_map(|reply| &reply.extra).filter(|(name, _)| *name == "Retry-After");
-    let longest = advice.filter_map(|(_, value)| value.parse::<u64>().ok()).max();
+    let advice = replies
+        .iter()
+        .flat_map(|reply| &reply.extra)
+        .filter(|(name, _)| *name == "Retry-After");
+    let longest = advice
+        .filter_map(|(_, value)| value.parse::<u64>().ok())
+        .max();
     let mut body = format!("{{\"took\":{},\"responses\":[", millis(took)).into_bytes();
     for (at, reply) in replies.iter().enumerate() {
         if at > 0 {
@@ -175,7 +207,11 @@
         due: arrived + search.limit.map_or(deadline, |limit| limit.min(deadline)),
         repeat: false,
         work: None,
-        parts: search.shards.iter().map(|&shard| PartSpec { shard, weight }).collect(),
+        parts: search
+            .shards
+            .iter()
+            .map(|&shard| PartSpec { shard, weight })
+            .collect(),
         text: Text::Query(search.text.as_str().into()),
         judge: None,
     }
@@ -187,7 +223,8 @@
     let mut terms = Terms::default();
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        let value = decode(value).ok_or_else(|| illegal(format!("parameter [{name}] is malformed")))?;
+        let value =
+            decode(value).ok_or_else(|| illegal(format!("parameter [{name}] is malformed")))?;
         terms.set(name, value)?;
     }
     Ok(terms)
@@ -196,18 +233,24 @@
 impl Terms {
     /// Takes in one term, whether a parameter or a key of a header line says it.
     fn set(&mut self, name: &str, value: String) -> Result<(), Fault> {
-        let number =
-            || value.parse::<usize>().map_err(|_| illegal(format!("[{name}] is not a whole number")));
+        let number = || {
+            value
+                .parse::<usize>()
+                .map_err(|_| illegal(format!("[{name}] is not a whole number")))
+        };
         match name {
             "preference" => self.preference = Some(value),
-            "timeout" | "cancel_after_time_interval" => tighten(&mut self.limit, duration(name, &value)?),
+            "timeout" | "cancel_after_time_interval" => {
+                tighten(&mut self.limit, duration(name, &value)?)
+            }
             "allow_partial_search_results" => self.partial = Some(flag(name, &value)?),
             "from" => self.from = Some(number()?),
             "size" => self.size = Some(number()?),
             "q" => self.q = Some(value),
             "track_total_hits" => {
-                let parsed =
-                    serde_json::from_str(&value).ok().filter(|v: &Json| v.is_boolean() || v.is_u64());
+                let parsed = serde_json::from_str(&value)
+                    .ok()
+                    .filter(|v: &Json| v.is_boolean() || v.is_u64());
                 self.track_total_hits =
                     Some(parsed.ok_or_else(|| illegal("[track_total_hits] is malformed"))?);
             }
@@ -248,8 +291,9 @@
         "d" => 86400.0,
         _ => return Err(illegal(format!("[{name}] is not a time value: [{value}]"))),
     };
-    let count: f64 =
-        value[..digits].parse().map_err(|_| illegal(format!("[{name}] is not a time value: [{value}]")))?;
+    let count: f64 = value[..digits]
+        .parse()
+        .map_err(|_| illegal(format!("[{name}] is not a time value: [{value}]")))?;
     Ok(Some(count * unit))
 }
 
@@ -262,12 +306,29 @@
 /// A search's body with its terms. The clauses that are understood go on to the servers; any other is a fault,
 /// for an answer that silently left one out would be a wrong answer.
 fn read(front: &Front, body: &[u8], terms: Terms) -> Result<Search, Fault> {
-    let name = terms.index.as_deref().ok_or_else(|| malformed("an index is missing"))?;
+    let name = terms
+        .index
+        .as_deref()
+        .ok_or_else(|| malformed("an index is missing"))?;
     if name.contains([',', '*']) || name == "_all" {
-        return Err(illegal(format!("[{name}]: one index at a time is supported")));
+        return Err(illegal(format!(
+            "[{name}]: one index at a time is supported"
+        )));
     }
-    let unknown = || Fault(404, "index_not_found_exception", format!("no such index [{name}]"));
-    let index = front.offer().indices.iter().find(|index| index.name == name).ok_or_else(unknown)?.clone();
+    let unknown = || {
+        Fault(
+            404,
+            "index_not_found_exception",
+            format!("no such index [{name}]"),
+        )
+    };
+    let index = front
+        .offer()
+        .indices
+        .iter()
+        .find(|index| index.name == name)
+        .ok_or_else(unknown)?
+        .clone();
     let shards = shards(&index, terms.preference.as_deref())?;
     let blank = body.iter().all(u8::is_ascii_whitespace);
     let clauses: BTreeMap<String, Box<RawValue>> = match blank {
@@ -277,23 +338,34 @@
     let (mut from, mut size, mut limit) = (terms.from, terms.size, terms.limit);
     let mut onward: Vec<(&str, Box<RawValue>)> = Vec::new();
     let mut source: Option<Box<RawValue>> = None;
-    let mut track: Option<Box<RawValue>> =
-        terms.track_total_hits.as_ref().and_then(|value| to_raw_value(value).ok());
+    let mut track: Option<Box<RawValue>> = terms
+        .track_total_hits
+        .as_ref()
+        .and_then(|value| to_raw_value(value).ok());
     for (clause, value) in clauses {
         let bad = |wanted: &str| malformed(format!("[{clause}] must be {wanted}"));
         match clause.as_str() {
             "query" => {
-                let query: Map<String, Json> =
-                    serde_json::from_str(value.get()).map_err(|_| bad("an object with one query clause"))?;
+                let query: Map<String, Json> = serde_json::from_str(value.get())
+                    .map_err(|_| bad("an object with one query clause"))?;
                 if query.len() != 1 {
                     return Err(bad("an object with one query clause"));
                 }
                 onward.push(("query", value));
             }
-            "from" => from = from.or(Some(serde_json::from_str(value.get()).map_err(|_| bad("a number"))?)),
-            "size" => size = size.or(Some(serde_json::from_str(value.get()).map_err(|_| bad("a number"))?)),
+            "from" => {
+                from = from.or(Some(
+                    serde_json::from_str(value.get()).map_err(|_| bad("a number"))?,
+                ))
+            }
+            "size" => {
+                size = size.or(Some(
+                    serde_json::from_str(value.get()).map_err(|_| bad("a number"))?,
+                ))
+            }
             "timeout" => {
-                let text: String = serde_json::from_str(value.get()).map_err(|_| bad("a time value"))?;
+                let text: String =
+                    serde_json::from_str(value.get()).map_err(|_| bad("a time value"))?;
                 tighten(&mut limit, duration("timeout", &text)?);
             }
             "_source" => source = Some(value),
@@ -305,35 +377,52 @@
         if !onward.is_empty() {
             return Err(illegal("a query is given both as [q] and in the body"));
         }
-        let query =
-            to_raw_value(&json!({"query_string": {"query": q}})).map_err(|e| malformed(e.to_string()))?;
+        let query = to_raw_value(&json!({"query_string": {"query": q}}))
+            .map_err(|e| malformed(e.to_string()))?;
         onward.push(("query", query));
     }
     let (from, size) = (from.unwrap_or(0), size.unwrap_or(DEFAULT_SIZE));
-    let window = from.checked_add(size).filter(|&window| window <= MOST_WINDOW);
-    let window = window.ok_or_else(|| illegal(format!("[from] + [size] must be {MOST_WINDOW} at most")))?;
+    let window = from
+        .checked_add(size)
+        .filter(|&window| window <= MOST_WINDOW);
+    let window =
+        window.ok_or_else(|| illegal(format!("[from] + [size] must be {MOST_WINDOW} at most")))?;
     if limit.is_some_and(|secs| secs <= 0.0) {
         return Err(illegal("[timeout] must be above 0"));
     }
     // Any hit of the merged window may come from any one shard.
     let mut text = format!("{{\"from\":0,\"size\":{window}");
     let rest = [("_source", source), ("track_total_hits", track)];
-    let rest = rest.into_iter().filter_map(|(clause, value)| Some((clause, value?)));
+    let rest = rest
+        .into_iter()
+        .filter_map(|(clause, value)| Some((clause, value?)));
     for (clause, value) in onward.into_iter().chain(rest) {
         text.push_str(&format!(",\"{clause}\":{}", value.get()));
     }
     text.push('}');
-    Ok(Search { index, shards, from, size, limit, partial: terms.partial.unwrap_or(true), text })
+    Ok(Search {
+        index,
+        shards,
+        from,
+        size,
+        limit,
+        partial: terms.partial.unwrap_or(true),
+        text,
+    })
 }
 
 /// The shards that a search asks: its index's, or those that `preference=_shards:` names.
 fn shards(index: &Index, preference: Option<&str>) -> Result<Vec<u32>, Fault> {
     let all = || (index.first..=index.last).collect();
-    let Some(preference) = preference else { return Ok(all()) };
+    let Some(preference) = preference else {
+        return Ok(all());
+    };
     let Some(list) = preference.strip_prefix("_shards:") else {
         // Any other word only says which copies to ask; that is the coordinator's own choice.
         return match preference.starts_with('_') {
-            true => Err(illegal(format!("preference [{preference}] is not supported"))),
+            true => Err(illegal(format!(
+                "preference [{preference}] is not supported"
+            ))),
             false => Ok(all()),
         };
     };
@@ -344,7 +433,10 @@
             .parse()
             .map_err(|_| illegal(format!("preference: [{word}] is not a shard's number")))?;
         if !(index.first..=index.last).contains(&shard) {
-            return Err(illegal(format!("preference: index [{}] has no shard [{shard}]", index.name)));
+            return Err(illegal(format!(
+                "preference: index [{}] has no shard [{shard}]",
+                index.name
+            )));
         }
         named.insert(shard);
     }
@@ -353,17 +445,25 @@
 
 /// An `_msearch` body: pairs of lines. A body that isn't is a fault of the whole; a search that is faulty in
 /// itself is one of its own.
-fn read_many(front: &Front, body: &[u8], terms: &Terms) -> Result<Vec<Result<Search, Fault>>, Fault> {
+fn read_many(
+    front: &Front,
+    body: &[u8],
+    terms: &Terms,
+) -> Result<Vec<Result<Search, Fault>>, Fault> {
     let body = std::str::from_utf8(body).map_err(|_| malformed("the body is not text"))?;
     if !body.ends_with('\n') {
         return Err(malformed("the body must end in a newline"));
     }
     let lines: Vec<&str> = body.lines().collect();
     if lines.is_empty() || lines.len() % 2 == 1 {
-        return Err(malformed("the body must hold pairs of lines: a header, then a search"));
+        return Err(malformed(
+            "the body must hold pairs of lines: a header, then a search",
+        ));
     }
     if lines.len() / 2 > MOST_SEARCHES {
-        return Err(illegal(format!("at most {MOST_SEARCHES} searches are taken at once")));
+        return Err(illegal(format!(
+            "at most {MOST_SEARCHES} searches are taken at once"
+        )));
     }
     let pair = |pair: &[&str]| {
         let blank = pair[0].trim().is_empty();
@@ -425,11 +525,17 @@
             error(status, kind, "refused: trying again is harmless")
                 .with("Retry-After", whole_secs(retry_after))
         }
-        Answer::Repeated => error(409, "illegal_state_exception", "the search's name was used before"),
+        Answer::Repeated => error(
+            409,
+            "illegal_state_exception",
+            "the search's name was used before",
+        ),
         Answer::Failed { late: true } => error(504, "timeout_exception", "no answer in time"),
-        Answer::Failed { late: false } => {
-            error(500, "search_phase_execution_exception", "a part failed and may have run")
-        }
+        Answer::Failed { late: false } => error(
+            500,
+            "search_phase_execution_exception",
+            "a part failed and may have run",
+        ),
     }
 }
 
@@ -443,7 +549,11 @@
         })
         .collect();
     if !whole && !search.partial {
-        return error(504, "search_phase_execution_exception", "Partial shards failure");
+        return error(
+            504,
+            "search_phase_execution_exception",
+            "Partial shards failure",
+        );
     }
     let merged = match merge(search, parts) {
         Ok(merged) => merged,
@@ -466,7 +576,10 @@
 /// byte by byte.
 fn merge(search: &Search, parts: &[PartAnswer]) -> Result<String, String> {
     let mut hits: Vec<(Option<f64>, std::borrow::Cow<'_, str>)> = Vec::new();
-    let mut total = Some(Total { value: 0, relation: "eq".into() });
+    let mut total = Some(Total {
+        value: 0,
+        relation: "eq".into(),
+    });
     let mut count = |more: Option<Total>| match (&mut total, more) {
         (Some(sum), Some(more)) => {
             sum.value = sum.value.saturating_add(more.value);
@@ -481,15 +594,19 @@
         match &part.value {
             Err(_) => {}
             Ok(Value::Plain(bytes)) => {
-                let text = std::str::from_utf8(bytes).map_err(|_| "a value is not text".to_string())?;
+                let text =
+                    std::str::from_utf8(bytes).map_err(|_| "a value is not text".to_string())?;
                 let id = part.shard.to_string();
-                let hit =
-                    json!({"_index": search.index.name, "_id": id, "_score": 1.0, "_source": {"doc": text}});
+                let hit = json!({"_index": search.index.name, "_id": id, "_score": 1.0, "_source": {"doc": text}});
                 hits.push((Some(1.0), hit.to_string().into()));
-                count(Some(Total { value: 1, relation: "eq".into() }));
+                count(Some(Total {
+                    value: 1,
+                    relation: "eq".into(),
+                }));
             }
             Ok(Value::Hits(text)) => {
-                let part: Hits = serde_json::from_str(text).map_err(|e| format!("a hits object: {e}"))?;
+                let part: Hits =
+                    serde_json::from_str(text).map_err(|e| format!("a hits object: {e}"))?;
                 count(part.total);
                 for hit in part.hits {
                     let scored: Scored =
@@ -502,13 +619,21 @@
     let rank = |score: Option<f64>| score.unwrap_or(f64::NEG_INFINITY);
     hits.sort_by(|a, b| rank(b.0).total_cmp(&rank(a.0)));
     let best = hits.first().and_then(|(score, _)| *score);
-    let window: Vec<&str> =
-        hits.iter().skip(search.from).take(search.size).map(|(_, hit)| hit.as_ref()).collect();
+    let window: Vec<&str> = hits
+        .iter()
+        .skip(search.from)
+        .take(search.size)
+        .map(|(_, hit)| hit.as_ref())
+        .collect();
     let total = match total {
         Some(total) => format!("\"total\":{},", json!(total)),
         None => String::new(),
     };
-    Ok(format!("{{{total}\"max_score\":{},\"hits\":[{}]}}", json!(best), window.join(",")))
+    Ok(format!(
+        "{{{total}\"max_score\":{},\"hits\":[{}]}}",
+        json!(best),
+        window.join(",")
+    ))
 }
 
 fn millis(secs: f64) -> u64 {
@@ -531,6 +656,7 @@
 
 pub fn error(status: u16, kind: &str, reason: &str) -> Reply {
     let cause = json!({"type": kind, "reason": reason});
-    let body = json!({"error": {"root_cause": [cause], "type": kind, "reason": reason}, "status": status});
+    let body =
+        json!({"error": {"root_cause": [cause], "type": kind, "reason": reason}, "status": status});
     Reply::json(status, body.to_string().into_bytes())
 }
--- a/crates/coordinator/src/fronts/places.rs
+++ b/crates/coordinator/src/fronts/places.rs
@@ -56,7 +56,13 @@
     pub fn seen(&self) -> Seen {
         let (last_asked, last_answered) = (self.last_asked.get(), self.last_answered.get());
         let (serving, staying) = (self.serving.get(), self.open.get() - self.parted.get());
-        Seen { last_asked, last_answered, coming_in: self.busy().saturating_sub(serving), serving, staying }
+        Seen {
+            last_asked,
+            last_answered,
+            coming_in: self.busy().saturating_sub(serving),
+            serving,
+            staying,
+        }
     }
 
     /// From now on no request gets longer than up to this moment.
@@ -77,8 +83,10 @@
     /// Tells the connection that has been idle for longest to leave; whether there was one.
     pub fn make_room(&self, now: Time) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let longest =
-            idle.iter().find(|((since, _), (least, _))| now - *since >= *least).map(|(&key, _)| key);
+        let longest = idle
+            .iter()
+            .find(|((since, _), (least, _))| now - *since >= *least)
+            .map(|(&key, _)| key);
         match longest.and_then(|key| idle.remove(&key)) {
             Some((_, leave)) => {
                 leave.notify_one();
@@ -109,7 +117,10 @@
         if self.idle_since.get().is_none() {
             self.idle_since.set(Some(now));
             let least = if self.used.get() { YOUNG_USED } else { YOUNG };
-            self.places.idle.borrow_mut().insert((now, self.id), (least, self.leave.clone()));
+            self.places
+                .idle
+                .borrow_mut()
+                .insert((now, self.id), (least, self.leave.clone()));
         }
     }
 
--- a/crates/coordinator/src/fronts/places/tests.rs
+++ b/crates/coordinator/src/fronts/places/tests.rs
@@ -18,13 +18,19 @@
         let idle = places.idle.borrow();
         idle.keys().map(|(_, id)| *id).collect::<Vec<_>>()
     };
-    assert_eq!((left(9.1), left(9.1), left(9.1)), (vec![0, 3], vec![3], vec![3]));
+    assert_eq!(
+        (left(9.1), left(9.1), left(9.1)),
+        (vec![0, 3], vec![3], vec![3])
+    );
     assert_eq!(left(9.3), Vec::<u64>::new());
     // Of two that idle since the same moment, the one that was answered may leave sooner.
     held[2].busy();
     held[2].idle(at(10.0));
     held[1].asked(at(9.9));
-    assert_eq!((places.seen().serving, places.seen().last_asked), (1, at(9.9)));
+    assert_eq!(
+        (places.seen().serving, places.seen().last_asked),
+        (1, at(9.9))
+    );
     held[1].answered(at(9.9));
     assert_eq!(places.seen().serving, 0);
     held[1].idle(at(10.0));
@@ -42,8 +48,14 @@
     let places = Rc::new(Places::default());
     let held: Vec<Place> = (0..3).map(|_| places.take()).collect();
     held[0].idle(Time::from_secs(1.0));
-    let seen =
-        |places: &Places| (places.open(), places.busy(), places.seen().coming_in, places.seen().staying);
+    let seen = |places: &Places| {
+        (
+            places.open(),
+            places.busy(),
+            places.seen().coming_in,
+            places.seen().staying,
+        )
+    };
     assert_eq!(seen(&places), (3, 2, 2, 3));
     assert!(places.make_room(Time::from_secs(9.0)));
     for _ in 0..2 {
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -48,20 +48,29 @@
     let path = request.target.split('?').next().unwrap_or("");
     match (path, request.method.as_str()) {
         ("/api", "POST") => {}
-        ("/api", _) => return Ok(error(405, "only POST is answered here").with("Allow", "POST".into())),
+        ("/api", _) => {
+            return Ok(error(405, "only POST is answered here").with("Allow", "POST".into()))
+        }
         _ => return Ok(error(404, "there is nothing at this path")),
     }
     match read(&front.offer().deployment, request, arrived) {
         Err(text) => Ok(error(400, &text)),
         Ok(asked) => {
             let answers = exchange.ask(vec![asked]).await?;
-            Ok(answers.into_iter().next().map_or_else(|| error(500, "no answer"), word))
+            Ok(answers
+                .into_iter()
+                .next()
+                .map_or_else(|| error(500, "no answer"), word))
         }
     }
 }
 
 /// The request that the message stands for; the error says what is wrong with it.
-pub fn read(deployment: &Deployment, message: &http::Request, arrived: Time) -> Result<Request, String> {
+pub fn read(
+    deployment: &Deployment,
+    message: &http::Request,
+    arrived: Time,
+) -> Result<Request, String> {
     let field = |name: &str| message.fields.get(name).ok_or(format!("{name} is missing"));
     let name = field("X-Request-Id")?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
@@ -70,12 +79,21 @@
     }
     let class = field("X-Class")?;
     let class = deployment.place(class).ok_or("X-Class is unknown")?;
-    let wait: f64 = field("X-Deadline")?.parse().map_err(|_| "X-Deadline is not a number")?;
+    let wait: f64 = field("X-Deadline")?
+        .parse()
+        .map_err(|_| "X-Deadline is not a number")?;
     if !(wait.is_finite() && wait > 0.0 && wait < 1e6) {
         return Err("X-Deadline is out of bounds".into());
     }
     let body: Body = serde_json::from_slice(&message.body).map_err(|e| format!("the body: {e}"))?;
-    let parts: Vec<_> = body.shards.iter().map(|s| PartSpec { shard: s.shard, weight: s.weight }).collect();
+    let parts: Vec<_> = body
+        .shards
+        .iter()
+        .map(|s| PartSpec {
+            shard: s.shard,
+            weight: s.weight,
+        })
+        .collect();
     check_parts(deployment, &parts)?;
     let costs: Option<f64> = body.shards.iter().map(|shard| shard.cost).sum();
     Ok(Request {
@@ -104,7 +122,10 @@
             return Err(format!("shards: {} is there twice", part.shard));
         }
         if !(part.weight.is_finite() && part.weight > 0.0 && part.weight <= 1.001) {
-            return Err(format!("shards: the weight of {} is out of bounds", part.shard));
+            return Err(format!(
+                "shards: the weight of {} is out of bounds",
+                part.shard
+            ));
         }
     }
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
@@ -129,14 +150,22 @@
                         Err(_) => return error(502, "a value is not text"),
                     },
                 };
-                hits.push(Hit { shard: part.shard, doc });
+                hits.push(Hit {
+                    shard: part.shard,
+                    doc,
+                });
             }
-            let body = serde_json::to_vec(&Whole { complete: whole, hits }).unwrap_or_default();
+            let body = serde_json::to_vec(&Whole {
+                complete: whole,
+                hits,
+            })
+            .unwrap_or_default();
             Reply::json(200, body)
         }
         Answer::Refused { retry_after, busy } => {
             let status = if busy { 429 } else { 503 };
-            error(status, "refused: trying again is harmless").with("Retry-After", decimal(retry_after))
+            error(status, "refused: trying again is harmless")
+                .with("Retry-After", decimal(retry_after))
         }
         Answer::Repeated => error(409, "X-Request-Id was used before"),
         Answer::Failed { late: true } => error(504, "failed: no answer in time"),
@@ -150,5 +179,10 @@
 }
 
 pub fn error(status: u16, text: &str) -> Reply {
-    Reply::json(status, serde_json::json!({ "error": text }).to_string().into_bytes())
+    Reply::json(
+        status,
+        serde_json::json!({ "error": text })
+            .to_string()
+            .into_bytes(),
+    )
 }
