--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -69,13 +69,21 @@
     }
 
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.0
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
     fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.0.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.0
+            .iter()
+            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
     fn lists(&self, name: &str, token: &str) -> bool {
-        self.all(name).flat_map(|value| value.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
+        self.all(name)
+            .flat_map(|value| value.split(','))
+            .any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 }
 
@@ -114,14 +122,19 @@
 
 /// One visible word up to a space.
 fn word(input: &mut &[u8]) -> Res<String> {
-    take_while(1.., |b: u8| b > b' ' && b != 0x7f).map(text).parse_next(input)
+    take_while(1.., |b: u8| b > b' ' && b != 0x7f)
+        .map(text)
+        .parse_next(input)
 }
 
 /// `HTTP/1.x`, and whether x is 0.
 fn version(input: &mut &[u8]) -> Res<bool> {
-    preceded(literal("HTTP/1."), take_while(1, |b: u8| b == b'0' || b == b'1'))
-        .map(|digit: &[u8]| digit == b"0")
-        .parse_next(input)
+    preceded(
+        literal("HTTP/1."),
+        take_while(1, |b: u8| b == b'0' || b == b'1'),
+    )
+    .map(|digit: &[u8]| digit == b"0")
+    .parse_next(input)
 }
 
 fn line_end(input: &mut &[u8]) -> Res<()> {
@@ -130,9 +143,12 @@
 
 fn field(input: &mut &[u8]) -> Res<(String, String)> {
     let name = terminated(token, literal(":")).parse_next(input)?;
-    let value = preceded(space0, take_till(0.., |b: u8| b == b'\r' || b == b'\n' || b == 0))
-        .map(|bytes: &[u8]| text(bytes.trim_ascii_end()))
-        .parse_next(input)?;
+    let value = preceded(
+        space0,
+        take_till(0.., |b: u8| b == b'\r' || b == b'\n' || b == 0),
+    )
+    .map(|bytes: &[u8]| text(bytes.trim_ascii_end()))
+    .parse_next(input)?;
     line_end(input)?;
     Ok((name, value))
 }
@@ -159,7 +175,10 @@
     let digits = take_while(3, |b: u8| b.is_ascii_digit()).parse_next(input)?;
     let _reason = take_till(0.., |b: u8| b == b'\r' || b == b'\n').parse_next(input)?;
     line_end(input)?;
-    Ok((digits.iter().fold(0, |n, d| n * 10 + u16::from(d - b'0')), old))
+    Ok((
+        digits.iter().fold(0, |n, d| n * 10 + u16::from(d - b'0')),
+        old,
+    ))
 }
 
 /// The head's length including its empty line, once that is there.
@@ -180,7 +199,10 @@
 
 /// Empty lines before a message are skipped, as the standard asks.
 fn skip_empty_lines(input: &[u8]) -> usize {
-    input.iter().take_while(|&&b| b == b'\r' || b == b'\n').count()
+    input
+        .iter()
+        .take_while(|&&b| b == b'\r' || b == b'\n')
+        .count()
 }
 
 /// How a head says that its body is framed.
@@ -195,8 +217,10 @@
     if coded {
         // Any other coding beside it would leave a body that nobody here can read.
         let mut codings = fields.all("transfer-encoding");
-        let only =
-            codings.next().is_some_and(|c| c.eq_ignore_ascii_case("chunked")) && codings.next().is_none();
+        let only = codings
+            .next()
+            .is_some_and(|c| c.eq_ignore_ascii_case("chunked"))
+            && codings.next().is_none();
         // Both framings at once are how requests are smuggled past another reader.
         if !only || fields.get("content-length").is_some() {
             return Err(Bad::Malformed("the body's framing is unclear"));
@@ -204,7 +228,9 @@
         return Ok(Framing::Chunked);
     }
     let mut lengths = fields.all("content-length");
-    let Some(length) = lengths.next() else { return Ok(Framing::None) };
+    let Some(length) = lengths.next() else {
+        return Ok(Framing::None);
+    };
     if lengths.any(|other| other != length)
         || length.is_empty()
         || !length.bytes().all(|b| b.is_ascii_digit())
@@ -261,7 +287,9 @@
 pub fn request(input: &[u8]) -> Result<Option<(Request, usize)>, Bad> {
     let start = skip_empty_lines(input);
     let input = &input[start..];
-    let Some(end) = head_end(input)? else { return Ok(None) };
+    let Some(end) = head_end(input)? else {
+        return Ok(None);
+    };
     let mut head = &input[..end];
     let (method, target, old) =
         request_line(&mut head).map_err(|_| Bad::Malformed("the request line is malformed"))?;
@@ -277,27 +305,44 @@
             None => return Ok(None),
         },
     };
-    let close = fields.lists("connection", "close") || (old && !fields.lists("connection", "keep-alive"));
-    Ok(Some((Request { method, target, fields, body, close }, start + end + used)))
+    let close =
+        fields.lists("connection", "close") || (old && !fields.lists("connection", "keep-alive"));
+    Ok(Some((
+        Request {
+            method,
+            target,
+            fields,
+            body,
+            close,
+        },
+        start + end + used,
+    )))
 }
 
 /// Whether a head is there whose client waits for leave to send the body.
 pub fn awaits_continue(input: &[u8]) -> bool {
     let input = &input[skip_empty_lines(input)..];
-    let Ok(Some(end)) = head_end(input) else { return false };
+    let Ok(Some(end)) = head_end(input) else {
+        return false;
+    };
     let mut head = &input[..end];
     let waits = |fields: &Fields| fields.lists("expect", "100-continue");
-    request_line(&mut head).is_ok() && fields(&mut strip_empty_line(head)).is_ok_and(|all| waits(&all))
+    request_line(&mut head).is_ok()
+        && fields(&mut strip_empty_line(head)).is_ok_and(|all| waits(&all))
 }
 
 /// Takes one response off the front of `input`, as [`request`] does. A response without framing lasts until
 /// the connection's end, which `ended` tells.
 pub fn response(input: &[u8], ended: bool, most: usize) -> Result<Option<(Response, usize)>, Bad> {
-    let Some(end) = head_end(input)? else { return Ok(None) };
+    let Some(end) = head_end(input)? else {
+        return Ok(None);
+    };
     let mut head = &input[..end];
-    let (status, old) = status_line(&mut head).map_err(|_| Bad::Malformed("the status line is malformed"))?;
+    let (status, old) =
+        status_line(&mut head).map_err(|_| Bad::Malformed("the status line is malformed"))?;
     let fields = fields(&mut strip_empty_line(head))?;
-    let mut close = fields.lists("connection", "close") || (old && !fields.lists("connection", "keep-alive"));
+    let mut close =
+        fields.lists("connection", "close") || (old && !fields.lists("connection", "keep-alive"));
     let (body, used) = match framing(&fields, most)? {
         Framing::None if status == 204 || status == 304 || status < 200 => (Vec::new(), 0),
         Framing::None if input.len() - end > most => return Err(Bad::BodyTooLarge),
@@ -313,12 +358,22 @@
             None => return Ok(None),
         },
     };
-    Ok(Some((Response { status, fields, body, close }, end + used)))
+    Ok(Some((
+        Response {
+            status,
+            fields,
+            body,
+            close,
+        },
+        end + used,
+    )))
 }
 
 /// The head without the empty line that ends it.
 fn strip_empty_line(head: &[u8]) -> &[u8] {
-    head.strip_suffix(b"\r\n").or(head.strip_suffix(b"\n")).unwrap_or(head)
+    head.strip_suffix(b"\r\n")
+        .or(head.strip_suffix(b"\n"))
+        .unwrap_or(head)
 }
 
 /// The bytes of a response with a body of this type.
@@ -330,7 +385,8 @@
     body: &[u8],
 ) -> Vec<u8> {
     let mut out = format!("HTTP/1.1 {status} {}\r\n", reason(status)).into_bytes();
-    let mut put = |name: &str, value: &str| out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
+    let mut put =
+        |name: &str, value: &str| out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
     put("Content-Type", kind);
     put("Content-Length", &body.len().to_string());
     for (name, value) in extra {
--- a/crates/coordinator/src/inherit.rs
+++ b/crates/coordinator/src/inherit.rs
@@ -10,7 +10,11 @@
     std::env::set_var("LISTEN_FDS", "1");
     let socket = listenfd::ListenFd::from_env().take_tcp_listener(0);
     let wrong = |cause: &dyn std::fmt::Display| format!("NODE_INHERITED_FD: {descriptor}: {cause}");
-    let socket = socket.map_err(|cause| wrong(&cause))?.ok_or_else(|| wrong(&"there is no socket"))?;
-    socket.set_nonblocking(true).map_err(|cause| wrong(&cause))?;
+    let socket = socket
+        .map_err(|cause| wrong(&cause))?
+        .ok_or_else(|| wrong(&"there is no socket"))?;
+    socket
+        .set_nonblocking(true)
+        .map_err(|cause| wrong(&cause))?;
     Ok(socket)
 }
--- a/crates/coordinator/src/link.rs
+++ b/crates/coordinator/src/link.rs
@@ -73,11 +73,22 @@
     }
 
     pub async fn tell(&self, what: What) {
-        let _ = self.core.send(Message::Link(LinkEvent { link: self.id, what })).await;
+        let _ = self
+            .core
+            .send(Message::Link(LinkEvent {
+                link: self.id,
+                what,
+            }))
+            .await;
     }
 
     pub async fn ended(&self, attempt: Attempt, outcome: Outcome, value: Option<Value>) {
-        self.tell(What::Ended { attempt, outcome, value }).await;
+        self.tell(What::Ended {
+            attempt,
+            outcome,
+            value,
+        })
+        .await;
     }
 
     /// Dials; `None` if that fails or the core ends it first.
@@ -109,7 +120,11 @@
                     }
                 }
                 Command::Probe => {
-                    self.tell(What::Probed { outcome: Outcome::ConnectFailed, report: Vec::new() }).await
+                    self.tell(What::Probed {
+                        outcome: Outcome::ConnectFailed,
+                        report: Vec::new(),
+                    })
+                    .await
                 }
                 Command::Cancel(_) => {}
             }
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -53,7 +53,11 @@
 }
 
 impl Bucket {
-    const FULL: Bucket = Bucket { left: BURST, at: None, held: 0 };
+    const FULL: Bucket = Bucket {
+        left: BURST,
+        at: None,
+        held: 0,
+    };
 
     /// Whether a line may be written now, and how many were held back since the last one.
     fn admit(&mut self, now: Instant) -> Option<u64> {
@@ -89,12 +93,20 @@
         event: &Event<'_>,
     ) -> fmt::Result {
         // A panic while the bucket was held would have ended the program.
-        let admitted = self.bucket.lock().ok().and_then(|mut bucket| bucket.admit(Instant::now()));
+        let admitted = self
+            .bucket
+            .lock()
+            .ok()
+            .and_then(|mut bucket| bucket.admit(Instant::now()));
         match (admitted, self.form) {
             (None, _) => return Ok(()),
             (Some(0), _) => {}
-            (Some(held), Form::Text) => writeln!(writer, "held_back={held} lines before the next one")?,
-            (Some(held), Form::Json) => writeln!(writer, "{{\"level\":\"WARN\",\"held_back\":{held}}}")?,
+            (Some(held), Form::Text) => {
+                writeln!(writer, "held_back={held} lines before the next one")?
+            }
+            (Some(held), Form::Json) => {
+                writeln!(writer, "{{\"level\":\"WARN\",\"held_back\":{held}}}")?
+            }
         }
         self.inner.format_event(context, writer, event)
     }
@@ -112,14 +124,29 @@
         Form::Text => {
             let inner = Format::default().with_target(false).with_ansi(false);
             tracing::subscriber::set_global_default(
-                build.event_format(Limited { inner, form, bucket: bucket() }).finish(),
+                build
+                    .event_format(Limited {
+                        inner,
+                        form,
+                        bucket: bucket(),
+                    })
+                    .finish(),
             )
         }
         Form::Json => {
-            let inner = Format::default().json().flatten_event(true).with_target(false);
+            let inner = Format::default()
+                .json()
+                .flatten_event(true)
+                .with_target(false);
             let build = build.fmt_fields(JsonFields::new());
             tracing::subscriber::set_global_default(
-                build.event_format(Limited { inner, form, bucket: bucket() }).finish(),
+                build
+                    .event_format(Limited {
+                        inner,
+                        form,
+                        bucket: bucket(),
+                    })
+                    .finish(),
             )
         }
     };
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -63,13 +63,17 @@
 
 fn run() -> ExitCode {
     let run = || -> Result<(), String> {
-        let stop = signals::Kept::new(signal_hook::consts::SIGTERM).map_err(|e| format!("SIGTERM: {e}"))?;
-        let hangups = signals::Kept::new(signal_hook::consts::SIGHUP).map_err(|e| format!("SIGHUP: {e}"))?;
+        let stop = signals::Kept::new(signal_hook::consts::SIGTERM)
+            .map_err(|e| format!("SIGTERM: {e}"))?;
+        let hangups =
+            signals::Kept::new(signal_hook::consts::SIGHUP).map_err(|e| format!("SIGHUP: {e}"))?;
         let config = config::load(variable)?;
         log::start(config.log.level, config.log.format);
         // Before anything else opens a descriptor or starts a thread.
         let inherited = config.inherited.map(inherit::listener).transpose()?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
         tokio::task::LocalSet::new().block_on(&runtime, serve(config, inherited, stop, hangups))
     };
@@ -120,7 +124,10 @@
         contracts.republish(surface::pages(&config));
         let waiting = config.needs_restart(&fresh);
         if !waiting.is_empty() {
-            tracing::warn!(keys = waiting.join(", "), "reload: what changed here takes a restart");
+            tracing::warn!(
+                keys = waiting.join(", "),
+                "reload: what changed here takes a restart"
+            );
         }
         if let Some(discovery) = fresh.discovery {
             tracing::info!(%discovery, "reload");
@@ -134,10 +141,15 @@
 }
 
 /// Has the core take other settings, between two ticks and whole or not at all. Returns what is in force then.
-async fn retune(core: &mpsc::Sender<Message>, fresh: &config::Config) -> Result<Arc<Offer>, String> {
+async fn retune(
+    core: &mpsc::Sender<Message>,
+    fresh: &config::Config,
+) -> Result<Arc<Offer>, String> {
     let (reply, taken) = oneshot::channel();
     let offer = Box::new(Offer::clone(&fresh.offer));
-    core.send(Message::Retune(offer, reply)).await.map_err(|_| "the core ended")?;
+    core.send(Message::Retune(offer, reply))
+        .await
+        .map_err(|_| "the core ended")?;
     let offer = taken.await.map_err(|_| "the core ended")??;
     tell_classes(&offer);
     Ok(offer)
@@ -145,7 +157,12 @@
 
 fn tell_classes(offer: &Offer) {
     for (_, name, class) in offer.deployment.offered() {
-        tracing::info!(class = name, aim_s = class.aim, deadline_s = class.deadline, "class");
+        tracing::info!(
+            class = name,
+            aim_s = class.aim,
+            deadline_s = class.deadline,
+            "class"
+        );
     }
 }
 
@@ -178,7 +195,10 @@
     let (offer, offers) = watch::channel(config.offer.clone());
     let shared = inherited.is_some();
     let mut inherited = inherited;
-    let addresses = [(Some(config.listen), Kind::Platform), (config.opensearch, Kind::OpenSearch)];
+    let addresses = [
+        (Some(config.listen), Kind::Platform),
+        (config.opensearch, Kind::OpenSearch),
+    ];
     let mut listeners = Vec::new();
     for (address, kind) in addresses {
         let Some(address) = address else { continue };
@@ -187,8 +207,14 @@
             None => TcpListener::bind(address).await,
         };
         let listener = listener.map_err(|e| format!("listen on {address}: {e}"))?;
-        let bound = listener.local_addr().map_err(|e| format!("listen on {address}: {e}"))?;
-        let front = if kind == Kind::Platform { "platform" } else { "opensearch" };
+        let bound = listener
+            .local_addr()
+            .map_err(|e| format!("listen on {address}: {e}"))?;
+        let front = if kind == Kind::Platform {
+            "platform"
+        } else {
+            "opensearch"
+        };
         tracing::info!(name = config.name, front, address = %bound, "listening");
         let front = Front {
             offer: offers.clone(),
@@ -204,7 +230,12 @@
         let (mut phases, deaf) = (phases.clone(), deafs.clone());
         listeners.push(tokio::task::spawn_local(async move {
             // Whoever waits at a listener that two processes share is the old one's until this one can serve.
-            if shared && phases.wait_for(|phase| *phase != Phase::Starting).await.is_err() {
+            if shared
+                && phases
+                    .wait_for(|phase| *phase != Phase::Starting)
+                    .await
+                    .is_err()
+            {
                 return;
             }
             fronts::listen(listener, Rc::new(front), deaf).await;
@@ -227,9 +258,18 @@
             core.tell_peers(tell);
             let (name, seed) = (config.name.clone(), config.seed);
             let (clock, phases, core) = (clock.clone(), phases.clone(), to_core.clone());
-            let given = peers::Given { name, seed, clock, phases, doubts, core };
+            let given = peers::Given {
+                name,
+                seed,
+                clock,
+                phases,
+                doubts,
+                core,
+            };
             Some(Rc::new(
-                peers::start(settings, given).await.map_err(|fault| format!("{fault}: {}", fault.help()))?,
+                peers::start(settings, given)
+                    .await
+                    .map_err(|fault| format!("{fault}: {}", fault.help()))?,
             ))
         }
     };
@@ -237,7 +277,12 @@
         let fault = |cause: std::io::Error| format!("admin: listen on {address}: {cause}");
         let listener = TcpListener::bind(address).await.map_err(fault)?;
         tracing::info!(address = %listener.local_addr().map_err(fault)?, "operators' calls are taken");
-        tokio::task::spawn_local(door::listen(listener, to_core.clone(), phase.clone(), peers.clone()));
+        tokio::task::spawn_local(door::listen(
+            listener,
+            to_core.clone(),
+            phase.clone(),
+            peers.clone(),
+        ));
     }
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let (agent, agents) = watch::channel(config.discovery.unwrap_or(nowhere));
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -44,7 +44,8 @@
     /// What the page says. A line that can't be read costs nobody but its own server, which counts as left out.
     pub fn news(self) -> News {
         let row = |line: &RawValue| {
-            let member: Member = serde_json::from_str(line.get()).map_err(|e| format!("members: {e}"))?;
+            let member: Member =
+                serde_json::from_str(line.get()).map_err(|e| format!("members: {e}"))?;
             let state = match member.phase.as_str() {
                 "active" => ServerState::Ready,
                 "leaving" => ServerState::Draining,
@@ -60,20 +61,40 @@
                 }
             };
             let address = member.host_port.parse().map_err(|_| {
-                format!("members: host_port '{}' of {} is not an address", member.host_port, member.id)
+                format!(
+                    "members: host_port '{}' of {} is not an address",
+                    member.host_port, member.id
+                )
             })?;
-            let ready_at = (member.up_since_ms > 0).then(|| Time(member.up_since_ms.saturating_mul(1000)));
+            let ready_at =
+                (member.up_since_ms > 0).then(|| Time(member.up_since_ms.saturating_mul(1000)));
             let (cell, size) = (member.cell, member.size);
             let zone = zone(&member.locality);
-            Ok(Row { id: member.id, address, cell, zone, state, size, weight: 1.0, generation: 0, ready_at })
+            Ok(Row {
+                id: member.id,
+                address,
+                cell,
+                zone,
+                state,
+                size,
+                weight: 1.0,
+                generation: 0,
+                ready_at,
+            })
         };
         let read = |line: &RawValue| {
             row(line)
-                .inspect_err(|cause: &String| tracing::warn!(%cause, "discovery: a line can't be read"))
+                .inspect_err(
+                    |cause: &String| tracing::warn!(%cause, "discovery: a line can't be read"),
+                )
                 .ok()
         };
         let rows = self.members.iter().filter_map(|line| read(line)).collect();
-        News { revision: self.revision, complete: self.complete, rows }
+        News {
+            revision: self.revision,
+            complete: self.complete,
+            rows,
+        }
     }
 }
 
--- a/crates/coordinator/src/members/tests.rs
+++ b/crates/coordinator/src/members/tests.rs
@@ -14,9 +14,16 @@
         r#"{"id":null}"#.into(),
         line("s-d", "10.1.0.3:9000", "leaving"),
     ];
-    let text = format!(r#"{{"revision":7,"complete":true,"members":[{}]}}"#, odd.join(","));
+    let text = format!(
+        r#"{{"revision":7,"complete":true,"members":[{}]}}"#,
+        odd.join(",")
+    );
     let news = serde_json::from_str::<Page>(&text).unwrap().news();
     let ids: Vec<&str> = news.rows.iter().map(|row| row.id.as_str()).collect();
     assert_eq!((news.revision, ids), (7, vec!["s-a", "s-c", "s-d"]));
-    assert_eq!(news.rows[1].state, ServerState::Draining, "an unknown phase is not 'active'");
+    assert_eq!(
+        news.rows[1].state,
+        ServerState::Draining,
+        "an unknown phase is not 'active'"
+    );
 }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -42,7 +42,11 @@
     };
     let stamps = stamps(&paths);
     let one = |path: &PathBuf| {
-        let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+        let name = path
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
         (name, text(path))
     };
     (paths.iter().map(one).collect(), stamps)
@@ -57,7 +61,11 @@
     let mut paths: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
     // What editors put beside a file begins with a dot or ends otherwise.
     let listed = |path: &PathBuf| {
-        let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+        let name = path
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
         name.ends_with(".toml") && !name.starts_with('.')
     };
     paths.retain(listed);
@@ -82,7 +90,9 @@
     }
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|e| e.to_string())?;
-    file.take(MOST_BYTES as u64 + 1).read_to_string(&mut text).map_err(|e| e.to_string())?;
+    file.take(MOST_BYTES as u64 + 1)
+        .read_to_string(&mut text)
+        .map_err(|e| e.to_string())?;
     if text.len() > MOST_BYTES {
         return Err(format!("the file has more than {MOST_BYTES} bytes"));
     }
@@ -90,7 +100,10 @@
 }
 
 fn unix() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
 }
 
 /// The thread's state.
@@ -128,7 +141,10 @@
         unkept: 0,
     };
     let thread = std::thread::Builder::new().name("roster".into());
-    thread.spawn(move || keeper.run()).map(drop).map_err(|e| format!("a thread: {e}"))
+    thread
+        .spawn(move || keeper.run())
+        .map(drop)
+        .map_err(|e| format!("a thread: {e}"))
 }
 
 impl Keeper {
@@ -143,9 +159,16 @@
         let clear = self.look();
         settle.read(now(), clear);
         while !self.core.is_closed() {
-            let own = self.schedule.next(unix()).map_or(f64::MAX, |at| now() + (at - unix()));
+            let own = self
+                .schedule
+                .next(unix())
+                .map_or(f64::MAX, |at| now() + (at - unix()));
             let wait = Duration::from_secs_f64((settle.due().min(own) - now()).max(0.0));
-            let wait = if self.weighed.is_empty() { wait } else { wait.min(BETWEEN) };
+            let wait = if self.weighed.is_empty() {
+                wait
+            } else {
+                wait.min(BETWEEN)
+            };
             match changes.recv_timeout(wait) {
                 Ok(()) => {
                     settle.changed(now());
@@ -177,12 +200,21 @@
 
     /// Finds the list that was kept.
     fn begin(&mut self) {
-        let Some(folder) = self.source.state.clone() else { return };
+        let Some(folder) = self.source.state.clone() else {
+            return;
+        };
         let (kept, wrong) = recover(&Folder(folder.clone()));
         for cause in wrong {
             tracing::error!(folder = %folder.display(), cause, "roster: a kept list can't be used and is passed over");
         }
-        let Some(Kept { roster, saved, slot }) = kept else { return };
+        let Some(Kept {
+            roster,
+            saved,
+            slot,
+        }) = kept
+        else {
+            return;
+        };
         self.slot = Some(slot);
         for (id, server) in &roster.servers {
             self.started.insert(id.clone(), server.started);
@@ -190,7 +222,12 @@
         match read(&files(&self.source.path)) {
             Ok(fresh)
                 if !matches!(
-                    judge(Some(&roster), &fresh, &self.source.layout, self.source.shrink),
+                    judge(
+                        Some(&roster),
+                        &fresh,
+                        &self.source.layout,
+                        self.source.shrink
+                    ),
                     Verdict::Refuse(_)
                 ) => {}
             _ => {
@@ -209,7 +246,9 @@
     /// Reads the files, if they are others than those in force. Whether they hold what is in force now.
     fn look(&mut self) -> bool {
         // A large list is not read again every second.
-        let standing = paths(&self.source.path).map(|paths| stamps(&paths)).unwrap_or_default();
+        let standing = paths(&self.source.path)
+            .map(|paths| stamps(&paths))
+            .unwrap_or_default();
         if !standing.is_empty() && standing == self.clear {
             return true;
         }
@@ -221,7 +260,12 @@
         let verdict = match read(&files) {
             Err(faults) => Verdict::Refuse(faults),
             Ok(roster) => {
-                let verdict = judge(self.in_force.as_ref(), &roster, &self.source.layout, self.source.shrink);
+                let verdict = judge(
+                    self.in_force.as_ref(),
+                    &roster,
+                    &self.source.layout,
+                    self.source.shrink,
+                );
                 if verdict == Verdict::Take {
                     self.clear = before;
                     return self.accept(roster);
@@ -253,7 +297,11 @@
 
     fn accept(&mut self, roster: Roster) -> bool {
         self.told.clear();
-        let plan = plan(self.in_force.as_ref().unwrap_or(&Roster::default()), &roster, &self.source.layout);
+        let plan = plan(
+            self.in_force.as_ref().unwrap_or(&Roster::default()),
+            &roster,
+            &self.source.layout,
+        );
         let generation = roster.generation;
         // At the first list the fleet is taken to run; a server that joins it later has just started.
         let first = self.in_force.is_none() && self.started.is_empty();
@@ -278,7 +326,16 @@
         let told = self.take(roster);
         let (added, removed, unchanged) = (plan.added.len(), plan.removed.len(), plan.unchanged);
         let (moved, drained, weighed) = (plan.moved.len(), plan.drained.len(), plan.weighed.len());
-        tracing::info!(generation, added, removed, moved, drained, weighed, unchanged, "roster in force");
+        tracing::info!(
+            generation,
+            added,
+            removed,
+            moved,
+            drained,
+            weighed,
+            unchanged,
+            "roster in force"
+        );
         if !plan.single.is_empty() {
             tracing::warn!(
                 generation,
@@ -303,7 +360,9 @@
         let roster = self.schedule.roster();
         let mut rows = BTreeMap::new();
         for (id, server) in &roster.servers {
-            let Some(at) = self.schedule.at(now, id) else { continue };
+            let Some(at) = self.schedule.at(now, id) else {
+                continue;
+            };
             let state = match at.phase {
                 Phase::Active => ServerState::Ready,
                 Phase::Leaving => ServerState::Draining,
@@ -320,7 +379,12 @@
                 size: 1.0,
                 weight: at.weight,
                 generation: stays.map_or(roster.generation, |row| row.generation),
-                ready_at: self.started.get(id).copied().flatten().map(|secs| Time((secs * 1e6) as i64)),
+                ready_at: self
+                    .started
+                    .get(id)
+                    .copied()
+                    .flatten()
+                    .map(|secs| Time((secs * 1e6) as i64)),
             };
             rows.insert(id.clone(), row);
         }
@@ -329,19 +393,37 @@
         for (id, row) in &rows {
             match self.rows.get(id) {
                 Some(before) if before == row => {}
-                Some(before) if *before == (Row { weight: before.weight, ..row.clone() }) => {
+                Some(before)
+                    if *before
+                        == (Row {
+                            weight: before.weight,
+                            ..row.clone()
+                        }) =>
+                {
                     weighed.push(row.clone())
                 }
                 _ => changed.push(row.clone()),
             }
         }
         let gone = self.rows.iter().filter(|(id, _)| !rows.contains_key(*id));
-        changed.extend(gone.map(|(_, row)| Row { state: ServerState::Gone, ..row.clone() }));
+        changed.extend(gone.map(|(_, row)| Row {
+            state: ServerState::Gone,
+            ..row.clone()
+        }));
         self.rows = rows;
         let revision = roster.generation;
-        let news = |rows, complete| Message::News(News { revision, complete, rows });
-        changed.iter().for_each(|row| drop(self.weighed.remove(&row.id)));
-        self.weighed.extend(weighed.into_iter().map(|row| (row.id.clone(), row)));
+        let news = |rows, complete| {
+            Message::News(News {
+                revision,
+                complete,
+                rows,
+            })
+        };
+        changed
+            .iter()
+            .for_each(|row| drop(self.weighed.remove(&row.id)));
+        self.weighed
+            .extend(weighed.into_iter().map(|row| (row.id.clone(), row)));
         (!first && changed.is_empty()) || self.core.blocking_send(news(changed, first)).is_ok()
     }
 
@@ -349,11 +431,19 @@
     fn tell_weights(&mut self) -> bool {
         let mut rows = Vec::new();
         while rows.len() < MOST_AT_ONCE {
-            let Some((_, row)) = self.weighed.pop_first() else { break };
+            let Some((_, row)) = self.weighed.pop_first() else {
+                break;
+            };
             rows.push(row);
         }
         let revision = self.schedule.roster().generation;
-        self.core.blocking_send(Message::News(News { revision, complete: false, rows })).is_ok()
+        self.core
+            .blocking_send(Message::News(News {
+                revision,
+                complete: false,
+                rows,
+            }))
+            .is_ok()
     }
 }
 
@@ -368,11 +458,22 @@
         }
     };
     let mut watcher = notify::recommended_watcher(tell).ok()?;
-    let folder = if path.is_dir() { path } else { path.parent().unwrap_or(Path::new(".")) };
-    let folder = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
+    let folder = if path.is_dir() {
+        path
+    } else {
+        path.parent().unwrap_or(Path::new("."))
+    };
+    let folder = if folder.as_os_str().is_empty() {
+        Path::new(".")
+    } else {
+        folder
+    };
     watcher.watch(folder, RecursiveMode::NonRecursive).ok()?;
     // A folder may be swapped by the link that names it.
-    if let Some(around) = folder.parent().filter(|p| !p.as_os_str().is_empty() && path.is_symlink()) {
+    if let Some(around) = folder
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty() && path.is_symlink())
+    {
         let _ = watcher.watch(around, RecursiveMode::NonRecursive);
     }
     Some(watcher)
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -28,7 +28,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("peers.listen: {address}: {cause}")]
-    Listen { address: SocketAddr, cause: std::io::Error },
+    Listen {
+        address: SocketAddr,
+        cause: std::io::Error,
+    },
 }
 
 impl Fault {
@@ -82,7 +85,10 @@
 
 /// Begins to take part.
 pub async fn start(settings: &config::Peers, given: Given) -> Result<Peers, Fault> {
-    let fault = |cause| Fault::Listen { address: settings.listen, cause };
+    let fault = |cause| Fault::Listen {
+        address: settings.listen,
+        cause,
+    };
     let socket = UdpSocket::bind(settings.listen).await.map_err(fault)?;
     let bound = socket.local_addr().map_err(fault)?;
     let address = settings.advertise.unwrap_or(bound);
@@ -104,7 +110,12 @@
     Ok(Peers { calls })
 }
 
-async fn run(socket: UdpSocket, mut group: Group, mut calls: mpsc::Receiver<Call>, mut given: Given) {
+async fn run(
+    socket: UdpSocket,
+    mut group: Group,
+    mut calls: mpsc::Receiver<Call>,
+    mut given: Given,
+) {
     let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut buffer = [0; MOST_BYTES + 1];
@@ -221,9 +232,13 @@
         })
         .collect();
     let allowed = |feature: &cairnroad_cluster::model::Feature| {
-        (format!("{feature:?}").to_lowercase(), json!(may(view.standing, *feature)))
+        (
+            format!("{feature:?}").to_lowercase(),
+            json!(may(view.standing, *feature)),
+        )
     };
-    let dropped = |(cause, count): (cairnroad_cluster::Dropped, u64)| (cause.to_string(), json!(count));
+    let dropped =
+        |(cause, count): (cairnroad_cluster::Dropped, u64)| (cause.to_string(), json!(count));
     json!({
         "name": name, "address": view.own.address.to_string(), "generation": view.own.generation,
         "returns": view.own.returns, "standing": view.standing, "epoch": view.epoch,
--- a/crates/coordinator/src/pool.rs
+++ b/crates/coordinator/src/pool.rs
@@ -131,7 +131,12 @@
 }
 
 impl Pool {
-    pub fn new(config: &Config, contracts: Rc<Contracts>, clock: Clock, core: mpsc::Sender<Message>) -> Self {
+    pub fn new(
+        config: &Config,
+        contracts: Rc<Contracts>,
+        clock: Clock,
+        core: mpsc::Sender<Message>,
+    ) -> Self {
         let deployment = &config.offer.deployment;
         // HTTP/1.1 carries one request at a time, and a search is a request of its own.
         let (streams, batch) = match config.backend {
@@ -167,7 +172,9 @@
     }
 
     pub fn any_ready(&self) -> bool {
-        self.nodes.values().any(|node| node.state == ServerState::Ready)
+        self.nodes
+            .values()
+            .any(|node| node.state == ServerState::Ready)
     }
 
     /// Takes in the list. What is queued for a server that drains or is gone is not sent any more.
@@ -182,11 +189,20 @@
         }
         for (server, row) in rows {
             let id = row.id.as_str().into();
-            self.nodes
-                .insert(*server, Node { id, address: row.address, state: row.state, ready_at: row.ready_at });
+            self.nodes.insert(
+                *server,
+                Node {
+                    id,
+                    address: row.address,
+                    state: row.state,
+                    ready_at: row.ready_at,
+                },
+            );
         }
         for link in self.links.values_mut() {
-            let Some(node) = self.nodes.get(&link.server) else { continue };
+            let Some(node) = self.nodes.get(&link.server) else {
+                continue;
+            };
             let barred = node.state != ServerState::Ready;
             link.shared.barred.set(barred);
             if barred && !link.up {
@@ -221,7 +237,9 @@
                     failed.extend(call.into_iter().map(ended));
                     continue;
                 };
-                let Some(link) = self.links.get_mut(&id) else { continue };
+                let Some(link) = self.links.get_mut(&id) else {
+                    continue;
+                };
                 tally.add(Count::Calls);
                 for job in &call {
                     link.out.insert(job.attempt);
@@ -244,7 +262,10 @@
         call: &[Job],
         dials: &mut Vec<(u64, Time)>,
     ) -> Option<u64> {
-        let node = self.nodes.get(&server).filter(|node| node.state == ServerState::Ready)?;
+        let node = self
+            .nodes
+            .get(&server)
+            .filter(|node| node.state == ServerState::Ready)?;
         let (address, name) = (node.address, node.id.clone());
         let silent = |link: &Link| link.silence(now) > self.silent;
         let to_server = self.links.values().filter(|link| link.server == server);
@@ -259,7 +280,9 @@
                 // Names tell parts apart on a connection: two attempts of one part never share one.
                 && !call.iter().any(|job| link.out.iter().any(|out| out.part == job.attempt.part))
         });
-        let best = usable.min_by_key(|(_, link)| (silent(link), !link.up, link.out.len())).map(|(&id, _)| id);
+        let best = usable
+            .min_by_key(|(_, link)| (silent(link), !link.up, link.out.len()))
+            .map(|(&id, _)| id);
         if best.is_some() {
             return best;
         }
@@ -304,7 +327,10 @@
     /// last of all, while the one used longest ago is next; closing that one misses each time where a fleet has
     /// more servers than the table has room.
     fn close_an_idle_one(&mut self) -> bool {
-        let idle = self.links.values_mut().filter(|link| link.out.is_empty() && !link.retired);
+        let idle = self
+            .links
+            .values_mut()
+            .filter(|link| link.out.is_empty() && !link.retired);
         match idle.max_by_key(|link| link.used) {
             Some(link) => {
                 link.end();
@@ -321,7 +347,10 @@
 
     /// Whether a server started less than so many seconds ago.
     pub fn is_young(&self, now: Time, server: ServerId, warm_up: f64) -> bool {
-        self.nodes.get(&server).and_then(|node| node.ready_at).is_some_and(|at| now - at < warm_up)
+        self.nodes
+            .get(&server)
+            .and_then(|node| node.ready_at)
+            .is_some_and(|at| now - at < warm_up)
     }
 
     /// How many connections there are, up or being dialled.
@@ -334,9 +363,13 @@
         for jobs in self.staged.values_mut() {
             jobs.retain(|job| job.attempt != attempt);
         }
-        let Some((id, wanted)) = self.out.remove(&attempt) else { return };
+        let Some((id, wanted)) = self.out.remove(&attempt) else {
+            return;
+        };
         wanted.set(false);
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.out.remove(&attempt);
         link.used = now;
         // A search is cancelled by closing its connection: nothing new may queue there behind the cancel.
@@ -369,7 +402,10 @@
     /// Asks a server for its load report, on a connection that is up. Without one it goes unasked: dialling for
     /// a hint would cost the server more than the hint tells.
     pub fn probe(&mut self, server: ServerId) {
-        let mut links = self.links.values().filter(|link| link.server == server && link.up && !link.retired);
+        let mut links = self
+            .links
+            .values()
+            .filter(|link| link.server == server && link.up && !link.retired);
         links.any(|link| link.commands.try_send(Command::Probe).is_ok());
     }
 
@@ -384,7 +420,10 @@
     /// nothing new; forgets servers that are gone once no connection to them is left.
     pub fn sweep(&mut self, now: Time) {
         for link in self.links.values_mut() {
-            let gone = self.nodes.get(&link.server).is_none_or(|node| node.state == ServerState::Gone);
+            let gone = self
+                .nodes
+                .get(&link.server)
+                .is_none_or(|node| node.state == ServerState::Gone);
             let over = now - link.used > self.idle || link.silence(now) > self.silent;
             let done = gone || link.retired || link.shared.spent.get() || over;
             if link.up && link.out.is_empty() && done {
@@ -392,7 +431,8 @@
             }
         }
         let linked: BTreeSet<ServerId> = self.links.values().map(|link| link.server).collect();
-        self.nodes.retain(|server, node| node.state != ServerState::Gone || linked.contains(server));
+        self.nodes
+            .retain(|server, node| node.state != ServerState::Gone || linked.contains(server));
     }
 
     /// How many servers and connections are known.
@@ -414,7 +454,11 @@
                 link.hear(now);
                 None
             }
-            What::Ended { attempt, outcome, value } => {
+            What::Ended {
+                attempt,
+                outcome,
+                value,
+            } => {
                 let known = link.out.remove(&attempt);
                 if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
                     link.used = now;
@@ -424,9 +468,17 @@
                     return None; // cancelled or timed out meanwhile
                 }
                 self.out.remove(&attempt);
-                Some(Brought::Attempt(Ended { attempt, outcome, value }))
+                Some(Brought::Attempt(Ended {
+                    attempt,
+                    outcome,
+                    value,
+                }))
             }
-            What::Probed { outcome, report } => Some(Brought::Probe { server: link.server, outcome, report }),
+            What::Probed { outcome, report } => Some(Brought::Probe {
+                server: link.server,
+                outcome,
+                report,
+            }),
             What::Closed => {
                 let link = self.links.remove(&event.link)?;
                 (!link.up).then_some(Brought::NotUp)
--- a/crates/coordinator/src/pool/tests.rs
+++ b/crates/coordinator/src/pool/tests.rs
@@ -8,7 +8,10 @@
 fn before_a_server<F: std::future::Future>(
     test: impl FnOnce(tokio::net::TcpListener, Pool, mpsc::Receiver<Message>, Clock) -> F,
 ) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (to_core, messages) = mpsc::channel(512);
@@ -16,7 +19,10 @@
         let config = crate::config::tests::sample();
         let contracts = Rc::new(Contracts::new(clock.clone(), Default::default()));
         let mut pool = Pool::new(&config, contracts, clock.clone(), to_core);
-        pool.note_list(&list(listener.local_addr().unwrap(), ServerState::Ready), true);
+        pool.note_list(
+            &list(listener.local_addr().unwrap(), ServerState::Ready),
+            true,
+        );
         test(listener, pool, messages, clock).await;
     });
 }
@@ -64,7 +70,10 @@
         let address = listener.local_addr().unwrap();
         let link = |server: u32, used: f64, busy: bool| {
             let out = if busy {
-                BTreeSet::from([Attempt { part: RequestId(9), number: 0 }])
+                BTreeSet::from([Attempt {
+                    part: RequestId(9),
+                    number: 0,
+                }])
             } else {
                 BTreeSet::new()
             };
@@ -85,14 +94,24 @@
                 retired,
             }
         };
-        for (id, (server, used, busy)) in
-            [(0, 1.0, false), (1, 3.0, false), (2, 4.0, true), (3, 2.0, false)].into_iter().enumerate()
+        for (id, (server, used, busy)) in [
+            (0, 1.0, false),
+            (1, 3.0, false),
+            (2, 4.0, true),
+            (3, 2.0, false),
+        ]
+        .into_iter()
+        .enumerate()
         {
             pool.links.insert(id as u64, link(server, used, busy));
         }
         assert!(pool.close_an_idle_one());
-        let closed: Vec<u32> =
-            pool.links.values().filter(|link| link.retired).map(|link| link.server.0).collect();
+        let closed: Vec<u32> = pool
+            .links
+            .values()
+            .filter(|link| link.retired)
+            .map(|link| link.server.0)
+            .collect();
         assert_eq!(closed, [1], "the idle one used last; a busy one stays");
     });
 }
@@ -105,13 +124,27 @@
         let _silent = listener;
         let start = clock.now();
         // When each part is sent and cancelled, and whether it takes a new connection. The sample's aim is 1 s.
-        let mut turns = vec![(0.0, 0.15, true), (5.0, 5.05, false), (6.0, 6.1, false), (7.0, 7.1, true)];
+        let mut turns = vec![
+            (0.0, 0.15, true),
+            (5.0, 5.05, false),
+            (6.0, 6.1, false),
+            (7.0, 7.1, true),
+        ];
         for (number, (sent, cancelled, dials)) in turns.drain(..).enumerate() {
-            let attempt = Attempt { part: RequestId(number as u64), number: 0 };
+            let attempt = Attempt {
+                part: RequestId(number as u64),
+                number: 0,
+            };
             pool.stage(ServerId(0), job(attempt, &clock));
-            assert_eq!(pool.flush(start + sent, &mut tally()).1.len(), usize::from(dials), "part {number}");
+            assert_eq!(
+                pool.flush(start + sent, &mut tally()).1.len(),
+                usize::from(dials),
+                "part {number}"
+            );
             if dials {
-                let Some(Message::Link(event)) = messages.recv().await else { panic!("no connection") };
+                let Some(Message::Link(event)) = messages.recv().await else {
+                    panic!("no connection")
+                };
                 assert!(matches!(event.what, What::Up));
                 pool.note(start + sent, event);
             }
@@ -128,25 +161,48 @@
     before_a_server(|listener, mut pool, mut messages, clock| async move {
         let now = clock.now();
         let send = |pool: &mut Pool, number| {
-            pool.stage(ServerId(0), job(Attempt { part: RequestId(number), number: 0 }, &clock));
+            pool.stage(
+                ServerId(0),
+                job(
+                    Attempt {
+                        part: RequestId(number),
+                        number: 0,
+                    },
+                    &clock,
+                ),
+            );
             pool.flush(now, &mut tally()).1.len()
         };
         assert_eq!(send(&mut pool, 1), 1);
         let (mut server, _) = listener.accept().await.unwrap();
-        let Some(Message::Link(up)) = messages.recv().await else { panic!("no connection") };
+        let Some(Message::Link(up)) = messages.recv().await else {
+            panic!("no connection")
+        };
         pool.note(now, up);
         assert_eq!(send(&mut pool, 2), 0);
         server.read_exact(&mut [0; 30]).await.unwrap();
-        server.write_all(b"\0\0\0\x20Aq1.0 ok 1 -\nhalf").await.unwrap();
+        server
+            .write_all(b"\0\0\0\x20Aq1.0 ok 1 -\nhalf")
+            .await
+            .unwrap();
         // No new connection is dialled as long as the old one is taken.
         let mut number = 3;
         while send(&mut pool, number) == 0 {
-            pool.cancel(now, Attempt { part: RequestId(number), number: 0 });
+            pool.cancel(
+                now,
+                Attempt {
+                    part: RequestId(number),
+                    number: 0,
+                },
+            );
             tokio::task::yield_now().await;
             number += 1;
         }
         let link = pool.links.values().next().unwrap();
-        assert!(link.shared.spent.get() && link.silence(now) == 0.0, "not for its silence");
+        assert!(
+            link.shared.spent.get() && link.silence(now) == 0.0,
+            "not for its silence"
+        );
     });
 }
 
@@ -155,14 +211,24 @@
 fn a_call_queued_behind_a_dial_is_not_sent_once_its_server_drains() {
     before_a_server(|listener, mut pool, mut messages, clock| async move {
         let address = listener.local_addr().unwrap();
-        let attempt = Attempt { part: RequestId(2), number: 0 };
+        let attempt = Attempt {
+            part: RequestId(2),
+            number: 0,
+        };
         pool.stage(ServerId(0), job(attempt, &clock));
         let (failed, dials) = pool.flush(clock.now(), &mut tally());
         assert_eq!((failed.len(), dials.len()), (0, 1));
         pool.note_list(&list(address, ServerState::Draining), false);
-        let Some(Message::Link(event)) = messages.recv().await else { panic!("no outcome") };
-        let Some(Brought::Attempt(ended)) = pool.note(clock.now(), event) else { panic!("no attempt") };
-        assert_eq!((ended.attempt, ended.outcome), (attempt, Outcome::ConnectFailed));
+        let Some(Message::Link(event)) = messages.recv().await else {
+            panic!("no outcome")
+        };
+        let Some(Brought::Attempt(ended)) = pool.note(clock.now(), event) else {
+            panic!("no attempt")
+        };
+        assert_eq!(
+            (ended.attempt, ended.outcome),
+            (attempt, Outcome::ConnectFailed)
+        );
     });
 }
 
@@ -175,7 +241,9 @@
 ) -> Vec<(u64, Outcome)> {
     let mut ends = Vec::new();
     while ends.len() < count {
-        let Some(Message::Link(event)) = messages.recv().await else { panic!("no message") };
+        let Some(Message::Link(event)) = messages.recv().await else {
+            panic!("no message")
+        };
         if let Some(Brought::Attempt(ended)) = pool.note(clock.now(), event) {
             ends.push((ended.attempt.part.0, ended.outcome));
         }
@@ -184,7 +252,10 @@
 }
 
 fn first(part: u64) -> Attempt {
-    Attempt { part: RequestId(part), number: 0 }
+    Attempt {
+        part: RequestId(part),
+        number: 0,
+    }
 }
 
 /// Stages these parts as calls of their own and sends them.
@@ -212,7 +283,9 @@
 
 /// Has the server's end of a connection reset it rather than close it.
 fn reset(server: tokio::net::TcpStream) {
-    socket2::SockRef::from(&server).set_linger(Some(std::time::Duration::ZERO)).unwrap();
+    socket2::SockRef::from(&server)
+        .set_linger(Some(std::time::Duration::ZERO))
+        .unwrap();
 }
 
 /// Guards against calls whose cancel waits behind more calls than a connection takes in at once.
@@ -226,10 +299,19 @@
             pool.cancel(clock.now(), first(part));
         }
         let (mut server, _) = listener.accept().await.unwrap();
-        assert!(frame(&mut server).await.starts_with("Qq119.0 "), "the only one that anybody waits for");
+        assert!(
+            frame(&mut server).await.starts_with("Qq119.0 "),
+            "the only one that anybody waits for"
+        );
         use tokio::io::AsyncWriteExt;
-        server.write_all(&answer("q119.0 ok 1 -", "v")).await.unwrap();
-        assert_eq!(ends(&mut pool, &mut messages, &clock, 1).await, [(119, Outcome::Ok)]);
+        server
+            .write_all(&answer("q119.0 ok 1 -", "v"))
+            .await
+            .unwrap();
+        assert_eq!(
+            ends(&mut pool, &mut messages, &clock, 1).await,
+            [(119, Outcome::Ok)]
+        );
     });
 }
 
@@ -241,7 +323,11 @@
         pool.unwant(first(1));
         let (mut server, _) = listener.accept().await.unwrap();
         assert!(frame(&mut server).await.starts_with("Qq2.0 "));
-        assert_eq!(ends(&mut pool, &mut messages, &clock, 1).await, [(1, Outcome::Moot)], "it never ran");
+        assert_eq!(
+            ends(&mut pool, &mut messages, &clock, 1).await,
+            [(1, Outcome::Moot)],
+            "it never ran"
+        );
         assert!(pool.is_out(first(2)));
     });
 }
@@ -255,7 +341,9 @@
         send(&mut pool, &clock, [1]);
         let (mut server, _) = listener.accept().await.unwrap();
         frame(&mut server).await;
-        let Some(Message::Link(up)) = messages.recv().await else { panic!("no connection") };
+        let Some(Message::Link(up)) = messages.recv().await else {
+            panic!("no connection")
+        };
         pool.note(clock.now(), up);
         tokio::task::yield_now().await;
         server.write_all(&answer("q1.0 ok 1 -", "v")).await.unwrap();
@@ -265,7 +353,11 @@
         send(&mut pool, &clock, [2]);
         let ends = ends(&mut pool, &mut messages, &clock, 2).await;
         assert!(ends.contains(&(1, Outcome::Ok)), "{ends:?}");
-        assert!(ends.iter().any(|&(part, outcome)| part == 2 && outcome != Outcome::Ok), "{ends:?}");
+        assert!(
+            ends.iter()
+                .any(|&(part, outcome)| part == 2 && outcome != Outcome::Ok),
+            "{ends:?}"
+        );
     });
 }
 
@@ -282,10 +374,16 @@
         pool.cancel(clock.now(), first(1));
         let crossing = [answer("q1.0 ok 1 -", "late"), answer("q2.0 ok 1 -", "v")].concat();
         server.write_all(&crossing).await.unwrap();
-        assert_eq!(ends(&mut pool, &mut messages, &clock, 1).await, [(2, Outcome::Ok)]);
+        assert_eq!(
+            ends(&mut pool, &mut messages, &clock, 1).await,
+            [(2, Outcome::Ok)]
+        );
         assert_eq!(frame(&mut server).await, "Xq1.0");
         send(&mut pool, &clock, [3]);
-        assert!(frame(&mut server).await.starts_with("Qq3.0 "), "the connection is sound");
+        assert!(
+            frame(&mut server).await.starts_with("Qq3.0 "),
+            "the connection is sound"
+        );
     });
 }
 
@@ -293,8 +391,12 @@
 #[test]
 fn spoilt_bytes_end_all_parts_that_are_out_on_their_connection() {
     use tokio::io::AsyncWriteExt;
-    let spoilt: [&[u8]; 4] =
-        [b"\0\0\0\x09Zwhatever", b"\xff\xff\xff\xff", b"\0\0\0\0", b"\0\0\0\x0cAq9.0 ok 1 -\n"];
+    let spoilt: [&[u8]; 4] = [
+        b"\0\0\0\x09Zwhatever",
+        b"\xff\xff\xff\xff",
+        b"\0\0\0\0",
+        b"\0\0\0\x0cAq9.0 ok 1 -\n",
+    ];
     for bytes in spoilt {
         before_a_server(|listener, mut pool, mut messages, clock| async move {
             send(&mut pool, &clock, [1, 2]);
@@ -305,7 +407,11 @@
             server.write_all(bytes).await.unwrap();
             let mut ends = ends(&mut pool, &mut messages, &clock, 2).await;
             ends.sort_unstable_by_key(|end| end.0);
-            assert_eq!(ends, [(1, Outcome::Error), (2, Outcome::Error)], "both may have run");
+            assert_eq!(
+                ends,
+                [(1, Outcome::Error), (2, Outcome::Error)],
+                "both may have run"
+            );
         });
     }
 }
@@ -330,8 +436,15 @@
                 }
             }
             reset(server);
-            let expected = if whole { Outcome::Reset } else { Outcome::ConnectFailed };
-            assert_eq!(ends(&mut pool, &mut messages, &clock, 1).await, [(1, expected)]);
+            let expected = if whole {
+                Outcome::Reset
+            } else {
+                Outcome::ConnectFailed
+            };
+            assert_eq!(
+                ends(&mut pool, &mut messages, &clock, 1).await,
+                [(1, expected)]
+            );
         });
     }
 }
@@ -342,10 +455,17 @@
     let mut deployment = crate::config::tests::sample().offer.deployment.clone();
     for keepalive in [0.2, 1.0, 1.6, 15.0, 60.0] {
         deployment.keepalive = keepalive;
-        assert!(IDLE_SHARE * keepalive + sweep_every(&deployment) <= 0.81 * keepalive, "{keepalive}");
+        assert!(
+            IDLE_SHARE * keepalive + sweep_every(&deployment) <= 0.81 * keepalive,
+            "{keepalive}"
+        );
     }
     for aim in [0.1, 1.0, 4.0] {
-        deployment.policy.classes.iter_mut().for_each(|class| class.aim = aim);
+        deployment
+            .policy
+            .classes
+            .iter_mut()
+            .for_each(|class| class.aim = aim);
         assert_eq!(silent(&deployment), aim * SILENT_SHARE);
     }
 }
--- a/crates/coordinator/src/shelf.rs
+++ b/crates/coordinator/src/shelf.rs
@@ -26,7 +26,10 @@
         if let (Err(cause), Some(folder)) = (made, &folder) {
             tracing::error!(folder = %folder.display(), %cause, "bans can't be kept");
         }
-        Shelf { folder, ..Shelf::default() }
+        Shelf {
+            folder,
+            ..Shelf::default()
+        }
     }
 
     /// Keeps a ban, or how it ended. Where that fails it is tried again at the next look.
@@ -66,7 +69,9 @@
         let mut all = self.unkept.clone();
         let files = std::fs::read_dir(self.folder.as_ref()?).ok()?;
         let paths: BTreeSet<PathBuf> = files.flatten().map(|file| file.path()).collect();
-        let bans = paths.iter().filter(|path| path.extension().is_some_and(|ending| ending == ENDING));
+        let bans = paths
+            .iter()
+            .filter(|path| path.extension().is_some_and(|ending| ending == ENDING));
         for path in bans.take(MOST_BANS) {
             match read(path) {
                 Ok((id, ban)) => {
@@ -88,7 +93,9 @@
 fn read(path: &Path) -> std::io::Result<(String, Ban)> {
     use std::io::Read;
     let mut text = Vec::new();
-    std::fs::File::open(path)?.take(MOST_BYTES).read_to_end(&mut text)?;
+    std::fs::File::open(path)?
+        .take(MOST_BYTES)
+        .read_to_end(&mut text)?;
     Ok(serde_json::from_slice(&text)?)
 }
 
--- a/crates/coordinator/src/signals.rs
+++ b/crates/coordinator/src/signals.rs
@@ -29,7 +29,9 @@
 impl Signal {
     /// Reads on where what was kept begins.
     pub fn new(kept: Kept) -> std::io::Result<Signal> {
-        Ok(Signal { arrivals: pipe::Receiver::from_owned_fd(kept.0)? })
+        Ok(Signal {
+            arrivals: pipe::Receiver::from_owned_fd(kept.0)?,
+        })
     }
 
     /// Waits for the next arrival; arrivals since the last call count as one. `None` once the pipe fails.
@@ -42,7 +44,11 @@
             match self.arrivals.try_read(&mut bytes) {
                 Ok(0) => return None,
                 Ok(_) => return Some(()),
-                Err(e) if e.kind() == ErrorKind::WouldBlock || e.kind() == ErrorKind::Interrupted => continue,
+                Err(e)
+                    if e.kind() == ErrorKind::WouldBlock || e.kind() == ErrorKind::Interrupted =>
+                {
+                    continue
+                }
                 Err(_) => return None,
             }
         }
--- a/crates/coordinator/src/stages/admit.rs
+++ b/crates/coordinator/src/stages/admit.rs
@@ -9,7 +9,11 @@
 const FULL_ADVICE: f64 = 0.5;
 
 pub fn admit(now: Time, ask: Ask, book: &mut Book, route: &mut Route, tally: &mut Tally) {
-    tally.add(if ask.request.repeat { Count::Repeats } else { Count::Queries });
+    tally.add(if ask.request.repeat {
+        Count::Repeats
+    } else {
+        Count::Queries
+    });
     if ask.reply.is_closed() {
         return; // its client left before it was taken in
     }
@@ -22,7 +26,10 @@
     if !book.has_room(ask.request.parts.len()) {
         tally.add(Count::Full);
         let retry_after = FULL_ADVICE * route.aim(ask.request.class);
-        let _ = ask.reply.send(Answer::Refused { retry_after, busy: true });
+        let _ = ask.reply.send(Answer::Refused {
+            retry_after,
+            busy: true,
+        });
         return;
     }
     if ask.request.due <= now {
@@ -32,8 +39,20 @@
     let (class, due) = (ClassId(ask.request.class as u16), ask.request.due);
     let (work, repeat) = (ask.request.work, ask.request.repeat);
     let (id, parts) = book.open(now, ask);
-    route.push(Event::Query { id, class, number: id.0, due, work, repeat });
+    route.push(Event::Query {
+        id,
+        class,
+        number: id.0,
+        due,
+        work,
+        repeat,
+    });
     for (part, spec) in parts {
-        route.push(Event::Part { id: part, number: id.0, shard: spec.shard, weight: spec.weight });
+        route.push(Event::Part {
+            id: part,
+            number: id.0,
+            shard: spec.shard,
+            weight: spec.weight,
+        });
     }
 }
--- a/crates/coordinator/src/stages/book.rs
+++ b/crates/coordinator/src/stages/book.rs
@@ -40,7 +40,11 @@
         let parts = self.parts.iter().zip(&self.request.parts);
         let answer = |(id, spec): (&RequestId, &PartSpec)| PartAnswer {
             shard: spec.shard,
-            value: self.values.get(id).cloned().unwrap_or(Err("no answer in time")),
+            value: self
+                .values
+                .get(id)
+                .cloned()
+                .unwrap_or(Err("no answer in time")),
         };
         parts.map(answer).collect()
     }
@@ -84,7 +88,10 @@
 
 impl Book {
     pub fn new(config: &Config) -> Self {
-        let mut book = Book { next: 1, ..Book::default() };
+        let mut book = Book {
+            next: 1,
+            ..Book::default()
+        };
         book.retune(&config.offer.deployment);
         book
     }
@@ -108,7 +115,9 @@
 
     /// Whether a request that is open holds a class's place.
     pub fn holds(&self, class: usize) -> bool {
-        self.queries.values().any(|open| open.request.class == class)
+        self.queries
+            .values()
+            .any(|open| open.request.class == class)
     }
 
     /// Whether a query of so many parts fits under the cap on queries and parts held.
@@ -128,7 +137,11 @@
 
     /// Opens a request: its id, and its parts' ids.
     pub fn open(&mut self, now: Time, ask: Ask) -> (RequestId, Vec<(RequestId, PartSpec)>) {
-        while self.taken.front().is_some_and(|(at, _)| now - *at > self.name_kept) {
+        while self
+            .taken
+            .front()
+            .is_some_and(|(at, _)| now - *at > self.name_kept)
+        {
             if let Some((_, name)) = self.taken.pop_front() {
                 self.names.remove(&name);
             }
@@ -136,15 +149,32 @@
         self.names.insert(ask.request.name.clone());
         self.taken.push_back((now, ask.request.name.clone()));
         let id = RequestId(self.next);
-        let parts: Vec<_> = (id.0 + 1..).map(RequestId).zip(ask.request.parts.iter().cloned()).collect();
+        let parts: Vec<_> = (id.0 + 1..)
+            .map(RequestId)
+            .zip(ask.request.parts.iter().cloned())
+            .collect();
         self.next += 1 + parts.len() as u64;
         for (at, (part, _)) in parts.iter().enumerate() {
             let first_sent = Time::default();
-            self.parts.insert(*part, OpenPart { query: id, at, attempts: 0, never_ran: 0, first_sent });
+            self.parts.insert(
+                *part,
+                OpenPart {
+                    query: id,
+                    at,
+                    attempts: 0,
+                    never_ran: 0,
+                    first_sent,
+                },
+            );
         }
         let ids = parts.iter().map(|(part, _)| *part).collect();
-        let open =
-            Open { request: ask.request, reply: ask.reply, parts: ids, values: BTreeMap::new(), ends: 0 };
+        let open = Open {
+            request: ask.request,
+            reply: ask.reply,
+            parts: ids,
+            values: BTreeMap::new(),
+            ends: 0,
+        };
         self.queries.insert(id, open);
         (id, parts)
     }
@@ -159,7 +189,10 @@
         let open = self.queries.remove(&id)?;
         for part in &open.parts {
             let attempts = self.parts.remove(part).map_or(0, |part| part.attempts);
-            self.unwanted.extend((0..attempts).map(|number| Attempt { part: *part, number }));
+            self.unwanted.extend((0..attempts).map(|number| Attempt {
+                part: *part,
+                number,
+            }));
         }
         Some(open)
     }
@@ -171,14 +204,22 @@
 
     /// The requests whose clients are gone.
     pub fn lost_clients(&self) -> Vec<RequestId> {
-        self.queries.iter().filter(|(_, open)| open.reply.is_closed()).map(|(&id, _)| id).collect()
+        self.queries
+            .iter()
+            .filter(|(_, open)| open.reply.is_closed())
+            .map(|(&id, _)| id)
+            .collect()
     }
 
     /// Notes how an attempt ended. The first value stands.
     pub fn note(&mut self, ended: &Ended) {
-        let Some(part) = self.parts.get_mut(&ended.attempt.part) else { return };
+        let Some(part) = self.parts.get_mut(&ended.attempt.part) else {
+            return;
+        };
         part.never_ran += u8::from(ended.outcome.never_ran());
-        let Some(open) = self.queries.get_mut(&part.query) else { return };
+        let Some(open) = self.queries.get_mut(&part.query) else {
+            return;
+        };
         open.ends += 1;
         let result = match (ended.outcome, &ended.value) {
             (Outcome::Ok, Some(value)) => Ok(value.clone()),
@@ -188,7 +229,10 @@
             (Outcome::Timeout, _) => Err("no answer in time"),
             _ => Err("the server answered with an error"),
         };
-        let entry = open.values.entry(ended.attempt.part).or_insert_with(|| result.clone());
+        let entry = open
+            .values
+            .entry(ended.attempt.part)
+            .or_insert_with(|| result.clone());
         if entry.is_err() {
             *entry = result;
         }
--- a/crates/coordinator/src/stages/book/tests.rs
+++ b/crates/coordinator/src/stages/book/tests.rs
@@ -17,10 +17,22 @@
 
 fn ask(name: &str, now: Time) -> Ask {
     let (reply, _) = oneshot::channel();
-    let parts = vec![PartSpec { shard: 0, weight: 1.0 }];
+    let parts = vec![PartSpec {
+        shard: 0,
+        weight: 1.0,
+    }];
     let text = Text::Plain("t".into());
     let (name, due) = (name.into(), now + 9.0);
-    let request = Request { name, class: 0, due, repeat: false, work: None, parts, text, judge: None };
+    let request = Request {
+        name,
+        class: 0,
+        due,
+        repeat: false,
+        work: None,
+        parts,
+        text,
+        judge: None,
+    };
     Ask { request, reply }
 }
 
@@ -32,7 +44,11 @@
         book.open(start, ask("first", start));
         for (at, known) in [(kept - 0.1, true), (kept + 0.1, false)] {
             book.open(start + at, ask(&at.to_string(), start + at));
-            assert_eq!(book.knows("first"), known, "{at} s, with a deadline of {deadline} s");
+            assert_eq!(
+                book.knows("first"),
+                known,
+                "{at} s, with a deadline of {deadline} s"
+            );
         }
     }
 }
@@ -46,17 +62,31 @@
     let job = |book: &mut Book, at: f64| book.job(start + at, part, start + 9.0).unwrap();
     let first = job(&mut book, 0.0);
     assert!(first.may_be_sent(start + 1.9) && !first.may_be_sent(start + 2.0));
-    book.note(&Ended { attempt: first.attempt, outcome: Outcome::ConnectFailed, value: None });
+    book.note(&Ended {
+        attempt: first.attempt,
+        outcome: Outcome::ConnectFailed,
+        value: None,
+    });
     let second = job(&mut book, 1.5);
     assert!(second.may_be_sent(start + 3.4), "the first one never ran");
-    book.note(&Ended { attempt: second.attempt, outcome: Outcome::Reset, value: None });
+    book.note(&Ended {
+        attempt: second.attempt,
+        outcome: Outcome::Reset,
+        value: None,
+    });
     let third = job(&mut book, 2.5);
-    assert!(third.may_be_sent(start + 3.4) && !third.may_be_sent(start + 3.5), "the second one may have run");
+    assert!(
+        third.may_be_sent(start + 3.4) && !third.may_be_sent(start + 3.5),
+        "the second one may have run"
+    );
     third.wanted.set(false);
     assert!(!third.may_be_sent(start + 2.6));
     let (start, mut book) = (Time::from_secs(100.0), self::book(Effect::Unsafe, 2.0, 9.0));
     let (_, parts) = book.open(start, ask("once", start));
-    assert!(book.job(start, parts[0].0, start + 9.0).unwrap().may_be_sent(start + 8.0));
+    assert!(book
+        .job(start, parts[0].0, start + 9.0)
+        .unwrap()
+        .may_be_sent(start + 8.0));
 }
 
 /// Guards against an end that comes some long ticks early and is not told as late.
@@ -71,7 +101,13 @@
         book.retune(&deployment);
         let (id, _) = book.open(start, ask("one", start));
         let open = book.close(id).unwrap();
-        assert!(book.is_late(start + (9.0 - late), &open), "a tick of {tick} s");
-        assert!(!book.is_late(start + (9.0 - early), &open), "a tick of {tick} s");
+        assert!(
+            book.is_late(start + (9.0 - late), &open),
+            "a tick of {tick} s"
+        );
+        assert!(
+            !book.is_late(start + (9.0 - early), &open),
+            "a tick of {tick} s"
+        );
     }
 }
--- a/crates/coordinator/src/stages/intake.rs
+++ b/crates/coordinator/src/stages/intake.rs
@@ -21,11 +21,18 @@
 
 /// A front's end: hands a request over and returns where its answer will come. With the queue full, that is a
 /// refusal at once, with this advice in seconds.
-pub fn hand_over(core: &mpsc::Sender<Ask>, request: Request, advice: f64) -> oneshot::Receiver<Answer> {
+pub fn hand_over(
+    core: &mpsc::Sender<Ask>,
+    request: Request,
+    advice: f64,
+) -> oneshot::Receiver<Answer> {
     let (reply, answer) = oneshot::channel();
     if let Err(fault) = core.try_send(Ask { request, reply }) {
         let (mpsc::error::TrySendError::Full(ask) | mpsc::error::TrySendError::Closed(ask)) = fault;
-        let _ = ask.reply.send(Answer::Refused { retry_after: advice, busy: true });
+        let _ = ask.reply.send(Answer::Refused {
+            retry_after: advice,
+            busy: true,
+        });
     }
     answer
 }
--- a/crates/coordinator/src/stages/mod.rs
+++ b/crates/coordinator/src/stages/mod.rs
@@ -100,7 +100,9 @@
             warm_up: config.offer.deployment.policy.warm_up,
             sweep,
             bans: Bans::default(),
-            shelf: config.admin.map(|_| Shelf::new(config.passing.as_deref(), &config.name)),
+            shelf: config
+                .admin
+                .map(|_| Shelf::new(config.passing.as_deref(), &config.name)),
             peers: None,
         };
         // Before any list: what an earlier process was told must hold from the first send on.
@@ -133,8 +135,16 @@
                 Message::News(news) => self.note_news(&news, false),
                 Message::Link(event) => match self.pool.note(now, event) {
                     Some(Brought::Attempt(ended)) => self.ended(ended),
-                    Some(Brought::Probe { server, outcome, report }) => {
-                        self.route.push(Event::Probed { server, outcome, report });
+                    Some(Brought::Probe {
+                        server,
+                        outcome,
+                        report,
+                    }) => {
+                        self.route.push(Event::Probed {
+                            server,
+                            outcome,
+                            report,
+                        });
                     }
                     Some(Brought::NotUp) => self.tally.add(Count::DialFaults),
                     None => {}
@@ -154,7 +164,11 @@
                 Due::Wake => self.route.push(Event::Wake),
                 Due::Attempt(attempt) => {
                     if self.pool.abandon(attempt) {
-                        self.ended(Ended { attempt, outcome: Outcome::Timeout, value: None });
+                        self.ended(Ended {
+                            attempt,
+                            outcome: Outcome::Timeout,
+                            value: None,
+                        });
                     }
                 }
                 Due::Dial(link) => self.pool.dial_is_due(link),
@@ -182,7 +196,13 @@
                     relay::relay(&action, now, &mut self.book, &mut self.tally);
                 } else {
                     self.count_send(now, &action);
-                    send::carry(now, &action, &mut self.book, &mut self.pool, &mut self.wheel);
+                    send::carry(
+                        now,
+                        &action,
+                        &mut self.book,
+                        &mut self.pool,
+                        &mut self.wheel,
+                    );
                 }
             }
             for attempt in self.book.take_unwanted() {
@@ -204,7 +224,9 @@
 
     /// Counts a send by what it is: a further attempt, a copy, one to a server that may be cold.
     fn count_send(&mut self, now: Time, action: &Action) {
-        let Action::Send { part, server, .. } = *action else { return };
+        let Action::Send { part, server, .. } = *action else {
+            return;
+        };
         if !self.tally.is_on() {
             return;
         }
@@ -224,13 +246,21 @@
         self.tally.outcome(ended.outcome);
         let Attempt { part, number } = ended.attempt;
         self.book.note(&ended);
-        self.route.push(Event::Done { id: part, attempt: number, outcome: ended.outcome });
+        self.route.push(Event::Done {
+            id: part,
+            attempt: number,
+            outcome: ended.outcome,
+        });
     }
 
     fn note_news(&mut self, news: &News, cached: bool) {
         self.contracts.note_list(&news.rows, news.complete);
         if !news.rows.is_empty() {
-            self.tally.add(if news.complete { Count::Lists } else { Count::Changes });
+            self.tally.add(if news.complete {
+                Count::Lists
+            } else {
+                Count::Changes
+            });
         }
         let mut rows = self.directory.number(news);
         if self.shelf.is_some() {
@@ -246,7 +276,8 @@
             (row.state, row.ready_at) = self.bans.overlay(&row.id, row.state, row.ready_at);
         }
         self.pool.note_list(rows, complete);
-        self.route.push(Event::List(discovery::list_news(rows, complete, cached)));
+        self.route
+            .push(Event::List(discovery::list_news(rows, complete, cached)));
     }
 
     /// Looks at what another process of this coordinator may have changed.
@@ -258,7 +289,10 @@
         if let Some(kept) = shelf.look() {
             let changed = self.bans.merge(&kept);
             if !changed.is_empty() {
-                tracing::info!(servers = changed.join(", "), "another process's bans are taken over");
+                tracing::info!(
+                    servers = changed.join(", "),
+                    "another process's bans are taken over"
+                );
                 self.tell_again(&changed);
             }
         }
@@ -276,7 +310,12 @@
         let in_force = self.offer.borrow().clone();
         let held = |class: ClassId| self.book.holds(usize::from(class.0));
         let retuned = retune::retune(&in_force.deployment, &fresh.deployment, held)?;
-        let Retuned { deployment, places, renewed, waiting } = retuned;
+        let Retuned {
+            deployment,
+            places,
+            renewed,
+            waiting,
+        } = retuned;
         if !waiting.is_empty() {
             tracing::warn!(
                 keys = waiting.join(", "),
@@ -284,13 +323,21 @@
             );
         }
         let place = |class: usize| places.get(class).map(|place| usize::from(place.0));
-        let index = |index: Index| Some(Index { class: place(index.class)?, ..index });
+        let index = |index: Index| {
+            Some(Index {
+                class: place(index.class)?,
+                ..index
+            })
+        };
         let indices = fresh.indices.into_iter().filter_map(index).collect();
         self.book.retune(&deployment);
         self.pool.retune(&deployment);
         self.route.retune(&deployment, &renewed, &places);
         self.warm_up = deployment.policy.warm_up;
-        let offer = Arc::new(Offer { deployment, indices });
+        let offer = Arc::new(Offer {
+            deployment,
+            indices,
+        });
         self.offer.send_replace(offer.clone());
         Ok(offer)
     }
@@ -298,7 +345,8 @@
     /// From now on peers are told which data nodes this coordinator's own answers make it doubt.
     pub fn tell_peers(&mut self, peers: watch::Sender<(Vec<String>, usize)>) {
         self.peers = Some(peers);
-        self.wheel.insert(self.clock.now() + TELL_DOUBTS, Due::TellDoubts);
+        self.wheel
+            .insert(self.clock.now() + TELL_DOUBTS, Due::TellDoubts);
     }
 
     fn tell_doubts(&mut self, now: Time) {
@@ -316,7 +364,10 @@
 
     /// Peers doubt these data nodes. Only those that this coordinator's own list names are looked at.
     fn advised(&mut self, ids: &[String]) {
-        let known = ids.iter().filter_map(|id| self.directory.row(id)).map(|(server, _)| server);
+        let known = ids
+            .iter()
+            .filter_map(|id| self.directory.row(id))
+            .map(|(server, _)| server);
         let servers: Vec<ServerId> = known.collect();
         if !servers.is_empty() {
             self.route.push(Event::Advised(servers));
@@ -341,7 +392,9 @@
                 _ => None,
             }),
             // The next tick says whether it is ready.
-            Call::Activate => self.turn_to(|phase| (phase == Phase::Drained).then_some(Phase::Starting)),
+            Call::Activate => {
+                self.turn_to(|phase| (phase == Phase::Drained).then_some(Phase::Starting))
+            }
         };
         tracing::info!(?call, ?verdict, "an operator's call");
         verdict
--- a/crates/coordinator/src/stages/relay.rs
+++ b/crates/coordinator/src/stages/relay.rs
@@ -10,25 +10,38 @@
 
 /// Whether an action ends a query.
 pub fn is_final(action: &Action) -> bool {
-    matches!(action, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. })
+    matches!(
+        action,
+        Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. }
+    )
 }
 
 pub fn relay(action: &Action, now: Time, book: &mut Book, tally: &mut Tally) {
     let id = match *action {
-        Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query } => query,
+        Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query } => {
+            query
+        }
         _ => return,
     };
     // An id that is no longer open was withdrawn in this very tick.
     let Some(open) = book.close(id) else { return };
     let answer = match *action {
-        Action::Answer { whole, .. } => Answer::Served { whole, parts: open.answers() },
+        Action::Answer { whole, .. } => Answer::Served {
+            whole,
+            parts: open.answers(),
+        },
         Action::Refuse { retry_after, .. } => {
             if open.never_sent() {
                 tally.add(Count::Unsent);
             }
-            Answer::Refused { retry_after: retry_after.unwrap_or(ADVICE), busy: open.never_sent() }
+            Answer::Refused {
+                retry_after: retry_after.unwrap_or(ADVICE),
+                busy: open.never_sent(),
+            }
         }
-        _ => Answer::Failed { late: book.is_late(now, &open) },
+        _ => Answer::Failed {
+            late: book.is_late(now, &open),
+        },
     };
     // A front that is gone has lost its client: nobody is left to tell.
     let _ = open.reply.send(answer);
--- a/crates/coordinator/src/stages/route.rs
+++ b/crates/coordinator/src/stages/route.rs
@@ -25,8 +25,14 @@
 
     /// Takes other settings, for all events from now on.
     pub fn retune(&mut self, deployment: &Deployment, renewed: &[ClassId], offered: &[ClassId]) {
-        self.aims = deployment.policy.classes.iter().map(|class| class.aim).collect();
-        self.aggregator.retune(deployment.policy.clone(), renewed, offered);
+        self.aims = deployment
+            .policy
+            .classes
+            .iter()
+            .map(|class| class.aim)
+            .collect();
+        self.aggregator
+            .retune(deployment.policy.clone(), renewed, offered);
     }
 
     /// A class's aim in seconds.
--- a/crates/coordinator/src/stages/send.rs
+++ b/crates/coordinator/src/stages/send.rs
@@ -10,17 +10,28 @@
 
 pub fn carry(now: Time, action: &Action, book: &mut Book, pool: &mut Pool, wheel: &mut Wheel<Due>) {
     match *action {
-        Action::Send { part, server, until } => {
+        Action::Send {
+            part,
+            server,
+            until,
+        } => {
             if let Some(job) = book.job(now, part, until) {
                 wheel.insert(until, Due::Attempt(job.attempt));
                 pool.stage(server, job);
             }
         }
-        Action::Cancel { part, attempt } => pool.cancel(now, Attempt { part, number: attempt }),
+        Action::Cancel { part, attempt } => pool.cancel(
+            now,
+            Attempt {
+                part,
+                number: attempt,
+            },
+        ),
         Action::Probe(server) => pool.probe(server),
         Action::Wake(at) => wheel.insert(at, Due::Wake),
         // The watch asks by itself; finals are the relay's.
-        Action::Subscribe | Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. } => {}
+        Action::Subscribe | Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. } => {
+        }
     }
 }
 
--- a/crates/coordinator/src/stages/tests.rs
+++ b/crates/coordinator/src/stages/tests.rs
@@ -13,16 +13,34 @@
 }
 
 fn with_core(test: impl FnOnce(Rig)) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let config = crate::config::tests::sample();
-        let (clock, (asks, asked)) = (Clock::new(config.offer.deployment.policy.tick), mpsc::channel(4));
+        let (clock, (asks, asked)) = (
+            Clock::new(config.offer.deployment.policy.tick),
+            mpsc::channel(4),
+        );
         let contracts = Rc::new(Contracts::new(clock.clone(), Default::default()));
         let phase = Rc::new(watch::channel(Phase::Starting).0);
         let offer = watch::channel(config.offer.clone()).0;
         let (messages, told) = mpsc::channel(64);
-        let core = Core::new(&config, contracts, clock, asked, (messages.clone(), told), phase, offer);
-        test(Rig { core, asks, messages });
+        let core = Core::new(
+            &config,
+            contracts,
+            clock,
+            asked,
+            (messages.clone(), told),
+            phase,
+            offer,
+        );
+        test(Rig {
+            core,
+            asks,
+            messages,
+        });
     });
 }
 
@@ -46,15 +64,33 @@
     with_core(|Rig { mut core, .. }| {
         for generation in 0..300 {
             let gone = row(generation, generation as u32 % 2, ServerState::Gone);
-            let fresh = (generation + 1..generation + 5).map(|at| row(at, at as u32 % 2, ServerState::Ready));
+            let fresh = (generation + 1..generation + 5)
+                .map(|at| row(at, at as u32 % 2, ServerState::Ready));
             // By changes and, now and then, by a whole list without the one that is gone.
             let complete = generation % 3 == 0;
-            let rows = std::iter::once(gone).filter(|_| !complete).chain(fresh).collect();
-            core.note_news(&News { revision: 1, complete, rows }, false);
+            let rows = std::iter::once(gone)
+                .filter(|_| !complete)
+                .chain(fresh)
+                .collect();
+            core.note_news(
+                &News {
+                    revision: 1,
+                    complete,
+                    rows,
+                },
+                false,
+            );
             core.turn();
             core.pool.sweep(core.clock.now());
         }
-        assert_eq!((core.directory.len(), core.pool.size().0, core.route.servers()), (4, 4, 4));
+        assert_eq!(
+            (
+                core.directory.len(),
+                core.pool.size().0,
+                core.route.servers()
+            ),
+            (4, 4, 4)
+        );
     });
 }
 
@@ -70,36 +106,61 @@
         (Some(Outcome::Full), true),
     ] {
         for gone in [false, true] {
-            with_core(|Rig { mut core, asks, messages }| {
-                let rows = (0..2).map(|at| row(at, 0, ServerState::Ready)).collect();
-                core.note_news(&News { revision: 1, complete: true, rows }, false);
-                let (reply, answer) = oneshot::channel::<Answer>();
-                let request = Request {
-                    name: "one".into(),
-                    class: 0,
-                    due: core.clock.now() + 1.9,
-                    repeat: false,
-                    work: None,
-                    parts: vec![PartSpec { shard: 0, weight: 1.0 }],
-                    text: Text::Plain("t".into()),
-                    judge: None,
-                };
-                asks.try_send(Ask { request, reply }).unwrap();
-                // The request is the first id, its part the second.
-                let attempt = |number| Attempt { part: RequestId(2), number };
-                if let Some(outcome) = ended {
+            with_core(
+                |Rig {
+                     mut core,
+                     asks,
+                     messages,
+                 }| {
+                    let rows = (0..2).map(|at| row(at, 0, ServerState::Ready)).collect();
+                    core.note_news(
+                        &News {
+                            revision: 1,
+                            complete: true,
+                            rows,
+                        },
+                        false,
+                    );
+                    let (reply, answer) = oneshot::channel::<Answer>();
+                    let request = Request {
+                        name: "one".into(),
+                        class: 0,
+                        due: core.clock.now() + 1.9,
+                        repeat: false,
+                        work: None,
+                        parts: vec![PartSpec {
+                            shard: 0,
+                            weight: 1.0,
+                        }],
+                        text: Text::Plain("t".into()),
+                        judge: None,
+                    };
+                    asks.try_send(Ask { request, reply }).unwrap();
+                    // The request is the first id, its part the second.
+                    let attempt = |number| Attempt {
+                        part: RequestId(2),
+                        number,
+                    };
+                    if let Some(outcome) = ended {
+                        core.turn();
+                        assert!(core.pool.is_out(attempt(0)), "the first attempt");
+                        let what = What::Ended {
+                            attempt: attempt(0),
+                            outcome,
+                            value: None,
+                        };
+                        assert!(messages
+                            .try_send(Message::Link(LinkEvent { link: 0, what }))
+                            .is_ok());
+                    }
+                    if gone {
+                        drop(answer);
+                    }
                     core.turn();
-                    assert!(core.pool.is_out(attempt(0)), "the first attempt");
-                    let what = What::Ended { attempt: attempt(0), outcome, value: None };
-                    assert!(messages.try_send(Message::Link(LinkEvent { link: 0, what })).is_ok());
-                }
-                if gone {
-                    drop(answer);
-                }
-                core.turn();
-                let sent = core.pool.is_out(attempt(u8::from(further)));
-                assert_eq!(sent, !gone, "{ended:?}, gone: {gone}");
-            });
+                    let sent = core.pool.is_out(attempt(u8::from(further)));
+                    assert_eq!(sent, !gone, "{ended:?}, gone: {gone}");
+                },
+            );
         }
     }
 }
--- a/crates/coordinator/src/surface.rs
+++ b/crates/coordinator/src/surface.rs
@@ -10,7 +10,13 @@
 /// The surface of a configuration.
 pub fn of(config: &Config) -> Surface {
     let deployment = &config.offer.deployment;
-    let class_name = |class: usize| deployment.class_names.get(class).cloned().unwrap_or_default();
+    let class_name = |class: usize| {
+        deployment
+            .class_names
+            .get(class)
+            .cloned()
+            .unwrap_or_default()
+    };
     Surface {
         version: env!("CARGO_PKG_VERSION").into(),
         listen: config.listen.to_string(),
--- a/crates/coordinator/src/tally.rs
+++ b/crates/coordinator/src/tally.rs
@@ -71,7 +71,11 @@
 impl Tally {
     /// A tally that has a line due every so many seconds; 0: never.
     pub fn new(every: f64, now: Time) -> Self {
-        Tally { counts: [0; NAMES.len()], every, told: now }
+        Tally {
+            counts: [0; NAMES.len()],
+            every,
+            told: now,
+        }
     }
 
     /// Whether anybody will read the counts: what takes a look-up to count is not counted otherwise.
@@ -109,7 +113,12 @@
     }
 
     /// The line that is due, if one is and anything was counted: what is not 0, then what is believed and open.
-    pub fn line(&mut self, now: Time, links: usize, beliefs: impl FnOnce() -> Beliefs) -> Option<String> {
+    pub fn line(
+        &mut self,
+        now: Time,
+        links: usize,
+        beliefs: impl FnOnce() -> Beliefs,
+    ) -> Option<String> {
         if !self.is_on() || now - self.told < self.every {
             return None;
         }
@@ -119,8 +128,16 @@
             return None;
         }
         let pairs = NAMES.iter().zip(counts).filter(|(_, count)| *count > 0);
-        let mut line: Vec<String> = pairs.map(|(name, count)| format!("{name}={count}")).collect();
-        let Beliefs { ready, doubted, overdue, young, usual_ms } = beliefs();
+        let mut line: Vec<String> = pairs
+            .map(|(name, count)| format!("{name}={count}"))
+            .collect();
+        let Beliefs {
+            ready,
+            doubted,
+            overdue,
+            young,
+            usual_ms,
+        } = beliefs();
         line.push(format!(
             "links={links} ready={ready} doubted={doubted} overdue={overdue} young={young} usual_ms={usual_ms:?}"
         ));
--- a/crates/coordinator/src/tally/tests.rs
+++ b/crates/coordinator/src/tally/tests.rs
@@ -7,10 +7,25 @@
     tally.add(Count::Dials);
     tally.outcome(Outcome::Reset);
     tally.outcome(Outcome::Reset);
-    let beliefs = || Beliefs { ready: 3, doubted: 1, ..Beliefs::default() };
+    let beliefs = || Beliefs {
+        ready: 3,
+        doubted: 1,
+        ..Beliefs::default()
+    };
     assert_eq!(tally.line(start + 4.9, 2, beliefs), None, "not due");
     let line = tally.line(start + 5.0, 2, beliefs).unwrap();
-    assert_eq!(line, "dials=1 resets=2 links=2 ready=3 doubted=1 overdue=0 young=0 usual_ms=[]");
-    assert_eq!(tally.line(start + 20.0, 2, beliefs), None, "nothing was counted since");
-    assert_eq!(Tally::new(0.0, start).line(start + 99.0, 0, beliefs), None, "off");
+    assert_eq!(
+        line,
+        "dials=1 resets=2 links=2 ready=3 doubted=1 overdue=0 young=0 usual_ms=[]"
+    );
+    assert_eq!(
+        tally.line(start + 20.0, 2, beliefs),
+        None,
+        "nothing was counted since"
+    );
+    assert_eq!(
+        Tally::new(0.0, start).line(start + 99.0, 0, beliefs),
+        None,
+        "off"
+    );
 }
--- a/crates/coordinator/src/wheel.rs
+++ b/crates/coordinator/src/wheel.rs
@@ -35,12 +35,19 @@
     /// A wheel that stands at `now` and turns in steps of `tick` seconds.
     pub fn new(now: Time, tick: f64) -> Self {
         let tick = ((tick * 1e6) as i64).max(1);
-        Wheel { tick, at: now.0.div_euclid(tick), slots: (0..SLOTS).map(|_| Vec::new()).collect() }
+        Wheel {
+            tick,
+            at: now.0.div_euclid(tick),
+            slots: (0..SLOTS).map(|_| Vec::new()).collect(),
+        }
     }
 
     /// Has `item` fire at the first turn at or after `at`, and not before the next tick.
     pub fn insert(&mut self, at: Time, item: T) {
-        let due = at.0.saturating_add(self.tick - 1).div_euclid(self.tick).max(self.at + 1);
+        let due =
+            at.0.saturating_add(self.tick - 1)
+                .div_euclid(self.tick)
+                .max(self.at + 1);
         self.slots[due.rem_euclid(SLOTS) as usize].push((due, item));
     }
 
--- a/crates/coordinator/src/wheel/tests.rs
+++ b/crates/coordinator/src/wheel/tests.rs
@@ -11,8 +11,16 @@
     assert_eq!(wheel.turn(start + 0.005), vec!['a']);
     assert_eq!(wheel.turn(start + 0.0149), vec![]);
     assert_eq!(wheel.turn(start + 0.015), vec!['b']);
-    assert_eq!(wheel.turn(start + 30.0), vec!['r', 'z'], "a long stall fires all, once");
+    assert_eq!(
+        wheel.turn(start + 30.0),
+        vec!['r', 'z'],
+        "a long stall fires all, once"
+    );
     wheel.insert(start, 'p');
-    assert_eq!(wheel.turn(start + 30.0), vec![], "the past fires in the next tick, not in this one");
+    assert_eq!(
+        wheel.turn(start + 30.0),
+        vec![],
+        "the past fires in the next tick, not in this one"
+    );
     assert_eq!(wheel.turn(start + 30.005), vec!['p']);
 }
--- a/crates/coordinator/tests/agents.rs
+++ b/crates/coordinator/tests/agents.rs
@@ -40,10 +40,20 @@
     /// What a sound agent says to this call, in its time.
     fn body(&self, call: &script::Call) -> String {
         let mut list = self.0 .0.lock().unwrap();
-        let hold = call.target.split("hold_ms=").nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
+        let hold = call
+            .target
+            .split("hold_ms=")
+            .nth(1)
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(0);
         if let Some(from) = call.from() {
             let hold = Duration::from_millis(hold);
-            list = self.0 .1.wait_timeout_while(list, hold, |list| list.0 <= from).unwrap().0;
+            list = self
+                .0
+                 .1
+                .wait_timeout_while(list, hold, |list| list.0 <= from)
+                .unwrap()
+                .0;
         }
         self::list(list.0, true, &list.1)
     }
@@ -51,7 +61,9 @@
 
 /// The program before an agent with this script.
 fn rig(agent: &Agent, members: Vec<Value>, stage: Arc<Stage>) -> Rig {
-    Rig::tuned(stage, members, |config| config["discovery"] = json!(agent.address.to_string()))
+    Rig::tuned(stage, members, |config| {
+        config["discovery"] = json!(agent.address.to_string())
+    })
 }
 
 /// Asks for shards of the first cell until server 0 has got nothing for half a second; how long after `since` its last
@@ -59,7 +71,10 @@
 fn last_sent(rig: &Rig, since: Instant) -> Option<Duration> {
     let last = || {
         let seen = rig.stage.seen.lock().unwrap();
-        seen.iter().filter(|seen| seen.server == 0 && seen.at > since).map(|seen| seen.at).max()
+        seen.iter()
+            .filter(|seen| seen.server == 0 && seen.at > since)
+            .map(|seen| seen.at)
+            .max()
     };
     let mut number = 0;
     loop {
@@ -82,14 +97,30 @@
     type Failing = Box<dyn Fn() -> Reply + Send + Sync>;
     let kinds: Vec<(&str, Failing)> = vec![
         ("refused", Box::new(move || Reply::Send(refusal()))),
-        ("cut", Box::new(|| Reply::Reset(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev".to_vec()))),
+        (
+            "cut",
+            Box::new(|| {
+                Reply::Reset(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev".to_vec())
+            }),
+        ),
         ("silent", Box::new(|| Reply::Stall(Vec::new()))),
-        ("half", Box::new(|| Reply::Stall(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev".to_vec()))),
+        (
+            "half",
+            Box::new(|| {
+                Reply::Stall(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev".to_vec())
+            }),
+        ),
         ("closed", Box::new(|| Reply::Close(Vec::new()))),
         ("spoilt", Box::new(|| Reply::Send(answer("{\"revision\":")))),
         ("no list", Box::new(|| Reply::Send(answer("[1,2]")))),
-        ("endless", Box::new(|| Reply::Stall(endless("{\"revision\":9,\"complete\":true,\"members\":[]}")))),
-        ("noise", Box::new(|| Reply::Send(b"\0\xff no HTTP at all\r\n\r\n".to_vec()))),
+        (
+            "endless",
+            Box::new(|| Reply::Stall(endless("{\"revision\":9,\"complete\":true,\"members\":[]}"))),
+        ),
+        (
+            "noise",
+            Box::new(|| Reply::Send(b"\0\xff no HTTP at all\r\n\r\n".to_vec())),
+        ),
     ];
     let checks: Vec<_> = kinds
         .into_iter()
@@ -97,7 +128,10 @@
             thread::spawn(move || {
                 let stage = Stage::new(|_, _, _| Act::Serve);
                 let members = members(Wire::Platform, &stage);
-                let (known, down) = (Known::new(members.clone()), Arc::new(AtomicBool::new(false)));
+                let (known, down) = (
+                    Known::new(members.clone()),
+                    Arc::new(AtomicBool::new(false)),
+                );
                 let (knows, fails) = (known.clone(), down.clone());
                 let agent = Agent::new(move |call| {
                     if fails.load(Ordering::SeqCst) {
@@ -113,11 +147,18 @@
                 down.store(true, Ordering::SeqCst);
                 known.drain(0);
                 thread::sleep(Duration::from_millis(4_000));
-                assert_eq!(rig.api("during", "pick-confirm", "2.0", &[0], "~1~").status, 200, "{kind}");
+                assert_eq!(
+                    rig.api("during", "pick-confirm", "2.0", &[0], "~1~").status,
+                    200,
+                    "{kind}"
+                );
                 let back = Instant::now();
                 down.store(false, Ordering::SeqCst);
                 let last = last_sent(&rig, back);
-                assert!(last.is_none_or(|last| last < Duration::from_millis(5_900)), "{kind}: {last:?}");
+                assert!(
+                    last.is_none_or(|last| last < Duration::from_millis(5_900)),
+                    "{kind}: {last:?}"
+                );
             })
         })
         .collect();
@@ -144,11 +185,25 @@
         let rig = rig(&agent, members, stage);
         wait_for("the next call", || agent.calls.lock().unwrap().len() > 2);
         let next = agent.calls.lock().unwrap()[2].from();
-        assert_eq!(next, Some(if reset { 1 } else { 2 }), "what was cut off is not known");
+        assert_eq!(
+            next,
+            Some(if reset { 1 } else { 2 }),
+            "what was cut off is not known"
+        );
         for number in 0..20 {
-            assert_eq!(rig.api(&format!("n{number}"), "pick-confirm", "2.0", &[0, 2], "~1~").status, 200);
+            assert_eq!(
+                rig.api(&format!("n{number}"), "pick-confirm", "2.0", &[0, 2], "~1~")
+                    .status,
+                200
+            );
         }
-        let to_first = rig.stage.seen.lock().unwrap().iter().any(|seen| seen.server == 0);
+        let to_first = rig
+            .stage
+            .seen
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|seen| seen.server == 0);
         assert_eq!(to_first, reset, "reset: {reset}");
     }
 }
@@ -178,7 +233,10 @@
     let since = Instant::now();
     known.drain(0);
     let last = last_sent(&rig, since);
-    assert!(last.is_none_or(|last| last < Duration::from_millis(1_000)), "{last:?} after the change");
+    assert!(
+        last.is_none_or(|last| last < Duration::from_millis(1_000)),
+        "{last:?} after the change"
+    );
 }
 
 /// Guards against what an old agent says being taken for the new one's, where SIGHUP comes with an answer half read, and
@@ -205,10 +263,21 @@
     let since = Instant::now();
     rig.reconfigure(|config| config["discovery"] = json!(new.address.to_string()));
     let last = last_sent(&rig, since);
-    assert!(last.is_none_or(|last| last < Duration::from_millis(1_000)), "{last:?} after the move");
-    assert_eq!(new.calls.lock().unwrap()[0].from(), None, "its revisions are its own");
+    assert!(
+        last.is_none_or(|last| last < Duration::from_millis(1_000)),
+        "{last:?} after the move"
+    );
+    assert_eq!(
+        new.calls.lock().unwrap()[0].from(),
+        None,
+        "its revisions are its own"
+    );
     // Shards of the other cell are still served: the half answer named one data node alone.
-    assert_eq!(rig.api("other", "pick-confirm", "2.0", &[1, 3], "~1~").status, 200);
+    assert_eq!(
+        rig.api("other", "pick-confirm", "2.0", &[1, 3], "~1~")
+            .status,
+        200
+    );
 }
 
 /// Guards against a change that is heard twice, a data node that is removed and comes back under its id, elsewhere, and
@@ -247,11 +316,16 @@
                 thread::sleep(Duration::from_millis(1));
             }
         }
-        let due = step.load(Ordering::SeqCst).min(number).min(script.len() - 1);
+        let due = step
+            .load(Ordering::SeqCst)
+            .min(number)
+            .min(script.len() - 1);
         told.store(due + 1, Ordering::SeqCst);
         let (revision, complete, members) = &script[due];
         match call.from() {
-            Some(from) if from >= *revision && number > due => Reply::Send(answer(&list(from, false, &[]))),
+            Some(from) if from >= *revision && number > due => {
+                Reply::Send(answer(&list(from, false, &[])))
+            }
             _ => Reply::Send(answer(&list(*revision, *complete, members))),
         }
     });
@@ -260,15 +334,30 @@
     let mut reached = |step: usize| {
         at.store(step, Ordering::SeqCst);
         let before = agent.calls.lock().unwrap().len();
-        wait_for("the next call", || agent.calls.lock().unwrap().len() > before);
+        wait_for("the next call", || {
+            agent.calls.lock().unwrap().len() > before
+        });
         thread::sleep(Duration::from_millis(50));
         rig.stage.seen.lock().unwrap().clear();
         for _ in 0..12 {
             name += 1;
-            let told = rig.api(&format!("n{name}"), "pick-confirm", "2.0", &[0], &format!("~{name}~"));
+            let told = rig.api(
+                &format!("n{name}"),
+                "pick-confirm",
+                "2.0",
+                &[0],
+                &format!("~{name}~"),
+            );
             assert_eq!(told.status, 200, "step {step}: {}", told.json);
         }
-        let mut servers: Vec<usize> = rig.stage.seen.lock().unwrap().iter().map(|seen| seen.server).collect();
+        let mut servers: Vec<usize> = rig
+            .stage
+            .seen
+            .lock()
+            .unwrap()
+            .iter()
+            .map(|seen| seen.server)
+            .collect();
         servers.sort_unstable();
         servers.dedup();
         servers
@@ -277,7 +366,11 @@
     assert_eq!(reached(2), [2], "heard twice");
     assert_eq!(reached(3), [2], "it is gone");
     assert_eq!(reached(4), [2], "heard twice");
-    assert_eq!(reached(5), [2, 9], "back, at its new address and nowhere else");
+    assert_eq!(
+        reached(5),
+        [2, 9],
+        "back, at its new address and nowhere else"
+    );
     assert_eq!(reached(6), [9], "what the whole list leaves out is gone");
 }
 
@@ -289,7 +382,9 @@
     let (all, calls) = (members.clone(), AtomicUsize::new(0));
     let agent = Agent::new(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Send(answer(&list(1, true, &all))),
-        1 => Reply::Send(answer("{\"revision\":2,\"complete\":true,\"members\":[{\"id\":7}")),
+        1 => Reply::Send(answer(
+            "{\"revision\":2,\"complete\":true,\"members\":[{\"id\":7}",
+        )),
         2 => Reply::Send(answer("{\"revision\":\"two\"}")),
         3 => Reply::Send(answer(&list(5, true, &[]))),
         _ => Reply::Stall(Vec::new()),
@@ -298,7 +393,11 @@
     rig.wait_for_line("no list of servers");
     wait_for("the later calls", || agent.calls.lock().unwrap().len() > 4);
     for number in 0..8 {
-        assert_eq!(rig.api(&format!("n{number}"), "pick-confirm", "2.0", &[0, 1], "~1~").status, 200);
+        assert_eq!(
+            rig.api(&format!("n{number}"), "pick-confirm", "2.0", &[0, 1], "~1~")
+                .status,
+            200
+        );
     }
 }
 
@@ -313,8 +412,16 @@
         config["discovery"] = json!(agent.address.to_string());
         config["known"] = json!({"revision": 7, "complete": true, "members": members});
     });
-    assert!(since.elapsed() < Duration::from_secs(5), "ready after {:?}", since.elapsed());
-    assert_eq!(rig.api("known", "pick-confirm", "2.0", &[0, 1], "~1~").status, 200);
+    assert!(
+        since.elapsed() < Duration::from_secs(5),
+        "ready after {:?}",
+        since.elapsed()
+    );
+    assert_eq!(
+        rig.api("known", "pick-confirm", "2.0", &[0, 1], "~1~")
+            .status,
+        200
+    );
 }
 
 /// Guards against idle clients who take up every descriptor while discovery is down: the watch and a connection to a
@@ -325,7 +432,11 @@
         let stage = Stage::new(|_, _, _| Act::Serve);
         let servers = members(Wire::Platform, &stage);
         let rig = Rig::confined(stage.clone(), servers.clone(), descriptors);
-        assert_eq!(rig.api("before", "pick-confirm", "2.0", &[0, 1], "~1~").status, 200);
+        assert_eq!(
+            rig.api("before", "pick-confirm", "2.0", &[0, 1], "~1~")
+                .status,
+            200
+        );
         rig.discovery.hush(1_000);
         let fresh: Vec<Value> = members(Wire::Platform, &stage)
             .into_iter()
@@ -339,7 +450,9 @@
         // They come faster than idle ones may be sent away, and most stay in the middle of a request.
         let mut clients = Vec::new();
         for number in 0..descriptors * 2 {
-            let Ok(mut client) = std::net::TcpStream::connect(rig.platform) else { break };
+            let Ok(mut client) = std::net::TcpStream::connect(rig.platform) else {
+                break;
+            };
             if number % 3 > 0 {
                 let _ = std::io::Write::write_all(&mut client, b"POST /api HTTP/1.1\r\nX-Req");
             }
@@ -352,10 +465,21 @@
         let mut name = 0;
         let mut status = || {
             name += 1;
-            rig.api(&format!("after{name}"), "pick-confirm", "2.0", &[0, 1], "~2~").status
+            rig.api(
+                &format!("after{name}"),
+                "pick-confirm",
+                "2.0",
+                &[0, 1],
+                "~2~",
+            )
+            .status
         };
         wait_for("service", || status() == 200);
-        assert!(back.elapsed() < Duration::from_secs(6), "{descriptors}: {:?}", back.elapsed());
+        assert!(
+            back.elapsed() < Duration::from_secs(6),
+            "{descriptors}: {:?}",
+            back.elapsed()
+        );
         drop(clients);
     }
 }
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -56,8 +56,15 @@
     Half,
 }
 
-pub const SPOILT: [Spoil; 7] =
-    [Spoil::Id, Spoil::End, Spoil::Letter, Spoil::Line, Spoil::Endless, Spoil::Huge, Spoil::Half];
+pub const SPOILT: [Spoil; 7] = [
+    Spoil::Id,
+    Spoil::End,
+    Spoil::Letter,
+    Spoil::Line,
+    Spoil::Endless,
+    Spoil::Huge,
+    Spoil::Half,
+];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum More {
@@ -108,7 +115,10 @@
     fn arrive(&self, server: usize, text: &str, shard: u32) -> Seen {
         let mut seen = self.seen.lock().unwrap();
         let marker = marker(text);
-        let before = seen.iter().filter(|s| self::marker(&s.text) == marker && s.shard == shard).count();
+        let before = seen
+            .iter()
+            .filter(|s| self::marker(&s.text) == marker && s.shard == shard)
+            .count();
         let switched = self.switched.lock().unwrap().get(&server).copied();
         let act = switched.unwrap_or_else(|| (self.plan)(marker, shard, before));
         seen.push(Seen {
@@ -125,7 +135,13 @@
     /// How often each part of each query ran.
     pub fn runs(&self) -> BTreeMap<(u64, u32), usize> {
         let mut runs = BTreeMap::new();
-        for seen in self.seen.lock().unwrap().iter().filter(|seen| seen.act.runs()) {
+        for seen in self
+            .seen
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|seen| seen.act.runs())
+        {
             *runs.entry((marker(&seen.text), seen.shard)).or_default() += 1;
         }
         runs
@@ -134,7 +150,10 @@
 
 /// The number that a query's text carries between two tildes, whatever is around it.
 pub fn marker(text: &str) -> u64 {
-    text.split('~').nth(1).and_then(|number| number.parse().ok()).unwrap_or(0)
+    text.split('~')
+        .nth(1)
+        .and_then(|number| number.parse().ok())
+        .unwrap_or(0)
 }
 
 /// The value that a server gives for a part, frames or not.
@@ -176,7 +195,11 @@
         let length = u32::from_be_bytes(read_exact(&mut stream, 4)?.try_into().ok()?) as usize;
         let body = read_exact(&mut stream, length)?;
         let text = String::from_utf8(body[1..].to_vec()).unwrap();
-        stage.wire.lock().unwrap().push(format!("{}{text}", body[0] as char));
+        stage
+            .wire
+            .lock()
+            .unwrap()
+            .push(format!("{}{text}", body[0] as char));
         match body[0] {
             b'X' => {
                 if let Some(cancelled) = out.get(&text) {
@@ -199,7 +222,11 @@
                 }
             }
             _ => {
-                writer.lock().unwrap().write_all(&frame(body[0], b"-")).ok()?;
+                writer
+                    .lock()
+                    .unwrap()
+                    .write_all(&frame(body[0], b"-"))
+                    .ok()?;
             }
         }
     }
@@ -245,7 +272,9 @@
         Act::Spoilt(Spoil::Half) => bytes[3] += 1,
         Act::More(More::Twice) => bytes.extend_from_within(..),
         Act::More(More::Noise) => bytes.extend_from_slice(b"\0\0\0"),
-        Act::More(More::Report) => bytes = frame(b'A', &[line_with_noise(id), value.into_bytes()].concat()),
+        Act::More(More::Report) => {
+            bytes = frame(b'A', &[line_with_noise(id), value.into_bytes()].concat())
+        }
         _ => {}
     }
     let _ = writer.lock().unwrap().write_all(&bytes);
@@ -269,13 +298,21 @@
     loop {
         let mut field = String::new();
         reader.read_line(&mut field).ok().filter(|&n| n > 0)?;
-        let Some((name, value)) = field.trim_end().split_once(':') else { break };
+        let Some((name, value)) = field.trim_end().split_once(':') else {
+            break;
+        };
         fields.insert(name.to_ascii_lowercase(), value.trim().to_string());
     }
-    let length = fields.get("content-length").map_or(0, |n| n.parse().unwrap());
+    let length = fields
+        .get("content-length")
+        .map_or(0, |n| n.parse().unwrap());
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    Some(Message { line: line.trim_end().to_string(), fields, body })
+    Some(Message {
+        line: line.trim_end().to_string(),
+        fields,
+        body,
+    })
 }
 
 /// Starts a server of the query API.
@@ -298,16 +335,25 @@
     loop {
         let message = read_message(&mut reader)?;
         stage.wire.lock().unwrap().push(message.line.clone());
-        let shard = message.line.split("_shards:").nth(1)?.split('&').next()?.parse().ok()?;
+        let shard = message
+            .line
+            .split("_shards:")
+            .nth(1)?
+            .split('&')
+            .next()?
+            .parse()
+            .ok()?;
         let text = String::from_utf8(message.body).unwrap();
         let seen = stage.arrive(number, &text, shard);
         let source = json!({"doc": value(marker(&text), shard)});
         let hits = json!({"total": {"value": 1, "relation": "eq"}, "max_score": 1.5, "hits": [
             {"_index": "stock", "_id": shard.to_string(), "_score": 1.0 + f64::from(shard), "_source": source}]});
         let shards = json!({"total": 1, "successful": 1, "skipped": 0, "failed": 0});
-        let whole = json!({"took": 3, "timed_out": false, "_shards": shards, "hits": hits}).to_string();
+        let whole =
+            json!({"took": 3, "timed_out": false, "_shards": shards, "hits": hits}).to_string();
         let reply = |status: &str, body: &str| {
-            let head = format!("HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: ");
+            let head =
+                format!("HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: ");
             format!("{head}{}\r\n\r\n{body}", body.len())
         };
         let chunked =
@@ -330,15 +376,24 @@
                 format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{whole}")
             }
             Act::Spoilt(Spoil::Half) => {
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len() + 1)
+                format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}",
+                    whole.len() + 1
+                )
             }
             Act::Late(millis) => {
                 thread::sleep(Duration::from_millis(millis));
                 let (a, b) = whole.split_at(whole.len() / 2);
                 format!("{chunked}{}{}0\r\n\r\n", chunk(a), chunk(b))
             }
-            Act::Busy => reply("429 Too Many Requests", r#"{"error":{"type":"x"},"status":429}"#),
-            Act::Fail => reply("500 Internal Server Error", r#"{"error":{"type":"x"},"status":500}"#),
+            Act::Busy => reply(
+                "429 Too Many Requests",
+                r#"{"error":{"type":"x"},"status":429}"#,
+            ),
+            Act::Fail => reply(
+                "500 Internal Server Error",
+                r#"{"error":{"type":"x"},"status":500}"#,
+            ),
             // The head said 200 and hits had begun when the shard failed.
             Act::MidStreamError => {
                 let end = r#""error":{"type":"search_phase_execution_exception"},"status":500}"#;
@@ -346,7 +401,9 @@
                 format!("{chunked}{}{}0\r\n\r\n", chunk(&begun), chunk(end))
             }
             Act::Cut => {
-                stream.write_all(format!("{chunked}{}", chunk(&whole[..9])).as_bytes()).ok()?;
+                stream
+                    .write_all(format!("{chunked}{}", chunk(&whole[..9])).as_bytes())
+                    .ok()?;
                 return None;
             }
             Act::Silent => {
@@ -389,7 +446,12 @@
                 thread::spawn(move || Self::connection(stream, &shared, &heard, sound));
             }
         });
-        Discovery { address, state, calls, silent }
+        Discovery {
+            address,
+            state,
+            calls,
+            silent,
+        }
     }
 
     /// The lines of its list.
@@ -414,13 +476,23 @@
             let message = read_message(&mut reader)?;
             calls.lock().unwrap().push(message.line.clone());
             let number = |key: &str| -> Option<u64> {
-                message.line.split(key).nth(1)?.split(['&', ' ']).next()?.parse().ok()
+                message
+                    .line
+                    .split(key)
+                    .nth(1)?
+                    .split(['&', ' '])
+                    .next()?
+                    .parse()
+                    .ok()
             };
             let (lock, changed) = state;
             let mut list = lock.lock().unwrap();
             if let (Some(from), Some(hold)) = (number("from="), number("hold_ms=")) {
                 let hold = Duration::from_millis(hold);
-                list = changed.wait_timeout_while(list, hold, |list| list.0 <= from).unwrap().0;
+                list = changed
+                    .wait_timeout_while(list, hold, |list| list.0 <= from)
+                    .unwrap()
+                    .0;
             }
             // Indented, as lists may come.
             let body = json!({"revision": list.0, "complete": true, "members": list.1});
@@ -526,18 +598,48 @@
     /// With what the platform gives on the days of operation.
     pub fn operated(stage: Arc<Stage>, given: Given) -> Rig {
         let members = members(Wire::Platform, &stage);
-        Self::start_given(Wire::Platform, stage, (1000, 1024), members, "", &[], given, |_| ())
+        Self::start_given(
+            Wire::Platform,
+            stage,
+            (1000, 1024),
+            members,
+            "",
+            &[],
+            given,
+            |_| (),
+        )
     }
 
     /// With another configuration than the usual one, as another customer's.
     pub fn tuned(stage: Arc<Stage>, members: Vec<Value>, tune: impl FnOnce(&mut Value)) -> Rig {
-        Self::start_given(Wire::Platform, stage, (1000, 1024), members, "", &[], Given::default(), tune)
+        Self::start_given(
+            Wire::Platform,
+            stage,
+            (1000, 1024),
+            members,
+            "",
+            &[],
+            Given::default(),
+            tune,
+        )
     }
 
     /// The same, within so many descriptors.
     pub fn confined(stage: Arc<Stage>, members: Vec<Value>, descriptors: usize) -> Rig {
-        let given = Given { descriptors: Some(descriptors), ..Given::default() };
-        Self::start_given(Wire::Platform, stage, (1000, descriptors), members, "", &[], given, |_| ())
+        let given = Given {
+            descriptors: Some(descriptors),
+            ..Given::default()
+        };
+        Self::start_given(
+            Wire::Platform,
+            stage,
+            (1000, descriptors),
+            members,
+            "",
+            &[],
+            given,
+            |_| (),
+        )
     }
 
     /// With more in the project's own file, and further files beside it.
@@ -550,7 +652,16 @@
         files: &[(&str, &str)],
     ) -> Rig {
         let given = Given::default();
-        Self::start_given(servers, stage, (open_cap, sockets), members, more, files, given, |_| ())
+        Self::start_given(
+            servers,
+            stage,
+            (open_cap, sockets),
+            members,
+            more,
+            files,
+            given,
+            |_| (),
+        )
     }
 
     #[allow(clippy::too_many_arguments)] // all that a test may say of its surroundings
@@ -566,7 +677,8 @@
     ) -> Rig {
         let discovery = Discovery::new(members);
         let number = RIGS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("cairnroad-test-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("cairnroad-test-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let class = |name: &str, deadline: f64, effect: &str, value: f64| {
             json!({"name": name, "aimS": 1.0, "deadlineS": deadline, "effect": effect, "value": value,
@@ -589,7 +701,11 @@
             "settings": settings});
         tune(&mut config);
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
-        let kind = if servers == Wire::Platform { "frames" } else { "opensearch" };
+        let kind = if servers == Wire::Platform {
+            "frames"
+        } else {
+            "opensearch"
+        };
         let own = format!(
             "[opensearch]\nenabled = true\nlisten = \"127.0.0.1:0\"\n[backend]\nkind = \"{kind}\"\n{more}"
         );
@@ -598,9 +714,24 @@
             std::fs::write(folder.join(name), text).unwrap();
         }
         std::fs::write(folder.join("own.toml"), own).unwrap();
-        let Started { child, platform, opensearch, admin, log } = Self::launch(&folder, given);
+        let Started {
+            child,
+            platform,
+            opensearch,
+            admin,
+            log,
+        } = Self::launch(&folder, given);
         let log = Mutex::new(log);
-        let rig = Rig { child, platform, opensearch, admin, discovery, stage, folder, log };
+        let rig = Rig {
+            child,
+            platform,
+            opensearch,
+            admin,
+            discovery,
+            stage,
+            folder,
+            log,
+        };
         rig.wait_until_ready();
         rig
     }
@@ -612,15 +743,21 @@
         if let Some(socket) = given.socket {
             // A shell moves the socket from descriptor 0 to 5.
             command = Command::new("sh");
-            command.args(["-c", "exec 5<&0 </dev/null; exec \"$0\"", program]).env("NODE_INHERITED_FD", "5");
-            command.stdin(Stdio::from(std::os::fd::OwnedFd::from(socket.try_clone().unwrap())));
+            command
+                .args(["-c", "exec 5<&0 </dev/null; exec \"$0\"", program])
+                .env("NODE_INHERITED_FD", "5");
+            command.stdin(Stdio::from(std::os::fd::OwnedFd::from(
+                socket.try_clone().unwrap(),
+            )));
         }
         if let Some(most) = given.descriptors {
             command = Command::new("sh");
             command.args(["-c", &format!("ulimit -n {most}; exec \"$0\""), program]);
         }
         if given.door {
-            command.env("NODE_ADMIN", "127.0.0.1:0").env("TMPDIR", folder);
+            command
+                .env("NODE_ADMIN", "127.0.0.1:0")
+                .env("TMPDIR", folder);
         }
         let mut child = command
             .env("NODE_CONFIG", folder.join("config.json"))
@@ -646,11 +783,20 @@
             if let Some(address) =
                 field("address=").filter(|_| line.contains("listening") || line.contains("calls"))
             {
-                bound.insert(field("front=").unwrap_or("admin".into()), address.parse().unwrap());
+                bound.insert(
+                    field("front=").unwrap_or("admin".into()),
+                    address.parse().unwrap(),
+                );
             }
         }
         let admin = bound.get("admin").copied();
-        Started { child, platform: bound["platform"], opensearch: bound["opensearch"], admin, log }
+        Started {
+            child,
+            platform: bound["platform"],
+            opensearch: bound["opensearch"],
+            admin,
+            log,
+        }
     }
 
     pub fn wait_until_ready(&self) {
@@ -672,7 +818,13 @@
     }
 
     fn beside(&mut self, given: Given) -> Child {
-        let Started { child, platform, opensearch, admin, log } = Self::launch(&self.folder, given);
+        let Started {
+            child,
+            platform,
+            opensearch,
+            admin,
+            log,
+        } = Self::launch(&self.folder, given);
         (self.platform, self.opensearch, self.admin, self.log) =
             (platform, opensearch, admin, Mutex::new(log));
         child
@@ -684,20 +836,37 @@
     }
 
     /// One request on a connection of its own.
-    pub fn call(&self, to: SocketAddr, line: &str, fields: &[(&str, &str)], body: &str) -> Response {
+    pub fn call(
+        &self,
+        to: SocketAddr,
+        line: &str,
+        fields: &[(&str, &str)],
+        body: &str,
+    ) -> Response {
         call(to, line, fields, body)
     }
 
     pub fn api(&self, id: &str, class: &str, deadline: &str, shards: &[u32], q: &str) -> Response {
         let weight = 1.0 / shards.len() as f64;
-        let shards: Vec<Value> = shards.iter().map(|s| json!({"shard": s, "weight": weight})).collect();
+        let shards: Vec<Value> = shards
+            .iter()
+            .map(|s| json!({"shard": s, "weight": weight}))
+            .collect();
         let body = json!({"shards": shards, "q": q}).to_string();
-        let fields = [("X-Request-Id", id), ("X-Class", class), ("X-Deadline", deadline)];
+        let fields = [
+            ("X-Request-Id", id),
+            ("X-Class", class),
+            ("X-Deadline", deadline),
+        ];
         self.call(self.platform, "POST /api", &fields, &body)
     }
 
     pub fn search(&self, target: &str, body: Value) -> Response {
-        let body = if body.is_null() { String::new() } else { body.to_string() };
+        let body = if body.is_null() {
+            String::new()
+        } else {
+            body.to_string()
+        };
         self.call(self.opensearch, &format!("POST {target}"), &[], &body)
     }
 
@@ -736,7 +905,10 @@
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !done() {
-        assert!(start.elapsed() < Duration::from_secs(20), "{what} did not come");
+        assert!(
+            start.elapsed() < Duration::from_secs(20),
+            "{what} did not come"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -750,7 +922,10 @@
 }
 
 pub fn signal(child: &Child, name: &str) {
-    let sent = Command::new("kill").arg(format!("-{name}")).arg(child.id().to_string()).status();
+    let sent = Command::new("kill")
+        .arg(format!("-{name}"))
+        .arg(child.id().to_string())
+        .status();
     assert!(sent.unwrap().success());
 }
 
@@ -763,7 +938,10 @@
 /// One request on a connection of its own. A connection that ends without an answer has status 0.
 pub fn call(to: SocketAddr, line: &str, fields: &[(&str, &str)], body: &str) -> Response {
     let mut stream = TcpStream::connect(to).unwrap();
-    let mut text = format!("{line} HTTP/1.1\r\nHost: test\r\nContent-Length: {}\r\n", body.len());
+    let mut text = format!(
+        "{line} HTTP/1.1\r\nHost: test\r\nContent-Length: {}\r\n",
+        body.len()
+    );
     for (name, value) in fields {
         text.push_str(&format!("{name}: {value}\r\n"));
     }
@@ -774,9 +952,17 @@
 
 pub fn response(reader: &mut impl BufRead) -> Response {
     let Some(message) = read_message(reader) else {
-        return Response { status: 0, fields: BTreeMap::new(), json: Value::Null };
+        return Response {
+            status: 0,
+            fields: BTreeMap::new(),
+            json: Value::Null,
+        };
     };
     let status = message.line.split(' ').nth(1).unwrap().parse().unwrap();
     let json = serde_json::from_slice(&message.body).unwrap_or(Value::Null);
-    Response { status, fields: message.fields, json }
+    Response {
+        status,
+        fields: message.fields,
+        json,
+    }
 }
--- a/crates/coordinator/tests/common/script.rs
+++ b/crates/coordinator/tests/common/script.rs
@@ -33,7 +33,13 @@
 impl Call {
     /// The version from which on changes are asked for; `None`: the whole list is.
     pub fn from(&self) -> Option<u64> {
-        self.target.split("from=").nth(1)?.split('&').next()?.parse().ok()
+        self.target
+            .split("from=")
+            .nth(1)?
+            .split('&')
+            .next()?
+            .parse()
+            .ok()
     }
 }
 
@@ -68,7 +74,11 @@
         loop {
             let line = read_message(&mut reader)?.line;
             let target = line.split(' ').nth(1)?.to_string();
-            let call = Call { at: Instant::now(), connection, target };
+            let call = Call {
+                at: Instant::now(),
+                connection,
+                target,
+            };
             heard.lock().unwrap().push(call.clone());
             match script(&call) {
                 Reply::Send(bytes) => stream.write_all(&bytes).ok()?,
@@ -97,7 +107,11 @@
 
 /// A whole answer with this body.
 pub fn answer(body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 /// The same without a length: it lasts until the connection's end.
@@ -115,10 +129,17 @@
 impl Shut {
     pub fn new() -> Shut {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        listener
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         listener.listen(0).unwrap();
-        let mut shut = Shut { listener, full: Vec::new() };
-        while let Ok(stream) = TcpStream::connect_timeout(&shut.address(), Duration::from_millis(50)) {
+        let mut shut = Shut {
+            listener,
+            full: Vec::new(),
+        };
+        while let Ok(stream) =
+            TcpStream::connect_timeout(&shut.address(), Duration::from_millis(50))
+        {
             shut.full.push(stream);
         }
         shut
@@ -130,8 +151,14 @@
 
     /// Lets connections come up; the first one that wasn't there before.
     pub fn open(self) -> TcpStream {
-        self.listener.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        let ours: Vec<SocketAddr> = self.full.iter().map(|stream| stream.local_addr().unwrap()).collect();
+        self.listener
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
+        let ours: Vec<SocketAddr> = self
+            .full
+            .iter()
+            .map(|stream| stream.local_addr().unwrap())
+            .collect();
         loop {
             let (stream, from) = self.listener.accept().unwrap();
             if !ours.contains(&from.as_socket().unwrap()) {
--- a/crates/coordinator/tests/crossings.rs
+++ b/crates/coordinator/tests/crossings.rs
@@ -15,7 +15,9 @@
 
 fn connect(rig: &Rig) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(rig.platform).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
     BufReader::new(stream)
 }
 
@@ -42,7 +44,9 @@
     let mut all = Vec::new();
     while let Some(length) = read_exact(stream, 4) {
         let length = u32::from_be_bytes(length.try_into().unwrap()) as usize;
-        let Some(frame) = read_exact(stream, length) else { break };
+        let Some(frame) = read_exact(stream, length) else {
+            break;
+        };
         all.push(String::from_utf8_lossy(&frame).into_owned());
     }
     all
@@ -56,7 +60,10 @@
     let mut idle: Vec<_> = (0..8)
         .map(|number| {
             let mut client = connect(&rig);
-            send(&mut client, &one_part(&format!("first{number}"), "stock-search", 2.0, "~1~"));
+            send(
+                &mut client,
+                &one_part(&format!("first{number}"), "stock-search", 2.0, "~1~"),
+            );
             assert_eq!(response(&mut client).status, 200);
             client
         })
@@ -75,7 +82,10 @@
         assert_eq!(read(client), Ok(0), "no answer");
     }
     assert!(rig.child.wait().unwrap().success());
-    assert!(rig.stage.runs().keys().all(|(marker, _)| *marker == 1), "what came after the end was sent on");
+    assert!(
+        rig.stage.runs().keys().all(|(marker, _)| *marker == 1),
+        "what came after the end was sent on"
+    );
 }
 
 /// Guards against a listener that is closed over connections that wait to be accepted: the system resets them all. The
@@ -87,12 +97,19 @@
     send(&mut idle, &one_part("before", "stock-search", 2.0, "~1~"));
     assert_eq!(response(&mut idle).status, 200);
     rig.signal("TERM");
-    assert_eq!(read(&mut idle), Ok(0), "idle connections are closed, and clients still accepted");
+    assert_eq!(
+        read(&mut idle),
+        Ok(0),
+        "idle connections are closed, and clients still accepted"
+    );
     rig.signal("STOP");
     let mut last: Vec<_> = (0..20)
         .map(|number| {
             let mut client = connect(&rig);
-            send(&mut client, &one_part(&format!("last{number}"), "pick-confirm", 2.0, "~2~"));
+            send(
+                &mut client,
+                &one_part(&format!("last{number}"), "pick-confirm", 2.0, "~2~"),
+            );
             client
         })
         .collect();
@@ -100,7 +117,10 @@
     rig.signal("CONT");
     for client in &mut last {
         let told = response(client);
-        assert_eq!((told.status, told.fields["connection"].as_str()), (200, "close"));
+        assert_eq!(
+            (told.status, told.fields["connection"].as_str()),
+            (200, "close")
+        );
     }
     assert!(rig.child.wait().unwrap().success());
 }
@@ -119,7 +139,10 @@
         drop(client);
         let seen = rig.stage.seen.lock().unwrap()[before].clone();
         wait_for("the cancel", || seen.cancelled.load(Ordering::Relaxed));
-        assert!(gone.elapsed() < Duration::from_millis(1200), "{name}: only at its deadline");
+        assert!(
+            gone.elapsed() < Duration::from_millis(1200),
+            "{name}: only at its deadline"
+        );
     }
 }
 
@@ -128,8 +151,9 @@
 fn what_is_sent_too_far_ahead_is_refused_and_the_answers_before_it_stand() {
     let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Late(20)), 1000);
     let mut client = connect(&rig);
-    let all: String =
-        (0..600).map(|number| one_part(&format!("p{number}"), "stock-search", 2.0, "~1~")).collect();
+    let all: String = (0..600)
+        .map(|number| one_part(&format!("p{number}"), "stock-search", 2.0, "~1~"))
+        .collect();
     assert!(all.len() > 60_000);
     send(&mut client, &all);
     let (mut served, mut told) = (0, response(&mut client));
@@ -137,10 +161,20 @@
         served += 1;
         told = response(&mut client);
     }
-    assert!(served > 0 && rig.stage.seen.lock().unwrap().len() == served, "{served} served");
-    assert_eq!((told.status, told.fields["connection"].as_str()), (429, "close"));
+    assert!(
+        served > 0 && rig.stage.seen.lock().unwrap().len() == served,
+        "{served} served"
+    );
+    assert_eq!(
+        (told.status, told.fields["connection"].as_str()),
+        (429, "close")
+    );
     assert!(told.fields.contains_key("retry-after"));
-    assert_eq!(read(&mut client), Ok(0), "the end, and no reset over the answers");
+    assert_eq!(
+        read(&mut client),
+        Ok(0),
+        "the end, and no reset over the answers"
+    );
 }
 
 /// Guards against parts that are written for clients who left while the connection came up: also where more calls and
@@ -162,7 +196,10 @@
         let mut going = Vec::new();
         for number in 0..100 {
             let mut client = connect(&rig);
-            send(&mut client, &one_part(&format!("goes{number}"), "pick-confirm", 2.5, "~2~"));
+            send(
+                &mut client,
+                &one_part(&format!("goes{number}"), "pick-confirm", 2.5, "~2~"),
+            );
             going.push(client);
         }
         thread::sleep(Duration::from_millis(100));
@@ -195,7 +232,10 @@
             let told = scope.spawn(|| rig.api("keyed", "pick-confirm", "2.5", &[1], "~1~").status);
             thread::sleep(Duration::from_millis(1000));
             let sent = frames(&mut shut.open(), Duration::from_millis(300));
-            let calls = sent.iter().filter(|frame| frame.starts_with("Qkeyed.1 ")).count();
+            let calls = sent
+                .iter()
+                .filter(|frame| frame.starts_with("Qkeyed.1 "))
+                .count();
             assert!(rig.stage.runs()[&(1, 1)] > 0);
             assert_eq!(calls > 0, written, "window {window}: {sent:?}");
             told.join().unwrap()
--- a/crates/coordinator/tests/customers.rs
+++ b/crates/coordinator/tests/customers.rs
@@ -22,7 +22,10 @@
     wait_for("the end", || rig.child.try_wait().unwrap().is_some());
     let took = since.elapsed().as_secs_f64();
     assert!(rig.child.wait().unwrap().success());
-    assert!(took < most, "it ended after {took:.2} s, and the kill may come after {most:.2} s");
+    assert!(
+        took < most,
+        "it ended after {took:.2} s, and the kill may come after {most:.2} s"
+    );
 }
 
 /// Guards against a stop whose phases are fitted to deadlines of seconds: with short ones the kill comes 0.7 s and one
@@ -40,12 +43,17 @@
                 let (mut answered, mut half, mut asked) = (0, 0, 0);
                 // Each comes again at once, on the connection that it has or on a new one.
                 while !ended.load(Ordering::Relaxed) {
-                    let Ok(stream) = TcpStream::connect(address) else { break };
-                    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+                    let Ok(stream) = TcpStream::connect(address) else {
+                        break;
+                    };
+                    stream
+                        .set_read_timeout(Some(Duration::from_secs(5)))
+                        .unwrap();
                     let mut stream = BufReader::new(stream);
                     loop {
                         asked += 1;
-                        let text = one_part(&format!("c{number}-{asked}"), "pick-confirm", 0.4, "~1~");
+                        let text =
+                            one_part(&format!("c{number}-{asked}"), "pick-confirm", 0.4, "~1~");
                         if stream.get_mut().write_all(text.as_bytes()).is_err() {
                             break;
                         }
@@ -55,7 +63,10 @@
                             _ => answered += 1,
                         }
                         if told.status == 0
-                            || told.fields.get("connection").is_some_and(|word| word == "close")
+                            || told
+                                .fields
+                                .get("connection")
+                                .is_some_and(|word| word == "close")
                         {
                             break;
                         }
@@ -72,12 +83,23 @@
         wait_for("the end", || rig.child.try_wait().unwrap().is_some());
         let took = since.elapsed().as_secs_f64();
         ended.store(true, Ordering::Relaxed);
-        let counts: Vec<(usize, usize)> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+        let counts: Vec<(usize, usize)> = clients
+            .into_iter()
+            .map(|client| client.join().unwrap())
+            .collect();
         (counts, took)
     });
     assert!(rig.child.wait().unwrap().success());
-    assert!(took < 1.1, "it ended after {took:.2} s, and the kill may come after 1.10 s");
-    assert!(counts.iter().all(|&(answered, cut)| answered > 10 && cut <= 1), "{counts:?}");
+    assert!(
+        took < 1.1,
+        "it ended after {took:.2} s, and the kill may come after 1.10 s"
+    );
+    assert!(
+        counts
+            .iter()
+            .all(|&(answered, cut)| answered > 10 && cut <= 1),
+        "{counts:?}"
+    );
 }
 
 /// Guards against requests that were open before the order to stop and have longer than the kill leaves: a deadline
@@ -91,16 +113,27 @@
         .iter()
         .map(|class| {
             let mut stream = TcpStream::connect(rig.platform).unwrap();
-            stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-            stream.write_all(one_part(class, class, 12.0, "~1~").as_bytes()).unwrap();
+            stream
+                .set_read_timeout(Some(Duration::from_secs(20)))
+                .unwrap();
+            stream
+                .write_all(one_part(class, class, 12.0, "~1~").as_bytes())
+                .unwrap();
             BufReader::new(stream)
         })
         .collect();
     wait_for("the parts", || rig.stage.seen.lock().unwrap().len() >= 2);
     let since = Instant::now();
     rig.signal("TERM");
-    let told: Vec<u16> = clients.iter_mut().map(|client| response(client).status).collect();
-    assert!(since.elapsed() < Duration::from_millis(3_700), "{told:?} after {:?}", since.elapsed());
+    let told: Vec<u16> = clients
+        .iter_mut()
+        .map(|client| response(client).status)
+        .collect();
+    assert!(
+        since.elapsed() < Duration::from_millis(3_700),
+        "{told:?} after {:?}",
+        since.elapsed()
+    );
     assert!(
         [429, 503].contains(&told[0]) && [500, 504].contains(&told[1]),
         "what may have run isn't refused: {told:?}"
@@ -129,7 +162,11 @@
     .to_string();
     for orders in [1, 3] {
         let _ = std::fs::remove_file(&pipe);
-        assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
+        assert!(Command::new("mkfifo")
+            .arg(&pipe)
+            .status()
+            .unwrap()
+            .success());
         let mut child = Command::new(env!("CARGO_BIN_EXE_cairnroad"))
             .env("NODE_CONFIG", &pipe)
             .env("CAIRNROAD_FILE", folder.join("own.toml"))
@@ -163,7 +200,10 @@
     let members = members(Wire::Platform, &stage);
     let mut rig = Rig::tuned(stage, members, |_| ());
     let mut client = BufReader::new(TcpStream::connect(rig.platform).unwrap());
-    client.get_mut().write_all(one_part("open", "pick-confirm", 2.5, "~1~").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(one_part("open", "pick-confirm", 2.5, "~1~").as_bytes())
+        .unwrap();
     wait_for("the part", || !rig.stage.seen.lock().unwrap().is_empty());
     let since = Instant::now();
     rig.signal("TERM");
@@ -191,9 +231,11 @@
         class("d", 0.1, 0.2, "idempotent"),
         class("e", 0.1, 0.35, "at_most_once"),
     ];
-    for (classes, tick) in
-        [(&many[..], 0.01), (&many[2..3], 0.002), (&[class("f", 4.0, 12.0, "deduplicated")], 0.005)]
-    {
+    for (classes, tick) in [
+        (&many[..], 0.01),
+        (&many[2..3], 0.002),
+        (&[class("f", 4.0, 12.0, "deduplicated")], 0.005),
+    ] {
         let stage = Stage::new(|_, _, _| Act::Serve);
         let members = members(Wire::Platform, &stage);
         let mut rig = Rig::tuned(stage, members, |config| {
@@ -206,7 +248,13 @@
         });
         for class in classes {
             let name = class["name"].as_str().unwrap();
-            let told = rig.api(name, name, &class["deadlineS"].to_string(), &[1, 2, 3], "~1~");
+            let told = rig.api(
+                name,
+                name,
+                &class["deadlineS"].to_string(),
+                &[1, 2, 3],
+                "~1~",
+            );
             assert_eq!(told.status, 200, "{name}: {}", told.json);
         }
         let since = Instant::now();
@@ -222,12 +270,19 @@
     let members = members(Wire::Platform, &stage);
     let rig = Rig::tuned(stage, members, |config| deadlines(config, 0.2, 0.4));
     let mut client = BufReader::new(TcpStream::connect(rig.platform).unwrap());
-    let all: String =
-        (0..400).map(|number| one_part(&format!("p{number}"), "stock-search", 0.4, "~1~")).collect();
+    let all: String = (0..400)
+        .map(|number| one_part(&format!("p{number}"), "stock-search", 0.4, "~1~"))
+        .collect();
     client.get_mut().write_all(all.as_bytes()).unwrap();
-    let refused = std::iter::repeat_with(|| response(&mut client)).find(|told| told.status != 200).unwrap();
+    let refused = std::iter::repeat_with(|| response(&mut client))
+        .find(|told| told.status != 200)
+        .unwrap();
     assert_eq!(refused.status, 429);
-    assert!(refused.fields["retry-after"].parse::<f64>().unwrap() <= 0.2, "{:?}", refused.fields);
+    assert!(
+        refused.fields["retry-after"].parse::<f64>().unwrap() <= 0.2,
+        "{:?}",
+        refused.fields
+    );
 }
 
 /// Guards against a query of many parts that is never whole: its weights are rounded by whoever wrote them, and add up to
@@ -237,17 +292,34 @@
     for parts in [7, 94, 150] {
         let stage = Stage::new(|_, _, _| Act::Serve);
         let members = members(Wire::Platform, &stage);
-        let rig = Rig::tuned(stage, members, |config| config["settings"]["extra"]["shards"] = json!(parts));
+        let rig = Rig::tuned(stage, members, |config| {
+            config["settings"]["extra"]["shards"] = json!(parts)
+        });
         // As many digits as the platform's clients write, and the last of them cut off.
         let weight = (1e6 / f64::from(parts)).floor() / 1e6;
-        let shards: Vec<Value> = (0..parts).map(|shard| json!({"shard": shard, "weight": weight})).collect();
+        let shards: Vec<Value> = (0..parts)
+            .map(|shard| json!({"shard": shard, "weight": weight}))
+            .collect();
         let body = json!({"shards": shards, "q": "~1~"}).to_string();
         for class in ["stock-search", "pick-confirm"] {
             let id = format!("{class}-{parts}");
-            let fields = [("X-Request-Id", id.as_str()), ("X-Class", class), ("X-Deadline", "2.0")];
+            let fields = [
+                ("X-Request-Id", id.as_str()),
+                ("X-Class", class),
+                ("X-Deadline", "2.0"),
+            ];
             let told = rig.call(rig.platform, "POST /api", &fields, &body);
-            assert_eq!((told.status, &told.json["complete"]), (200, &json!(true)), "{id}: {}", told.json);
-            assert_eq!(told.json["hits"].as_array().unwrap().len(), parts as usize, "{id}");
+            assert_eq!(
+                (told.status, &told.json["complete"]),
+                (200, &json!(true)),
+                "{id}: {}",
+                told.json
+            );
+            assert_eq!(
+                told.json["hits"].as_array().unwrap().len(),
+                parts as usize,
+                "{id}"
+            );
         }
     }
 }
--- a/crates/coordinator/tests/descriptions.rs
+++ b/crates/coordinator/tests/descriptions.rs
@@ -10,7 +10,9 @@
 use std::process::Command;
 
 fn root(path: &str) -> std::path::PathBuf {
-    std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(path)
+    std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .join(path)
 }
 
 /// The files under `api/` are what the program prints for the configuration beside them.
@@ -23,7 +25,11 @@
             .env("CAIRNROAD_FILE", root("api/sample/cairnroad.toml"))
             .output()
             .unwrap();
-        assert!(told.status.success(), "{}", String::from_utf8_lossy(&told.stderr));
+        assert!(
+            told.status.success(),
+            "{}",
+            String::from_utf8_lossy(&told.stderr)
+        );
         let kept = std::fs::read_to_string(root(&format!("api/{kind}.json"))).unwrap();
         assert_eq!(
             String::from_utf8(told.stdout).unwrap(),
@@ -62,16 +68,46 @@
         case("POST", "/api", &"x".repeat(70_000), 413),
         case("POST", "/api", silent, 504),
         case("POST", "/api", full, 503),
-        case("POST", "/stock-search/_search?preference=_shards:1,2&size=1", query, 200),
-        case("GET", "/stock-search/_search?preference=_shards:1&q=a&timeout=1s", "", 200),
+        case(
+            "POST",
+            "/stock-search/_search?preference=_shards:1,2&size=1",
+            query,
+            200,
+        ),
+        case(
+            "GET",
+            "/stock-search/_search?preference=_shards:1&q=a&timeout=1s",
+            "",
+            200,
+        ),
         case("POST", "/stock-search/_search", "{\"aggs\":{}}", 400),
         case("POST", "/none/_search", query, 404),
-        case("POST", "/pick-confirm/_search?preference=_shards:7&timeout=300ms", query, 504),
-        case("POST", "/stock-search/_search?preference=_shards:6", query, 503),
+        case(
+            "POST",
+            "/pick-confirm/_search?preference=_shards:7&timeout=300ms",
+            query,
+            504,
+        ),
+        case(
+            "POST",
+            "/stock-search/_search?preference=_shards:6",
+            query,
+            503,
+        ),
         case("POST", "/_msearch", many, 200),
         case("GET", "/_msearch", "{}", 400),
-        case("POST", "/stock-search/_msearch?preference=_shards:1", "{}\n{}\n", 200),
-        case("GET", "/stock-search/_msearch?preference=_shards:1,2", "\n{}\n", 200),
+        case(
+            "POST",
+            "/stock-search/_msearch?preference=_shards:1",
+            "{}\n{}\n",
+            200,
+        ),
+        case(
+            "GET",
+            "/stock-search/_msearch?preference=_shards:1,2",
+            "\n{}\n",
+            200,
+        ),
         case("GET", "/openapi.json", "", 200),
         case("GET", "/asyncapi.json", "", 200),
         case("GET", "/_contract", "", 200),
@@ -92,9 +128,17 @@
     let mut called = BTreeSet::new();
     for (number, case) in cases().into_iter().enumerate() {
         let at = format!("{} {}", case.method, case.target);
-        let to = if case.platform { rig.platform } else { rig.opensearch };
+        let to = if case.platform {
+            rig.platform
+        } else {
+            rig.opensearch
+        };
         let id = format!("d{number}");
-        let kind = if case.target.contains("_msearch") { "application/x-ndjson" } else { "application/json" };
+        let kind = if case.target.contains("_msearch") {
+            "application/x-ndjson"
+        } else {
+            "application/json"
+        };
         let mut fields = vec![("Content-Type", kind)];
         if case.platform {
             let deadline = if case.status == 504 { "0.5" } else { "2.5" };
@@ -104,31 +148,64 @@
                 ("X-Deadline", deadline),
             ]);
         }
-        let told = rig.call(to, &format!("{} {}", case.method, case.target), &fields, &case.body);
+        let told = rig.call(
+            to,
+            &format!("{} {}", case.method, case.target),
+            &fields,
+            &case.body,
+        );
         assert_eq!(told.status, case.status, "{at}: {}", told.json);
-        let owned: Vec<_> =
-            fields.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect();
-        let asked =
-            Asked { method: case.method, target: case.target, fields: &owned, body: case.body.as_bytes() };
+        let owned: Vec<_> = fields
+            .iter()
+            .map(|(name, value)| (name.to_string(), value.to_string()))
+            .collect();
+        let asked = Asked {
+            method: case.method,
+            target: case.target,
+            fields: &owned,
+            body: case.body.as_bytes(),
+        };
         let request = document.judge_request(&asked);
-        let number = request.number.unwrap_or_else(|| panic!("{at} is not described"));
+        let number = request
+            .number
+            .unwrap_or_else(|| panic!("{at} is not described"));
         if told.status == 200 {
             assert_eq!(request.departures, [], "{at}");
         }
         let fields: Vec<_> = told.fields.into_iter().collect();
         let body = told.json.to_string();
-        let answered = Answered { status: told.status, fields: &fields, body: body.as_bytes(), whole: true };
-        assert_eq!(document.judge_answer(number, &answered).departures, [], "{at}: {body}");
+        let answered = Answered {
+            status: told.status,
+            fields: &fields,
+            body: body.as_bytes(),
+            whole: true,
+        };
+        assert_eq!(
+            document.judge_answer(number, &answered).departures,
+            [],
+            "{at}: {body}"
+        );
         called.insert(number);
     }
     let all: BTreeSet<usize> = (0..document.operations.len()).collect();
-    let missed: Vec<_> = all.difference(&called).map(|&at| &document.operations[at].name).collect();
+    let missed: Vec<_> = all
+        .difference(&called)
+        .map(|&at| &document.operations[at].name)
+        .collect();
     assert!(missed.is_empty(), "described but never served: {missed:?}");
     // The checks can fail: an answer without its mark of wholeness is none.
     let kind = [("Content-Type".to_string(), "application/json".to_string())];
     let number = document.operation_of("POST", "/api").unwrap();
-    let wrong = Answered { status: 200, fields: &kind, body: b"{\"hits\":[]}", whole: true };
-    assert_eq!(document.judge_answer(number, &wrong).departures[0].place, "body /complete");
+    let wrong = Answered {
+        status: 200,
+        fields: &kind,
+        body: b"{\"hits\":[]}",
+        whole: true,
+    };
+    assert_eq!(
+        document.judge_answer(number, &wrong).departures[0].place,
+        "body /complete"
+    );
 }
 
 /// Frames and the watch as they were on the wire, held against the published description.
@@ -138,8 +215,14 @@
     let rig = Rig::start(Wire::Platform, Stage::new(plan), 1000);
     let own = rig.call(rig.opensearch, "GET /asyncapi.json", &[], "").json;
     let document = Description::from_text("asyncapi.json", &own.to_string()).unwrap();
-    assert_eq!(rig.api("a-1", "stock-search", "0.5", &[1, 3], "~1~").status, 200);
-    assert_eq!(rig.api("a-2", "pick-confirm", "0.3", &[7], "~2~").status, 504);
+    assert_eq!(
+        rig.api("a-1", "stock-search", "0.5", &[1, 3], "~1~").status,
+        200
+    );
+    assert_eq!(
+        rig.api("a-2", "pick-confirm", "0.3", &[7], "~2~").status,
+        504
+    );
     let frames = rig.stage.wire.lock().unwrap().clone();
     let mut letters = BTreeSet::new();
     let mut judge = |channel: &str, word: &str, head: Value, payload: &[u8]| {
@@ -167,16 +250,33 @@
     }
     for line in rig.discovery.calls.lock().unwrap().iter() {
         let target = line.split(' ').nth(1).unwrap();
-        let pairs =
-            target.split_once('?').map_or("", |(_, query)| query).split('&').filter(|pair| !pair.is_empty());
+        let pairs = target
+            .split_once('?')
+            .map_or("", |(_, query)| query)
+            .split('&')
+            .filter(|pair| !pair.is_empty());
         let number = |pair: &str| {
             let (name, value) = pair.split_once('=').unwrap();
             (name.to_string(), json!(value.parse::<u64>().unwrap()))
         };
-        judge("watch", "ask", Value::Object(pairs.map(number).collect()), b"");
+        judge(
+            "watch",
+            "ask",
+            Value::Object(pairs.map(number).collect()),
+            b"",
+        );
     }
-    let list = rig.call(rig.discovery.address, "GET /catalog/members", &[], "").json;
+    let list = rig
+        .call(rig.discovery.address, "GET /catalog/members", &[], "")
+        .json;
     judge("watch", "list", json!({}), list.to_string().as_bytes());
-    assert_eq!(letters.len(), 4, "a call, a cancel, an ask and a list were seen: {letters:?}");
-    assert!(!document.judge_message("frames", "Q", &json!({"id": "1"}), b"").departures.is_empty());
+    assert_eq!(
+        letters.len(),
+        4,
+        "a call, a cancel, an ask and a list were seen: {letters:?}"
+    );
+    assert!(!document
+        .judge_message("frames", "Q", &json!({"id": "1"}), b"")
+        .departures
+        .is_empty());
 }
--- a/crates/coordinator/tests/news.rs
+++ b/crates/coordinator/tests/news.rs
@@ -17,7 +17,11 @@
         thread::sleep(Duration::from_millis(5));
     }
     let seen = rig.stage.seen.lock().unwrap();
-    let at = seen.iter().filter(|seen| seen.server == 0).map(|seen| seen.at).max();
+    let at = seen
+        .iter()
+        .filter(|seen| seen.server == 0)
+        .map(|seen| seen.at)
+        .max();
     at.map(|at| at.saturating_duration_since(since))
 }
 
@@ -30,9 +34,16 @@
     rig.discovery.hush(2);
     let since = Instant::now();
     rig.discovery.set_phase(0, "leaving");
-    let last = last_sent(&rig, since, Duration::from_millis(7_000)).expect("server 0 had its turns before");
-    assert!(last > Duration::from_millis(100), "the watch was silent: {last:?}");
-    assert!(last < Duration::from_millis(6_250), "sent to {last:?} after the watch fell silent");
+    let last = last_sent(&rig, since, Duration::from_millis(7_000))
+        .expect("server 0 had its turns before");
+    assert!(
+        last > Duration::from_millis(100),
+        "the watch was silent: {last:?}"
+    );
+    assert!(
+        last < Duration::from_millis(6_250),
+        "sent to {last:?} after the watch fell silent"
+    );
 }
 
 /// Guards against an agent that is down for long: once it answers again, what it has is heard at once.
@@ -46,7 +57,10 @@
     // What is open stays silent; what is opened from now on is answered.
     rig.discovery.hush(0);
     let last = last_sent(&rig, since, Duration::from_millis(2_500));
-    assert!(last.is_none_or(|last| last < Duration::from_millis(2_000)), "sent to {last:?} after the outage");
+    assert!(
+        last.is_none_or(|last| last < Duration::from_millis(2_000)),
+        "sent to {last:?} after the outage"
+    );
 }
 
 /// Guards against a new process that serves by the list of its last life though the agent has a newer one.
@@ -62,7 +76,11 @@
     rig.stage.seen.lock().unwrap().clear();
     rig.restart();
     for number in 0..20 {
-        assert_eq!(rig.api(&format!("f{number}"), "pick-confirm", "2.0", &[0, 2], "~1~").status, 200);
+        assert_eq!(
+            rig.api(&format!("f{number}"), "pick-confirm", "2.0", &[0, 2], "~1~")
+                .status,
+            200
+        );
     }
     let seen = rig.stage.seen.lock().unwrap();
     assert!(!seen.is_empty() && seen.iter().all(|seen| seen.server != 0));
--- a/crates/coordinator/tests/pairs.rs
+++ b/crates/coordinator/tests/pairs.rs
@@ -20,7 +20,14 @@
 
 /// Most parts are served; one in six meets a fault, of each kind by turns. Further attempts are served.
 fn plan(marker: u64, shard: u32, before: usize) -> Act {
-    let faults = [Act::Busy, Act::Fail, Act::Cut, Act::MidStreamError, Act::Silent, Act::Late(700)];
+    let faults = [
+        Act::Busy,
+        Act::Fail,
+        Act::Cut,
+        Act::MidStreamError,
+        Act::Silent,
+        Act::Late(700),
+    ];
     match mixed(marker, u64::from(shard)) % 60 {
         n if n < 10 && before == 0 => faults[(n % 6) as usize],
         n if n < 30 => Act::Late(10),
@@ -36,19 +43,34 @@
 
 fn ask(rig: &Rig, front: Wire, number: u64) -> Told {
     let search = mixed(number, 99).is_multiple_of(2);
-    let class = if search { "stock-search" } else { "pick-confirm" };
+    let class = if search {
+        "stock-search"
+    } else {
+        "pick-confirm"
+    };
     let first = (mixed(number, 98) % 4) as u32;
-    let shards: Vec<u32> = (first..first + if search { 5 } else { 1 + (number % 2) as u32 }).collect();
+    let shards: Vec<u32> =
+        (first..first + if search { 5 } else { 1 + (number % 2) as u32 }).collect();
     let text = format!("needle ~{number}~");
     let response = match front {
         Wire::Platform => rig.api(&format!("r{number}"), class, "2.0", &shards, &text),
         Wire::OpenSearch => {
             let list: Vec<String> = shards.iter().map(u32::to_string).collect();
-            let target = format!("/{class}/_search?preference=_shards:{}&timeout=2s", list.join(","));
-            rig.search(&target, json!({"query": {"match": {"text": text}}, "size": 100}))
+            let target = format!(
+                "/{class}/_search?preference=_shards:{}&timeout=2s",
+                list.join(",")
+            );
+            rig.search(
+                &target,
+                json!({"query": {"match": {"text": text}}, "size": 100}),
+            )
         }
     };
-    Told { class, shards, response }
+    Told {
+        class,
+        shards,
+        response,
+    }
 }
 
 /// The values in an answer by shard, and whether it is marked whole.
@@ -62,10 +84,18 @@
                     Wire::Platform => doc.to_string(),
                     Wire::OpenSearch => {
                         let hits: Value = serde_json::from_str(doc).unwrap();
-                        hits["hits"][0]["_source"]["doc"].as_str().unwrap().to_string()
+                        hits["hits"][0]["_source"]["doc"]
+                            .as_str()
+                            .unwrap()
+                            .to_string()
                     }
                 };
-                assert!(found.insert(hit["shard"].as_u64().unwrap() as u32, doc).is_none(), "a part twice");
+                assert!(
+                    found
+                        .insert(hit["shard"].as_u64().unwrap() as u32, doc)
+                        .is_none(),
+                    "a part twice"
+                );
             }
             body["complete"].as_bool().unwrap()
         }
@@ -75,9 +105,15 @@
                 let doc = hit["_source"]["doc"].as_str().unwrap().to_string();
                 assert!(found.insert(shard, doc).is_none(), "a part twice");
             }
-            assert_eq!(body["_shards"]["successful"].as_u64().unwrap() as usize, found.len());
+            assert_eq!(
+                body["_shards"]["successful"].as_u64().unwrap() as usize,
+                found.len()
+            );
             let failures = body["_shards"]["failures"].as_array().map_or(0, Vec::len);
-            assert_eq!(body["_shards"]["failed"].as_u64().unwrap() as usize, failures);
+            assert_eq!(
+                body["_shards"]["failed"].as_u64().unwrap() as usize,
+                failures
+            );
             !body["timed_out"].as_bool().unwrap()
         }
     };
@@ -92,35 +128,63 @@
             let rig = rig.clone();
             thread::spawn(move || {
                 let numbers = (0..REQUESTS_EACH).map(|n| 1 + client * REQUESTS_EACH + n);
-                numbers.map(|number| (number, ask(&rig, front, number))).collect::<Vec<_>>()
+                numbers
+                    .map(|number| (number, ask(&rig, front, number)))
+                    .collect::<Vec<_>>()
             })
         })
         .collect();
-    let told: BTreeMap<u64, Told> = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
+    let told: BTreeMap<u64, Told> = clients
+        .into_iter()
+        .flat_map(|client| client.join().unwrap())
+        .collect();
     let runs = stage.runs();
     let (mut whole_answers, mut statuses) = (0, BTreeSet::new());
     for (number, told) in &told {
-        let at = format!("{front:?} over {servers:?}, request {number} ({})", told.class);
+        let at = format!(
+            "{front:?} over {servers:?}, request {number} ({})",
+            told.class
+        );
         let status = told.response.status;
         statuses.insert(status);
         let unsafe_class = told.class == "pick-confirm";
-        let ran = told.shards.iter().any(|&shard| runs.contains_key(&(*number, shard)));
+        let ran = told
+            .shards
+            .iter()
+            .any(|&shard| runs.contains_key(&(*number, shard)));
         match status {
             200 => {
                 let (values, whole) = values(front, servers, &told.response.json);
                 for (shard, value) in &values {
-                    assert_eq!(*value, common::value(*number, *shard), "{at}: a value changed on its way");
-                    assert!(told.shards.contains(shard), "{at}: a part that nobody asked for");
+                    assert_eq!(
+                        *value,
+                        common::value(*number, *shard),
+                        "{at}: a value changed on its way"
+                    );
+                    assert!(
+                        told.shards.contains(shard),
+                        "{at}: a part that nobody asked for"
+                    );
                 }
-                assert_eq!(whole, values.len() == told.shards.len(), "{at}: whole only if whole");
+                assert_eq!(
+                    whole,
+                    values.len() == told.shards.len(),
+                    "{at}: whole only if whole"
+                );
                 let floor = if unsafe_class { 1.0 } else { 0.8 };
                 let share = values.len() as f64 / told.shards.len() as f64;
                 assert!(share >= floor - 1e-9, "{at}: {share} is under the floor");
                 whole_answers += usize::from(whole);
             }
             429 | 503 => {
-                assert!(told.response.fields.contains_key("retry-after"), "{at}: no word on when to return");
-                assert!(!(unsafe_class && ran), "{at}: refused though a part may have run");
+                assert!(
+                    told.response.fields.contains_key("retry-after"),
+                    "{at}: no word on when to return"
+                );
+                assert!(
+                    !(unsafe_class && ran),
+                    "{at}: refused though a part may have run"
+                );
             }
             500 | 504 => {}
             other => panic!("{at}: {other} is no final answer: {}", told.response.json),
@@ -128,16 +192,33 @@
     }
     for ((number, shard), count) in &runs {
         let told = &told[number];
-        assert!(told.shards.contains(shard), "request {number}: shard {shard} was never asked for");
+        assert!(
+            told.shards.contains(shard),
+            "request {number}: shard {shard} was never asked for"
+        );
         if told.class == "pick-confirm" {
-            assert_eq!(*count, 1, "{front:?} over {servers:?}: part {number}.{shard} ran {count} times");
+            assert_eq!(
+                *count, 1,
+                "{front:?} over {servers:?}: part {number}.{shard} ran {count} times"
+            );
         }
     }
     for seen in stage.seen.lock().unwrap().iter() {
-        assert_eq!(seen.server as u32 % CELLS, seen.shard % CELLS, "a server that does not hold the shard");
+        assert_eq!(
+            seen.server as u32 % CELLS,
+            seen.shard % CELLS,
+            "a server that does not hold the shard"
+        );
     }
-    assert_eq!(told.len() as u64, CLIENTS * REQUESTS_EACH, "one final answer each");
-    assert!(whole_answers > 20 && statuses.len() > 1, "{whole_answers} whole, statuses {statuses:?}");
+    assert_eq!(
+        told.len() as u64,
+        CLIENTS * REQUESTS_EACH,
+        "one final answer each"
+    );
+    assert!(
+        whole_answers > 20 && statuses.len() > 1,
+        "{whole_answers} whole, statuses {statuses:?}"
+    );
 }
 
 #[test]
--- a/crates/coordinator/tests/stopping.rs
+++ b/crates/coordinator/tests/stopping.rs
@@ -10,15 +10,19 @@
 use std::time::{Duration, Instant};
 
 fn api_text(id: &str, marker: u32) -> String {
-    let body = json!({"shards": [{"shard": 1, "weight": 1.0}], "q": format!("~{marker}~")}).to_string();
-    let head =
-        format!("POST /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: pick-confirm\r\nX-Deadline: 2.5\r\n");
+    let body =
+        json!({"shards": [{"shard": 1, "weight": 1.0}], "q": format!("~{marker}~")}).to_string();
+    let head = format!(
+        "POST /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: pick-confirm\r\nX-Deadline: 2.5\r\n"
+    );
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
 fn connect(rig: &Rig) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(rig.platform).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
     BufReader::new(stream)
 }
 
@@ -43,17 +47,30 @@
     let silent = connect(&rig);
     rig.signal("TERM");
     thread::sleep(Duration::from_millis(300));
-    never.get_mut().write_all(&api_text("never", 2).as_bytes()[..40]).unwrap();
+    never
+        .get_mut()
+        .write_all(&api_text("never", 2).as_bytes()[..40])
+        .unwrap();
     wait_until_deaf(&rig);
     finished.get_mut().write_all(rest.as_bytes()).unwrap();
     let told = response(&mut finished);
-    assert_eq!((told.status, told.fields["connection"].as_str()), (200, "close"));
+    assert_eq!(
+        (told.status, told.fields["connection"].as_str()),
+        (200, "close")
+    );
     let told = response(&mut never);
-    assert_eq!((told.status, told.fields["connection"].as_str()), (503, "close"));
+    assert_eq!(
+        (told.status, told.fields["connection"].as_str()),
+        (503, "close")
+    );
     assert!(told.fields.contains_key("retry-after"));
     assert!(rig.child.wait().unwrap().success());
     drop(silent);
-    assert_eq!(rig.stage.runs().len(), 1, "what was refused reached no server");
+    assert_eq!(
+        rig.stage.runs().len(),
+        1,
+        "what was refused reached no server"
+    );
 }
 
 /// Guards against an answer that a reset cuts off, since its client had sent more behind its request.
@@ -61,14 +78,27 @@
 fn a_pipelining_client_gets_its_answer_whole() {
     let mut rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Late(400)), 1000);
     let mut client = connect(&rig);
-    client.get_mut().write_all(api_text("first", 1).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(api_text("first", 1).as_bytes())
+        .unwrap();
     thread::sleep(Duration::from_millis(50));
     rig.signal("TERM");
     thread::sleep(Duration::from_millis(100));
-    client.get_mut().write_all((api_text("second", 2) + &api_text("third", 3)).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all((api_text("second", 2) + &api_text("third", 3)).as_bytes())
+        .unwrap();
     let told = response(&mut client);
-    assert_eq!((told.status, told.fields["connection"].as_str()), (200, "close"));
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "the connection ends, and the rest was never taken");
+    assert_eq!(
+        (told.status, told.fields["connection"].as_str()),
+        (200, "close")
+    );
+    assert_eq!(
+        client.read(&mut [0]).unwrap(),
+        0,
+        "the connection ends, and the rest was never taken"
+    );
     assert!(rig.child.wait().unwrap().success());
     assert_eq!(rig.stage.runs().len(), 1);
 }
@@ -83,8 +113,12 @@
         .map(|client| {
             thread::spawn(move || {
                 let (mut answered, mut cut) = (0, 0);
-                let Ok(stream) = TcpStream::connect(address) else { return (0, 0, 0) };
-                stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+                let Ok(stream) = TcpStream::connect(address) else {
+                    return (0, 0, 0);
+                };
+                stream
+                    .set_read_timeout(Some(Duration::from_secs(10)))
+                    .unwrap();
                 let mut stream = BufReader::new(stream);
                 for number in 0..10_000 {
                     let text = api_text(&format!("c{client}-{number}"), client * 10_000 + number);
@@ -98,22 +132,41 @@
                         0 => cut += 1,
                         other => panic!("{other}"),
                     }
-                    if told.status == 0 || told.fields.get("connection").is_some_and(|word| word == "close") {
+                    if told.status == 0
+                        || told
+                            .fields
+                            .get("connection")
+                            .is_some_and(|word| word == "close")
+                    {
                         break;
                     }
                 }
                 // The connection is at its end: nothing more comes on it.
                 let end = stream.read(&mut [0]).map_err(|e| e.kind());
-                (answered, cut, usize::from(!matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset))))
+                (
+                    answered,
+                    cut,
+                    usize::from(!matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset))),
+                )
             })
         })
         .collect();
     thread::sleep(Duration::from_millis(500));
     rig.signal("TERM");
-    let ends: Vec<(usize, usize, usize)> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+    let ends: Vec<(usize, usize, usize)> = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .collect();
     assert!(rig.child.wait().unwrap().success());
-    assert!(ends.iter().all(|&(answered, cut, more)| answered > 2 && cut == 0 && more == 0), "{ends:?}");
+    assert!(
+        ends.iter()
+            .all(|&(answered, cut, more)| answered > 2 && cut == 0 && more == 0),
+        "{ends:?}"
+    );
     // Each was run by a server just as often as its client was told.
     let answered: usize = ends.iter().map(|end| end.0).sum();
-    assert_eq!((rig.stage.runs().len(), rig.stage.runs().values().max()), (answered, Some(&1)));
+    assert_eq!(
+        (rig.stage.runs().len(), rig.stage.runs().values().max()),
+        (answered, Some(&1))
+    );
 }
--- a/crates/discovery-watch/src/lib.rs
+++ b/crates/discovery-watch/src/lib.rs
@@ -75,19 +75,31 @@
 impl Watch {
     /// A process starts: what the agent has counts as told from the first moment.
     pub fn new(now: Time) -> Watch {
-        Watch { revision: None, proven: false, faults: 0, heard: now, moved: None }
+        Watch {
+            revision: None,
+            proven: false,
+            faults: 0,
+            heard: now,
+            moved: None,
+        }
     }
 
     /// The next call.
     pub fn ask(&self) -> Ask {
         match self.revision {
-            None => Ask { call: Call::Whole, patience: WHOLE },
+            None => Ask {
+                call: Call::Whole,
+                patience: WHOLE,
+            },
             Some(revision) => {
                 let (hold_ms, slack) = match self.proven {
                     true => (HOLD_MS, SLACK),
                     false => (PROOF_MS, PROOF_SLACK),
                 };
-                Ask { call: Call::Since { revision, hold_ms }, patience: hold_ms as f64 / 1e3 + slack }
+                Ask {
+                    call: Call::Since { revision, hold_ms },
+                    patience: hold_ms as f64 / 1e3 + slack,
+                }
             }
         }
     }
@@ -96,7 +108,13 @@
     /// counted as told before it came.
     pub fn answered(&mut self, now: Time, revision: u64) -> bool {
         let late = now > self.told_by();
-        *self = Watch { revision: Some(revision), proven: true, faults: 0, heard: now, moved: None };
+        *self = Watch {
+            revision: Some(revision),
+            proven: true,
+            faults: 0,
+            heard: now,
+            moved: None,
+        };
         late
     }
 
@@ -117,7 +135,10 @@
 
     /// Another agent is to be watched. Its revisions mean nothing to this one's, so its whole list is asked for.
     pub fn moved(&mut self, now: Time) {
-        *self = Watch { moved: Some(now), ..Watch::new(self.heard) };
+        *self = Watch {
+            moved: Some(now),
+            ..Watch::new(self.heard)
+        };
     }
 
     /// From when on what the agent has had since it was last heard counts as told, whether or not it came.
--- a/crates/discovery-watch/src/tests.rs
+++ b/crates/discovery-watch/src/tests.rs
@@ -33,15 +33,51 @@
 #[test]
 fn a_sound_watch_waits_and_one_that_broke_has_to_be_proven_first() {
     let mut watch = Watch::new(at(0.0));
-    assert_eq!(watch.ask(), Ask { call: Call::Whole, patience: 1.0 });
+    assert_eq!(
+        watch.ask(),
+        Ask {
+            call: Call::Whole,
+            patience: 1.0
+        }
+    );
     watch.answered(at(0.1), 7);
-    assert_eq!(watch.ask(), Ask { call: Call::Since { revision: 7, hold_ms: 2000 }, patience: 3.0 });
+    assert_eq!(
+        watch.ask(),
+        Ask {
+            call: Call::Since {
+                revision: 7,
+                hold_ms: 2000
+            },
+            patience: 3.0
+        }
+    );
     assert_eq!(watch.broke(&SILENT), 0.05);
-    assert_eq!(watch.ask(), Ask { call: Call::Since { revision: 7, hold_ms: 100 }, patience: 0.5 });
+    assert_eq!(
+        watch.ask(),
+        Ask {
+            call: Call::Since {
+                revision: 7,
+                hold_ms: 100
+            },
+            patience: 0.5
+        }
+    );
     assert_eq!(watch.broke(&SILENT), 0.1);
     watch.answered(at(4.0), 8);
-    assert_eq!(watch.ask(), Ask { call: Call::Since { revision: 8, hold_ms: 2000 }, patience: 3.0 });
-    assert_eq!((watch.broke(&Fault::Status(410)), watch.ask().call), (0.05, Call::Whole));
+    assert_eq!(
+        watch.ask(),
+        Ask {
+            call: Call::Since {
+                revision: 8,
+                hold_ms: 2000
+            },
+            patience: 3.0
+        }
+    );
+    assert_eq!(
+        (watch.broke(&Fault::Status(410)), watch.ask().call),
+        (0.05, Call::Whole)
+    );
     for _ in 0..100 {
         watch.broke(&SILENT);
     }
@@ -53,9 +89,17 @@
     let mut watch = Watch::new(at(0.0));
     assert_eq!(watch.told_by(), at(6.0));
     watch.answered(at(1.0), 7);
-    assert_eq!(watch.told_by(), at(7.0), "6 s after it fell silent are later than 2 s after the wait");
+    assert_eq!(
+        watch.told_by(),
+        at(7.0),
+        "6 s after it fell silent are later than 2 s after the wait"
+    );
     watch.broke(&SILENT);
-    assert_eq!(watch.told_by(), at(7.0), "a fault of ours does not put it off");
+    assert_eq!(
+        watch.told_by(),
+        at(7.0),
+        "a fault of ours does not put it off"
+    );
     assert!(watch.answered(at(7.1), 9), "too late");
     assert!(!watch.answered(at(13.0), 9));
     watch.moved(at(20.0));
--- a/crates/endpoint-files/src/decide.rs
+++ b/crates/endpoint-files/src/decide.rs
@@ -47,8 +47,12 @@
         }
     }
     if let Some(first) = bare.first() {
-        let all = layout.shards as usize * bare.len() / layout.shards.min(layout.cells).max(1) as usize;
-        let cause = format!("shard {first} and {} more have no active holder left", all.saturating_sub(1));
+        let all =
+            layout.shards as usize * bare.len() / layout.shards.min(layout.cells).max(1) as usize;
+        let cause = format!(
+            "shard {first} and {} more have no active holder left",
+            all.saturating_sub(1)
+        );
         faults.push(Fault::whole(cause));
     }
     faults
@@ -75,7 +79,10 @@
             faults.push(Fault::whole(cause));
         } else if !new.allow_shrink {
             let working = |roster: &Roster| -> BTreeSet<String> {
-                let active = roster.servers.iter().filter(|(_, server)| server.phase == Phase::Active);
+                let active = roster
+                    .servers
+                    .iter()
+                    .filter(|(_, server)| server.phase == Phase::Active);
                 active.map(|(id, _)| id.clone()).collect()
             };
             let (before, after) = (working(old), working(new));
--- a/crates/endpoint-files/src/keep.rs
+++ b/crates/endpoint-files/src/keep.rs
@@ -42,7 +42,10 @@
 
 /// Writes a file whole or not at all: beside it, synced, renamed over it, the folder synced.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let beside = folder.join(format!(".{name}.{}.tmp", std::process::id()));
     let written = std::fs::File::create(&beside).and_then(|mut file| {
@@ -78,14 +81,23 @@
 pub fn decode(bytes: &[u8]) -> Result<(Roster, f64), String> {
     let text = std::str::from_utf8(bytes).map_err(|_| "it is no text")?;
     let (head, body) = text.split_once('\n').ok_or("it is cut short")?;
-    let sum = head.strip_prefix(FORM).ok_or("it is of another form or version")?.trim();
+    let sum = head
+        .strip_prefix(FORM)
+        .ok_or("it is of another form or version")?
+        .trim();
     if sum != format!("{:08x}", crc32fast::hash(body.as_bytes())) {
         return Err("its checksum is wrong: it is torn or damaged".into());
     }
-    let saved = body.lines().next().and_then(|line| line.strip_prefix("# saved ")?.parse().ok());
+    let saved = body
+        .lines()
+        .next()
+        .and_then(|line| line.strip_prefix("# saved ")?.parse().ok());
     let saved = saved.ok_or("it does not say when it was saved")?;
     let roster = read(&[("it".into(), Ok(body.into()))]);
-    Ok((roster.map_err(|faults| crate::model::lines(&faults))?, saved))
+    Ok((
+        roster.map_err(|faults| crate::model::lines(&faults))?,
+        saved,
+    ))
 }
 
 /// The newest good list, and what is wrong with slots that hold something else.
@@ -99,9 +111,15 @@
         };
         match read {
             Ok((roster, saved)) => {
-                let newer = best.as_ref().is_none_or(|best| roster.generation > best.roster.generation);
+                let newer = best
+                    .as_ref()
+                    .is_none_or(|best| roster.generation > best.roster.generation);
                 if newer {
-                    best = Some(Kept { roster, saved, slot });
+                    best = Some(Kept {
+                        roster,
+                        saved,
+                        slot,
+                    });
                 }
             }
             Err(cause) => wrong.push(format!("{name}: {cause}")),
@@ -111,7 +129,12 @@
 }
 
 /// Keeps a list in the slot that does not hold `last`.
-pub fn keep(store: &mut impl Store, last: Option<usize>, roster: &Roster, saved: f64) -> io::Result<usize> {
+pub fn keep(
+    store: &mut impl Store,
+    last: Option<usize>,
+    roster: &Roster,
+    saved: f64,
+) -> io::Result<usize> {
     let slot = last.map_or(0, |last| (last + 1) % SLOTS.len());
     store.replace(SLOTS[slot], &encode(roster, saved))?;
     Ok(slot)
--- a/crates/endpoint-files/src/model.rs
+++ b/crates/endpoint-files/src/model.rs
@@ -60,7 +60,10 @@
 impl Roster {
     /// How many servers take work.
     pub fn active(&self) -> usize {
-        self.servers.values().filter(|server| server.phase == Phase::Active).count()
+        self.servers
+            .values()
+            .filter(|server| server.phase == Phase::Active)
+            .count()
     }
 
     /// Whether two lists say the same, whatever their flags.
@@ -103,7 +106,11 @@
 impl Fault {
     /// A fault of the list as a whole.
     pub fn whole(cause: impl Into<String>) -> Fault {
-        Fault { file: String::new(), line: 0, cause: cause.into() }
+        Fault {
+            file: String::new(),
+            line: 0,
+            cause: cause.into(),
+        }
     }
 }
 
@@ -119,5 +126,9 @@
 
 /// All faults as lines.
 pub fn lines(faults: &[Fault]) -> String {
-    faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n")
+    faults
+        .iter()
+        .map(Fault::to_string)
+        .collect::<Vec<_>>()
+        .join("\n")
 }
--- a/crates/endpoint-files/src/plan.rs
+++ b/crates/endpoint-files/src/plan.rs
@@ -32,8 +32,14 @@
 impl Plan {
     /// Whether nothing is done.
     pub fn is_empty(&self) -> bool {
-        let lists =
-            [&self.added, &self.removed, &self.drained, &self.returned, &self.moved, &self.other_cell];
+        let lists = [
+            &self.added,
+            &self.removed,
+            &self.drained,
+            &self.returned,
+            &self.moved,
+            &self.other_cell,
+        ];
         lists.iter().all(|list| list.is_empty()) && self.weighed.is_empty()
     }
 }
@@ -41,12 +47,21 @@
 /// Each active server's share of the turns of its cell.
 fn shares(roster: &Roster) -> BTreeMap<u32, BTreeMap<&str, f64>> {
     let mut cells: BTreeMap<u32, BTreeMap<&str, f64>> = BTreeMap::new();
-    for (id, server) in roster.servers.iter().filter(|(_, server)| server.phase == Phase::Active) {
-        cells.entry(server.cell).or_default().insert(id, server.weight);
+    for (id, server) in roster
+        .servers
+        .iter()
+        .filter(|(_, server)| server.phase == Phase::Active)
+    {
+        cells
+            .entry(server.cell)
+            .or_default()
+            .insert(id, server.weight);
     }
     for shares in cells.values_mut() {
         let sum: f64 = shares.values().sum();
-        shares.values_mut().for_each(|share| *share /= if sum > 0.0 { sum } else { 1.0 });
+        shares
+            .values_mut()
+            .for_each(|share| *share /= if sum > 0.0 { sum } else { 1.0 });
     }
     cells
 }
@@ -73,15 +88,26 @@
             plan.other_cell.push(id.clone());
         }
         if before.weight != server.weight {
-            plan.weighed.insert(id.clone(), (before.weight, server.weight));
+            plan.weighed
+                .insert(id.clone(), (before.weight, server.weight));
         }
     }
-    plan.removed = old.servers.keys().filter(|id| !new.servers.contains_key(*id)).cloned().collect();
+    plan.removed = old
+        .servers
+        .keys()
+        .filter(|id| !new.servers.contains_key(*id))
+        .cloned()
+        .collect();
     let (before, after) = (shares(old), shares(new));
     let none = BTreeMap::new();
     for cell in before.keys().chain(after.keys()).collect::<BTreeSet<_>>() {
-        let (before, after) = (before.get(cell).unwrap_or(&none), after.get(cell).unwrap_or(&none));
-        let gained = after.iter().map(|(id, share)| (share - before.get(id).unwrap_or(&0.0)).max(0.0));
+        let (before, after) = (
+            before.get(cell).unwrap_or(&none),
+            after.get(cell).unwrap_or(&none),
+        );
+        let gained = after
+            .iter()
+            .map(|(id, share)| (share - before.get(id).unwrap_or(&0.0)).max(0.0));
         let gained: f64 = gained.sum();
         if gained > 1e-9 {
             plan.shifted.insert(*cell, gained);
@@ -89,7 +115,9 @@
     }
     let count = |cell: u32| after.get(&cell).map_or(0, BTreeMap::len);
     let holders = |shard: u32| layout.holders(shard).map(count).sum::<usize>();
-    plan.single = (0..layout.shards).filter(|&shard| holders(shard) == 1).collect();
+    plan.single = (0..layout.shards)
+        .filter(|&shard| holders(shard) == 1)
+        .collect();
     plan
 }
 
@@ -110,13 +138,25 @@
             writeln!(f, "weight of {id}: {from} to {to}")?;
         }
         for (cell, share) in &self.shifted {
-            writeln!(f, "cell {cell}: {:.0} % of its turns go to other servers", share * 100.0)?;
+            writeln!(
+                f,
+                "cell {cell}: {:.0} % of its turns go to other servers",
+                share * 100.0
+            )?;
         }
         if !self.single.is_empty() {
             let some: Vec<String> = self.single.iter().take(12).map(u32::to_string).collect();
             let more = self.single.len().saturating_sub(some.len());
-            let more = if more > 0 { format!(" and {more} more") } else { String::new() };
-            writeln!(f, "shards with one active holder left: {}{more}", some.join(", "))?;
+            let more = if more > 0 {
+                format!(" and {more} more")
+            } else {
+                String::new()
+            };
+            writeln!(
+                f,
+                "shards with one active holder left: {}{more}",
+                some.join(", ")
+            )?;
         }
         match self.is_empty() {
             true => writeln!(f, "nothing changes"),
