--- a/crates/endpoint-files/src/read.rs
+++ b/crates/endpoint-files/src/read.rs
@@ -59,11 +59,22 @@
         found.fault("", 0, "there is no roster file (*.toml)");
     }
     if files.len() > MOST_FILES {
-        found.fault("", 0, format!("there are {} files: {MOST_FILES} at most", files.len()));
+        found.fault(
+            "",
+            0,
+            format!("there are {} files: {MOST_FILES} at most", files.len()),
+        );
     }
-    let bytes: usize = files.iter().filter_map(|(_, text)| Some(text.as_ref().ok()?.len())).sum();
+    let bytes: usize = files
+        .iter()
+        .filter_map(|(_, text)| Some(text.as_ref().ok()?.len()))
+        .sum();
     if bytes > MOST_BYTES {
-        found.fault("", 0, format!("the files have {bytes} bytes together: {MOST_BYTES} at most"));
+        found.fault(
+            "",
+            0,
+            format!("the files have {bytes} bytes together: {MOST_BYTES} at most"),
+        );
         return Err(found.faults);
     }
     for (name, text) in files {
@@ -81,7 +92,11 @@
 impl Lines {
     fn of(text: &str) -> Lines {
         let ends = text.bytes().enumerate().filter(|(_, b)| *b == b'\n');
-        Lines(std::iter::once(0).chain(ends.map(|(at, _)| at + 1)).collect())
+        Lines(
+            std::iter::once(0)
+                .chain(ends.map(|(at, _)| at + 1))
+                .collect(),
+        )
     }
 
     /// The line of a byte, from 1.
@@ -93,7 +108,11 @@
 impl Found {
     fn fault(&mut self, file: &str, line: usize, cause: impl Into<String>) {
         if self.faults.len() < MOST_FAULTS {
-            self.faults.push(Fault { file: file.into(), line, cause: cause.into() });
+            self.faults.push(Fault {
+                file: file.into(),
+                line,
+                cause: cause.into(),
+            });
         }
     }
 
@@ -114,22 +133,34 @@
                 return self.fault(name, at, cause);
             }
         };
-        if text.trim_end().lines().last().is_none_or(|last| last.trim() != END) {
+        if text
+            .trim_end()
+            .lines()
+            .last()
+            .is_none_or(|last| last.trim() != END)
+        {
             let last = text.lines().count();
-            let cause = format!("the last line must be '{END}': a file without it may be half-written");
+            let cause =
+                format!("the last line must be '{END}': a file without it may be half-written");
             self.fault(name, last, cause);
         }
         match form.generation {
-            None => self.fault(name, 0, "'generation' is missing: every file of a roster carries the same"),
+            None => self.fault(
+                name,
+                0,
+                "'generation' is missing: every file of a roster carries the same",
+            ),
             Some(value) => {
                 let at = lines.at(value.span().start);
                 match value.into_inner() {
                     Value::Integer(generation) if generation > 0 => {
                         self.generations.push((name.into(), at, generation as u64));
                     }
-                    other => {
-                        self.fault(name, at, format!("'generation': {other} is no whole number above 0"))
-                    }
+                    other => self.fault(
+                        name,
+                        at,
+                        format!("'generation': {other} is no whole number above 0"),
+                    ),
                 }
             }
         }
@@ -137,7 +168,11 @@
             let at = lines.at(value.span().start);
             match value.into_inner() {
                 Value::Boolean(allow) => self.allow_shrink |= allow,
-                other => self.fault(name, at, format!("'allow_shrink': {other} is neither true nor false")),
+                other => self.fault(
+                    name,
+                    at,
+                    format!("'allow_shrink': {other} is neither true nor false"),
+                ),
             }
         }
         for entry in form.server {
@@ -146,7 +181,9 @@
         }
         for (id, value) in form.weights {
             let at = lines.at(value.span().start);
-            let Some(weight) = self.weight(name, at, &value.into_inner()) else { continue };
+            let Some(weight) = self.weight(name, at, &value.into_inner()) else {
+                continue;
+            };
             if let Some((_, file, line)) = self.weights.get(&id) {
                 let cause = format!("the weight of '{id}' stands in {file}:{line}, too");
                 self.fault(name, at, cause);
@@ -166,7 +203,11 @@
             }
         };
         if !(0.0..=MOST_WEIGHT).contains(&weight) {
-            self.fault(file, at, format!("'weight': {weight} is not from 0 to {MOST_WEIGHT}"));
+            self.fault(
+                file,
+                at,
+                format!("'weight': {weight} is not from 0 to {MOST_WEIGHT}"),
+            );
             return None;
         }
         Some(weight)
@@ -194,7 +235,11 @@
             None | Some("active") => Phase::Active,
             Some("leaving") => Phase::Leaving,
             Some(other) => {
-                self.fault(file, at, format!("'phase': '{other}' is neither active nor leaving"));
+                self.fault(
+                    file,
+                    at,
+                    format!("'phase': '{other}' is neither active nor leaving"),
+                );
                 Phase::Leaving
             }
         };
@@ -205,11 +250,17 @@
                 0
             }
             None => {
-                self.fault(file, at, "'cell' is missing: it tells which shards the server holds");
+                self.fault(
+                    file,
+                    at,
+                    "'cell' is missing: it tells which shards the server holds",
+                );
                 0
             }
         };
-        let weight = entry.remove("weight").map(|value| self.weight(file, at, &value));
+        let weight = entry
+            .remove("weight")
+            .map(|value| self.weight(file, at, &value));
         let mut moment = |found: &mut Found, key: &str| match entry.remove(key) {
             None => None,
             Some(Value::Datetime(time)) => {
@@ -224,19 +275,27 @@
                 secs
             }
             Some(other) => {
-                found.fault(file, at, format!("'{key}': {other} is no time, such as 2026-12-01T06:00:00Z"));
+                found.fault(
+                    file,
+                    at,
+                    format!("'{key}': {other} is no time, such as 2026-12-01T06:00:00Z"),
+                );
                 None
             }
         };
-        let (started, not_before, not_after) =
-            (moment(self, "started"), moment(self, "not_before"), moment(self, "not_after"));
+        let (started, not_before, not_after) = (
+            moment(self, "started"),
+            moment(self, "not_before"),
+            moment(self, "not_after"),
+        );
         if let (Some(from), Some(to)) = (not_before, not_after) {
             if from >= to {
                 self.fault(file, at, "'not_after' is not later than 'not_before'");
             }
         }
         for key in entry.keys() {
-            let known = "id, address, cell, locality, kind, phase, weight, started, not_before, not_after";
+            let known =
+                "id, address, cell, locality, kind, phase, weight, started, not_before, not_after";
             self.fault(file, at, format!("'{key}' is not known: {known} are"));
         }
         let Some(id) = id.filter(|id| !id.is_empty()) else {
@@ -246,14 +305,19 @@
             return self.fault(file, at, format!("'address' of '{id}' is missing"));
         };
         let Ok(address) = address.parse::<SocketAddr>() else {
-            return self.fault(file, at, format!("'address' of '{id}': '{address}' is no address and port"));
+            return self.fault(
+                file,
+                at,
+                format!("'address' of '{id}': '{address}' is no address and port"),
+            );
         };
         if let Some((other, line)) = self.ids.get(&id) {
             let cause = format!("the server '{id}' is named twice: also in {other}:{line}");
             return self.fault(file, at, cause);
         }
         if let Some((other, line)) = self.addresses.get(&address) {
-            let cause = format!("the address {address} of '{id}' is named twice: also in {other}:{line}");
+            let cause =
+                format!("the address {address} of '{id}' is named twice: also in {other}:{line}");
             return self.fault(file, at, cause);
         }
         self.ids.insert(id.clone(), (file.into(), at));
@@ -265,7 +329,17 @@
             return;
         }
         let weight = weight.flatten().unwrap_or(1.0);
-        let server = Server { address, cell, locality, kind, phase, weight, started, not_before, not_after };
+        let server = Server {
+            address,
+            cell,
+            locality,
+            kind,
+            phase,
+            weight,
+            started,
+            not_before,
+            not_after,
+        };
         self.servers.insert(id, server);
     }
 
@@ -280,7 +354,12 @@
                 self.fault(&file, at, format!("there is no server '{id}'"));
             }
         }
-        let newest = self.generations.iter().map(|(_, _, generation)| *generation).max().unwrap_or(0);
+        let newest = self
+            .generations
+            .iter()
+            .map(|(_, _, generation)| *generation)
+            .max()
+            .unwrap_or(0);
         for (file, at, generation) in std::mem::take(&mut self.generations) {
             if generation != newest {
                 let cause = format!(
@@ -290,11 +369,18 @@
             }
         }
         if self.servers.len() > MOST_SERVERS {
-            let cause = format!("there are {} servers: {MOST_SERVERS} at most", self.servers.len());
+            let cause = format!(
+                "there are {} servers: {MOST_SERVERS} at most",
+                self.servers.len()
+            );
             self.fault("", 0, cause);
         }
         match self.faults.is_empty() {
-            true => Ok(Roster { generation: newest, allow_shrink: self.allow_shrink, servers: self.servers }),
+            true => Ok(Roster {
+                generation: newest,
+                allow_shrink: self.allow_shrink,
+                servers: self.servers,
+            }),
             false => Err(self.faults),
         }
     }
@@ -330,8 +416,15 @@
     }
     let quoted = |text: &str| Value::String(text.into()).to_string();
     for (id, server) in &roster.servers {
-        out.push_str(&format!("\n[[server]]\nid = {}\naddress = \"{}\"\n", quoted(id), server.address));
-        out.push_str(&format!("cell = {}\nweight = {:?}\n", server.cell, server.weight));
+        out.push_str(&format!(
+            "\n[[server]]\nid = {}\naddress = \"{}\"\n",
+            quoted(id),
+            server.address
+        ));
+        out.push_str(&format!(
+            "cell = {}\nweight = {:?}\n",
+            server.cell, server.weight
+        ));
         for (key, text) in [("locality", &server.locality), ("kind", &server.kind)] {
             if !text.is_empty() {
                 out.push_str(&format!("{key} = {}\n", quoted(text)));
@@ -340,8 +433,11 @@
         if server.phase == Phase::Leaving {
             out.push_str("phase = \"leaving\"\n");
         }
-        let moments =
-            [("started", server.started), ("not_before", server.not_before), ("not_after", server.not_after)];
+        let moments = [
+            ("started", server.started),
+            ("not_before", server.not_before),
+            ("not_after", server.not_after),
+        ];
         for (key, at) in moments {
             if let Some(at) = at {
                 out.push_str(&format!("{key} = {}\n", moment(at)));
@@ -361,7 +457,10 @@
     let year_of_era = (of_era - of_era / 1_460 + of_era / 36_524 - of_era / 146_096) / 365;
     let of_year = of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
     let march = (5 * of_year + 2) / 153;
-    let (day, month) = (of_year - (153 * march + 2) / 5 + 1, if march < 10 { march + 3 } else { march - 9 });
+    let (day, month) = (
+        of_year - (153 * march + 2) / 5 + 1,
+        if march < 10 { march + 3 } else { march - 9 },
+    );
     let year = year_of_era + era * 400 + i64::from(month <= 2);
     let (secs, ms) = (rest / 1000, rest % 1000);
     format!(
--- a/crates/endpoint-files/src/schedule.rs
+++ b/crates/endpoint-files/src/schedule.rs
@@ -37,9 +37,17 @@
     pub fn take(&mut self, now: f64, roster: Roster) {
         let mut ramps = BTreeMap::new();
         for (id, server) in &roster.servers {
-            let Some(before) = self.at(now, id) else { continue };
+            let Some(before) = self.at(now, id) else {
+                continue;
+            };
             if before.weight != server.weight {
-                ramps.insert(id.clone(), Ramp { from: before.weight, since: now });
+                ramps.insert(
+                    id.clone(),
+                    Ramp {
+                        from: before.weight,
+                        since: now,
+                    },
+                );
             }
         }
         (self.roster, self.ramps) = (roster, ramps);
@@ -76,9 +84,17 @@
             let done = ((now - ramp.since) / RAMP * STEPS).floor();
             (done < STEPS).then(|| ramp.since + (done.max(0.0) + 1.0) * RAMP / STEPS)
         };
-        let times = self.roster.servers.values().flat_map(|server| [server.not_before, server.not_after]);
+        let times = self
+            .roster
+            .servers
+            .values()
+            .flat_map(|server| [server.not_before, server.not_after]);
         let times = times.flatten().filter(|&at| at > now);
-        self.ramps.values().filter_map(step).chain(times).min_by(f64::total_cmp)
+        self.ramps
+            .values()
+            .filter_map(step)
+            .chain(times)
+            .min_by(f64::total_cmp)
     }
 }
 
--- a/crates/endpoint-files/src/schedule/tests.rs
+++ b/crates/endpoint-files/src/schedule/tests.rs
@@ -13,7 +13,10 @@
     let mut schedule = Schedule::default();
     schedule.take(100.0, text(1, 1.0));
     assert_eq!(
-        (schedule.at(100.0, "a").unwrap().weight, schedule.next(100.0)),
+        (
+            schedule.at(100.0, "a").unwrap().weight,
+            schedule.next(100.0)
+        ),
         (1.0, None),
         "a first list stands at once"
     );
@@ -22,8 +25,17 @@
     assert_eq!(schedule.next(200.0), Some(200.5));
     assert!((schedule.at(205.0, "a").unwrap().weight - 2.0).abs() < 1e-9);
     schedule.take(205.0, text(3, 0.0));
-    assert!((schedule.at(205.0, "a").unwrap().weight - 2.0).abs() < 1e-9, "no jump");
-    assert_eq!((schedule.at(215.0, "a").unwrap().weight, schedule.next(215.0)), (0.0, None));
+    assert!(
+        (schedule.at(205.0, "a").unwrap().weight - 2.0).abs() < 1e-9,
+        "no jump"
+    );
+    assert_eq!(
+        (
+            schedule.at(215.0, "a").unwrap().weight,
+            schedule.next(215.0)
+        ),
+        (0.0, None)
+    );
     // Steps only ever go towards the new weight.
     let mut last = 2.0;
     let mut now = 205.0;
@@ -46,10 +58,19 @@
     let phase = |at: f64| schedule.at(at, "a").map(|now| now.phase);
     assert_eq!(
         (phase(99.0), phase(100.0), phase(199.9), phase(200.0)),
-        (None, Some(Phase::Active), Some(Phase::Active), Some(Phase::Leaving))
+        (
+            None,
+            Some(Phase::Active),
+            Some(Phase::Active),
+            Some(Phase::Leaving)
+        )
     );
     assert_eq!(
-        (schedule.next(0.0), schedule.next(100.0), schedule.next(200.0)),
+        (
+            schedule.next(0.0),
+            schedule.next(100.0),
+            schedule.next(200.0)
+        ),
         (Some(100.0), Some(200.0), None)
     );
 }
--- a/crates/endpoint-files/src/settle.rs
+++ b/crates/endpoint-files/src/settle.rs
@@ -24,7 +24,11 @@
 impl Settle {
     /// Nothing told; the files were just read.
     pub fn new(now: f64) -> Settle {
-        Settle { changed: None, read: now, again: 0 }
+        Settle {
+            changed: None,
+            read: now,
+            again: 0,
+        }
     }
 
     /// A change was told.
@@ -48,7 +52,11 @@
     pub fn read(&mut self, now: f64, clear: bool) {
         self.changed = None;
         self.read = now;
-        self.again = if clear { 0 } else { self.again.saturating_add(1) };
+        self.again = if clear {
+            0
+        } else {
+            self.again.saturating_add(1)
+        };
     }
 }
 
--- a/crates/endpoint-files/tests/files.rs
+++ b/crates/endpoint-files/tests/files.rs
@@ -9,7 +9,11 @@
 use std::collections::BTreeMap;
 use std::io;
 
-const LAYOUT: Layout = Layout { cells: 2, reach: 2, shards: 8 };
+const LAYOUT: Layout = Layout {
+    cells: 2,
+    reach: 2,
+    shards: 8,
+};
 
 const KITA: &str = r#"generation = 7
 
@@ -42,7 +46,10 @@
 fn a_roster_is_read_and_written_back_the_same() {
     let roster = one(KITA).unwrap();
     let first = &roster.servers["s-1"];
-    assert_eq!((roster.generation, first.weight, first.cell, first.phase), (7, 2.0, 0, Phase::Active));
+    assert_eq!(
+        (roster.generation, first.weight, first.cell, first.phase),
+        (7, 2.0, 0, Phase::Active)
+    );
     assert_eq!(first.started, Some(1_796_043_600.0));
     assert_eq!(roster.servers["s-2"].weight, 1.0);
     assert_eq!(one(&write(&roster)).unwrap(), roster);
@@ -78,26 +85,51 @@
         edited("# end\n", ""),
         "kita.toml:15: the last line must be '# end': a file without it may be half-written"
     );
-    assert_eq!(one("").unwrap_err(), "kita.toml: the file is empty: it may be half-written");
-    assert_eq!(lines(&read(&[]).unwrap_err()), "there is no roster file (*.toml)");
+    assert_eq!(
+        one("").unwrap_err(),
+        "kita.toml: the file is empty: it may be half-written"
+    );
+    assert_eq!(
+        lines(&read(&[]).unwrap_err()),
+        "there is no roster file (*.toml)"
+    );
     let large = vec![("a.toml".to_string(), Ok("#".repeat(9_000_000)))];
-    assert_eq!(lines(&read(&large).unwrap_err()), "the files have 9000000 bytes together: 8388608 at most");
+    assert_eq!(
+        lines(&read(&large).unwrap_err()),
+        "the files have 9000000 bytes together: 8388608 at most"
+    );
     let unreadable = vec![("a.toml".to_string(), Err("permission denied".to_string()))];
-    assert_eq!(lines(&read(&unreadable).unwrap_err()), "a.toml: permission denied");
+    assert_eq!(
+        lines(&read(&unreadable).unwrap_err()),
+        "a.toml: permission denied"
+    );
 }
 
 /// Guards against a list that is half of one generation and half of another.
 #[test]
 fn a_roster_of_several_files_is_taken_only_whole() {
-    let second = "generation = 7\n[[server]]\nid = \"s-3\"\naddress = \"10.0.0.3:9000\"\ncell = 1\n# end\n";
+    let second =
+        "generation = 7\n[[server]]\nid = \"s-3\"\naddress = \"10.0.0.3:9000\"\ncell = 1\n# end\n";
     let weights = "generation = 7\n[weights]\ns-2 = 0.5\ns-3 = 4\n# end\n";
     let files = |second: &str, weights: &str| -> Vec<File> {
         let file = |name: &str, text: &str| (name.to_string(), Ok(text.to_string()));
-        vec![file("kita.toml", KITA), file("minami.toml", second), file("weights.toml", weights)]
+        vec![
+            file("kita.toml", KITA),
+            file("minami.toml", second),
+            file("weights.toml", weights),
+        ]
     };
     let roster = read(&files(second, weights)).unwrap();
     let weight = |id: &str| roster.servers[id].weight;
-    assert_eq!((roster.servers.len(), weight("s-1"), weight("s-2"), weight("s-3")), (3, 2.0, 0.5, 4.0));
+    assert_eq!(
+        (
+            roster.servers.len(),
+            weight("s-1"),
+            weight("s-2"),
+            weight("s-3")
+        ),
+        (3, 2.0, 0.5, 4.0)
+    );
     let faulty = |second: &str, weights: &str| lines(&read(&files(second, weights)).unwrap_err());
     assert_eq!(
         faulty(&second.replace('7', "8"), weights),
@@ -105,10 +137,16 @@
          weights.toml:1: this file is of generation 7, another of 8: write all of them"
     );
     assert_eq!(
-        faulty(&second.replace("s-3", "s-1"), weights).lines().next().unwrap(),
+        faulty(&second.replace("s-3", "s-1"), weights)
+            .lines()
+            .next()
+            .unwrap(),
         "minami.toml:2: the server 's-1' is named twice: also in kita.toml:3"
     );
-    assert_eq!(faulty(second, &weights.replace("s-3", "s-9")), "weights.toml:4: there is no server 's-9'");
+    assert_eq!(
+        faulty(second, &weights.replace("s-3", "s-9")),
+        "weights.toml:4: there is no server 's-9'"
+    );
     assert_eq!(
         faulty(second, &weights.replace("s-2", "s-1")),
         "weights.toml:3: the weight of 's-1' stands in kita.toml:3, too"
@@ -124,14 +162,21 @@
         .replace("weight = 2", "weight = 3")
         .replace("# end\n", more);
     let new = one(&new).unwrap();
-    let layout = Layout { cells: 2, reach: 1, shards: 4 };
+    let layout = Layout {
+        cells: 2,
+        reach: 1,
+        shards: 4,
+    };
     let plan = plan(&old, &new, &layout);
     assert_eq!(
         plan.to_string(),
         "add: s-3\ndrain: s-2\nweight of s-1: 2 to 3\ncell 0: 25 % of its turns go to other servers\nunchanged: 0\n"
     );
     assert!(
-        matches!(judge(Some(&old), &new, &layout, USUAL_SHRINK), Verdict::Refuse(_)),
+        matches!(
+            judge(Some(&old), &new, &layout, USUAL_SHRINK),
+            Verdict::Refuse(_)
+        ),
         "cell 1 is left bare"
     );
     assert!(cairnroad_endpoint_files::plan::plan(&old, &old, &layout).is_empty());
@@ -156,7 +201,10 @@
 
 impl Store for Disk {
     fn read(&self, slot: &str) -> io::Result<Vec<u8>> {
-        self.slots.get(slot).cloned().ok_or(io::ErrorKind::NotFound.into())
+        self.slots
+            .get(slot)
+            .cloned()
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 
     fn replace(&mut self, slot: &str, bytes: &[u8]) -> io::Result<()> {
@@ -196,7 +244,8 @@
             let fails = u8::arbitrary(&mut gen) % 3 == 0 && !spoilt_before;
             let at = usize::arbitrary(&mut gen) % 1000;
             disk.next = fails.then(|| {
-                [Failure::Full, Failure::Torn(at), Failure::Damaged(at)][usize::arbitrary(&mut gen) % 3]
+                [Failure::Full, Failure::Torn(at), Failure::Damaged(at)]
+                    [usize::arbitrary(&mut gen) % 3]
             });
             let spoils = !matches!(disk.next, None | Some(Failure::Full));
             match keep(&mut disk, slot, &listed(generation), generation as f64) {
@@ -219,7 +268,10 @@
         if let Some(kept) = found {
             assert_eq!(
                 (&kept.roster, kept.saved),
-                (&listed(kept.roster.generation), kept.roster.generation as f64)
+                (
+                    &listed(kept.roster.generation),
+                    kept.roster.generation as f64
+                )
             );
         }
     }
@@ -236,8 +288,15 @@
         assert!(decode(&damaged).is_err(), "damaged at {at}");
     }
     let mut disk = Disk::default();
-    disk.slots.insert(SLOTS[0].into(), b"cairnroad-roster 2 00000000\n".to_vec());
-    assert_eq!(recover(&disk), (None, vec!["roster.a: it is of another form or version".to_string()]));
+    disk.slots
+        .insert(SLOTS[0].into(), b"cairnroad-roster 2 00000000\n".to_vec());
+    assert_eq!(
+        recover(&disk),
+        (
+            None,
+            vec!["roster.a: it is of another form or version".to_string()]
+        )
+    );
 }
 
 /// Any sequence of writes, partial writes and reads of three files leads only to lists that some writer meant.
@@ -249,7 +308,9 @@
             let id = format!("s-{number}-{}", generation % 3);
             format!("generation = {generation}\n[[server]]\nid = \"{id}\"\naddress = \"10.0.{}.{number}:9000\"\ncell = {}\nweight = {}\n# end\n", generation % 3, number % 2, generation % 5 + 1)
         };
-        (0..3).map(|number| (format!("{number}.toml"), Ok(text(number)))).collect()
+        (0..3)
+            .map(|number| (format!("{number}.toml"), Ok(text(number))))
+            .collect()
     };
     let (mut taken, mut refused) = (0, 0);
     for seed in 0..400_u64 {
@@ -262,13 +323,18 @@
                 0 => newest += 1,
                 // One file of the newest, or of the one before it: two writers at work.
                 1..=3 => {
-                    let generation = if bool::arbitrary(&mut gen) { newest } else { newest.max(2) - 1 };
+                    let generation = if bool::arbitrary(&mut gen) {
+                        newest
+                    } else {
+                        newest.max(2) - 1
+                    };
                     let at = usize::arbitrary(&mut gen) % 3;
                     disk[at] = meant(generation)[at].clone();
                     // Cut in the middle, now and then.
                     if u8::arbitrary(&mut gen) % 3 == 0 {
                         let text = disk[at].1.clone().unwrap();
-                        disk[at].1 = Ok(text[..usize::arbitrary(&mut gen) % text.len()].to_string());
+                        disk[at].1 =
+                            Ok(text[..usize::arbitrary(&mut gen) % text.len()].to_string());
                     }
                 }
                 4 => disk = meant(newest),
@@ -279,7 +345,9 @@
                     Verdict::Take => {
                         let whole = read(&meant(roster.generation)).unwrap();
                         assert_eq!(roster, whole, "seed {seed}: a list that nobody meant");
-                        assert!(in_force.as_ref().is_none_or(|old| old.generation < roster.generation));
+                        assert!(in_force
+                            .as_ref()
+                            .is_none_or(|old| old.generation < roster.generation));
                         in_force = Some(roster);
                         taken += 1;
                     }
@@ -290,5 +358,8 @@
             }
         }
     }
-    assert!(taken > 1_000 && refused > 1_000, "{taken} taken, {refused} refused");
+    assert!(
+        taken > 1_000 && refused > 1_000,
+        "{taken} taken, {refused} refused"
+    );
 }
--- a/crates/flow-control/src/agenda.rs
+++ b/crates/flow-control/src/agenda.rs
@@ -11,7 +11,10 @@
 
 impl<D> Default for Agenda<D> {
     fn default() -> Self {
-        Agenda { due: BTreeSet::new(), armed: None }
+        Agenda {
+            due: BTreeSet::new(),
+            armed: None,
+        }
     }
 }
 
--- a/crates/flow-control/src/budget.rs
+++ b/crates/flow-control/src/budget.rs
@@ -28,7 +28,9 @@
 
     /// Further attempts that are allowed now, whoever's clock is off by `margin` seconds.
     pub fn left(&self, now: Time, stated: Option<AttemptBudget>, margin: f64) -> f64 {
-        let Some(stated) = stated else { return f64::MAX };
+        let Some(stated) = stated else {
+            return f64::MAX;
+        };
         stated.free + stated.share * self.taken.count(now, stated.window - margin)
             - self.further.count(now, stated.window + margin)
     }
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -51,7 +51,11 @@
 
 impl Default for Probing {
     fn default() -> Self {
-        Probing { earned: 0.0, typical: 1.0, armed: false }
+        Probing {
+            earned: 0.0,
+            typical: 1.0,
+            armed: false,
+        }
     }
 }
 
@@ -97,13 +101,19 @@
 impl Asking {
     /// The list came.
     pub fn told(&mut self) {
-        *self = Asking { failures: 0, subscribed: true };
+        *self = Asking {
+            failures: 0,
+            subscribed: true,
+        };
     }
 
     /// Seconds to wait after a failure: doubling, by chance, so that many nodes don't ask together.
     pub fn failed(&mut self, must_ask: f64, chance: f64) -> f64 {
         let doublings = self.failures.min(MOST_DOUBLINGS);
-        *self = Asking { failures: self.failures.saturating_add(1), subscribed: false };
+        *self = Asking {
+            failures: self.failures.saturating_add(1),
+            subscribed: false,
+        };
         must_ask * ASK_AGAIN * f64::from(1u32 << doublings) * (0.5 + chance)
     }
 }
--- a/crates/flow-control/src/take.rs
+++ b/crates/flow-control/src/take.rs
@@ -19,7 +19,9 @@
 
     /// Notes the answers and the sizes of the warm servers, over so many seconds.
     pub fn note(&mut self, servers: impl Iterator<Item = (f64, f64)>, seen: f64) {
-        let (answers, size) = servers.fold((0.0, 0.0), |sum, server| (sum.0 + server.0, sum.1 + server.1));
+        let (answers, size) = servers.fold((0.0, 0.0), |sum, server| {
+            (sum.0 + server.0, sum.1 + server.1)
+        });
         self.best = self.best.max(answers / seen / f64::max(size, 1.0));
     }
 }
--- a/crates/flow-control/src/tests.rs
+++ b/crates/flow-control/src/tests.rs
@@ -5,7 +5,10 @@
     let mut probing = Probing::default();
     assert!(!probing.take());
     (0..100).for_each(|_| probing.earn(2.0));
-    assert_eq!([probing.take(), probing.take(), probing.take()], [true, true, false]);
+    assert_eq!(
+        [probing.take(), probing.take(), probing.take()],
+        [true, true, false]
+    );
 }
 
 #[test]
--- a/crates/flow-control/src/window.rs
+++ b/crates/flow-control/src/window.rs
@@ -10,7 +10,8 @@
 impl Window {
     /// Notes a moment; those older than `span` seconds, the longest that is asked for, are dropped.
     pub fn push(&mut self, now: Time, span: f64) {
-        self.0.drain(..self.0.partition_point(|&at| now - at > span));
+        self.0
+            .drain(..self.0.partition_point(|&at| now - at > span));
         self.0.push_back(now);
     }
     /// How many lie within the last `span` seconds.
--- a/crates/routing/src/policy/beliefs.rs
+++ b/crates/routing/src/policy/beliefs.rs
@@ -11,8 +11,12 @@
 
     /// The servers that own answers of the last `secs` seconds make doubtful: what others may be told of.
     pub fn doubted_lately(&self, now: Time, secs: f64) -> Vec<ServerId> {
-        let lately = |server: &super::Server| server.pace > super::DOUBT && now - server.judged <= secs;
-        self.ready().filter(|(_, server)| lately(server)).map(|(id, _)| id).collect()
+        let lately =
+            |server: &super::Server| server.pace > super::DOUBT && now - server.judged <= secs;
+        self.ready()
+            .filter(|(_, server)| lately(server))
+            .map(|(id, _)| id)
+            .collect()
     }
 
     /// What is believed of the servers now.
@@ -22,9 +26,17 @@
             beliefs.ready += 1;
             beliefs.doubted += usize::from(self.doubted(now, server));
             beliefs.overdue += usize::from(server.out.first().is_some_and(|&(at, ..)| at <= now));
-            beliefs.young += usize::from(server.ready_at.is_some_and(|at| now - at < self.settings.warm_up));
+            beliefs.young += usize::from(
+                server
+                    .ready_at
+                    .is_some_and(|at| now - at < self.settings.warm_up),
+            );
         }
-        beliefs.usual_ms = self.usual.iter().map(|usual| (usual * 1e3) as u32).collect();
+        beliefs.usual_ms = self
+            .usual
+            .iter()
+            .map(|usual| (usual * 1e3) as u32)
+            .collect();
         beliefs
     }
 }
--- a/crates/routing/src/policy/choose.rs
+++ b/crates/routing/src/policy/choose.rs
@@ -12,10 +12,19 @@
     /// Servers that may be sent a part of this shard now: those of the cells from its own on, as far as the
     /// reach goes, around the ring.
     pub(super) fn holders(&mut self, now: Time, shard: u32) -> Vec<ServerId> {
-        let Some(first) = shard.checked_rem(self.settings.cells) else { return Vec::new() };
+        let Some(first) = shard.checked_rem(self.settings.cells) else {
+            return Vec::new();
+        };
         let end = first.saturating_add(self.settings.reach);
-        let around = self.settings.reach.saturating_sub(self.settings.cells - first).min(first);
-        let cells = self.cells.range(first..end).chain(self.cells.range(..around));
+        let around = self
+            .settings
+            .reach
+            .saturating_sub(self.settings.cells - first)
+            .min(first);
+        let cells = self
+            .cells
+            .range(first..end)
+            .chain(self.cells.range(..around));
         let mut ids: Vec<ServerId> = cells.flat_map(|(_, ids)| ids.iter().copied()).collect();
         ids.retain(|&id| self.servers[&id].state == ServerState::Ready && self.cold_room(now, id));
         ids
@@ -30,21 +39,30 @@
         let may_try = self.may_try(now, class);
         let mut holders = self.holders(now, shard);
         // Never a mix of lists: what came with a later one is not for this query.
-        let generation = self.queries.get(&self.parts[&id].query).map_or(0, |query| query.generation);
+        let generation = self
+            .queries
+            .get(&self.parts[&id].query)
+            .map_or(0, |query| query.generation);
         holders.retain(|server| self.servers[server].generation <= generation);
         if let Some(server) = back.filter(|server| holders.contains(server)) {
             return Some((0, server));
         }
         let tried = &self.parts[&id].tried;
-        let keys = holders.into_iter().map(|server| match self.standing(now, server, may_try) {
-            (_, out, turn) if tried.contains(&server) => (4, out, turn, server),
-            (_, out, turn) if self.servers[&server].weight <= 0.0 => (3, out, turn, server),
-            (rank, out, turn) => (rank, out, turn, server),
-        });
+        let keys = holders
+            .into_iter()
+            .map(|server| match self.standing(now, server, may_try) {
+                (_, out, turn) if tried.contains(&server) => (4, out, turn, server),
+                (_, out, turn) if self.servers[&server].weight <= 0.0 => (3, out, turn, server),
+                (rank, out, turn) => (rank, out, turn, server),
+            });
         let keys: Vec<_> = keys.collect();
         let &(rank, _, _, mut server) = keys.iter().min()?;
         if rank == 0 {
-            let level: Vec<ServerId> = keys.iter().filter(|key| key.0 == 0).map(|key| key.3).collect();
+            let level: Vec<ServerId> = keys
+                .iter()
+                .filter(|key| key.0 == 0)
+                .map(|key| key.3)
+                .collect();
             server = self.weighed(&level).unwrap_or(server);
         }
         if rank == 0 && self.doubted(now, &self.servers[&server]) {
@@ -56,7 +74,13 @@
     /// Of replicas whose turn it may be, the one that is owed most by their weights. `None`: all weigh the
     /// same, the turns decide.
     fn weighed(&mut self, level: &[ServerId]) -> Option<ServerId> {
-        let turn = |id| (self.servers[id].weight, self.servers[id].credit, self.servers[id].turn);
+        let turn = |id| {
+            (
+                self.servers[id].weight,
+                self.servers[id].credit,
+                self.servers[id].turn,
+            )
+        };
         let mut turns: Vec<(f64, f64, i64)> = level.iter().map(turn).collect();
         let best = owed(&mut turns)?;
         for (id, (_, credit, _)) in level.iter().zip(turns) {
@@ -85,12 +109,22 @@
             }
             return (2, server.out.len(), server.turn);
         }
-        let overdue = server.out.first().is_some_and(|&(overdue, ..)| overdue <= now);
-        (u8::from(overdue), if overdue { server.out.len() } else { 0 }, server.turn)
+        let overdue = server
+            .out
+            .first()
+            .is_some_and(|&(overdue, ..)| overdue <= now);
+        (
+            u8::from(overdue),
+            if overdue { server.out.len() } else { 0 },
+            server.turn,
+        )
     }
 
     /// The servers that the list calls ready.
     pub(super) fn ready(&self) -> impl Iterator<Item = (ServerId, &Server)> {
-        self.servers.iter().filter(|(_, s)| s.state == ServerState::Ready).map(|(&id, s)| (id, s))
+        self.servers
+            .iter()
+            .filter(|(_, s)| s.state == ServerState::Ready)
+            .map(|(&id, s)| (id, s))
     }
 }
--- a/crates/routing/src/policy/cold.rs
+++ b/crates/routing/src/policy/cold.rs
@@ -15,11 +15,18 @@
     pub(super) fn cold_room(&mut self, now: Time, id: ServerId) -> bool {
         self.note_take(now);
         let s = &self.settings;
-        let Some(server) = self.servers.get_mut(&id) else { return false };
-        let Some(age) = server.ready_at.map(|at| (now - at).max(0.0)).filter(|&age| age < s.warm_up) else {
+        let Some(server) = self.servers.get_mut(&id) else {
+            return false;
+        };
+        let Some(age) = server
+            .ready_at
+            .map(|at| (now - at).max(0.0))
+            .filter(|&age| age < s.warm_up)
+        else {
             return true;
         };
-        let ramp = s.cold_from + (1.0 - s.cold_from) * (age - s.fall_window / 2.0).max(0.0) / s.warm_up;
+        let ramp =
+            s.cold_from + (1.0 - s.cold_from) * (age - s.fall_window / 2.0).max(0.0) / s.warm_up;
         let earned = COLD_MARGIN * s.fall_multiple * ramp * self.take.best * server.size;
         let (earlier, at) = server.earned;
         let most = (earned * s.fall_window * COLD_BURST).max(1.0);
@@ -33,12 +40,18 @@
             return;
         }
         let span = self.settings.warm_up * TAKE_WARM_UPS;
-        let seen = span.min(self.born.map_or(0.0, |at| now - at)).max(self.settings.fall_window);
+        let seen = span
+            .min(self.born.map_or(0.0, |at| now - at))
+            .max(self.settings.fall_window);
         let warm_up = self.settings.warm_up;
         let warm = |s: &&mut Server| {
             s.state == ServerState::Ready && s.ready_at.is_none_or(|at| now - at >= warm_up)
         };
-        let counts = self.servers.values_mut().filter(warm).map(|s| (s.answers.count(now, span), s.size));
+        let counts = self
+            .servers
+            .values_mut()
+            .filter(warm)
+            .map(|s| (s.answers.count(now, span), s.size));
         self.take.note(counts, seen);
     }
 }
--- a/crates/routing/src/policy/copies.rs
+++ b/crates/routing/src/policy/copies.rs
@@ -8,31 +8,47 @@
 impl Aggregator {
     /// Whether the rules allow this part a further attempt.
     pub(super) fn may_repeat(&mut self, now: Time, id: RequestId) -> bool {
-        let Some(part) = self.parts.get(&id) else { return false };
-        let Some(query) = self.queries.get(&part.query) else { return false };
+        let Some(part) = self.parts.get(&id) else {
+            return false;
+        };
+        let Some(query) = self.queries.get(&part.query) else {
+            return false;
+        };
         let class = &self.settings.classes[query.class];
         let margin = self.settings.tick * END_TICKS;
         let ran = part.may_have_run || !part.out.is_empty();
         let allowed = match class.effect {
             Effect::Safe => true,
-            Effect::Keyed => !ran || part.first_sent.is_some_and(|at| now - at < class.window - margin),
+            Effect::Keyed => {
+                !ran || part
+                    .first_sent
+                    .is_some_and(|at| now - at < class.window - margin)
+            }
             Effect::Unsafe => !ran,
         };
         let open = !query.suspect()
             && !part.answered
             && now < query.end_at
-            && (part.tried.len() as u64) < u64::from(self.settings.max_attempts.min(u32::from(u8::MAX)));
+            && (part.tried.len() as u64)
+                < u64::from(self.settings.max_attempts.min(u32::from(u8::MAX)));
         allowed && open && self.budget.left(now, self.settings.budget, margin) >= 1.0
     }
 
     /// The design's copy: one for a part unanswered after the fixed delay, to a replica that is not overdue.
     /// Exception: with no such replica there is no copy, as in a general slowdown it would only add load.
     pub(super) fn hedge(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        let query = self.parts.get(&id).and_then(|part| self.queries.get(&part.query));
+        let query = self
+            .parts
+            .get(&id)
+            .and_then(|part| self.queries.get(&part.query));
         let calm = query.is_some_and(|query| 2 * query.answers as usize > query.parts.len());
         let span = self.recent * if calm { CALM_LATELY } else { 1.0 };
-        let room = self.copies.count(now, span) + 1.0 <= HEDGE_SHARE * self.parts_sent.count(now, span);
-        if !room || self.parts.get(&id).is_none_or(|part| part.out.len() != 1) || !self.may_repeat(now, id) {
+        let room =
+            self.copies.count(now, span) + 1.0 <= HEDGE_SHARE * self.parts_sent.count(now, span);
+        if !room
+            || self.parts.get(&id).is_none_or(|part| part.out.len() != 1)
+            || !self.may_repeat(now, id)
+        {
             return;
         }
         if let Some((0, server)) = self.choose(now, id) {
@@ -44,7 +60,9 @@
     /// A failed attempt is followed by another at once, elsewhere if there is an elsewhere.
     pub(super) fn retry(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let lost = |part: &&Part| part.out.is_empty() && !part.answered;
-        let Some(query) = self.parts.get(&id).filter(lost).map(|part| part.query) else { return };
+        let Some(query) = self.parts.get(&id).filter(lost).map(|part| part.query) else {
+            return;
+        };
         if self.may_repeat(now, id) {
             if let Some((_, server)) = self.choose(now, id) {
                 self.send(now, id, server, actions);
--- a/crates/routing/src/policy/doubt.rs
+++ b/crates/routing/src/policy/doubt.rs
@@ -18,14 +18,20 @@
         let took = now - flight.sent;
         let usual = &mut self.usual[flight.class];
         let ratio = (took / usual.max(1e-6)).min(WORST_PACE);
-        let Some(server) = self.servers.get_mut(&flight.server) else { return };
+        let Some(server) = self.servers.get_mut(&flight.server) else {
+            return;
+        };
         let (sample, gain) = match outcome {
             Outcome::Ok => {
                 // A doubted server's slowness is its own, or its path's, and counts less.
-                *usual += (took - *usual) * USUAL_GAIN * if server.pace > DOUBT { PACE_GAIN } else { 1.0 };
+                *usual += (took - *usual)
+                    * USUAL_GAIN
+                    * if server.pace > DOUBT { PACE_GAIN } else { 1.0 };
                 self.noted[flight.class] = now;
                 server.passed = server.passed.max(flight.sent);
-                server.answers.push(now, self.settings.warm_up * TAKE_WARM_UPS);
+                server
+                    .answers
+                    .push(now, self.settings.warm_up * TAKE_WARM_UPS);
                 (ratio, PACE_GAIN)
             }
             // Silence so far: it says something only if it is worse than what was known.
@@ -41,7 +47,11 @@
         let memory = (-(now - server.judged).max(0.0) / self.recent).exp();
         server.pace += (sample - server.pace) * (1.0 - (1.0 - gain) * memory);
         server.judged = now;
-        server.hint = if outcome == Outcome::Ok && ratio < DOUBT { 1.0 } else { server.hint };
+        server.hint = if outcome == Outcome::Ok && ratio < DOUBT {
+            1.0
+        } else {
+            server.hint
+        };
         if server.pace > DOUBT && !self.probing.armed && self.settings.probes.is_some() {
             self.probing.armed = true;
             self.agenda.insert(now, Due::Probe);
@@ -59,24 +69,40 @@
     /// Those of a dark zone are doubted until one of them is heard.
     pub(super) fn note_dark(&mut self, now: Time) {
         let sightings = self.ready().map(|(_, server)| {
-            let oldest = server.out.first().and_then(|&(_, id, attempt)| self.flights.get(&(id, attempt)));
+            let oldest = server
+                .out
+                .first()
+                .and_then(|&(_, id, attempt)| self.flights.get(&(id, attempt)));
             let delay = |flight: &Flight| self.settings.classes[flight.class].aim * HEDGE_DELAY;
-            let waiting =
-                oldest.filter(|flight| now - flight.sent >= delay(flight)).map(|flight| flight.sent);
-            Sighting { zone: server.zone, answered: server.passed, kept: server.kept.or(waiting) }
+            let waiting = oldest
+                .filter(|flight| now - flight.sent >= delay(flight))
+                .map(|flight| flight.sent);
+            Sighting {
+                zone: server.zone,
+                answered: server.passed,
+                kept: server.kept.or(waiting),
+            }
         });
         let dark = self.zones.lost(now, &sightings.collect::<Vec<_>>());
-        for server in self.servers.values_mut().filter(|server| dark.contains(&server.zone)) {
+        for server in self
+            .servers
+            .values_mut()
+            .filter(|server| dark.contains(&server.zone))
+        {
             (server.pace, server.judged) = (WORST_PACE, now);
         }
     }
 
     /// A server said something. Its zone is back, perhaps from a start of which the list is yet to tell.
     pub(super) fn note_heard(&mut self, now: Time, id: ServerId) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         server.kept = None;
         let zone = server.zone;
-        let Some(dark_for) = self.zones.found(now, zone) else { return };
+        let Some(dark_for) = self.zones.found(now, zone) else {
+            return;
+        };
         let restarted = dark_for > self.settings.warm_up * DARK_START;
         for server in self.servers.values_mut().filter(|s| s.zone == zone) {
             (server.pace, server.kept) = (1.0, None);
@@ -94,14 +120,23 @@
     /// What a probe shows is a hint: a server that holds many more requests than is typical, or whose probe
     /// failed, is likely slow, hung or far for this node.
     pub(super) fn note_probe(&mut self, id: ServerId, outcome: Outcome, report: &[f64]) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         let held = self.settings.probes.and_then(|at| report.get(at)).copied();
-        server.hint = self.probing.hint(outcome, held, WORST_PACE).unwrap_or(server.hint);
+        server.hint = self
+            .probing
+            .hint(outcome, held, WORST_PACE)
+            .unwrap_or(server.hint);
     }
 
     /// Others doubt these servers: a hint as a probe gives, which own answers override.
     pub(super) fn note_advice(&mut self, now: Time, servers: &[ServerId]) {
-        for (_, server) in self.servers.iter_mut().filter(|(id, _)| servers.contains(id)) {
+        for (_, server) in self
+            .servers
+            .iter_mut()
+            .filter(|(id, _)| servers.contains(id))
+        {
             (server.hint, server.probed) = (WORST_PACE, now);
         }
     }
@@ -114,7 +149,13 @@
         if !doubts {
             return;
         }
-        let heard = |s: &Server| if self.doubted(now, s) { s.probed } else { s.judged.max(s.probed) };
+        let heard = |s: &Server| {
+            if self.doubted(now, s) {
+                s.probed
+            } else {
+                s.judged.max(s.probed)
+            }
+        };
         let oldest = self.ready().map(|(id, s)| (heard(s), id)).min();
         let due = oldest.filter(|&(at, _)| now - at > self.shortest);
         if let Some((_, id)) = due.filter(|_| self.probing.take()) {
@@ -124,6 +165,7 @@
             }
         }
         let gap = Probing::gap(self.shortest, self.chance.next());
-        self.agenda.insert(now + gap.max(self.settings.tick), Due::Probe);
+        self.agenda
+            .insert(now + gap.max(self.settings.tick), Due::Probe);
     }
 }
--- a/crates/routing/src/policy/end.rs
+++ b/crates/routing/src/policy/end.rs
@@ -8,10 +8,14 @@
 impl Aggregator {
     /// What is in, and what is in or may still come, as shares of what the parts' weights add up to.
     pub(super) fn weights(&mut self, now: Time, id: RequestId) -> (f64, f64) {
-        let Some(parts) = self.queries.get(&id).map(|q| q.parts.clone()) else { return (0.0, 0.0) };
+        let Some(parts) = self.queries.get(&id).map(|q| q.parts.clone()) else {
+            return (0.0, 0.0);
+        };
         let (mut done, mut possible, mut all) = (0.0, 0.0, f64::MIN_POSITIVE);
         for id in parts {
-            let Some(part) = self.parts.get(&id) else { continue };
+            let Some(part) = self.parts.get(&id) else {
+                continue;
+            };
             let (answered, weight, sent) = (part.answered, part.weight, part.first_sent.is_some());
             let live = answered || !part.out.is_empty() || (sent && self.may_repeat(now, id));
             done += if answered { weight } else { 0.0 };
@@ -24,7 +28,9 @@
     /// Ends the step as soon as its parts decide it: whole, hopeless, or partial with nothing left to come.
     pub(super) fn settle(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let (done, possible) = self.weights(now, id);
-        let Some(query) = self.queries.get(&id) else { return };
+        let Some(query) = self.queries.get(&id) else {
+            return;
+        };
         let (need, floor) = self.settings.classes[query.class].bars(query.second_step);
         let whole = query.first_whole || !query.second_step;
         if done >= need {
@@ -38,8 +44,12 @@
 
     pub(super) fn aim_passed(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let (done, _) = self.weights(now, id);
-        let Some(query) = self.queries.get(&id) else { return };
-        let Some(class) = self.settings.classes.get(query.class) else { return };
+        let Some(query) = self.queries.get(&id) else {
+            return;
+        };
+        let Some(class) = self.settings.classes.get(query.class) else {
+            return;
+        };
         let (_, floor) = class.bars(query.second_step);
         if done >= floor && class.partial * done.min(class.need) / class.need >= class.late_share {
             self.answer(now, id, false, actions);
@@ -48,8 +58,16 @@
         }
     }
 
-    pub(super) fn answer(&mut self, now: Time, id: RequestId, whole: bool, actions: &mut Vec<Action>) {
-        let Some(query) = self.queries.get_mut(&id) else { return };
+    pub(super) fn answer(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        whole: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(query) = self.queries.get_mut(&id) else {
+            return;
+        };
         let step_follows = !query.second_step && self.settings.classes[query.class].fetch > 0;
         actions.push(Action::Answer { query: id, whole });
         if step_follows {
@@ -65,24 +83,39 @@
     /// The final answer for a query that earns nothing more, given at once: a refusal with advice where
     /// trying again is harmless, else a failure.
     pub(super) fn give_up(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(query) = self.queries.get(&id) else { return };
+        let Some(query) = self.queries.get(&id) else {
+            return;
+        };
         let may_run = |part: &Part| part.may_have_run || part.answered || !part.out.is_empty();
-        let ran = query.second_step || query.parts.iter().any(|p| self.parts.get(p).is_some_and(may_run));
-        let effect = self.settings.classes.get(query.class).map_or(Effect::Unsafe, |c| c.effect);
+        let ran = query.second_step
+            || query
+                .parts
+                .iter()
+                .any(|p| self.parts.get(p).is_some_and(may_run));
+        let effect = self
+            .settings
+            .classes
+            .get(query.class)
+            .map_or(Effect::Unsafe, |c| c.effect);
         let harmless = effect == Effect::Safe || !ran;
         // While its aim stands a query may come again within it; after that, as late as clients heed.
         let left = query.aim_at - now;
         let within = if left > 0.0 { left * ADVICE } else { f64::MAX };
         let retry_after = self.settings.retry_after.map(|longest| longest.min(within));
         actions.push(match harmless {
-            true => Action::Refuse { query: id, retry_after },
+            true => Action::Refuse {
+                query: id,
+                retry_after,
+            },
             false => Action::Fail { query: id },
         });
         self.forget(now, id, actions);
     }
 
     pub(super) fn forget(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(query) = self.queries.remove(&id) else { return };
+        let Some(query) = self.queries.remove(&id) else {
+            return;
+        };
         if self.numbers.get(&query.number) == Some(&id) {
             self.numbers.remove(&query.number);
         }
@@ -92,17 +125,35 @@
     }
 
     /// Forgets parts and cancels what they still have out.
-    pub(super) fn drop_parts(&mut self, now: Time, parts: Vec<RequestId>, actions: &mut Vec<Action>) {
+    pub(super) fn drop_parts(
+        &mut self,
+        now: Time,
+        parts: Vec<RequestId>,
+        actions: &mut Vec<Action>,
+    ) {
         for id in parts {
-            let Some(part) = self.parts.remove(&id) else { continue };
+            let Some(part) = self.parts.remove(&id) else {
+                continue;
+            };
             for attempt in part.out {
                 self.cancel(now, id, attempt, actions);
             }
         }
     }
 
-    pub(super) fn cancel(&mut self, now: Time, id: RequestId, attempt: u8, actions: &mut Vec<Action>) {
-        if let Some(flight) = self.settings.cancel.then(|| self.land(id, attempt)).flatten() {
+    pub(super) fn cancel(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: u8,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(flight) = self
+            .settings
+            .cancel
+            .then(|| self.land(id, attempt))
+            .flatten()
+        {
             self.judge(now, &flight, Outcome::Cancelled);
             actions.push(Action::Cancel { part: id, attempt });
         }
--- a/crates/routing/src/policy/list.rs
+++ b/crates/routing/src/policy/list.rs
@@ -20,7 +20,9 @@
         let rows = match news {
             ListNews::Failed => {
                 let chance = self.chance.next();
-                let wait = self.asking.failed(self.settings.must_ask.unwrap_or(0.0), chance);
+                let wait = self
+                    .asking
+                    .failed(self.settings.must_ask.unwrap_or(0.0), chance);
                 self.agenda.insert(now + wait, Due::Ask);
                 return;
             }
@@ -38,7 +40,10 @@
             }
         }
         for row in rows {
-            let (turn, earned) = (-((self.chance.next() * 1e6) as i64) - 1, (self.chance.next(), now));
+            let (turn, earned) = (
+                -((self.chance.next() * 1e6) as i64) - 1,
+                (self.chance.next(), now),
+            );
             let server = self.servers.entry(row.server).or_insert_with(|| Server {
                 turn,
                 pace: 1.0,
@@ -50,9 +55,15 @@
                 earned,
                 ..Server::default()
             });
-            self.cells.entry(server.cell).or_default().remove(&row.server);
+            self.cells
+                .entry(server.cell)
+                .or_default()
+                .remove(&row.server);
             self.cells.entry(row.cell).or_default().insert(row.server);
-            if row.ready_at.is_some_and(|at| server.ready_at.is_none_or(|old| at > old)) {
+            if row
+                .ready_at
+                .is_some_and(|at| server.ready_at.is_none_or(|old| at > old))
+            {
                 (server.pace, server.hint, server.earned) = (1.0, 1.0, earned);
             }
             (server.state, server.zone) = (row.state, row.zone);
@@ -62,14 +73,24 @@
             }
             server.cell = row.cell;
             self.generation = self.generation.max(row.generation);
-            server.weight = if row.weight >= 0.0 && row.weight.is_finite() { row.weight } else { 1.0 };
-            server.size = if row.size > 0.0 && row.size.is_finite() { row.size } else { 1.0 };
+            server.weight = if row.weight >= 0.0 && row.weight.is_finite() {
+                row.weight
+            } else {
+                1.0
+            };
+            server.size = if row.size > 0.0 && row.size.is_finite() {
+                row.size
+            } else {
+                1.0
+            };
         }
     }
 
     /// Asks to be told of changes, and again if nothing at all comes back.
     pub(super) fn ask(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let Some(must_ask) = self.settings.must_ask.filter(|_| !self.asking.subscribed) else { return };
+        let Some(must_ask) = self.settings.must_ask.filter(|_| !self.asking.subscribed) else {
+            return;
+        };
         actions.push(Action::Subscribe);
         self.agenda.insert(now + must_ask / 2.0, Due::Ask);
     }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -80,7 +80,10 @@
 impl Aggregator {
     /// A node that knows its settings and nothing else. `seed` is its only source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut node = Aggregator { chance: Chance(seed), ..Aggregator::default() };
+        let mut node = Aggregator {
+            chance: Chance(seed),
+            ..Aggregator::default()
+        };
         let all: Vec<ClassId> = (0..settings.classes.len() as u16).map(ClassId).collect();
         node.retune(settings, &[], &all);
         node
@@ -106,7 +109,11 @@
                     fresh.insert(id);
                 }
                 Event::Part { .. } => fresh.extend(self.note_part(now, event)),
-                &Event::Done { id, attempt, outcome } => {
+                &Event::Done {
+                    id,
+                    attempt,
+                    outcome,
+                } => {
                     if let Some(query) = self.note_outcome(now, id, attempt, outcome) {
                         touched.insert(query);
                         match outcome {
@@ -115,7 +122,11 @@
                         }
                     }
                 }
-                Event::Probed { server, outcome, report } => self.note_probe(*server, *outcome, report),
+                Event::Probed {
+                    server,
+                    outcome,
+                    report,
+                } => self.note_probe(*server, *outcome, report),
                 Event::Advised(servers) => self.note_advice(now, servers),
                 Event::Withdrawn(id) => self.forget(now, *id, actions),
                 Event::Wake => {}
@@ -123,7 +134,11 @@
         }
         self.forget_gone();
         for part in won {
-            let twins = self.parts.get_mut(&part).map(|p| std::mem::take(&mut p.out)).unwrap_or_default();
+            let twins = self
+                .parts
+                .get_mut(&part)
+                .map(|p| std::mem::take(&mut p.out))
+                .unwrap_or_default();
             for attempt in twins {
                 self.cancel(now, part, attempt, actions);
             }
@@ -142,7 +157,8 @@
                 // A node back from a stall finds these overdue in one wave, and answers still unread.
                 Due::Hedge(_) if now - at > self.settings.tick * STALL_TICKS => {
                     let spread = self.shortest * HEDGE_DELAY * self.chance.next();
-                    self.agenda.insert(now + spread.max(self.settings.tick), due);
+                    self.agenda
+                        .insert(now + spread.max(self.settings.tick), due);
                 }
                 Due::Hedge(part) => self.hedge(now, part, actions),
                 Due::Aim(query) => self.aim_passed(now, query, actions),
@@ -155,10 +171,16 @@
     }
 
     fn send(&mut self, now: Time, id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
-        let Some(part) = self.parts.get_mut(&id) else { return };
-        let Some(query) = self.queries.get(&part.query) else { return };
+        let Some(part) = self.parts.get_mut(&id) else {
+            return;
+        };
+        let Some(query) = self.queries.get(&part.query) else {
+            return;
+        };
         let servers = self.servers.len() as f64;
-        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        let Some(server) = self.servers.get_mut(&server_id) else {
+            return;
+        };
         let class = &self.settings.classes[query.class];
         let delay = class.aim * HEDGE_DELAY;
         let overdue = now + self.usual[query.class].min(delay);
@@ -181,8 +203,17 @@
         server.out.insert((overdue, id, attempt));
         server.last_sent = now;
         server.earned.0 -= 1.0;
-        let flight = Flight { server: server_id, class: query.class, sent: now, overdue };
+        let flight = Flight {
+            server: server_id,
+            class: query.class,
+            sent: now,
+            overdue,
+        };
         self.flights.insert((id, attempt), flight);
-        actions.push(Action::Send { part: id, server: server_id, until: query.end_at });
+        actions.push(Action::Send {
+            part: id,
+            server: server_id,
+            until: query.end_at,
+        });
     }
 }
--- a/crates/routing/src/policy/note.rs
+++ b/crates/routing/src/policy/note.rs
@@ -10,17 +10,35 @@
 
 impl Aggregator {
     pub(super) fn note_query(&mut self, now: Time, event: &Event) {
-        let &Event::Query { id, class, number, due, work, repeat } = event else { return };
+        let &Event::Query {
+            id,
+            class,
+            number,
+            due,
+            work,
+            repeat,
+        } = event
+        else {
+            return;
+        };
         self.budget.took(now, self.settings.budget);
         let class = usize::from(class.0);
         let margin = self.settings.tick * END_TICKS;
         // A query of an unknown class is one that earns nothing: it ends at once, in `open_step`.
-        let terms = self.settings.classes.get(class).map(|class| (class.aim_for(work), class.deadline));
+        let terms = self
+            .settings
+            .classes
+            .get(class)
+            .map(|class| (class.aim_for(work), class.deadline));
         let (aim, deadline) = terms.unwrap_or_default();
         let end_at = due.min(now + deadline) + -margin;
         // What a marked repeat has left of the deadline tells when its client came first. Of a try that isn't
         // marked, time left says nothing: impatient clients come with little.
-        let asked_at = if repeat { now.min(due + -deadline) } else { now };
+        let asked_at = if repeat {
+            now.min(due + -deadline)
+        } else {
+            now
+        };
         let query = Query {
             class,
             number,
@@ -39,16 +57,37 @@
     }
 
     pub(super) fn note_part(&mut self, now: Time, event: &Event) -> Option<RequestId> {
-        let &Event::Part { id, number, shard, weight } = event else { return None };
+        let &Event::Part {
+            id,
+            number,
+            shard,
+            weight,
+        } = event
+        else {
+            return None;
+        };
         let query_id = *self.numbers.get(&number)?;
         let query = self.queries.get_mut(&query_id)?;
         if self.parts.contains_key(&id) {
             return None;
         }
         query.parts.push(id);
-        query.kind.1 = query.kind.1.wrapping_add(u64::from(shard).wrapping_mul(u64::from(shard)) + 1);
-        let weight = if weight.is_finite() { weight.max(0.0) } else { 0.0 };
-        let part = Part { query: query_id, class: query.class, shard, weight, ..Part::default() };
+        query.kind.1 = query
+            .kind
+            .1
+            .wrapping_add(u64::from(shard).wrapping_mul(u64::from(shard)) + 1);
+        let weight = if weight.is_finite() {
+            weight.max(0.0)
+        } else {
+            0.0
+        };
+        let part = Part {
+            query: query_id,
+            class: query.class,
+            shard,
+            weight,
+            ..Part::default()
+        };
         self.parts.insert(id, part);
         self.asked.push(now, self.recent * CALM_LATELY);
         self.budget.took(now, self.settings.budget);
@@ -64,14 +103,22 @@
         outcome: Outcome,
     ) -> Option<RequestId> {
         let flight = self.land(id, attempt)?;
-        let visits = |part: &Part| part.tried.iter().filter(|&&server| server == flight.server).count();
+        let visits = |part: &Part| {
+            part.tried
+                .iter()
+                .filter(|&&server| server == flight.server)
+                .count()
+        };
         let went_back = self.parts.get(&id).is_some_and(|part| visits(part) > 1);
         let at_once = now - flight.sent < self.usual[flight.class] * AT_ONCE;
         let stale = outcome == Outcome::Reset && at_once && !went_back;
         if !stale {
             self.judge(now, &flight, outcome);
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Reset) {
+        if matches!(
+            outcome,
+            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Reset
+        ) {
             self.note_heard(now, flight.server);
         }
         let part = self.parts.get_mut(&id)?;
--- a/crates/routing/src/policy/refuse.rs
+++ b/crates/routing/src/policy/refuse.rs
@@ -20,7 +20,9 @@
     /// before any of its parts is sent.
     pub(super) fn open_step(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         self.note_dark(now);
-        let Some(query) = self.queries.get(&id) else { return };
+        let Some(query) = self.queries.get(&id) else {
+            return;
+        };
         let unsent = |id: &RequestId| self.parts[id].first_sent.is_none();
         let parts: Vec<RequestId> = query.parts.iter().copied().filter(unsent).collect();
         if self.settings.classes.get(query.class).is_none() || query.parts.is_empty() {
@@ -28,7 +30,11 @@
         }
         let (class, second_step) = (query.class, query.second_step);
         let cells = self.settings.cells.max(1);
-        let calls = parts.iter().map(|id| self.parts[id].shard % cells).collect::<BTreeSet<u32>>().len();
+        let calls = parts
+            .iter()
+            .map(|id| self.parts[id].shard % cells)
+            .collect::<BTreeSet<u32>>()
+            .len();
         let (_, floor) = self.settings.classes[class].bars(second_step);
         let aim_left = (query.asked_at + self.settings.classes[class].aim) - now;
         self.suspects.retain(|_, &mut at| now - at < self.recent);
@@ -42,7 +48,11 @@
             let all: f64 = parts.iter().map(|part| self.parts[part].weight).sum();
             let mut servable = WEIGHT_SLACK * all;
             for part in &parts {
-                servable += if self.in_time(now, *part, limit) { self.parts[part].weight } else { 0.0 };
+                servable += if self.in_time(now, *part, limit) {
+                    self.parts[part].weight
+                } else {
+                    0.0
+                };
             }
             if servable < floor * all {
                 return self.give_up(now, id, actions);
@@ -52,10 +62,15 @@
         // share one, and with it one turn. A trial stays a single part.
         let mut calls: BTreeMap<u32, (ServerId, u32)> = BTreeMap::new();
         for part in parts {
-            let cell = self.parts[&part].shard.checked_rem(self.settings.cells).unwrap_or(0);
+            let cell = self.parts[&part]
+                .shard
+                .checked_rem(self.settings.cells)
+                .unwrap_or(0);
             let open = calls.get(&cell).filter(|&&(_, room)| room > 0).copied();
             let open = open.filter(|&(server, _)| self.cold_room(now, server));
-            let room = open.map_or(self.settings.parts_a_call, |(_, room)| room).saturating_sub(1);
+            let room = open
+                .map_or(self.settings.parts_a_call, |(_, room)| room)
+                .saturating_sub(1);
             let chosen = open.or_else(|| self.choose(now, part).map(|(_, server)| (server, room)));
             let Some((server, _)) = chosen else { continue };
             let trial = self.doubted(now, &self.servers[&server]);
@@ -72,7 +87,10 @@
         let (shard, class) = (self.parts[&id].shard, self.parts[&id].class);
         let holders = self.holders(now, shard);
         let sound = |id: &&ServerId| !self.doubted(now, &self.servers[id]) || holders.len() == 1;
-        let waits = holders.iter().filter(sound).map(|id| self.likely_wait(now, &self.servers[id]));
+        let waits = holders
+            .iter()
+            .filter(sound)
+            .map(|id| self.likely_wait(now, &self.servers[id]));
         if let Some(wait) = waits.reduce(f64::min) {
             return wait <= limit;
         }
@@ -82,7 +100,9 @@
         let sound = || self.ready().filter(|(_, s)| !self.doubted(now, s)).count() as f64;
         !holders.is_empty()
             && (likely <= self.settings.classes[class].aim * HEDGE_DELAY
-                || holders.iter().any(|&id| self.standing(now, id, may_try).0 == 0)
+                || holders
+                    .iter()
+                    .any(|&id| self.standing(now, id, may_try).0 == 0)
                 || sound() < PANIC_SHARE * self.ready().count() as f64)
     }
 
@@ -93,25 +113,36 @@
         let age = (self.noted[class] - now) / (self.recent * SLOW_MEMORY);
         let slowest = self.usual[class] * (1.0 + (calls.max(1) as f64).ln()) * age.min(0.0).exp();
         let share = slowest / left.max(1e-6);
-        self.chance.next() < ((share - SLOW_RANGE.0) / (SLOW_RANGE.1 - SLOW_RANGE.0)).min(SURE_REFUSAL)
+        self.chance.next()
+            < ((share - SLOW_RANGE.0) / (SLOW_RANGE.1 - SLOW_RANGE.0)).min(SURE_REFUSAL)
     }
 
     /// Load shedding: the longest wait for a part with which a query is still let in. Queries that are worth
     /// more for their work are shed later.
     pub(super) fn shed_limit(&mut self, class: usize, parts: usize) -> f64 {
-        let (aim, worth) = (self.settings.classes[class].aim, self.settings.classes[class].worth);
+        let (aim, worth) = (
+            self.settings.classes[class].aim,
+            self.settings.classes[class].worth,
+        );
         let density = worth / (parts.max(1) as f64 * self.usual[class].max(1e-6));
         let gain = if self.density > 0.0 { USUAL_GAIN } else { 1.0 };
         self.density += (density - self.density) * gain;
         let share = SHED_AT * (density / self.density.max(1e-9)).sqrt();
-        let waits = if self.settings.classes[class].fetch > 0 { 2.0 } else { 1.0 }; // both on one clock
+        let waits = if self.settings.classes[class].fetch > 0 {
+            2.0
+        } else {
+            1.0
+        }; // both on one clock
         share.clamp(SHED_RANGE.0, SHED_RANGE.1) * aim / waits
     }
 
     /// How long a part sent now would likely take there. What was noted shrinks as time drains the queue,
     /// which lets work back in once a jam may have gone.
     pub(super) fn likely_wait(&self, now: Time, server: &Server) -> f64 {
-        let waiting = server.out.iter().filter_map(|&(_, id, attempt)| self.flights.get(&(id, attempt)));
+        let waiting = server
+            .out
+            .iter()
+            .filter_map(|&(_, id, attempt)| self.flights.get(&(id, attempt)));
         let waiting = waiting.filter(|flight| flight.sent > server.passed);
         let oldest = waiting.map(|flight| now - flight.sent).fold(0.0, f64::max);
         oldest.max(server.wait.0 - (now - server.wait.1))
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -16,9 +16,15 @@
 }
 
 /// A little over half busy; many parts in a window.
-const MUCH: Load = Load { rate: 150.0, capacity: 270.0 };
+const MUCH: Load = Load {
+    rate: 150.0,
+    capacity: 270.0,
+};
 /// The same with few: a cold server may get no more than two or three in a window at first.
-const LITTLE: Load = Load { rate: 5.0, capacity: 9.0 };
+const LITTLE: Load = Load {
+    rate: 5.0,
+    capacity: 9.0,
+};
 /// Seconds that an answer takes.
 const TOOK: f64 = 0.02;
 const TICK: f64 = 0.005;
@@ -38,7 +44,10 @@
 }
 
 fn row(id: u32, ready_at: Option<Time>) -> Listed {
-    Listed { cell: id, ..common::listed(id, ServerState::Ready, ready_at) }
+    Listed {
+        cell: id,
+        ..common::listed(id, ServerState::Ready, ready_at)
+    }
 }
 
 /// One coordinator and the parts that it has out.
@@ -60,7 +69,10 @@
         let mut worst: f64 = 0.0;
         for &(age, _) in &self.1 {
             window.push_back(age);
-            while window.front().is_some_and(|&first| age - first > settings.fall_window) {
+            while window
+                .front()
+                .is_some_and(|&first| age - first > settings.fall_window)
+            {
                 window.pop_front();
             }
             let from = (age - settings.fall_window).max(0.0) / settings.warm_up;
@@ -93,7 +105,9 @@
     let mut fleet: Vec<One> = (0..coordinators).map(one).collect();
     let mut random = 7 + seed;
     let mut chance = || {
-        random = random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        random = random
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (random >> 11) as f64 / (1u64 << 53) as f64
     };
     let mut answers: VecDeque<(Time, usize, u64, u8, Outcome)> = VecDeque::new();
@@ -104,16 +118,26 @@
         for (number, one) in fleet.iter_mut().enumerate() {
             let told = |at: f64| (age - at).abs() < TICK / 2.0;
             if told(8.0) {
-                let gone = Listed { state: ServerState::Gone, ..row(0, None) };
+                let gone = Listed {
+                    state: ServerState::Gone,
+                    ..row(0, None)
+                };
                 one.events.push(Event::List(ListNews::Delta(vec![gone])));
             }
             if told(12.0 + (told_after(number) / TICK).round() * TICK) {
-                one.events.push(Event::List(ListNews::Delta(vec![row(0, Some(back))])));
+                one.events
+                    .push(Event::List(ListNews::Delta(vec![row(0, Some(back))])));
             }
         }
         while answers.front().is_some_and(|answer| answer.0 <= now) {
-            let Some((_, number, part, attempt, outcome)) = answers.pop_front() else { break };
-            fleet[number].events.push(Event::Done { id: RequestId(part), attempt, outcome });
+            let Some((_, number, part, attempt, outcome)) = answers.pop_front() else {
+                break;
+            };
+            fleet[number].events.push(Event::Done {
+                id: RequestId(part),
+                attempt,
+                outcome,
+            });
         }
         due += load.rate * f64::from(CELLS) / PARTS as f64 * TICK;
         while chance() < due {
@@ -133,7 +157,12 @@
             for at in 0..PARTS {
                 let shard = ((first + at * 3) % u64::from(CELLS)) as u32;
                 let weight = 1.0 / PARTS as f64;
-                one.events.push(Event::Part { id: RequestId(id.0 + 1 + at), number: query, shard, weight });
+                one.events.push(Event::Part {
+                    id: RequestId(id.0 + 1 + at),
+                    number: query,
+                    shard,
+                    weight,
+                });
             }
         }
         for (number, one) in fleet.iter_mut().enumerate() {
@@ -142,7 +171,8 @@
                 continue;
             }
             let mut actions = Vec::new();
-            one.decisions.handle(now, &std::mem::take(&mut one.events), &mut actions);
+            one.decisions
+                .handle(now, &std::mem::take(&mut one.events), &mut actions);
             one.wake = one.wake.filter(|_| !woken);
             for action in actions {
                 match action {
@@ -155,7 +185,9 @@
                             sent.push((age - 12.0, number));
                         }
                     }
-                    Action::Wake(at) => one.wake = Some(one.wake.map_or(at, |earlier| earlier.min(at))),
+                    Action::Wake(at) => {
+                        one.wake = Some(one.wake.map_or(at, |earlier| earlier.min(at)))
+                    }
                     _ => {}
                 }
             }
@@ -170,8 +202,15 @@
     for coordinators in [3, 30, 300] {
         let sent = play(MUCH, 0, coordinators, |_| 0.1);
         let worst = sent.worst(&settings(coordinators));
-        assert!(worst <= 1.0, "{coordinators} coordinators: {worst:.2} of the limit");
-        assert!(sent.share(4.0) > 0.15, "{coordinators} coordinators: it starves, {:.2}", sent.share(4.0));
+        assert!(
+            worst <= 1.0,
+            "{coordinators} coordinators: {worst:.2} of the limit"
+        );
+        assert!(
+            sent.share(4.0) > 0.15,
+            "{coordinators} coordinators: it starves, {:.2}",
+            sent.share(4.0)
+        );
     }
 }
 
@@ -181,15 +220,29 @@
     for coordinators in [3, 300] {
         // Of four, one hears 3 s late; all its share is on top of what the others send then.
         let late = |number: usize| number % 4 == 1;
-        let sent = play(MUCH, 0, coordinators, move |number| if late(number) { 3.0 } else { 0.1 });
-        assert!(sent.worst(&settings(coordinators)) <= 1.0, "{coordinators} coordinators");
+        let sent = play(
+            MUCH,
+            0,
+            coordinators,
+            move |number| if late(number) { 3.0 } else { 0.1 },
+        );
+        assert!(
+            sent.worst(&settings(coordinators)) <= 1.0,
+            "{coordinators} coordinators"
+        );
         let within = |from: f64, to: f64| {
-            sent.1.iter().filter(|&&(age, number)| late(number) && age > from && age <= to).count() as f64
+            sent.1
+                .iter()
+                .filter(|&&(age, number)| late(number) && age > from && age <= to)
+                .count() as f64
         };
         assert_eq!(within(0.0, 2.9), 0.0, "nothing before they hear of it");
         let (first, second) = (within(2.99, 3.49), within(3.49, 3.99));
         let burst = 3.0 * second.max(f64::from(coordinators) / 4.0).sqrt() + 3.0;
-        assert!(first <= second + burst, "{coordinators} coordinators: {first} after {second}");
+        assert!(
+            first <= second + burst,
+            "{coordinators} coordinators: {first} after {second}"
+        );
     }
 }
 
@@ -202,11 +255,18 @@
             .map(|seed| play(LITTLE, seed, coordinators, |_| 0.1).worst(&settings(coordinators)))
             .collect();
         let mean = worst.iter().sum::<f64>() / worst.len() as f64;
-        let spread = worst.iter().map(|worst| (worst - mean).powi(2)).sum::<f64>() / worst.len() as f64;
+        let spread = worst
+            .iter()
+            .map(|worst| (worst - mean).powi(2))
+            .sum::<f64>()
+            / worst.len() as f64;
         println!(
             "{coordinators} coordinators: worst window {mean:.2} of the limit, spread {:.2}: {worst:.2?}",
             spread.sqrt()
         );
-        assert!(worst.iter().all(|&worst| worst <= 1.0), "{coordinators} coordinators: {worst:.2?}");
+        assert!(
+            worst.iter().all(|&worst| worst <= 1.0),
+            "{coordinators} coordinators: {worst:.2?}"
+        );
     }
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -57,7 +57,11 @@
 }
 
 pub fn done(part: u64, attempt: u8, outcome: Outcome) -> Event {
-    Event::Done { id: RequestId(part), attempt, outcome }
+    Event::Done {
+        id: RequestId(part),
+        attempt,
+        outcome,
+    }
 }
 
 pub struct Rig {
@@ -74,9 +78,14 @@
 
     /// The same with this seed.
     pub fn seeded(settings: Settings, seed: u64) -> Rig {
-        let mut rig =
-            Rig { aggregator: Aggregator::new(settings, seed), now: Time::from_secs(50.0), next: 1 };
-        let rows = (0..3).map(|id| listed(id, ServerState::Ready, None)).collect();
+        let mut rig = Rig {
+            aggregator: Aggregator::new(settings, seed),
+            now: Time::from_secs(50.0),
+            next: 1,
+        };
+        let rows = (0..3)
+            .map(|id| listed(id, ServerState::Ready, None))
+            .collect();
         rig.play(&[Event::List(ListNews::Full(rows))]);
         rig
     }
@@ -98,7 +107,12 @@
     }
 
     /// The same, each part with this weight, as whoever wrote it rounded it.
-    pub fn weighted(&mut self, class: u16, shards: &[u32], weight: f64) -> (Vec<Event>, u64, Vec<u64>) {
+    pub fn weighted(
+        &mut self,
+        class: u16,
+        shards: &[u32],
+        weight: f64,
+    ) -> (Vec<Event>, u64, Vec<u64>) {
         let number = self.next;
         let id = number * 1000;
         self.next += 1;
@@ -115,7 +129,12 @@
         for (at, &shard) in shards.iter().enumerate() {
             let part = id + 1 + at as u64;
             parts.push(part);
-            events.push(Event::Part { id: RequestId(part), number, shard, weight });
+            events.push(Event::Part {
+                id: RequestId(part),
+                number,
+                shard,
+                weight,
+            });
         }
         (events, id, parts)
     }
@@ -147,7 +166,9 @@
 /// Whether the actions hold a final answer for the query.
 pub fn ended(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|action| match action {
-        Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query } => query.0 == id,
+        Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query } => {
+            query.0 == id
+        }
         _ => false,
     })
 }
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -11,8 +11,14 @@
 
 /// A node of a large fleet: aims are short, calls carry eight parts, and its own queries are few.
 fn sparse(effect: Effect) -> Settings {
-    let class =
-        Class { aim: 0.25, deadline: 0.7, late_share: 0.3, floor: 0.8, partial: 0.9, ..class(effect) };
+    let class = Class {
+        aim: 0.25,
+        deadline: 0.7,
+        late_share: 0.3,
+        floor: 0.8,
+        partial: 0.9,
+        ..class(effect)
+    };
     Settings {
         group_size: 100,
         cells: CELLS,
@@ -31,8 +37,14 @@
 /// A rig whose list has two servers a cell: `cell` and `cell + CELLS`.
 fn rig(settings: Settings) -> Rig {
     let mut rig = Rig::new(settings);
-    let row = |id: u32| Listed { cell: id % CELLS, zone: zone(id), ..listed(id, ServerState::Ready, None) };
-    rig.play(&[Event::List(ListNews::Full((0..2 * CELLS).map(row).collect()))]);
+    let row = |id: u32| Listed {
+        cell: id % CELLS,
+        zone: zone(id),
+        ..listed(id, ServerState::Ready, None)
+    };
+    rig.play(&[Event::List(ListNews::Full(
+        (0..2 * CELLS).map(row).collect(),
+    ))]);
     rig
 }
 
@@ -50,7 +62,10 @@
 
 /// Answers to the first attempts of these parts.
 fn oks(parts: impl IntoIterator<Item = u64>) -> Vec<Event> {
-    parts.into_iter().map(|part| done(part, 0, Outcome::Ok)).collect()
+    parts
+        .into_iter()
+        .map(|part| done(part, 0, Outcome::Ok))
+        .collect()
 }
 
 /// Guards against a query that is taken for slow because its parts are many: those of one call wait together.
@@ -60,7 +75,10 @@
     // 70 ms a part: for 36 parts one by one the slowest would take 320 ms, for 9 calls 224 ms; the aim is 250 ms.
     for _ in 0..40 {
         let actions = search(&mut rig, 0.07);
-        assert!(!actions.iter().any(|a| matches!(a, Action::Refuse { .. })), "refused though it is in time");
+        assert!(
+            !actions.iter().any(|a| matches!(a, Action::Refuse { .. })),
+            "refused though it is in time"
+        );
         rig.now = rig.now + 0.1;
     }
 }
@@ -73,8 +91,14 @@
     let (events, id, parts) = rig.query(0, &shards());
     rig.play(&events);
     rig.after(0.04, &oks(parts[..32].iter().copied()));
-    assert!(!ended(&rig.after(0.2, &[Event::Wake]), id), "not long before its aim");
-    assert!(ended(&rig.after(0.003, &[Event::Wake]), id), "7 ms before its aim of 250 ms");
+    assert!(
+        !ended(&rig.after(0.2, &[Event::Wake]), id),
+        "not long before its aim"
+    );
+    assert!(
+        ended(&rig.after(0.003, &[Event::Wake]), id),
+        "7 ms before its aim of 250 ms"
+    );
 }
 
 /// Guards against a node with little traffic that goes on refusing by the last jam it saw, and so never sees that it
@@ -87,7 +111,10 @@
     let again = (0..20).filter(|_| refused(&search(&mut rig, 0.2))).count();
     assert!(again > 10, "while it lasts, most are refused: {again}");
     rig.now = rig.now + 25.0;
-    assert!(!refused(&search(&mut rig, 0.04)), "refused by what was seen 25 s ago");
+    assert!(
+        !refused(&search(&mut rig, 0.04)),
+        "refused by what was seen 25 s ago"
+    );
 }
 
 /// Plays four quiet searches some seconds apart, then one of which only the first `answered` parts are in by the
@@ -124,12 +151,16 @@
     let sent = sends(&rig.play(&events));
     let answers = |sent: &[(u64, u32)], attempt| -> Vec<Event> {
         let there = sent.iter().filter(|(_, server)| zone(*server) != lost);
-        there.map(|&(part, _)| done(part, attempt, Outcome::Ok)).collect()
+        there
+            .map(|&(part, _)| done(part, attempt, Outcome::Ok))
+            .collect()
     };
     rig.after(0.04, &answers(&sent, 0));
     let copies = sends(&rig.after(0.085, &[Event::Wake]));
     rig.after(0.04, &answers(&copies, 1));
-    sent.iter().filter(|(_, server)| zone(*server) == lost).count()
+    sent.iter()
+        .filter(|(_, server)| zone(*server) == lost)
+        .count()
 }
 
 /// A node that lost a zone's parts in one search, and the sends to that zone in the two searches after it.
@@ -151,7 +182,10 @@
 #[test]
 fn a_lost_zone_is_found_by_one_search() {
     let (_, later) = after_a_lost_zone();
-    assert!(later.iter().all(|&sent| sent <= 2), "trials only: {later:?}");
+    assert!(
+        later.iter().all(|&sent| sent <= 2),
+        "trials only: {later:?}"
+    );
 }
 
 /// Guards against all nodes together sending a zone its whole share again at the moment that it returns, cold: the
@@ -166,7 +200,10 @@
         rig.after(0.04, &oks(sent.iter().map(|&(part, _)| part)));
         sent.iter().filter(|(_, server)| zone(*server) == 2).count()
     };
-    assert!((0..4).any(|_| round(2.4) > 0), "a zone that is never tried stays dark for good");
+    assert!(
+        (0..4).any(|_| round(2.4) > 0),
+        "a zone that is never tried stays dark for good"
+    );
     let at_once = round(0.1);
     assert!(at_once <= 2, "{at_once} parts at once");
     let warm = (0..20).map(|_| round(1.0)).last().unwrap_or(0);
@@ -183,7 +220,10 @@
         rig.now = rig.now + 1.0;
         let (events, _, _) = rig.query(0, &shards());
         let sent = sends(&rig.play(&events));
-        let lost: Vec<Event> = sent.iter().map(|&(part, _)| done(part, 0, Outcome::Timeout)).collect();
+        let lost: Vec<Event> = sent
+            .iter()
+            .map(|&(part, _)| done(part, 0, Outcome::Timeout))
+            .collect();
         rig.after(0.69, &lost);
     }
     rig.now = rig.now + 1.0;
@@ -192,16 +232,30 @@
     rig.after(0.04, &oks(sent.iter().map(|&(part, _)| part)));
     rig.now = rig.now + 1.0;
     let (events, _, _) = rig.query(0, &shards());
-    assert_eq!(sends(&rig.play(&events)).len(), 36, "none is taken for cold");
+    assert_eq!(
+        sends(&rig.play(&events)).len(),
+        36,
+        "none is taken for cold"
+    );
 }
 
 /// A node with two servers a cell whose first cell lost both: every query needs a part there, and none may be partial. How
 /// many queries it served of those asked in the 60 s after both are well again, and how long the first took; `probed`: its
 /// probes failed before.
 fn sent_after_a_lost_cell(effect: Effect, probed: bool) -> (usize, usize, f64) {
-    let class = Class { aim: 1.0, deadline: 2.5, ..class(effect) };
+    let class = Class {
+        aim: 1.0,
+        deadline: 2.5,
+        ..class(effect)
+    };
     let probes = probed.then_some(0);
-    let mut rig = rig(Settings { cells: CELLS, reach: 1, tick: 0.005, probes, ..settings(vec![class]) });
+    let mut rig = rig(Settings {
+        cells: CELLS,
+        reach: 1,
+        tick: 0.005,
+        probes,
+        ..settings(vec![class])
+    });
     let ask = |rig: &mut Rig, well: bool| {
         let (events, ..) = rig.query(0, &(0..CELLS).collect::<Vec<_>>());
         let mut actions = rig.play(&events);
@@ -214,7 +268,9 @@
                     Outcome::Error
                 }
             };
-            sent.iter().map(|&(part, server)| done(part, number, outcome(server))).collect()
+            sent.iter()
+                .map(|&(part, server)| done(part, number, outcome(server)))
+                .collect()
         };
         for number in 0..3 {
             if sent.is_empty() {
@@ -223,7 +279,9 @@
             actions = rig.after(0.04, &answers(&sent, number));
             sent = sends(&actions);
         }
-        actions.iter().any(|action| matches!(action, Action::Answer { .. }))
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::Answer { .. }))
     };
     for _ in 0..40 {
         ask(&mut rig, false);
@@ -259,11 +317,20 @@
 /// there.
 #[test]
 fn a_shard_whose_servers_are_all_doubted_is_tried_again_though_nothing_else_is_sent() {
-    for (effect, probed) in
-        [(Effect::Safe, false), (Effect::Safe, true), (Effect::Unsafe, false), (Effect::Keyed, false)]
-    {
+    for (effect, probed) in [
+        (Effect::Safe, false),
+        (Effect::Safe, true),
+        (Effect::Unsafe, false),
+        (Effect::Keyed, false),
+    ] {
         let (served, asked, first) = sent_after_a_lost_cell(effect, probed);
-        assert!(first < 10.0, "{effect:?}, probed {probed}: first served after {first} s");
-        assert!(served * 10 > asked * 8, "{effect:?}, probed {probed}: {served} of {asked}");
+        assert!(
+            first < 10.0,
+            "{effect:?}, probed {probed}: first served after {first} s"
+        );
+        assert!(
+            served * 10 > asked * 8,
+            "{effect:?}, probed {probed}: {served} of {asked}"
+        );
     }
 }
--- a/crates/routing/tests/mechanism.rs
+++ b/crates/routing/tests/mechanism.rs
@@ -16,7 +16,11 @@
     let sent = sends(&rig.play(&events));
     assert_eq!(sent.iter().map(|s| s.0).collect::<Vec<_>>(), parts);
     let servers: std::collections::BTreeSet<u32> = sent.iter().map(|s| s.1).collect();
-    assert_eq!(servers.len(), 3, "turns spread three parts over three replicas");
+    assert_eq!(
+        servers.len(),
+        3,
+        "turns spread three parts over three replicas"
+    );
 }
 
 #[test]
@@ -53,14 +57,26 @@
     rig.warm(30);
     let (events, id, parts) = rig.query(0, &[0]);
     let first = sends(&rig.play(&events))[0].1;
-    assert!(sends(&rig.after(0.499, &[Event::Wake])).is_empty(), "not before half the aim");
+    assert!(
+        sends(&rig.after(0.499, &[Event::Wake])).is_empty(),
+        "not before half the aim"
+    );
     let copy = sends(&rig.after(0.001, &[Event::Wake]));
     assert_eq!(copy.len(), 1);
     assert_ne!(copy[0].1, first);
-    assert!(sends(&rig.after(0.3, &[Event::Wake])).is_empty(), "one copy only");
+    assert!(
+        sends(&rig.after(0.3, &[Event::Wake])).is_empty(),
+        "one copy only"
+    );
     let actions = rig.play(&[done(parts[0], 1, Outcome::Ok)]);
-    assert!(actions.contains(&Action::Cancel { part: RequestId(parts[0]), attempt: 0 }));
-    assert!(actions.contains(&Action::Answer { query: RequestId(id), whole: true }));
+    assert!(actions.contains(&Action::Cancel {
+        part: RequestId(parts[0]),
+        attempt: 0
+    }));
+    assert!(actions.contains(&Action::Answer {
+        query: RequestId(id),
+        whole: true
+    }));
 }
 
 #[test]
@@ -69,12 +85,19 @@
     rig.warm(9);
     let (events, ..) = rig.query(0, &[0]);
     rig.play(&events);
-    assert_eq!(sends(&rig.after(0.5, &[Event::Wake])).len(), 1, "one in ten");
+    assert_eq!(
+        sends(&rig.after(0.5, &[Event::Wake])).len(),
+        1,
+        "one in ten"
+    );
     let mut rig = Rig::new(safe());
     rig.warm(8);
     let (events, ..) = rig.query(0, &[0]);
     rig.play(&events);
-    assert!(sends(&rig.after(0.5, &[Event::Wake])).is_empty(), "one in nine is too many");
+    assert!(
+        sends(&rig.after(0.5, &[Event::Wake])).is_empty(),
+        "one in nine is too many"
+    );
 }
 
 #[test]
@@ -110,15 +133,29 @@
         rig.play(&events);
         let actions = rig.after(0.1, &[done(parts[0], 0, outcome)]);
         assert_eq!(sends(&actions).len(), usize::from(again), "{outcome:?}");
-        assert_eq!(actions.contains(&Action::Fail { query: RequestId(id) }), !again, "{outcome:?}");
+        assert_eq!(
+            actions.contains(&Action::Fail {
+                query: RequestId(id)
+            }),
+            !again,
+            "{outcome:?}"
+        );
     }
     let mut rig = Rig::new(settings(vec![class(Effect::Unsafe)]));
     rig.warm(30);
     let (events, id, _) = rig.query(0, &[0]);
     rig.play(&events);
-    assert!(sends(&rig.after(0.5, &[Event::Wake])).is_empty(), "never copied");
+    assert!(
+        sends(&rig.after(0.5, &[Event::Wake])).is_empty(),
+        "never copied"
+    );
     let actions = rig.after(0.5, &[Event::Wake]);
-    assert!(actions.contains(&Action::Fail { query: RequestId(id) }), "not refused while one is out");
+    assert!(
+        actions.contains(&Action::Fail {
+            query: RequestId(id)
+        }),
+        "not refused while one is out"
+    );
 }
 
 #[test]
@@ -142,7 +179,10 @@
     let mut rig = Rig::new(settings(vec![late]));
     let (events, id, _) = rig.query(0, &[0]);
     rig.play(&events);
-    assert!(!ended(&rig.after(2.9, &[Event::Wake]), id), "a late answer still earns");
+    assert!(
+        !ended(&rig.after(2.9, &[Event::Wake]), id),
+        "a late answer still earns"
+    );
     assert!(ended(&rig.after(0.09, &[Event::Wake]), id));
 }
 
@@ -152,14 +192,19 @@
     let (events, id, _) = rig.query(0, &[0]);
     rig.play(&events);
     let actions = rig.after(0.99, &[Event::Wake]);
-    assert!(actions.contains(&Action::Refuse { query: RequestId(id), retry_after: Some(0.5) }));
+    assert!(actions.contains(&Action::Refuse {
+        query: RequestId(id),
+        retry_after: Some(0.5)
+    }));
 }
 
 #[test]
 fn nothing_goes_to_a_draining_or_gone_server() {
     for state in [ServerState::Draining, ServerState::Gone] {
         let mut rig = Rig::new(safe());
-        rig.play(&[Event::List(ListNews::Delta((0..3).map(|id| listed(id, state, None)).collect()))]);
+        rig.play(&[Event::List(ListNews::Delta(
+            (0..3).map(|id| listed(id, state, None)).collect(),
+        ))]);
         let (events, id, _) = rig.query(0, &[0]);
         let actions = rig.play(&events);
         assert!(sends(&actions).is_empty());
@@ -173,7 +218,11 @@
     rig.play(&[Event::List(ListNews::Full(Vec::new()))]);
     let (events, ..) = rig.query(0, &[0]);
     assert_eq!(sends(&rig.play(&events)).len(), 1);
-    rig.play(&[Event::List(ListNews::Full(vec![listed(1, ServerState::Ready, None)]))]);
+    rig.play(&[Event::List(ListNews::Full(vec![listed(
+        1,
+        ServerState::Ready,
+        None,
+    )]))]);
     for _ in 0..3 {
         let (events, ..) = rig.query(0, &[0]);
         assert_eq!(sends(&rig.play(&events))[0].1, 1);
@@ -207,8 +256,14 @@
     let mut cold = 0;
     for _ in 0..8 {
         let (events, _, parts) = rig.query(0, &[0, 1, 2, 3, 4, 5]);
-        cold += sends(&rig.play(&events)).iter().filter(|send| send.1 == 0).count();
-        let done: Vec<Event> = parts.iter().map(|&part| done(part, 0, Outcome::Ok)).collect();
+        cold += sends(&rig.play(&events))
+            .iter()
+            .filter(|send| send.1 == 0)
+            .count();
+        let done: Vec<Event> = parts
+            .iter()
+            .map(|&part| done(part, 0, Outcome::Ok))
+            .collect();
         rig.after(0.01, &done);
         rig.after(0.24, &[]);
     }
@@ -224,9 +279,15 @@
     let mut rig = Rig::new(settings(vec![report]));
     let (events, id, parts) = rig.query(0, &[0, 1]);
     rig.play(&events);
-    assert!(!ended(&rig.after(0.1, &[done(parts[0], 0, Outcome::Ok)]), id), "the rest may still come");
+    assert!(
+        !ended(&rig.after(0.1, &[done(parts[0], 0, Outcome::Ok)]), id),
+        "the rest may still come"
+    );
     let actions = rig.after(0.9, &[Event::Wake]);
-    assert!(actions.contains(&Action::Answer { query: RequestId(id), whole: false }));
+    assert!(actions.contains(&Action::Answer {
+        query: RequestId(id),
+        whole: false
+    }));
     let (events, id, _) = rig.query(0, &[0, 1]);
     rig.play(&events);
     let actions = rig.after(0.99, &[Event::Wake]);
@@ -241,11 +302,20 @@
     let mut rig = Rig::new(settings(vec![ranking]));
     let (events, id, parts) = rig.query(0, &[0, 1, 2, 0]);
     rig.play(&events);
-    let in_time: Vec<Event> = parts[..3].iter().map(|&p| done(p, 0, Outcome::Ok)).collect();
+    let in_time: Vec<Event> = parts[..3]
+        .iter()
+        .map(|&p| done(p, 0, Outcome::Ok))
+        .collect();
     assert!(!ended(&rig.after(0.1, &in_time[..2]), id));
     let actions = rig.play(&in_time[2..]);
-    assert!(actions.contains(&Action::Answer { query: RequestId(id), whole: true }));
-    assert!(actions.contains(&Action::Cancel { part: RequestId(parts[3]), attempt: 0 }));
+    assert!(actions.contains(&Action::Answer {
+        query: RequestId(id),
+        whole: true
+    }));
+    assert!(actions.contains(&Action::Cancel {
+        part: RequestId(parts[3]),
+        attempt: 0
+    }));
 }
 
 #[test]
@@ -256,30 +326,59 @@
     let (events, id, parts) = rig.query(0, &[0]);
     rig.play(&events);
     let actions = rig.after(0.1, &[done(parts[0], 0, Outcome::Ok)]);
-    assert!(actions.contains(&Action::Answer { query: RequestId(id), whole: true }));
-    let second = Event::Part { id: RequestId(77), number: 1, shard: 1, weight: 1.0 };
+    assert!(actions.contains(&Action::Answer {
+        query: RequestId(id),
+        whole: true
+    }));
+    let second = Event::Part {
+        id: RequestId(77),
+        number: 1,
+        shard: 1,
+        weight: 1.0,
+    };
     assert_eq!(sends(&rig.play(&[second])).len(), 1);
     let actions = rig.after(0.1, &[done(77, 0, Outcome::Ok)]);
-    assert!(actions.contains(&Action::Answer { query: RequestId(id), whole: true }));
+    assert!(actions.contains(&Action::Answer {
+        query: RequestId(id),
+        whole: true
+    }));
     let (events, id, parts) = rig.query(0, &[0]);
     rig.play(&events);
     rig.after(0.5, &[done(parts[0], 0, Outcome::Ok)]);
-    rig.play(&[Event::Part { id: RequestId(78), number: 2, shard: 1, weight: 1.0 }]);
-    assert!(ended(&rig.after(0.49, &[Event::Wake]), id), "the aim counts from the query's start");
+    rig.play(&[Event::Part {
+        id: RequestId(78),
+        number: 2,
+        shard: 1,
+        weight: 1.0,
+    }]);
+    assert!(
+        ended(&rig.after(0.49, &[Event::Wake]), id),
+        "the aim counts from the query's start"
+    );
 }
 
 #[test]
 fn a_told_budget_counts_retries_and_copies_together() {
     let mut told = safe();
-    told.budget = Some(AttemptBudget { free: 1.0, share: 0.0, window: 10.0 });
+    told.budget = Some(AttemptBudget {
+        free: 1.0,
+        share: 0.0,
+        window: 10.0,
+    });
     let mut rig = Rig::new(told);
     rig.warm(30);
     let (events, _, parts) = rig.query(0, &[0]);
     rig.play(&events);
-    assert_eq!(sends(&rig.after(0.1, &[done(parts[0], 0, Outcome::Full)])).len(), 1);
+    assert_eq!(
+        sends(&rig.after(0.1, &[done(parts[0], 0, Outcome::Full)])).len(),
+        1
+    );
     let (events, ..) = rig.query(0, &[0]);
     rig.play(&events);
-    assert!(sends(&rig.after(0.5, &[Event::Wake])).is_empty(), "the retry spent it");
+    assert!(
+        sends(&rig.after(0.5, &[Event::Wake])).is_empty(),
+        "the retry spent it"
+    );
 }
 
 #[test]
@@ -312,7 +411,10 @@
     assert!(actions.contains(&Action::Subscribe));
     actions.clear();
     aggregator.handle(now + 0.1, &[Event::List(ListNews::Failed)], &mut actions);
-    assert!(!actions.contains(&Action::Subscribe), "not in the same breath");
+    assert!(
+        !actions.contains(&Action::Subscribe),
+        "not in the same breath"
+    );
     now = now + 1.0;
     aggregator.handle(now, &[Event::Wake], &mut actions);
     assert!(actions.contains(&Action::Subscribe));
@@ -334,7 +436,10 @@
         refused += usize::from(ended(&actions, id) && sends(&actions).is_empty());
         rig.after(0.02, &[Event::Wake]);
     }
-    assert!(refused > 10, "queries for a jammed shard are shed at once: {refused}");
+    assert!(
+        refused > 10,
+        "queries for a jammed shard are shed at once: {refused}"
+    );
 }
 
 #[test]
@@ -356,7 +461,10 @@
         assert!(sent < 3);
         rig.after(0.05, &[done(parts[0], attempt, Outcome::Ok)]);
     }
-    assert!(late.iter().all(|&n| n > 55), "each replica keeps its third of the turns: {late:?}");
+    assert!(
+        late.iter().all(|&n| n > 55),
+        "each replica keeps its third of the turns: {late:?}"
+    );
 }
 
 #[test]
@@ -366,26 +474,55 @@
     let try_of = |rig: &mut Rig, left: f64, repeat: bool| {
         let (mut events, id, _) = rig.query(0, &[0]);
         let now = rig.now;
-        if let Event::Query { due, repeat: mark, .. } = &mut events[0] {
+        if let Event::Query {
+            due, repeat: mark, ..
+        } = &mut events[0]
+        {
             (*due, *mark) = (now + left, repeat);
         }
         (rig.play(&events), id)
     };
-    assert_eq!(sends(&try_of(&mut rig, 2.4, false).0).len(), 1, "a first try");
-    assert_eq!(sends(&try_of(&mut rig, 2.4, true).0).len(), 1, "a repeat of unknown age");
-    assert_eq!(sends(&try_of(&mut rig, 2.2, true).0).len(), 1, "a repeat after 0.8 s");
+    assert_eq!(
+        sends(&try_of(&mut rig, 2.4, false).0).len(),
+        1,
+        "a first try"
+    );
+    assert_eq!(
+        sends(&try_of(&mut rig, 2.4, true).0).len(),
+        1,
+        "a repeat of unknown age"
+    );
+    assert_eq!(
+        sends(&try_of(&mut rig, 2.2, true).0).len(),
+        1,
+        "a repeat after 0.8 s"
+    );
     let (actions, id) = try_of(&mut rig, 1.9, true);
-    assert!(sends(&actions).is_empty() && ended(&actions, id), "a repeat after 1.1 s");
+    assert!(
+        sends(&actions).is_empty() && ended(&actions, id),
+        "a repeat after 1.1 s"
+    );
 }
 
 #[test]
 fn advice_leaves_time_within_the_aim() {
-    let mut rig = Rig::new(Settings { retry_after: Some(2.0), ..safe() });
-    let drained = (0..3).map(|id| listed(id, ServerState::Draining, None)).collect();
+    let mut rig = Rig::new(Settings {
+        retry_after: Some(2.0),
+        ..safe()
+    });
+    let drained = (0..3)
+        .map(|id| listed(id, ServerState::Draining, None))
+        .collect();
     rig.play(&[Event::List(ListNews::Delta(drained))]);
     let (events, _, _) = rig.query(0, &[0]);
     let actions = rig.play(&events);
-    let Some(Action::Refuse { retry_after: Some(wait), .. }) = actions.first() else { panic!("{actions:?}") };
+    let Some(Action::Refuse {
+        retry_after: Some(wait),
+        ..
+    }) = actions.first()
+    else {
+        panic!("{actions:?}")
+    };
     assert!(*wait > 0.1 && *wait < 0.5, "{wait}");
 }
 
@@ -400,7 +537,11 @@
         rig.play(&events); // one part out at each replica, for 0.3 s: over half of the 0.5 of the aim
         rig.now = rig.now + 0.3;
         let (events, ..) = rig.query(0, &[0, 1, 2]);
-        assert_eq!(!sends(&rig.play(&events)).is_empty(), let_in, "fetch {fetch}");
+        assert_eq!(
+            !sends(&rig.play(&events)).is_empty(),
+            let_in,
+            "fetch {fetch}"
+        );
     }
 }
 
@@ -410,7 +551,10 @@
     let mut rig = Rig::new(safe());
     rig.warm(200); // each takes 6.7 a second
     let now = rig.now;
-    let rows = vec![listed(1, ServerState::Ready, Some(now)), listed(2, ServerState::Gone, None)];
+    let rows = vec![
+        listed(1, ServerState::Ready, Some(now)),
+        listed(2, ServerState::Gone, None),
+    ];
     rig.play(&[Event::List(ListNews::Delta(rows))]);
     let mut cold = 0;
     for _ in 0..40 {
@@ -433,7 +577,9 @@
     }
     assert_eq!(sends(&rig.play(&events)).len(), 1);
     let actions = rig.after(0.1, &[done(parts[0], 0, Outcome::Ok)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Answer { whole: true, .. })));
+    assert!(actions
+        .iter()
+        .any(|a| matches!(a, Action::Answer { whole: true, .. })));
 }
 
 #[test]
@@ -443,9 +589,16 @@
     rig.warm(30);
     let (events, id, parts) = rig.query(0, &[0, 1]);
     rig.play(&events);
-    assert_eq!(sends(&rig.after(0.05, &[done(parts[0], 0, Outcome::Reset)])).len(), 1, "one may be chance");
+    assert_eq!(
+        sends(&rig.after(0.05, &[done(parts[0], 0, Outcome::Reset)])).len(),
+        1,
+        "one may be chance"
+    );
     let actions = rig.after(0.05, &[done(parts[1], 0, Outcome::Reset)]);
-    assert!(sends(&actions).is_empty() && ended(&actions, id), "no third server");
+    assert!(
+        sends(&actions).is_empty() && ended(&actions, id),
+        "no third server"
+    );
     for (shards, sent) in [(&[0, 1], 0), (&[0, 2], 2)] {
         let (mut events, _, _) = rig.query(0, shards);
         if let Event::Query { repeat, .. } = &mut events[0] {
@@ -481,7 +634,10 @@
         cold.extend((sent == 2).then_some(at));
         rig.after(0.5, &[done(parts[0], 0, Outcome::Ok)]);
     }
-    assert!((2..=6).contains(&cold.len()), "some parts, not a third of all: {cold:?}");
+    assert!(
+        (2..=6).contains(&cold.len()),
+        "some parts, not a third of all: {cold:?}"
+    );
 }
 
 #[test]
@@ -518,11 +674,24 @@
         let (events, _, parts) = rig.query(0, &[0]);
         let server = sends(&rig.play(&events))[0].1;
         to_hung += usize::from(server == 0);
-        let outcome = if server == 0 { Outcome::Reset } else { Outcome::Ok };
+        let outcome = if server == 0 {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        };
         let again = sends(&rig.after(0.1, &[done(parts[0], 0, outcome)]));
-        rig.after(0.9, &again.iter().map(|s| done(s.0, 1, Outcome::Ok)).collect::<Vec<_>>());
+        rig.after(
+            0.9,
+            &again
+                .iter()
+                .map(|s| done(s.0, 1, Outcome::Ok))
+                .collect::<Vec<_>>(),
+        );
     }
-    assert!((1..=6).contains(&to_hung), "{to_hung} of 60 queries went to the failing server");
+    assert!(
+        (1..=6).contains(&to_hung),
+        "{to_hung} of 60 queries went to the failing server"
+    );
 }
 
 #[test]
@@ -530,11 +699,19 @@
     let mut drawn = safe();
     (drawn.cells, drawn.reach) = (6, 1);
     let mut rig = Rig::new(drawn);
-    let rows = (0..6).map(|id| Listed { cell: id, ..listed(id, ServerState::Ready, None) }).collect();
+    let rows = (0..6)
+        .map(|id| Listed {
+            cell: id,
+            ..listed(id, ServerState::Ready, None)
+        })
+        .collect();
     rig.play(&[Event::List(ListNews::Full(rows))]);
     rig.serve(30, 0.1);
     // The only holder of a shard is sent to even if it is bad; shard 5 has two, and both are silent.
-    let spare = Listed { cell: 5, ..listed(9, ServerState::Ready, None) };
+    let spare = Listed {
+        cell: 5,
+        ..listed(9, ServerState::Ready, None)
+    };
     rig.play(&[Event::List(ListNews::Delta(vec![spare]))]);
     for _ in 0..4 {
         let (events, ..) = rig.query(0, &[5]);
@@ -556,10 +733,22 @@
     let mut rig = Rig::new(drawn);
     rig.warm(30);
     let probed = |actions: &[Action]| -> Vec<u32> {
-        actions.iter().filter_map(|a| if let Action::Probe(s) = a { Some(s.0) } else { None }).collect()
+        actions
+            .iter()
+            .filter_map(|a| {
+                if let Action::Probe(s) = a {
+                    Some(s.0)
+                } else {
+                    None
+                }
+            })
+            .collect()
     };
     for _ in 0..20 {
-        assert!(probed(&rig.after(0.1, &[Event::Wake])).is_empty(), "no doubt, no probe");
+        assert!(
+            probed(&rig.after(0.1, &[Event::Wake])).is_empty(),
+            "no doubt, no probe"
+        );
     }
     let (events, _, parts) = rig.query(0, &[0]);
     rig.play(&events);
@@ -568,10 +757,16 @@
     for _ in 0..30 {
         seen.extend(probed(&rig.after(0.1, &[Event::Wake])));
     }
-    assert!(seen.len() >= 3 && seen.len() <= 15, "rationed by parts sent: {seen:?}");
+    assert!(
+        seen.len() >= 3 && seen.len() <= 15,
+        "rationed by parts sent: {seen:?}"
+    );
     // A report of many requests held keeps server 1 out of turn, until its own quick answer says otherwise.
-    let report =
-        |id: u32, held: f64| Event::Probed { server: ServerId(id), outcome: Outcome::Ok, report: vec![held] };
+    let report = |id: u32, held: f64| Event::Probed {
+        server: ServerId(id),
+        outcome: Outcome::Ok,
+        report: vec![held],
+    };
     rig.play(&[report(1, 40.0)]);
     for _ in 0..6 {
         let (events, _, parts) = rig.query(0, &[0]);
@@ -592,8 +787,14 @@
     let again = sends(&rig.after(0.001, &[done(parts[0], 0, Outcome::Reset)]));
     assert_eq!(again, [(parts[0], first)]);
     let elsewhere = sends(&rig.after(0.001, &[done(parts[0], 1, Outcome::Reset)]));
-    assert!(elsewhere.len() == 1 && elsewhere[0].1 != first, "back once only");
-    assert!(ended(&rig.after(0.05, &[done(parts[0], 2, Outcome::Ok)]), id));
+    assert!(
+        elsewhere.len() == 1 && elsewhere[0].1 != first,
+        "back once only"
+    );
+    assert!(ended(
+        &rig.after(0.05, &[done(parts[0], 2, Outcome::Ok)]),
+        id
+    ));
 }
 
 #[test]
@@ -616,9 +817,15 @@
     rig.warm(60);
     let (events, _, parts) = rig.query(0, &[0]);
     let first = sends(&rig.play(&events))[0].1;
-    assert_eq!(sends(&rig.after(0.001, &[done(parts[0], 0, Outcome::Reset)])), [(parts[0], first)]);
+    assert_eq!(
+        sends(&rig.after(0.001, &[done(parts[0], 0, Outcome::Reset)])),
+        [(parts[0], first)]
+    );
     let copy = sends(&rig.after(0.5, &[Event::Wake]));
-    assert!(copy.len() == 1 && copy[0].1 != first, "{copy:?}, out at {first}");
+    assert!(
+        copy.len() == 1 && copy[0].1 != first,
+        "{copy:?}, out at {first}"
+    );
 }
 
 #[test]
@@ -631,27 +838,50 @@
         rig.play(&events);
         parts.extend(ids);
     }
-    assert!(sends(&rig.after(0.8, &[Event::Wake])).is_empty(), "no copy straight after the stall");
-    let waves: Vec<usize> = (0..100).map(|_| sends(&rig.after(0.005, &[Event::Wake])).len()).collect();
+    assert!(
+        sends(&rig.after(0.8, &[Event::Wake])).is_empty(),
+        "no copy straight after the stall"
+    );
+    let waves: Vec<usize> = (0..100)
+        .map(|_| sends(&rig.after(0.005, &[Event::Wake])).len())
+        .collect();
     assert!(waves.iter().all(|&copies| copies <= 4), "{waves:?}");
 }
 
 #[test]
 fn parts_of_a_query_with_the_same_holders_share_a_call() {
     // Cells of two servers: 0 and 2 hold the even shards, 1 and 3 the odd ones.
-    let mut settings = Settings { cells: 2, reach: 1, parts_a_call: 2, ..safe() };
+    let mut settings = Settings {
+        cells: 2,
+        reach: 1,
+        parts_a_call: 2,
+        ..safe()
+    };
     settings.group_size = 1;
     let mut rig = Rig::new(settings);
-    let listed = |id| Listed { cell: id % 2, ..listed(id, ServerState::Ready, None) };
+    let listed = |id| Listed {
+        cell: id % 2,
+        ..listed(id, ServerState::Ready, None)
+    };
     rig.play(&[Event::List(ListNews::Full((0..4).map(listed).collect()))]);
     let servers_of = |rig: &mut Rig, shards: &[u32]| -> Vec<u32> {
         let (events, ..) = rig.query(0, shards);
-        sends(&rig.play(&events)).into_iter().map(|(_, server)| server).collect()
+        sends(&rig.play(&events))
+            .into_iter()
+            .map(|(_, server)| server)
+            .collect()
     };
     let first = servers_of(&mut rig, &[0, 1, 2, 3]);
-    assert_eq!((first[0], first[1]), (first[2], first[3]), "one call for each pair: {first:?}");
+    assert_eq!(
+        (first[0], first[1]),
+        (first[2], first[3]),
+        "one call for each pair: {first:?}"
+    );
     let second = servers_of(&mut rig, &[0, 2]);
-    assert_ne!(first[0], second[0], "the next query takes the other replica");
+    assert_ne!(
+        first[0], second[0],
+        "the next query takes the other replica"
+    );
     let third = servers_of(&mut rig, &[0, 2, 4]);
     assert_eq!(third[0], third[1]);
     assert_ne!(third[0], third[2], "a full call ends the turn");
@@ -663,8 +893,15 @@
     for (overtaken, let_in) in [(true, true), (false, false)] {
         let mut page = class(Effect::Unsafe);
         page.late_share = 0.5;
-        let mut rig = Rig::new(Settings { cells: 1, reach: 1, ..settings(vec![page]) });
-        let one = Listed { cell: 0, ..listed(0, ServerState::Ready, None) };
+        let mut rig = Rig::new(Settings {
+            cells: 1,
+            reach: 1,
+            ..settings(vec![page])
+        });
+        let one = Listed {
+            cell: 0,
+            ..listed(0, ServerState::Ready, None)
+        };
         rig.play(&[Event::List(ListNews::Full(vec![one]))]);
         let (long, ..) = rig.query(0, &[0]);
         rig.play(&long);
@@ -683,7 +920,10 @@
 fn weights_share_turns_smoothly() {
     let mut rig = Rig::new(safe());
     let list = |rig: &mut Rig, weights: [f64; 3]| {
-        let row = |id: u32| Listed { weight: weights[id as usize], ..listed(id, ServerState::Ready, None) };
+        let row = |id: u32| Listed {
+            weight: weights[id as usize],
+            ..listed(id, ServerState::Ready, None)
+        };
         rig.play(&[Event::List(ListNews::Full((0..3).map(row).collect()))]);
     };
     let play = |rig: &mut Rig, count: usize| -> Vec<u32> {
@@ -697,9 +937,14 @@
     };
     list(&mut rig, [1.0, 2.0, 4.0]);
     let sent = play(&mut rig, 10_000);
-    let share = |id: u32| sent.iter().filter(|&&server| server == id).count() as f64 / sent.len() as f64;
+    let share =
+        |id: u32| sent.iter().filter(|&&server| server == id).count() as f64 / sent.len() as f64;
     for (id, wanted) in [(0, 1.0 / 7.0), (1, 2.0 / 7.0), (2, 4.0 / 7.0)] {
-        assert!((share(id) - wanted).abs() < 0.02 * wanted, "server {id} took {} of the turns", share(id));
+        assert!(
+            (share(id) - wanted).abs() < 0.02 * wanted,
+            "server {id} took {} of the turns",
+            share(id)
+        );
     }
     let longest = sent.chunk_by(|a, b| a == b).map(<[u32]>::len).max();
     assert_eq!(longest, Some(2), "the longest run of one replica");
@@ -716,7 +961,10 @@
 fn a_query_keeps_to_the_servers_of_its_list() {
     let mut rig = Rig::new(safe());
     let list = |rig: &mut Rig, generation: u64, ids: std::ops::Range<u32>| {
-        let row = |id| Listed { generation, ..listed(id, ServerState::Ready, None) };
+        let row = |id| Listed {
+            generation,
+            ..listed(id, ServerState::Ready, None)
+        };
         rig.play(&[Event::List(ListNews::Full(ids.map(row).collect()))])
     };
     list(&mut rig, 1, 0..3);
@@ -725,10 +973,19 @@
     // The next list holds one server of the old one and two new ones.
     list(&mut rig, 2, 2..5);
     let again = sends(&rig.after(0.01, &[done(parts[0], 0, Outcome::Reset)]));
-    assert!(again.is_empty() || again[0].1 == 2, "went to {again:?} after {first}");
+    assert!(
+        again.is_empty() || again[0].1 == 2,
+        "went to {again:?} after {first}"
+    );
     let (events, ..) = rig.query(0, &[0, 1, 2]);
-    let sent: Vec<u32> = sends(&rig.play(&events)).iter().map(|sent| sent.1).collect();
-    assert!(sent.iter().any(|&id| id > 2) && sent.iter().all(|&id| id >= 2), "a new query: {sent:?}");
+    let sent: Vec<u32> = sends(&rig.play(&events))
+        .iter()
+        .map(|sent| sent.1)
+        .collect();
+    assert!(
+        sent.iter().any(|&id| id > 2) && sent.iter().all(|&id| id >= 2),
+        "a new query: {sent:?}"
+    );
 }
 
 /// Guards against advice that outweighs a node's own answers, or lasts: what others doubt may be sound for this node.
@@ -744,34 +1001,68 @@
     };
     rig.play(&[Event::Advised(vec![ServerId(1), ServerId(99)])]);
     let sent: Vec<u32> = (0..12).map(|_| served(&mut rig)).collect();
-    assert!(!sent.contains(&1) && sent.contains(&0) && sent.contains(&2), "{sent:?}");
+    assert!(
+        !sent.contains(&1) && sent.contains(&0) && sent.contains(&2),
+        "{sent:?}"
+    );
     rig.now = rig.now + 6.0;
     let sent: Vec<u32> = (0..12).map(|_| served(&mut rig)).collect();
-    assert_eq!(sent.iter().filter(|&&server| server == 1).count(), 4, "old advice is none: {sent:?}");
+    assert_eq!(
+        sent.iter().filter(|&&server| server == 1).count(),
+        4,
+        "old advice is none: {sent:?}"
+    );
 }
 
 /// Guards against weights that were rounded on their way here and add up to less than 1, or more: what is asked is a share
 /// of what they add up to.
 #[test]
 fn rounded_weights_add_up_to_the_whole() {
-    let floored = Class { floor: 0.8, partial: 0.9, late_share: 0.3, ..class(Effect::Safe) };
+    let floored = Class {
+        floor: 0.8,
+        partial: 0.9,
+        late_share: 0.3,
+        ..class(Effect::Safe)
+    };
     let shards: Vec<u32> = (0..94).collect();
     for weight in [0.010638, 0.01063, 0.010639, 0.0107] {
         let mut rig = Rig::new(settings(vec![class(Effect::Safe), floored.clone()]));
         let (events, id, parts) = rig.weighted(0, &shards, weight);
-        assert_eq!(sends(&rig.play(&events)).len(), 94, "weights of {weight}: all are sent");
-        let but_one: Vec<Event> = parts[1..].iter().map(|&part| done(part, 0, Outcome::Ok)).collect();
-        assert!(!ended(&rig.after(0.02, &but_one), id), "weights of {weight}: one is not in");
+        assert_eq!(
+            sends(&rig.play(&events)).len(),
+            94,
+            "weights of {weight}: all are sent"
+        );
+        let but_one: Vec<Event> = parts[1..]
+            .iter()
+            .map(|&part| done(part, 0, Outcome::Ok))
+            .collect();
+        assert!(
+            !ended(&rig.after(0.02, &but_one), id),
+            "weights of {weight}: one is not in"
+        );
         let actions = rig.after(0.02, &[done(parts[0], 0, Outcome::Ok)]);
-        assert!(actions.contains(&Action::Answer { query: RequestId(id), whole: true }), "{actions:?}");
+        assert!(
+            actions.contains(&Action::Answer {
+                query: RequestId(id),
+                whole: true
+            }),
+            "{actions:?}"
+        );
         // 75 of 94 are under the floor, 76 are not.
         for (in_time, answered) in [(75, false), (76, true)] {
             let (events, id, parts) = rig.weighted(1, &shards, weight);
             rig.play(&events);
-            let some: Vec<Event> = parts[..in_time].iter().map(|&part| done(part, 0, Outcome::Ok)).collect();
+            let some: Vec<Event> = parts[..in_time]
+                .iter()
+                .map(|&part| done(part, 0, Outcome::Ok))
+                .collect();
             rig.after(0.02, &some);
             let actions = rig.after(0.97, &[Event::Wake]);
-            let partial = actions.contains(&Action::Answer { query: RequestId(id), whole: false });
+            let partial = actions.contains(&Action::Answer {
+                query: RequestId(id),
+                whole: false,
+            });
             assert_eq!(partial, answered, "weights of {weight}: {in_time} of 94");
             rig.after(3.0, &[Event::Wake]);
         }
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -63,20 +63,35 @@
     fn check(&mut self, action: Action) {
         let now = self.now;
         match action {
-            Action::Send { part: RequestId(id), server: ServerId(server), until } => {
-                assert!(!self.told_off.contains(&server), "drain rule: sent to {server}");
+            Action::Send {
+                part: RequestId(id),
+                server: ServerId(server),
+                until,
+            } => {
+                assert!(
+                    !self.told_off.contains(&server),
+                    "drain rule: sent to {server}"
+                );
                 let view = self.parts.get_mut(&id).expect("a send for an unknown part");
-                let query = self.queries.get(&view.query).expect("a send for a finished query");
+                let query = self
+                    .queries
+                    .get(&view.query)
+                    .expect("a send for a finished query");
                 assert!(!view.answered && until <= query.due && view.step == query.step);
                 let class = &self.settings.classes[query.class];
-                let ran = view
-                    .attempts
-                    .iter()
-                    .any(|(_, o)| !matches!(o, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)));
+                let ran = view.attempts.iter().any(|(_, o)| {
+                    !matches!(
+                        o,
+                        Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+                    )
+                });
                 match class.effect {
                     Effect::Safe => {}
                     Effect::Keyed => {
-                        assert!(!ran || view.first_risky.is_none_or(|at| now - at < class.window), "window")
+                        assert!(
+                            !ran || view.first_risky.is_none_or(|at| now - at < class.window),
+                            "window"
+                        )
                     }
                     Effect::Unsafe => assert!(!ran, "an unsafe part may run twice"),
                 }
@@ -84,7 +99,10 @@
                 if again {
                     if view.attempts.iter().any(|(_, o)| o.is_none()) {
                         assert!(self.settings.second_copies);
-                        assert!(view.attempts.iter().all(|(s, o)| o.is_some() || *s != server));
+                        assert!(view
+                            .attempts
+                            .iter()
+                            .all(|(s, o)| o.is_some() || *s != server));
                     }
                     self.further.push(now);
                 }
@@ -93,8 +111,9 @@
                 let attempt = view.attempts.len() as u8;
                 view.attempts.push((server, None));
                 if let Some(budget) = self.settings.budget.filter(|_| again) {
-                    let recent =
-                        |list: &[Time]| list.iter().filter(|&&at| now - at <= budget.window).count() as f64;
+                    let recent = |list: &[Time]| {
+                        list.iter().filter(|&&at| now - at <= budget.window).count() as f64
+                    };
                     let allowed = budget.free + budget.share * recent(&self.taken);
                     assert!(
                         recent(&self.further) <= allowed + 1e-9,
@@ -118,21 +137,37 @@
                     _ => (Outcome::Ok, 0.05 + self.dice.below(200) as f64 / 1000.0),
                 };
                 let end = now + late.max(0.001);
-                let (end, outcome) = if end > until { (until, Outcome::Timeout) } else { (end, outcome) };
+                let (end, outcome) = if end > until {
+                    (until, Outcome::Timeout)
+                } else {
+                    (end, outcome)
+                };
                 self.out.push((end, id, attempt, outcome));
             }
-            Action::Cancel { part: RequestId(id), attempt } => {
+            Action::Cancel {
+                part: RequestId(id),
+                attempt,
+            } => {
                 let view = &self.parts[&id];
                 assert!((attempt as usize) < view.attempts.len() && self.settings.cancel);
                 for out in self.out.iter_mut().filter(|o| o.1 == id && o.2 == attempt) {
                     (out.0, out.3) = (now, Outcome::Cancelled);
                 }
             }
-            Action::Answer { query: RequestId(id), whole } => {
-                let query = self.queries.get(&id).expect("an answer for a finished query");
+            Action::Answer {
+                query: RequestId(id),
+                whole,
+            } => {
+                let query = self
+                    .queries
+                    .get(&id)
+                    .expect("an answer for a finished query");
                 assert!(now <= query.due, "lost");
                 let class = &self.settings.classes[query.class];
-                let mine = self.parts.values().filter(|p| p.query == id && p.step == query.step);
+                let mine = self
+                    .parts
+                    .values()
+                    .filter(|p| p.query == id && p.step == query.step);
                 let (mut weight, mut count) = (0.0, 0);
                 for part in mine.filter(|p| p.answered) {
                     weight += part.weight;
@@ -140,9 +175,16 @@
                 }
                 let second = query.step == 2;
                 let need = if second { 1.0 } else { class.need };
-                let floor = if second && class.floor >= class.need { 1.0 } else { class.floor };
+                let floor = if second && class.floor >= class.need {
+                    1.0
+                } else {
+                    class.floor
+                };
                 assert!(weight + 1e-4 >= floor, "less than the floor");
-                assert!(!whole || weight + 1e-4 >= need && (!second || query.first_whole), "not whole");
+                assert!(
+                    !whole || weight + 1e-4 >= need && (!second || query.first_whole),
+                    "not whole"
+                );
                 self.answers += 1;
                 if class.fetch > 0 && !second {
                     let parts = class.fetch.min(count);
@@ -154,20 +196,40 @@
                     self.queries.remove(&id);
                 }
             }
-            Action::Refuse { query: RequestId(id), .. } => {
-                let query = self.queries.remove(&id).expect("a refusal of a finished query");
+            Action::Refuse {
+                query: RequestId(id),
+                ..
+            } => {
+                let query = self
+                    .queries
+                    .remove(&id)
+                    .expect("a refusal of a finished query");
                 assert!(now <= query.due, "lost");
                 if self.settings.classes[query.class].effect == Effect::Unsafe {
-                    let mut attempts =
-                        self.parts.values().filter(|p| p.query == id).flat_map(|p| &p.attempts);
+                    let mut attempts = self
+                        .parts
+                        .values()
+                        .filter(|p| p.query == id)
+                        .flat_map(|p| &p.attempts);
                     let proved = |o: &Option<Outcome>| {
-                        matches!(o, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot))
+                        matches!(
+                            o,
+                            Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+                        )
                     };
-                    assert!(attempts.all(|(_, o)| proved(o)), "an unsafe query was refused");
+                    assert!(
+                        attempts.all(|(_, o)| proved(o)),
+                        "an unsafe query was refused"
+                    );
                 }
             }
-            Action::Fail { query: RequestId(id) } => {
-                let query = self.queries.remove(&id).expect("a failure of a finished query");
+            Action::Fail {
+                query: RequestId(id),
+            } => {
+                let query = self
+                    .queries
+                    .remove(&id)
+                    .expect("a failure of a finished query");
                 assert!(now <= query.due, "lost");
             }
             Action::Wake(at) => {
@@ -182,19 +244,42 @@
         for _ in 0..count {
             self.next += 1;
             let (id, shard, weight) = (self.next, self.dice.below(6) as u32, 1.0 / count as f64);
-            let view =
-                PartView { query, weight, step, answered: false, first_risky: None, attempts: Vec::new() };
+            let view = PartView {
+                query,
+                weight,
+                step,
+                answered: false,
+                first_risky: None,
+                attempts: Vec::new(),
+            };
             self.parts.insert(id, view);
             self.taken.push(self.now);
-            self.events.push(Event::Part { id: RequestId(id), number, shard, weight });
+            self.events.push(Event::Part {
+                id: RequestId(id),
+                number,
+                shard,
+                weight,
+            });
         }
     }
 
     fn arrive(&mut self) {
         self.next += 1;
-        let (id, class) = (self.next, self.dice.below(self.settings.classes.len() as u64) as usize);
+        let (id, class) = (
+            self.next,
+            self.dice.below(self.settings.classes.len() as u64) as usize,
+        );
         let (number, due) = (id, self.now + (0.4 + self.dice.below(260) as f64 / 100.0));
-        self.queries.insert(id, QueryView { class, number, due, step: 1, first_whole: false });
+        self.queries.insert(
+            id,
+            QueryView {
+                class,
+                number,
+                due,
+                step: 1,
+                first_whole: false,
+            },
+        );
         self.taken.push(self.now);
         let id_typed = RequestId(id);
         self.events.push(Event::Query {
@@ -205,8 +290,11 @@
             work: self.dice.chance(0.1).then_some(f64::NAN),
             repeat: false,
         });
-        let parts =
-            if self.settings.classes[class].effect == Effect::Unsafe { 1 } else { 1 + self.dice.below(6) };
+        let parts = if self.settings.classes[class].effect == Effect::Unsafe {
+            1
+        } else {
+            1 + self.dice.below(6)
+        };
         self.add_parts(id, number, 1, parts);
     }
 
@@ -219,9 +307,17 @@
             view.attempts[attempt as usize].1 = Some(outcome);
             // An answer counts while its query's step still runs.
             view.answered |= outcome == Outcome::Ok;
-            self.events.push(Event::Done { id: RequestId(id), attempt, outcome });
+            self.events.push(Event::Done {
+                id: RequestId(id),
+                attempt,
+                outcome,
+            });
             if self.dice.chance(0.02) {
-                self.events.push(Event::Done { id: RequestId(id), attempt, outcome });
+                self.events.push(Event::Done {
+                    id: RequestId(id),
+                    attempt,
+                    outcome,
+                });
             }
         }
     }
@@ -232,7 +328,11 @@
             0 => listed(server, ServerState::Draining, None),
             1 => listed(server, ServerState::Gone, None),
             2 => listed(server, ServerState::Ready, Some(self.now)),
-            _ => listed(server, ServerState::Ready, self.cold.get(&server).map(|c| c.0)),
+            _ => listed(
+                server,
+                ServerState::Ready,
+                self.cold.get(&server).map(|c| c.0),
+            ),
         };
         match row.state {
             ServerState::Ready => self.told_off.remove(&server),
@@ -247,10 +347,22 @@
     fn noise(&mut self) {
         let id = RequestId(self.dice.below(self.next + 100_000));
         let report = vec![[f64::NAN, -1.0, 3.0, 60.0][self.dice.below(4) as usize]];
-        let outcome = if self.dice.chance(0.7) { Outcome::Ok } else { Outcome::Timeout };
+        let outcome = if self.dice.chance(0.7) {
+            Outcome::Ok
+        } else {
+            Outcome::Timeout
+        };
         self.events.push(match self.dice.below(6) {
-            4 | 5 => Event::Probed { server: ServerId(self.dice.below(9) as u32), outcome, report },
-            0 => Event::Done { id: RequestId(id.0 + 1_000_000), attempt: 200, outcome: Outcome::Ok },
+            4 | 5 => Event::Probed {
+                server: ServerId(self.dice.below(9) as u32),
+                outcome,
+                report,
+            },
+            0 => Event::Done {
+                id: RequestId(id.0 + 1_000_000),
+                attempt: 200,
+                outcome: Outcome::Ok,
+            },
             1 => Event::List(ListNews::Failed),
             2 => Event::List(ListNews::Full(Vec::new())),
             _ => Event::Part {
@@ -264,7 +376,12 @@
 
     /// Withdraws a query that is still open, now and then.
     fn withdraw(&mut self) {
-        if let Some(&id) = self.queries.keys().next().filter(|_| self.dice.chance(0.02)) {
+        if let Some(&id) = self
+            .queries
+            .keys()
+            .next()
+            .filter(|_| self.dice.chance(0.02))
+        {
             self.queries.remove(&id);
             self.events.push(Event::Withdrawn(RequestId(id)));
         }
@@ -274,7 +391,11 @@
 /// Plays one drawn deployment; returns how many answers and further attempts it saw.
 fn play(seed: u64) -> (u64, usize) {
     let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-    let mut classes = vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Keyed)];
+    let mut classes = vec![
+        class(Effect::Safe),
+        class(Effect::Unsafe),
+        class(Effect::Keyed),
+    ];
     classes[2].window = 0.7;
     classes[1].late_share = if dice.chance(0.5) { 0.3 } else { 0.0 };
     if dice.chance(0.5) {
@@ -289,7 +410,11 @@
     drawn.max_attempts = 1 + dice.below(4) as u32;
     drawn.probes = dice.chance(0.5).then_some(0);
     drawn.must_ask = dice.chance(0.5).then_some(10.0);
-    drawn.budget = dice.chance(0.5).then_some(AttemptBudget { free: 3.0, share: 0.1, window: 5.0 });
+    drawn.budget = dice.chance(0.5).then_some(AttemptBudget {
+        free: 3.0,
+        share: 0.1,
+        window: 5.0,
+    });
     let mut world = World {
         dice,
         settings: drawn.clone(),
@@ -308,7 +433,9 @@
         events: Vec::new(),
     };
     let mut aggregator = Aggregator::new(drawn, seed);
-    let rows = (0..8).map(|id| listed(id, ServerState::Ready, None)).collect();
+    let rows = (0..8)
+        .map(|id| listed(id, ServerState::Ready, None))
+        .collect();
     world.events.push(Event::List(ListNews::Cached(rows)));
     for _ in 0..6000 {
         world.now = world.now + 0.005;
@@ -344,15 +471,19 @@
         for query in world.queries.values() {
             assert!(now - query.due < 0.02, "a query was lost");
         }
-        world
-            .parts
-            .retain(|id, p| world.queries.contains_key(&p.query) || world.out.iter().any(|o| o.1 == *id));
+        world.parts.retain(|id, p| {
+            world.queries.contains_key(&p.query) || world.out.iter().any(|o| o.1 == *id)
+        });
     }
     // Fail-back: in no window may a server that just started get the stated multiple of what it can do. What a
     // warm one can do is not less than the most that any server took in such a window.
     let most = |sends: &Vec<Time>| {
-        let within =
-            |(at, &from): (usize, &Time)| sends[at..].iter().take_while(|&&to| to - from < 2.0).count();
+        let within = |(at, &from): (usize, &Time)| {
+            sends[at..]
+                .iter()
+                .take_while(|&&to| to - from < 2.0)
+                .count()
+        };
         sends.iter().enumerate().map(within).max().unwrap_or(0)
     };
     let warm = world.sent.values().map(most).max().unwrap_or(0) as f64;
@@ -360,8 +491,14 @@
         for (at, &from) in sends.iter().enumerate() {
             let age = from - *start;
             let ramp = (0.2 + 0.8 * (age + 1.0) / 10.0).min(1.0);
-            let count = sends[at..].iter().take_while(|&&to| to - from < 2.0).count() as f64;
-            assert!(age > 8.0 || count <= 2.0 * ramp * warm, "fail-back: {count} at age {age}");
+            let count = sends[at..]
+                .iter()
+                .take_while(|&&to| to - from < 2.0)
+                .count() as f64;
+            assert!(
+                age > 8.0 || count <= 2.0 * ramp * warm,
+                "fail-back: {count} at age {age}"
+            );
         }
     }
     (world.answers, world.further.len())
@@ -393,8 +530,11 @@
         (odd.cells, odd.reach, odd.warm_up, odd.fall_window) = (cells, u32::MAX, 0.0, f64::NAN);
         let mut aggregator = Aggregator::new(odd, 0);
         let mut actions = Vec::new();
-        let row =
-            Listed { cell: u32::MAX, size: f64::NAN, ..listed(9, ServerState::Ready, Some(Time(i64::MAX))) };
+        let row = Listed {
+            cell: u32::MAX,
+            size: f64::NAN,
+            ..listed(9, ServerState::Ready, Some(Time(i64::MAX)))
+        };
         let events = [
             Event::List(ListNews::Full(vec![row])),
             Event::Query {
@@ -405,7 +545,12 @@
                 work: None,
                 repeat: true,
             },
-            Event::Part { id: RequestId(2), number: 0, shard: u32::MAX, weight: f64::INFINITY },
+            Event::Part {
+                id: RequestId(2),
+                number: 0,
+                shard: u32::MAX,
+                weight: f64::INFINITY,
+            },
             Event::Query {
                 id: RequestId(3),
                 class: ClassId(99),
@@ -414,15 +559,27 @@
                 work: Some(f64::INFINITY),
                 repeat: true,
             },
-            Event::Part { id: RequestId(4), number: 1, shard: 0, weight: 1.0 },
-            Event::Done { id: RequestId(2), attempt: 0, outcome: Outcome::Ok },
+            Event::Part {
+                id: RequestId(4),
+                number: 1,
+                shard: 0,
+                weight: 1.0,
+            },
+            Event::Done {
+                id: RequestId(2),
+                attempt: 0,
+                outcome: Outcome::Ok,
+            },
             Event::Withdrawn(RequestId(77)),
         ];
         aggregator.handle(Time(0), &events, &mut actions);
         aggregator.handle(Time(i64::MAX), &[Event::Wake], &mut actions);
-        let ends = actions
-            .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. } | Action::Answer { .. }));
+        let ends = actions.iter().filter(|a| {
+            matches!(
+                a,
+                Action::Refuse { .. } | Action::Fail { .. } | Action::Answer { .. }
+            )
+        });
         assert_eq!(ends.count(), 2, "both queries ended, cells {cells}");
     }
 }
@@ -430,20 +587,48 @@
 #[test]
 fn a_clock_that_goes_back_is_answered_all_the_same() {
     let mut aggregator = Aggregator::new(settings(vec![class(Effect::Safe)]), 3);
-    let rows = (0..3).map(|id| listed(id, ServerState::Ready, None)).collect();
+    let rows = (0..3)
+        .map(|id| listed(id, ServerState::Ready, None))
+        .collect();
     let mut actions = Vec::new();
-    aggregator.handle(Time::from_secs(100.0), &[Event::List(ListNews::Full(rows))], &mut actions);
+    aggregator.handle(
+        Time::from_secs(100.0),
+        &[Event::List(ListNews::Full(rows))],
+        &mut actions,
+    );
     for (number, at) in [200.0, 150.0, -1e12, 1e12, 99.0].into_iter().enumerate() {
-        let (id, part) = (RequestId(number as u64 * 10), RequestId(number as u64 * 10 + 1));
+        let (id, part) = (
+            RequestId(number as u64 * 10),
+            RequestId(number as u64 * 10 + 1),
+        );
         let due = Time::from_secs(at) + 3.0;
         let number = number as u64;
-        let query = Event::Query { id, class: ClassId(0), number, due, work: None, repeat: false };
-        let events = [query, Event::Part { id: part, number, shard: 0, weight: 1.0 }];
+        let query = Event::Query {
+            id,
+            class: ClassId(0),
+            number,
+            due,
+            work: None,
+            repeat: false,
+        };
+        let events = [
+            query,
+            Event::Part {
+                id: part,
+                number,
+                shard: 0,
+                weight: 1.0,
+            },
+        ];
         actions.clear();
         aggregator.handle(Time::from_secs(at), &events, &mut actions);
         aggregator.handle(
             Time::from_secs(at) + 0.1,
-            &[Event::Done { id: part, attempt: 0, outcome: Outcome::Ok }],
+            &[Event::Done {
+                id: part,
+                attempt: 0,
+                outcome: Outcome::Ok,
+            }],
             &mut actions,
         );
         assert!(common::ended(&actions, id.0), "at {at}: {actions:?}");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -127,22 +127,33 @@
 impl Deployment {
     /// The place of a class that may be asked for. A place whose class is gone has no name.
     pub fn place(&self, name: &str) -> Option<usize> {
-        self.class_names.iter().position(|other| other == name && !name.is_empty())
+        self.class_names
+            .iter()
+            .position(|other| other == name && !name.is_empty())
     }
 
     /// The shortest aim of the classes that may be asked for, in seconds.
     pub fn shortest_aim(&self) -> f64 {
-        self.offered().map(|(.., class)| class.aim).reduce(f64::min).unwrap_or(1.0)
+        self.offered()
+            .map(|(.., class)| class.aim)
+            .reduce(f64::min)
+            .unwrap_or(1.0)
     }
 
     /// The longest deadline of the classes that may be asked for, in seconds.
     pub fn longest_deadline(&self) -> f64 {
-        self.offered().map(|(.., class)| class.deadline).fold(0.0, f64::max)
+        self.offered()
+            .map(|(.., class)| class.deadline)
+            .fold(0.0, f64::max)
     }
 
     /// The classes that may be asked for, with their places and names.
     pub fn offered(&self) -> impl Iterator<Item = (usize, &str, &Class)> {
-        let rows = self.class_names.iter().zip(&self.policy.classes).enumerate();
+        let rows = self
+            .class_names
+            .iter()
+            .zip(&self.policy.classes)
+            .enumerate();
         rows.map(|(place, (name, class))| (place, name.as_str(), class))
             .filter(|(_, name, _)| !name.is_empty())
     }
@@ -151,32 +162,49 @@
 /// Reads the settings; the error names what is missing or wrong.
 pub fn parse(text: &[u8]) -> Result<Deployment, Fault> {
     let mut reader = serde_json::Deserializer::from_slice(text);
-    let wire: Wire = serde_path_to_error::deserialize(&mut reader)
-        .map_err(|e| Fault::Form { key: e.path().to_string(), cause: e.inner().to_string() })?;
+    let wire: Wire = serde_path_to_error::deserialize(&mut reader).map_err(|e| Fault::Form {
+        key: e.path().to_string(),
+        cause: e.inner().to_string(),
+    })?;
     let positive = [
         ("tickS", wire.tick_s),
         ("caps.dialTimeoutS", wire.caps.dial_timeout_s),
         ("caps.keepaliveS", wire.caps.keepalive_s),
         ("extra.positions", f64::from(wire.extra.positions)),
     ];
-    if let Some((key, value)) = positive.into_iter().find(|(_, value)| !(value.is_finite() && *value > 0.0)) {
-        return Err(Fault::NotPositive { key: key.into(), value });
+    if let Some((key, value)) = positive
+        .into_iter()
+        .find(|(_, value)| !(value.is_finite() && *value > 0.0))
+    {
+        return Err(Fault::NotPositive {
+            key: key.into(),
+            value,
+        });
     }
     if wire.classes.is_empty() {
         return Err(Fault::NoClasses);
     }
     if wire.caps.attempts_cap == 0 {
-        return Err(Fault::NotPositive { key: "caps.attemptsCap".into(), value: 0.0 });
+        return Err(Fault::NotPositive {
+            key: "caps.attemptsCap".into(),
+            value: 0.0,
+        });
     }
     for (at, class) in wire.classes.iter().enumerate() {
         for (key, value) in [("aimS", class.aim_s), ("deadlineS", class.deadline_s)] {
             if !(value.is_finite() && value > 0.0) {
-                return Err(Fault::NotPositive { key: format!("classes[{at}].{key}"), value });
+                return Err(Fault::NotPositive {
+                    key: format!("classes[{at}].{key}"),
+                    value,
+                });
             }
         }
         let same = |other: &WireClass| other.name == class.name && !class.name.is_empty();
         if wire.classes[..at].iter().any(same) {
-            return Err(Fault::Twice { at, name: class.name.clone() });
+            return Err(Fault::Twice {
+                at,
+                name: class.name.clone(),
+            });
         }
     }
     let extra = &wire.extra;
@@ -193,20 +221,40 @@
                 "deduplicated" => Effect::Keyed,
                 "at_most_once" => Effect::Unsafe,
                 other => {
-                    return Err(Fault::Unknown { key: format!("classes[{at}].effect"), word: other.into() })
+                    return Err(Fault::Unknown {
+                        key: format!("classes[{at}].effect"),
+                        word: other.into(),
+                    })
                 }
             },
             window: class.dedup_window_s.unwrap_or(0.0),
-            need: *extra.need_by_class.get(at).ok_or_else(|| lacks("needByClass"))?,
+            need: *extra
+                .need_by_class
+                .get(at)
+                .ok_or_else(|| lacks("needByClass"))?,
             floor: *extra.min_share.get(at).ok_or_else(|| lacks("minShare"))?,
-            partial: *extra.partial_earns.get(at).ok_or_else(|| lacks("partialEarns"))?,
-            fetch: *extra.fetch_parts.get(at).ok_or_else(|| lacks("fetchParts"))?,
+            partial: *extra
+                .partial_earns
+                .get(at)
+                .ok_or_else(|| lacks("partialEarns"))?,
+            fetch: *extra
+                .fetch_parts
+                .get(at)
+                .ok_or_else(|| lacks("fetchParts"))?,
         })
     });
     let (caps, safety) = (&wire.caps, &wire.safety);
     let budget = match (safety.budget_free, safety.resend_ratio, safety.look_back_s) {
-        (free, Some(share), Some(window)) => Some(AttemptBudget { free: free.unwrap_or(0.0), share, window }),
-        (Some(free), None, Some(window)) => Some(AttemptBudget { free, share: 0.0, window }),
+        (free, Some(share), Some(window)) => Some(AttemptBudget {
+            free: free.unwrap_or(0.0),
+            share,
+            window,
+        }),
+        (Some(free), None, Some(window)) => Some(AttemptBudget {
+            free,
+            share: 0.0,
+            window,
+        }),
         _ => None,
     };
     let policy = Settings {
@@ -218,7 +266,9 @@
         tick: wire.tick_s,
         max_attempts: caps.attempts_cap,
         probes: match &wire.report {
-            Some(report) if caps.probes == Some(true) => report.names.iter().position(|n| n == "inflight"),
+            Some(report) if caps.probes == Some(true) => {
+                report.names.iter().position(|n| n == "inflight")
+            }
             _ => None,
         },
         cancel: caps.cancel,
@@ -226,8 +276,15 @@
         retry_after: caps.max_retry_after_s.filter(|_| caps.retry_after),
         must_ask: match wire.registry_mode.as_str() {
             "pushed" => None,
-            "on_request" => Some(safety.must_ask_in_s.ok_or(Fault::Missing { key: "safety.mustAskInS" })?),
-            other => return Err(Fault::Unknown { key: "registryMode".into(), word: other.into() }),
+            "on_request" => Some(safety.must_ask_in_s.ok_or(Fault::Missing {
+                key: "safety.mustAskInS",
+            })?),
+            other => {
+                return Err(Fault::Unknown {
+                    key: "registryMode".into(),
+                    word: other.into(),
+                })
+            }
         },
         drain_grace: safety.stop_sending_within_s,
         cold_from: safety.cold_from,
@@ -238,14 +295,21 @@
     };
     Ok(Deployment {
         policy,
-        class_names: wire.classes.iter().map(|class| class.name.clone()).collect(),
+        class_names: wire
+            .classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect(),
         report_names: wire.report.map(|report| report.names).unwrap_or_default(),
         shards: extra.shards,
         open_cap: caps.open_cap,
         dial_timeout: caps.dial_timeout_s,
         keepalive: caps.keepalive_s,
         streams: caps.streams_per_conn.max(1),
-        longest_advice: caps.max_retry_after_s.filter(|s| s.is_finite() && *s > 0.0).unwrap_or(1.0),
+        longest_advice: caps
+            .max_retry_after_s
+            .filter(|s| s.is_finite() && *s > 0.0)
+            .unwrap_or(1.0),
     })
 }
 
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -12,31 +12,58 @@
 fn settings_are_read_and_unknown_keys_ignored() {
     let settings = parse(TEXT.as_bytes()).unwrap().policy;
     assert_eq!(settings.classes[0].effect, Effect::Keyed);
-    assert_eq!((settings.classes[0].floor, settings.classes[0].fetch), (0.5, 3));
-    assert_eq!((settings.must_ask, settings.retry_after), (Some(10.0), None));
+    assert_eq!(
+        (settings.classes[0].floor, settings.classes[0].fetch),
+        (0.5, 3)
+    );
+    assert_eq!(
+        (settings.must_ask, settings.retry_after),
+        (Some(10.0), None)
+    );
     assert_eq!(settings.budget.unwrap().window, 10.0);
 }
 
 #[test]
 fn what_is_wrong_is_named() {
-    assert!(parse(b"{").unwrap_err().to_string().starts_with("settings: "));
+    assert!(parse(b"{")
+        .unwrap_err()
+        .to_string()
+        .starts_with("settings: "));
     for key in ["aimS", "tickS", "positions", "coldFrom", "attemptsCap"] {
         let text = TEXT.replace(&format!("\"{key}\""), "\"other\"");
-        assert!(parse(text.as_bytes()).unwrap_err().to_string().contains(key), "{key}");
+        assert!(
+            parse(text.as_bytes())
+                .unwrap_err()
+                .to_string()
+                .contains(key),
+            "{key}"
+        );
     }
     for (key, sound) in [("aimS", "1.0"), ("deadlineS", "3.0"), ("attemptsCap", "3")] {
         for wrong in ["0", "-5"] {
-            let text = TEXT.replace(&format!("\"{key}\": {sound}"), &format!("\"{key}\": {wrong}"));
+            let text = TEXT.replace(
+                &format!("\"{key}\": {sound}"),
+                &format!("\"{key}\": {wrong}"),
+            );
             assert_ne!(text, TEXT);
             assert!(parse(text.as_bytes()).is_err(), "{key} {wrong}");
         }
     }
     let text = TEXT.replace("deduplicated", "sometimes");
-    assert!(parse(text.as_bytes()).unwrap_err().to_string().contains("'sometimes'"));
+    assert!(parse(text.as_bytes())
+        .unwrap_err()
+        .to_string()
+        .contains("'sometimes'"));
     let text = TEXT.replace("\"aimS\": 1.0", "\"aimS\": \"soon\"");
-    assert!(parse(text.as_bytes()).unwrap_err().to_string().starts_with("settings: classes[0].aimS: "));
+    assert!(parse(text.as_bytes())
+        .unwrap_err()
+        .to_string()
+        .starts_with("settings: classes[0].aimS: "));
     let text = TEXT.replace("[0.75]", "[]");
-    assert!(parse(text.as_bytes()).unwrap_err().to_string().contains("needByClass"));
+    assert!(parse(text.as_bytes())
+        .unwrap_err()
+        .to_string()
+        .contains("needByClass"));
 }
 
 #[test]
@@ -44,7 +71,11 @@
     assert_eq!(parse(TEXT.as_bytes()).unwrap().policy.probes, None);
     let names = r#""report": {"how": "pull", "names": ["util", "inflight"]}, "unheardOf""#;
     let told = TEXT.replace("\"unheardOf\"", names);
-    assert_eq!(parse(told.as_bytes()).unwrap().policy.probes, None, "not without leave");
+    assert_eq!(
+        parse(told.as_bytes()).unwrap().policy.probes,
+        None,
+        "not without leave"
+    );
     let allowed = told.replace("\"cancel\": true", "\"cancel\": true, \"probes\": true");
     assert_eq!(parse(allowed.as_bytes()).unwrap().policy.probes, Some(1));
 }
--- a/crates/simulator-host/src/frame.rs
+++ b/crates/simulator-host/src/frame.rs
@@ -19,12 +19,30 @@
 
 /// One record of a batch.
 pub enum Record {
-    Provision { instance: u16, seed: u64, setup: Vec<u8> },
-    Retire { instance: u16 },
-    Page { buffer: u8, rows: Vec<Listed> },
-    Sync { instance: u16, form: u8, buffer: u8 },
-    Event { instance: u16, event: Event },
-    Ignored { instance: u16 },
+    Provision {
+        instance: u16,
+        seed: u64,
+        setup: Vec<u8>,
+    },
+    Retire {
+        instance: u16,
+    },
+    Page {
+        buffer: u8,
+        rows: Vec<Listed>,
+    },
+    Sync {
+        instance: u16,
+        form: u8,
+        buffer: u8,
+    },
+    Event {
+        instance: u16,
+        event: Event,
+    },
+    Ignored {
+        instance: u16,
+    },
 }
 
 /// Reads one frame's header and body; `None` at a clean end of input.
@@ -42,7 +60,10 @@
     }
     let length = u64::from(u32::from_le_bytes([head[4], head[5], head[6], head[7]]));
     let mut body = head[..4].to_vec();
-    let read = input.take(length).read_to_end(&mut body).map_err(|e| format!("standard input: {e}"))?;
+    let read = input
+        .take(length)
+        .read_to_end(&mut body)
+        .map_err(|e| format!("standard input: {e}"))?;
     if (read as u64) < length {
         return Err(format!("truncated frame: {read} of {length} bytes"));
     }
@@ -55,7 +76,10 @@
 impl<'a> Fields<'a> {
     fn take(&mut self, n: usize) -> Result<&'a [u8], String> {
         if self.0.len() < n {
-            return Err(format!("truncated: {n} bytes wanted, {} left", self.0.len()));
+            return Err(format!(
+                "truncated: {n} bytes wanted, {} left",
+                self.0.len()
+            ));
         }
         let (head, rest) = self.0.split_at(n);
         self.0 = rest;
@@ -100,7 +124,8 @@
             let record = (|| {
                 let code = fields.u8()?;
                 let length = fields.u32()? as usize;
-                parse_record(code, Fields(fields.take(length)?)).map_err(|e| format!("code {code}: {e}"))
+                parse_record(code, Fields(fields.take(length)?))
+                    .map_err(|e| format!("code {code}: {e}"))
             })();
             records.push(record.map_err(|e| format!("record {at}, {e}"))?);
         }
@@ -125,12 +150,20 @@
         1 => {
             let seed = f.u64()?;
             let length = f.u32()? as usize;
-            return Ok(Record::Provision { instance, seed, setup: f.take(length)?.to_vec() });
+            return Ok(Record::Provision {
+                instance,
+                seed,
+                setup: f.take(length)?.to_vec(),
+            });
         }
         2 => {
             let form = f.u8()?;
             let _stamp = f.u64()?;
-            return Ok(Record::Sync { instance, form, buffer: f.u8()? });
+            return Ok(Record::Sync {
+                instance,
+                form,
+                buffer: f.u8()?,
+            });
         }
         3 => parse_request(&mut f)?,
         4 | 9 => return Ok(Record::Ignored { instance }),
@@ -140,14 +173,22 @@
             let _final = f.u8()?;
             let _server = f.u32()?;
             let _duration = f.f64()?;
-            Event::Done { id, attempt: f.u8()?, outcome }
+            Event::Done {
+                id,
+                attempt: f.u8()?,
+                outcome,
+            }
         }
         8 => {
             let server = ServerId(f.u32()?);
             let _duration = f.f64()?;
             let outcome = outcome(f.u8()?)?;
             let report = (0..f.u8()?).map(|_| f.f32()).collect::<Result<_, _>>()?;
-            Event::Probed { server, outcome, report }
+            Event::Probed {
+                server,
+                outcome,
+                report,
+            }
         }
         6 => Event::Withdrawn(RequestId(f.u64()?)),
         7 => Event::Wake,
@@ -169,9 +210,21 @@
     let _tenant = f.u32()?;
     let number = f.f32()? as u64;
     Ok(if shard < 0.0 {
-        Event::Query { id, class, number, due, work, repeat: flags & REPEAT != 0 }
+        Event::Query {
+            id,
+            class,
+            number,
+            due,
+            work,
+            repeat: flags & REPEAT != 0,
+        }
     } else {
-        Event::Part { id, number, shard: shard as u32, weight }
+        Event::Part {
+            id,
+            number,
+            shard: shard as u32,
+            weight,
+        }
     })
 }
 
@@ -189,7 +242,16 @@
     let size = f.f32()?;
     let ready_at = f.f64()?;
     let ready_at = (ready_at != 0.0).then(|| Time::from_secs(ready_at));
-    Ok(Listed { server, cell, zone, state, size, weight: 1.0, generation: 0, ready_at })
+    Ok(Listed {
+        server,
+        cell,
+        zone,
+        state,
+        size,
+        weight: 1.0,
+        generation: 0,
+        ready_at,
+    })
 }
 
 fn outcome(code: u8) -> Result<Outcome, String> {
@@ -230,7 +292,11 @@
         let mut fields = instance.to_le_bytes().to_vec();
         let mut put = |bytes: &[u8]| fields.extend_from_slice(bytes);
         let code = match action {
-            Action::Send { part, server, until } => {
+            Action::Send {
+                part,
+                server,
+                until,
+            } => {
                 put(&part.0.to_le_bytes());
                 put(&server.0.to_le_bytes());
                 put(&until.secs().to_le_bytes());
@@ -270,7 +336,8 @@
             }
         };
         self.records.push(code);
-        self.records.extend_from_slice(&(fields.len() as u32).to_le_bytes());
+        self.records
+            .extend_from_slice(&(fields.len() as u32).to_le_bytes());
         self.records.extend_from_slice(&fields);
         self.count += 1;
     }
--- a/crates/simulator-host/src/frame/tests.rs
+++ b/crates/simulator-host/src/frame/tests.rs
@@ -2,7 +2,10 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits.chunks(2).map(|c| u8::from_str_radix(std::str::from_utf8(c).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|c| u8::from_str_radix(std::str::from_utf8(c).unwrap(), 16).unwrap())
+        .collect()
 }
 
 /// A hand-worked batch: clock 1.5 s; a part of shard 2 for instance 3, its outcome, a wake.
@@ -26,8 +29,14 @@
             _ => panic!("an event of instance 3 was expected"),
         })
         .collect();
-    assert_eq!(events[0], "Part { id: RequestId(5), number: 8, shard: 2, weight: 0.5 }");
-    assert_eq!(events[1], "Done { id: RequestId(5), attempt: 1, outcome: Full }");
+    assert_eq!(
+        events[0],
+        "Part { id: RequestId(5), number: 8, shard: 2, weight: 0.5 }"
+    );
+    assert_eq!(
+        events[1],
+        "Done { id: RequestId(5), attempt: 1, outcome: Full }"
+    );
     assert_eq!(events[2], "Wake");
 }
 
@@ -36,23 +45,51 @@
     let whole = bytes(BATCH);
     assert!(read(&mut &whole[..0]).unwrap().is_none());
     for cut in 1..whole.len() {
-        assert!(read(&mut &whole[..cut]).unwrap_err().contains("truncated"), "cut at {cut}");
+        assert!(
+            read(&mut &whole[..cut]).unwrap_err().contains("truncated"),
+            "cut at {cut}"
+        );
     }
     let mut body = read(&mut &whole[..]).unwrap().unwrap();
     body[12] = 99;
-    assert_eq!(Batch::parse(&body).err().unwrap(), "record 0, code 99: unknown event");
+    assert_eq!(
+        Batch::parse(&body).err().unwrap(),
+        "record 0, code 99: unknown event"
+    );
     body[12] = 3;
     body.truncate(40);
-    assert!(Batch::parse(&body).err().unwrap().starts_with("record 0, truncated"));
+    assert!(Batch::parse(&body)
+        .err()
+        .unwrap()
+        .starts_with("record 0, truncated"));
 }
 
 #[test]
 fn actions_have_the_bytes_of_the_page() {
     let mut reply = Reply::default();
     let until = Time::from_secs(1.5);
-    reply.push(3, &Action::Send { part: RequestId(5), server: ServerId(7), until });
-    reply.push(3, &Action::Answer { query: RequestId(4), whole: true });
-    reply.push(3, &Action::Refuse { query: RequestId(4), retry_after: Some(0.5) });
+    reply.push(
+        3,
+        &Action::Send {
+            part: RequestId(5),
+            server: ServerId(7),
+            until,
+        },
+    );
+    reply.push(
+        3,
+        &Action::Answer {
+            query: RequestId(4),
+            whole: true,
+        },
+    );
+    reply.push(
+        3,
+        &Action::Refuse {
+            query: RequestId(4),
+            retry_after: Some(0.5),
+        },
+    );
     let wanted = "46000000 03000000
         01 16000000 0300 0500000000000000 07000000 000000000000f83f
         0d 0b000000 0300 0400000000000000 01
@@ -63,9 +100,14 @@
 #[test]
 fn a_list_row_is_read_and_absent_times_are_none() {
     let page = bytes("02 01000000 0900000001000004000300008 03f0000000000000000");
-    let Record::Page { buffer: 2, rows } = parse_record(11, Fields(&page)).unwrap() else { panic!() };
+    let Record::Page { buffer: 2, rows } = parse_record(11, Fields(&page)).unwrap() else {
+        panic!()
+    };
     assert_eq!(rows[0].server, ServerId(9));
-    assert_eq!((rows[0].cell, rows[0].state, rows[0].ready_at), (4, ServerState::Draining, None));
+    assert_eq!(
+        (rows[0].cell, rows[0].state, rows[0].ready_at),
+        (4, ServerState::Draining, None)
+    );
     assert!(list_news(3, None).is_none() && list_news(9, Some(rows)).is_none());
 }
 
@@ -73,9 +115,24 @@
 fn probes_are_asked_for_and_their_reports_read() {
     let mut reply = Reply::default();
     reply.push(3, &Action::Probe(ServerId(7)));
-    assert_eq!(reply.finish(), bytes("0f000000 01000000 06 06000000 0300 07000000"));
+    assert_eq!(
+        reply.finish(),
+        bytes("0f000000 01000000 06 06000000 0300 07000000")
+    );
     let health = bytes("0300 07000000 000000000000e03f 01 02 0000e040 0000003f");
-    let Record::Event { instance: 3, event } = parse_record(8, Fields(&health)).unwrap() else { panic!() };
-    let Event::Probed { server, outcome, report } = event else { panic!("{event:?}") };
-    assert_eq!((server, outcome, report), (ServerId(7), Outcome::Ok, vec![7.0, 0.5]));
+    let Record::Event { instance: 3, event } = parse_record(8, Fields(&health)).unwrap() else {
+        panic!()
+    };
+    let Event::Probed {
+        server,
+        outcome,
+        report,
+    } = event
+    else {
+        panic!("{event:?}")
+    };
+    assert_eq!(
+        (server, outcome, report),
+        (ServerId(7), Outcome::Ok, vec![7.0, 0.5])
+    );
 }
--- a/crates/simulator-host/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -22,10 +22,15 @@
         let mut inbox: BTreeMap<u16, Vec<Event>> = BTreeMap::new();
         for (at, record) in batch.records.into_iter().enumerate() {
             match record {
-                Record::Provision { instance, seed, setup } => {
+                Record::Provision {
+                    instance,
+                    seed,
+                    setup,
+                } => {
                     let settings = cairnroad_settings::parse(&setup)
                         .map_err(|e| format!("record {at}, provision: {e}"))?;
-                    self.instances.insert(instance, Aggregator::new(settings.policy, seed));
+                    self.instances
+                        .insert(instance, Aggregator::new(settings.policy, seed));
                     inbox.insert(instance, Vec::new());
                 }
                 Record::Retire { instance } => {
@@ -35,7 +40,11 @@
                 Record::Page { buffer, rows } => {
                     self.pages.insert(buffer, rows);
                 }
-                Record::Sync { instance, form, buffer } => {
+                Record::Sync {
+                    instance,
+                    form,
+                    buffer,
+                } => {
                     let rows = self.pages.get(&buffer).cloned();
                     let news = frame::list_news(form, rows).ok_or_else(|| {
                         format!("record {at}, sync: form {form} or page {buffer} is unknown")
@@ -52,7 +61,9 @@
         let mut actions: Vec<Action> = Vec::new();
         for (instance, events) in inbox {
             let Some(aggregator) = self.instances.get_mut(&instance) else {
-                return Err(format!("event for instance {instance}, which was never provisioned"));
+                return Err(format!(
+                    "event for instance {instance}, which was never provisioned"
+                ));
             };
             actions.clear();
             aggregator.handle(Time::from_secs(batch.now), &events, &mut actions);
@@ -70,7 +81,9 @@
     let mut number = 0u64;
     while let Some(body) = frame::read(&mut input).map_err(|e| format!("batch {number}: {e}"))? {
         let batch = Batch::parse(&body).map_err(|e| format!("batch {number}: {e}"))?;
-        let reply = host.turn(batch).map_err(|e| format!("batch {number}: {e}"))?;
+        let reply = host
+            .turn(batch)
+            .map_err(|e| format!("batch {number}: {e}"))?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
@@ -81,7 +94,10 @@
 }
 
 fn main() -> ExitCode {
-    match run(BufReader::new(io::stdin().lock()), BufWriter::new(io::stdout().lock())) {
+    match run(
+        BufReader::new(io::stdin().lock()),
+        BufWriter::new(io::stdout().lock()),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
             eprintln!("cairnroad-simulator-host: {text}");
--- a/crates/testbed/src/chaos/check.rs
+++ b/crates/testbed/src/chaos/check.rs
@@ -80,7 +80,12 @@
         }
         let reached = |of: usize| {
             let heard = self.alive[of] && !self.stopped[of] && !self.muted[of];
-            of == by || (heard && self.cuts.iter().all(|side| side.contains(&of) == side.contains(&by)))
+            of == by
+                || (heard
+                    && self
+                        .cuts
+                        .iter()
+                        .all(|side| side.contains(&of) == side.contains(&by)))
         };
         Some((0..self.alive.len()).filter(|of| reached(*of)).collect())
     }
@@ -99,7 +104,10 @@
 
     /// Requests without a final answer, though their coordinator lived and ran.
     fn unanswered(&self) -> impl Iterator<Item = String> + '_ {
-        let lost = self.asked.iter().filter(|asked| matches!(asked.end, End::Silent | End::Cut));
+        let lost = self
+            .asked
+            .iter()
+            .filter(|asked| matches!(asked.end, End::Silent | End::Cut));
         lost.filter(|asked| !self.was_struck(asked)).map(|asked| {
             format!(
                 "query {} at coordinator {}, {:.2} to {:.2} s: no final answer ({:?})",
@@ -110,10 +118,18 @@
 
     /// Whether more answers came late than a busy machine explains.
     fn late(&self) -> Option<String> {
-        let late =
-            self.asked.iter().filter(|asked| asked.end == End::Late && !self.was_struck(asked)).count();
+        let late = self
+            .asked
+            .iter()
+            .filter(|asked| asked.end == End::Late && !self.was_struck(asked))
+            .count();
         let many = late as f64 > LATE_SHARE * self.asked.len() as f64;
-        many.then(|| format!("{late} of {} answers came after their clients' time", self.asked.len()))
+        many.then(|| {
+            format!(
+                "{late} of {} answers came after their clients' time",
+                self.asked.len()
+            )
+        })
     }
 
     /// Whether the coordinator was killed, or stopped, while it had the request.
@@ -166,7 +182,9 @@
             if sight.at < since + settled {
                 continue;
             }
-            let Some(expected) = world.expected(sight.by) else { continue };
+            let Some(expected) = world.expected(sight.by) else {
+                continue;
+            };
             if sight.there != expected {
                 let missing: Vec<_> = expected.difference(&sight.there).collect();
                 let surplus: Vec<_> = sight.there.difference(&expected).collect();
--- a/crates/testbed/src/chaos/mod.rs
+++ b/crates/testbed/src/chaos/mod.rs
@@ -55,7 +55,8 @@
 
 /// Plays a scenario's file and prints what it showed. Whether nothing was wrong.
 pub async fn run(path: &Path, keep: Option<&Path>, other: Option<PathBuf>) -> Result<bool, String> {
-    let scenario = scenario::load(path).map_err(|fault| format!("{fault}\nhelp: {}", fault.help()))?;
+    let scenario =
+        scenario::load(path).map_err(|fault| format!("{fault}\nhelp: {}", fault.help()))?;
     let folder = match keep {
         Some(folder) => folder.to_path_buf(),
         None => std::env::temp_dir().join(format!("cairnroad-chaos-{}", std::process::id())),
@@ -74,8 +75,13 @@
 }
 
 /// Plays a scenario; logs and settings of its processes stand in `folder`.
-pub async fn play(scenario: Scenario, folder: &Path, other: Option<PathBuf>) -> Result<Outcome, String> {
-    let node = json!({"cores": 2, "cold_from": 0.25, "warm_s": 10.0, "fall_multiple": 1e9, "fall_s": 1.0});
+pub async fn play(
+    scenario: Scenario,
+    folder: &Path,
+    other: Option<PathBuf>,
+) -> Result<Outcome, String> {
+    let node =
+        json!({"cores": 2, "cold_from": 0.25, "warm_s": 10.0, "fall_multiple": 1e9, "fall_s": 1.0});
     let spec = json!({"nodes": scenario.nodes, "cells": scenario.nodes.min(6), "shards": SHARDS, "work_ms": [2.0, 2.0],
         "node": node});
     let spec: FleetSpec = serde_json::from_value(spec).map_err(|e| e.to_string())?;
@@ -84,19 +90,32 @@
     let net = Net::new(scenario.seed);
     let own = "[log]\nlevel = \"info\"\n".to_string();
     let program = other.map_or_else(program, Ok)?;
-    let plan = Plan { program, folder: folder.to_path_buf(), cells, shards: SHARDS, own };
+    let plan = Plan {
+        program,
+        folder: folder.to_path_buf(),
+        cells,
+        shards: SHARDS,
+        own,
+    };
     let io = |e: std::io::Error| e.to_string();
     let mut ways = Vec::new();
     let mut addresses = Vec::new();
     for member in 0..scenario.coordinators {
         let mut nodes = Vec::new();
         for server in &fleet.servers {
-            nodes.push(net.connections(member, server.index, server.address).await.map_err(io)?);
+            nodes.push(
+                net.connections(member, server.index, server.address)
+                    .await
+                    .map_err(io)?,
+            );
         }
         ways.push(nodes);
         addresses.push(net.datagrams(member).await.map_err(io)?);
     }
-    let history = RefCell::new(History { coordinators: scenario.coordinators, ..History::default() });
+    let history = RefCell::new(History {
+        coordinators: scenario.coordinators,
+        ..History::default()
+    });
     let run = Rc::new(Run {
         scenario,
         fleet,
@@ -111,12 +130,16 @@
     });
     for member in 0..run.scenario.coordinators {
         run.list(member)?;
-        run.plan.settle(member, &run.group(&addresses, member)).map_err(|e| e.to_string())?;
+        run.plan
+            .settle(member, &run.group(&addresses, member))
+            .map_err(|e| e.to_string())?;
     }
     let members: Vec<usize> = (0..run.scenario.coordinators).collect();
     for some in members.chunks(AT_ONCE) {
-        let starts: Vec<_> =
-            some.iter().map(|&member| tokio::task::spawn_local(run.clone().start(member))).collect();
+        let starts: Vec<_> = some
+            .iter()
+            .map(|&member| tokio::task::spawn_local(run.clone().start(member)))
+            .collect();
         for start in starts {
             let _ = start.await;
         }
@@ -135,7 +158,11 @@
         if !self.scenario.peers {
             return String::new();
         }
-        let seeds: Vec<String> = addresses.iter().take(SEEDS).map(|seed| format!("\"{seed}\"")).collect();
+        let seeds: Vec<String> = addresses
+            .iter()
+            .take(SEEDS)
+            .map(|seed| format!("\"{seed}\""))
+            .collect();
         format!(
             "[peers]\nenabled = true\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\ncluster = \"lab\"\nroom = \"r{}\"\n\
              group = [\"n[0-{}]\"]\nseeds = [{}]\n",
@@ -150,15 +177,19 @@
     fn list(&self, member: usize) -> Result<(), String> {
         let removed = self.removed.borrow();
         let mut text = format!("generation = {}\nallow_shrink = true\n", 1 + removed.len());
-        for (node, address) in
-            self.ways[member].iter().enumerate().filter(|(node, _)| !removed.contains(node))
+        for (node, address) in self.ways[member]
+            .iter()
+            .enumerate()
+            .filter(|(node, _)| !removed.contains(node))
         {
             let cell = node % self.plan.cells as usize;
             text.push_str(&format!(
                 "[[server]]\nid = \"d-{node}\"\naddress = \"{address}\"\ncell = {cell}\nstarted = 2000-01-01T00:00:00Z\n"
             ));
         }
-        self.plan.list(member, &(text + "# end\n")).map_err(|e| e.to_string())
+        self.plan
+            .list(member, &(text + "# end\n"))
+            .map_err(|e| e.to_string())
     }
 
     async fn start(self: Rc<Self>, member: usize) {
@@ -167,7 +198,9 @@
                 if let Some(address) = process.places.peers {
                     self.net.place(member, address);
                 }
-                self.fronts.borrow_mut().insert(member, process.places.front);
+                self.fronts
+                    .borrow_mut()
+                    .insert(member, process.places.front);
                 self.processes.borrow_mut().insert(member, process);
             }
             Err(fault) => self.errors.borrow_mut().push(fault.to_string()),
@@ -197,8 +230,12 @@
         let idle: Idle = Rc::default();
         for due in arrivals(&load, SHARDS, self.scenario.seed) {
             tokio::time::sleep_until(start + Duration::from_secs_f64(due.at)).await;
-            let fronts: Vec<(usize, SocketAddr)> =
-                self.fronts.borrow().iter().map(|(member, front)| (*member, *front)).collect();
+            let fronts: Vec<(usize, SocketAddr)> = self
+                .fronts
+                .borrow()
+                .iter()
+                .map(|(member, front)| (*member, *front))
+                .collect();
             if fronts.is_empty() {
                 continue;
             }
@@ -241,13 +278,23 @@
                 let run = self.clone();
                 tokio::task::spawn_local(async move {
                     let at = run.now() - begun;
-                    let Some(view) = process::view(door).await else { return };
+                    let Some(view) = process::view(door).await else {
+                        return;
+                    };
                     let there = view["members"].as_array().into_iter().flatten();
+                    let there = there.filter(|member| {
+                        matches!(member["state"].as_str(), Some("alive" | "suspected"))
+                    });
+                    let number =
+                        |name: &serde_json::Value| name.as_str()?.strip_prefix('n')?.parse().ok();
                     let there = there
-                        .filter(|member| matches!(member["state"].as_str(), Some("alive" | "suspected")));
-                    let number = |name: &serde_json::Value| name.as_str()?.strip_prefix('n')?.parse().ok();
-                    let there = there.filter_map(|member| number(&member["name"])).chain([by]).collect();
-                    run.history.borrow_mut().sights.push(Sight { at, by, there });
+                        .filter_map(|member| number(&member["name"]))
+                        .chain([by])
+                        .collect();
+                    run.history
+                        .borrow_mut()
+                        .sights
+                        .push(Sight { at, by, there });
                 });
             }
         }
@@ -258,16 +305,28 @@
         self.history.borrow_mut().faults.push((at, fault.clone()));
         let each = |act: &dyn Fn(&Process)| {
             let processes = self.processes.borrow();
-            fault.members().iter().filter_map(|member| processes.get(member)).for_each(act);
+            fault
+                .members()
+                .iter()
+                .filter_map(|member| processes.get(member))
+                .for_each(act);
         };
         match &fault {
             Fault::Cut { members, nodes } => {
                 let members = members.iter().map(|member| Party::Member(*member));
-                self.net.cut(members.chain(nodes.iter().map(|node| Party::Node(*node))).collect());
+                self.net.cut(
+                    members
+                        .chain(nodes.iter().map(|node| Party::Node(*node)))
+                        .collect(),
+                );
             }
             Fault::Mute { members } => self.net.mute(members),
             Fault::Heal => self.net.heal(),
-            Fault::Loss { loss, twice, delay_ms } => self.net.lose(*loss, *twice, *delay_ms),
+            Fault::Loss {
+                loss,
+                twice,
+                delay_ms,
+            } => self.net.lose(*loss, *twice, *delay_ms),
             Fault::Reset { members } => members.iter().for_each(|member| self.net.reset(*member)),
             Fault::Stop { .. } => each(&|process| process.signal("STOP")),
             Fault::Resume { .. } => each(&|process| process.signal("CONT")),
@@ -300,7 +359,12 @@
                 }
                 // From the last start on the views have to be right again.
                 let at = self.now() - begun;
-                self.history.borrow_mut().faults.push((at, Fault::Start { members: members.clone() }));
+                self.history.borrow_mut().faults.push((
+                    at,
+                    Fault::Start {
+                        members: members.clone(),
+                    },
+                ));
             }
             Fault::Remove { nodes } => {
                 self.removed.borrow_mut().extend(nodes);
@@ -312,7 +376,9 @@
                 // Files are looked at within a quarter of a second.
                 let told = self.fleet.now() + 0.25;
                 let mut ledger = self.fleet.ledger.borrow_mut();
-                ledger.removed.extend(nodes.iter().map(|node| (*node, told)));
+                ledger
+                    .removed
+                    .extend(nodes.iter().map(|node| (*node, told)));
             }
             Fault::Lie { nodes } => {
                 for &node in nodes {
@@ -332,14 +398,30 @@
         history.faults.sort_by(|a, b| a.0.total_cmp(&b.0));
         history.ledger = self.fleet.ledger.borrow().broken(&ONCE);
         let violations = history.violations(self.scenario.settled_s);
-        let ends = |end| history.asked.iter().filter(|asked| asked.end == end).count();
+        let ends = |end| {
+            history
+                .asked
+                .iter()
+                .filter(|asked| asked.end == end)
+                .count()
+        };
         let sent = self.net.sent.borrow();
-        let (datagrams, bytes) = sent.values().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        let per = |total: u64| total as f64 / self.scenario.span / self.scenario.coordinators as f64;
+        let (datagrams, bytes) = sent
+            .values()
+            .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+        let per =
+            |total: u64| total as f64 / self.scenario.span / self.scenario.coordinators as f64;
         let round = |figure: f64| (figure * 10.0).round() / 10.0;
-        let usage: Vec<(f64, f64)> = self.processes.borrow().values().filter_map(Process::usage).collect();
+        let usage: Vec<(f64, f64)> = self
+            .processes
+            .borrow()
+            .values()
+            .filter_map(Process::usage)
+            .collect();
         let many = usage.len().max(1) as f64;
-        let (cpu, memory) = usage.iter().fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+        let (cpu, memory) = usage
+            .iter()
+            .fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         use crate::load::End;
         let figures = json!({
             "coordinators": self.scenario.coordinators, "nodes": self.scenario.nodes, "span_s": self.scenario.span,
@@ -349,18 +431,25 @@
             "looks": history.sights.len(), "datagrams_a_member_s": round(per(datagrams)),
             "bytes_a_member_s": round(per(bytes)), "detection_s": self.detection(&history),
         });
-        Ok(Outcome { violations, figures })
+        Ok(Outcome {
+            violations,
+            figures,
+        })
     }
 
     /// How long after a kill each survivor first saw it: the median, the 99th percentile and the most, in seconds.
     fn detection(&self, history: &History) -> Option<[f64; 3]> {
         let mut took = Vec::new();
         for (at, fault) in &history.faults {
-            let Fault::Kill { members } = fault else { continue };
+            let Fault::Kill { members } = fault else {
+                continue;
+            };
             for &of in members {
                 let mut first: BTreeMap<usize, f64> = BTreeMap::new();
-                for sight in
-                    history.sights.iter().filter(|sight| sight.at > *at && !sight.there.contains(&of))
+                for sight in history
+                    .sights
+                    .iter()
+                    .filter(|sight| sight.at > *at && !sight.there.contains(&of))
                 {
                     let seen = first.entry(sight.by).or_insert(sight.at);
                     *seen = seen.min(sight.at);
@@ -369,8 +458,9 @@
             }
         }
         took.sort_by(f64::total_cmp);
-        let at =
-            |share: f64| took.get(((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1)));
+        let at = |share: f64| {
+            took.get(((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1)))
+        };
         Some([*at(0.5)?, *at(0.99)?, *took.last()?].map(|secs| (secs * 100.0).round() / 100.0))
     }
 }
--- a/crates/testbed/src/chaos/net.rs
+++ b/crates/testbed/src/chaos/net.rs
@@ -85,13 +85,19 @@
 
     /// A member takes its datagrams here from now on.
     pub fn place(&self, member: usize, address: SocketAddr) {
-        self.members.borrow_mut().retain(|_, other| *other != member);
+        self.members
+            .borrow_mut()
+            .retain(|_, other| *other != member);
         self.members.borrow_mut().insert(address, member);
         self.targets.borrow_mut().insert(member, address);
     }
 
     fn is_cut(&self, from: Party, to: Party) -> bool {
-        self.ways.borrow().cuts.iter().any(|side| side.contains(&from) != side.contains(&to))
+        self.ways
+            .borrow()
+            .cuts
+            .iter()
+            .any(|side| side.contains(&from) != side.contains(&to))
     }
 
     /// The address at which others reach a member; its datagrams pass from there to where it is.
@@ -102,8 +108,12 @@
         tokio::task::spawn_local(async move {
             let mut buffer = vec![0; 2_048];
             loop {
-                let Ok((bytes, source)) = socket.recv_from(&mut buffer).await else { continue };
-                let Some(from) = net.members.borrow().get(&source).copied() else { continue };
+                let Ok((bytes, source)) = socket.recv_from(&mut buffer).await else {
+                    continue;
+                };
+                let Some(from) = net.members.borrow().get(&source).copied() else {
+                    continue;
+                };
                 let sent = &mut *net.sent.borrow_mut();
                 let sent = sent.entry(from).or_default();
                 *sent = (sent.0 + 1, sent.1 + bytes as u64);
@@ -114,10 +124,14 @@
     }
 
     fn pass(self: &Rc<Self>, socket: &Rc<UdpSocket>, from: usize, to: usize, bytes: &[u8]) {
-        if self.is_cut(Party::Member(from), Party::Member(to)) || self.ways.borrow().muted.contains(&from) {
+        if self.is_cut(Party::Member(from), Party::Member(to))
+            || self.ways.borrow().muted.contains(&from)
+        {
             return;
         }
-        let Some(target) = self.targets.borrow().get(&to).copied() else { return };
+        let Some(target) = self.targets.borrow().get(&to).copied() else {
+            return;
+        };
         let (loss, twice, [least, most]) = {
             let ways = self.ways.borrow();
             (ways.loss, ways.twice, ways.delay_ms)
@@ -126,7 +140,10 @@
         for _ in 0..copies {
             let (lost, late) = {
                 let mut rng = self.rng.borrow_mut();
-                (rng.random::<f64>() < loss, least + (most - least).max(0.0) * rng.random::<f64>())
+                (
+                    rng.random::<f64>() < loss,
+                    least + (most - least).max(0.0) * rng.random::<f64>(),
+                )
             };
             if lost {
                 continue;
@@ -153,12 +170,19 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let net = self.clone();
-        let resets = net.resets.borrow_mut().entry(member).or_insert_with(|| watch::channel(0).0).clone();
+        let resets = net
+            .resets
+            .borrow_mut()
+            .entry(member)
+            .or_insert_with(|| watch::channel(0).0)
+            .clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (net, mut reset) = (net.clone(), resets.subscribe());
                 tokio::task::spawn_local(async move {
-                    let Ok(beyond) = TcpStream::connect(target).await else { return };
+                    let Ok(beyond) = TcpStream::connect(target).await else {
+                        return;
+                    };
                     let _ = (stream.set_nodelay(true), beyond.set_nodelay(true));
                     let (member, node) = (Party::Member(member), Party::Node(node));
                     let (mut from, mut to) = stream.into_split();
--- a/crates/testbed/src/chaos/process.rs
+++ b/crates/testbed/src/chaos/process.rs
@@ -23,7 +23,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("{path}: {cause}")]
-    Spawn { path: PathBuf, cause: std::io::Error },
+    Spawn {
+        path: PathBuf,
+        cause: std::io::Error,
+    },
     #[error("{0}")]
     File(String),
     #[error("coordinator {index} ended at its start:\n{said}")]
@@ -33,7 +36,10 @@
     #[error("coordinator {index} did not end {} s after it was told to", ENDS.as_secs())]
     Lingers { index: usize },
     #[error("coordinator {index} ended with {status}, told to stop")]
-    Crashed { index: usize, status: std::process::ExitStatus },
+    Crashed {
+        index: usize,
+        status: std::process::ExitStatus,
+    },
 }
 
 /// What all coordinators of a run share.
@@ -70,7 +76,10 @@
     /// Writes a coordinator's list of data nodes.
     pub fn list(&self, index: usize, roster: &str) -> Result<(), Error> {
         let folder = self.folder(index);
-        std::fs::create_dir_all(&folder).map_err(|cause| Error::Spawn { path: folder.clone(), cause })?;
+        std::fs::create_dir_all(&folder).map_err(|cause| Error::Spawn {
+            path: folder.clone(),
+            cause,
+        })?;
         write(&folder.join("servers.toml"), roster).map_err(Error::File)
     }
 
@@ -114,21 +123,31 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|cause| Error::Spawn { path: self.program.clone(), cause })?;
+            .map_err(|cause| Error::Spawn {
+                path: self.program.clone(),
+                cause,
+            })?;
         let mut said = String::new();
-        let begun = tokio::time::timeout(BEGINS, begin(&mut child, &folder, grouped, &mut said)).await;
+        let begun =
+            tokio::time::timeout(BEGINS, begin(&mut child, &folder, grouped, &mut said)).await;
         let places = match begun {
             Ok(Some(places)) => places,
             Ok(None) => return Err(Error::Ended { index, said }),
             Err(_) => return Err(Error::NotReady { index, said }),
         };
-        let process = Process { index, child, places };
+        let process = Process {
+            index,
+            child,
+            places,
+        };
         let ready = async {
             while !matches!(get(places.front, "/_health").await, Some((200, _))) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(BEGINS, ready).await.map_err(|_| Error::NotReady { index, said })?;
+        tokio::time::timeout(BEGINS, ready)
+            .await
+            .map_err(|_| Error::NotReady { index, said })?;
         Ok(process)
     }
 }
@@ -158,7 +177,11 @@
         said.push_str(&line);
         said.push('\n');
     }
-    let mut log = std::fs::File::options().create(true).append(true).open(folder.join("log.txt")).ok()?;
+    let mut log = std::fs::File::options()
+        .create(true)
+        .append(true)
+        .open(folder.join("log.txt"))
+        .ok()?;
     let kept = said.clone();
     tokio::task::spawn_local(async move {
         use std::io::Write;
@@ -167,7 +190,11 @@
             let _ = writeln!(log, "{line}");
         }
     });
-    Some(Places { front: front?, door: door?, peers })
+    Some(Places {
+        front: front?,
+        door: door?,
+        peers,
+    })
 }
 
 /// The status and body of a `GET`.
@@ -187,7 +214,9 @@
 /// What a coordinator says of its group.
 pub async fn view(door: SocketAddr) -> Option<serde_json::Value> {
     let (status, body) = get(door, "/v1/peers").await?;
-    (status == 200).then(|| serde_json::from_str(&body).ok()).flatten()
+    (status == 200)
+        .then(|| serde_json::from_str(&body).ok())
+        .flatten()
 }
 
 impl Process {
@@ -199,7 +228,9 @@
         let words: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks = words.get(11)?.parse::<f64>().ok()? + words.get(12)?.parse::<f64>().ok()?;
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
-        let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+        let resident = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))?;
         let kilobytes: f64 = resident.split_whitespace().next()?.parse().ok()?;
         Some((ticks / TICKS_A_SECOND, kilobytes / 1024.0))
     }
@@ -207,7 +238,10 @@
     /// Sends it a signal by name.
     pub fn signal(&self, name: &str) {
         if let Some(id) = self.child.id() {
-            let _ = std::process::Command::new("kill").arg(format!("-{name}")).arg(id.to_string()).status();
+            let _ = std::process::Command::new("kill")
+                .arg(format!("-{name}"))
+                .arg(id.to_string())
+                .status();
         }
     }
 
--- a/crates/testbed/src/chaos/scenario.rs
+++ b/crates/testbed/src/chaos/scenario.rs
@@ -103,16 +103,27 @@
     #[error("{path}: {cause}")]
     File { path: String, cause: std::io::Error },
     #[error("{path}:{line}: {cause}")]
-    Form { path: String, line: usize, cause: String },
+    Form {
+        path: String,
+        line: usize,
+        cause: String,
+    },
     #[error("{path}:{line}: '{key}': {cause}")]
-    Key { path: String, line: usize, key: &'static str, cause: String },
+    Key {
+        path: String,
+        line: usize,
+        key: &'static str,
+        cause: String,
+    },
 }
 
 impl Error {
     /// What can be done.
     pub fn help(&self) -> &'static str {
         match self {
-            Error::File { .. } => "name a scenario's file, such as crates/testbed/scenarios/twelve.toml",
+            Error::File { .. } => {
+                "name a scenario's file, such as crates/testbed/scenarios/twelve.toml"
+            }
             Error::Form { .. } => "see docs/LAB.md for the keys of a scenario",
             Error::Key { .. } => "see docs/LAB.md for the kinds of fault and their keys",
         }
@@ -154,7 +165,10 @@
 /// Reads a scenario's file.
 pub fn load(path: &Path) -> Result<Scenario, Error> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|cause| Error::File { path: name.clone(), cause })?;
+    let text = std::fs::read_to_string(path).map_err(|cause| Error::File {
+        path: name.clone(),
+        cause,
+    })?;
     read(&name, &text)
 }
 
@@ -175,37 +189,55 @@
     let (coordinators, nodes) = (*file.coordinators.get_ref(), *file.nodes.get_ref());
     for (name, value) in [("coordinators", &file.coordinators), ("nodes", &file.nodes)] {
         if !(1..=500).contains(value.get_ref()) {
-            return Err(key(name, value.span(), format!("{} is not from 1 to 500", value.get_ref())));
+            return Err(key(
+                name,
+                value.span(),
+                format!("{} is not from 1 to 500", value.get_ref()),
+            ));
         }
     }
     for (name, value) in [("rate", &file.rate), ("span", &file.span)] {
         if !(value.get_ref().is_finite() && *value.get_ref() > 0.0) {
-            return Err(key(name, value.span(), format!("{} is not above 0", value.get_ref())));
+            return Err(key(
+                name,
+                value.span(),
+                format!("{} is not above 0", value.get_ref()),
+            ));
         }
     }
     let mut faults = Vec::new();
     for fault in file.fault {
         let at = *fault.at.get_ref();
         if !(0.0..*file.span.get_ref()).contains(&at) {
-            return Err(key("at", fault.at.span(), format!("{at} is not within the span")));
+            return Err(key(
+                "at",
+                fault.at.span(),
+                format!("{at} is not within the span"),
+            ));
         }
         let known = |name, list: &Option<Spanned<Vec<usize>>>, count: usize| match list {
             None => Ok(Vec::new()),
             Some(list) => match list.get_ref().iter().find(|number| **number >= count) {
-                Some(number) => {
-                    Err(key(name, list.span(), format!("there is no {number}: they count from 0")))
-                }
+                Some(number) => Err(key(
+                    name,
+                    list.span(),
+                    format!("there is no {number}: they count from 0"),
+                )),
                 None => Ok(list.get_ref().clone()),
             },
         };
-        let (members, nodes) =
-            (known("members", &fault.members, coordinators)?, known("nodes", &fault.nodes, nodes)?);
+        let (members, nodes) = (
+            known("members", &fault.members, coordinators)?,
+            known("nodes", &fault.nodes, nodes)?,
+        );
         let share = |name, share: &Option<Spanned<f64>>| match share {
             None => Ok(0.0),
             Some(share) if (0.0..1.0).contains(share.get_ref()) => Ok(*share.get_ref()),
-            Some(share) => {
-                Err(key(name, share.span(), format!("{} is not from 0 to under 1", share.get_ref())))
-            }
+            Some(share) => Err(key(
+                name,
+                share.span(),
+                format!("{} is not from 0 to under 1", share.get_ref()),
+            )),
         };
         let kind = match fault.kind.get_ref().as_str() {
             "cut" => Fault::Cut { members, nodes },
@@ -225,7 +257,13 @@
             "reload" => Fault::Reload { members },
             "remove" => Fault::Remove { nodes },
             "lie" => Fault::Lie { nodes },
-            other => return Err(key("kind", fault.kind.span(), format!("'{other}' is no kind of fault"))),
+            other => {
+                return Err(key(
+                    "kind",
+                    fault.kind.span(),
+                    format!("'{other}' is no kind of fault"),
+                ))
+            }
         };
         faults.push((at, kind));
     }
