--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -42,19 +42,33 @@
         program.display()
     );
     let limit = if seconds > 0.0 { seconds } else { 3600.0 };
-    let load = Load { rate: 20.0, span: limit, burst: Vec::new(), query_front: 0.3, retries: 1 };
+    let load = Load {
+        rate: 20.0,
+        span: limit,
+        burst: Vec::new(),
+        query_front: 0.3,
+        retries: 1,
+    };
     let ended: Rc<RefCell<Vec<Ended>>> = Rc::default();
     let dues = arrivals(&load, fleet.spec.shards, 1);
-    let playing =
-        tokio::task::spawn_local(play(dues, coordinator.fronts, Instant::now(), load.retries, ended.clone()));
+    let playing = tokio::task::spawn_local(play(
+        dues,
+        coordinator.fronts,
+        Instant::now(),
+        load.retries,
+        ended.clone(),
+    ));
     let lines = async {
         let mut last = 0;
         loop {
             tokio::time::sleep(EVERY).await;
             let now = ended.borrow();
             let recent = &now[last..];
-            let mut took: Vec<f64> =
-                recent.iter().filter(|one| one.end == End::Served).map(|one| one.took * 1000.0).collect();
+            let mut took: Vec<f64> = recent
+                .iter()
+                .filter(|one| one.end == End::Served)
+                .map(|one| one.took * 1000.0)
+                .collect();
             took.sort_by(f64::total_cmp);
             let at = |share: f64| {
                 took.get(((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1)))
@@ -82,7 +96,9 @@
     playing.abort();
     coordinator.stop().await;
     let broken = fleet.ledger.borrow().broken(&crate::load::ONCE);
-    broken.iter().for_each(|broken| println!("broken: {broken}"));
+    broken
+        .iter()
+        .for_each(|broken| println!("broken: {broken}"));
     let _ = std::fs::remove_dir_all(&folder);
     Ok(broken.is_empty())
 }
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -109,16 +109,25 @@
 /// Reads and plays it; whether no rule was broken.
 pub async fn run(path: &Path, out: &Path) -> Result<bool, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let experiment: Experiment = toml::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let experiment: Experiment =
+        toml::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     if experiment.variant.is_empty() || experiment.repeats == 0 {
-        return Err(format!("{}: a [[variant]] and a repeat at least are needed", path.display()));
+        return Err(format!(
+            "{}: a [[variant]] and a repeat at least are needed",
+            path.display()
+        ));
     }
     std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
     let mut runs = Vec::new();
     for repeat in 0..experiment.repeats {
         for variant in &experiment.variant {
-            let run =
-                one(&experiment, variant, repeat, &out.join(format!("{}-{repeat}", variant.name))).await?;
+            let run = one(
+                &experiment,
+                variant,
+                repeat,
+                &out.join(format!("{}-{repeat}", variant.name)),
+            )
+            .await?;
             println!(
                 "{:16} repeat {repeat}: service {:.3} ({} {:.3}, {} {:.3}), p50 {:.0} ms, p99 {:.0} ms, {:.2} parts a query, {} rules broken",
                 run.variant, run.service, CLASSES[0], run.by_class[0], CLASSES[1], run.by_class[1], run.p50, run.p99, run.attempts, run.broken.len()
@@ -130,7 +139,10 @@
         }
     }
     let of = |name: &str| -> Vec<f64> {
-        runs.iter().filter(|run| run.variant == name).map(|run| run.service).collect()
+        runs.iter()
+            .filter(|run| run.variant == name)
+            .map(|run| run.service)
+            .collect()
     };
     let first = of(&experiment.variant[0].name);
     let mut summary = Summary {
@@ -141,7 +153,9 @@
     };
     for (at, variant) in experiment.variant.iter().enumerate() {
         let own = of(&variant.name);
-        summary.service.extend(mean(&own).map(|estimate| (variant.name.clone(), estimate)));
+        summary
+            .service
+            .extend(mean(&own).map(|estimate| (variant.name.clone(), estimate)));
         if at > 0 {
             summary
                 .differences
@@ -150,13 +164,21 @@
     }
     summary.runs = runs;
     for (name, estimate) in &summary.differences {
-        println!("{}", report::sentence(&experiment.variant[0].name, name, estimate));
+        println!(
+            "{}",
+            report::sentence(&experiment.variant[0].name, name, estimate)
+        );
     }
     report::write(&experiment, &summary, out)?;
     Ok(summary.runs.iter().all(|run| run.broken.is_empty()))
 }
 
-async fn one(experiment: &Experiment, variant: &Variant, repeat: u64, folder: &Path) -> Result<Run, String> {
+async fn one(
+    experiment: &Experiment,
+    variant: &Variant,
+    repeat: u64,
+    folder: &Path,
+) -> Result<Run, String> {
     let seed = experiment.seed + repeat;
     let fleet = Fleet::start(experiment.fleet.clone(), seed).await?;
     let program = match &variant.program {
@@ -165,7 +187,8 @@
     };
     let nodes: Vec<usize> = (0..experiment.fleet.nodes).collect();
     let list = roster(&fleet, 1, &nodes, &[], &[]);
-    let coordinator = Coordinator::start(&program, &fleet, folder, &list, &variant.own, None).await?;
+    let coordinator =
+        Coordinator::start(&program, &fleet, folder, &list, &variant.own, None).await?;
     let start = Instant::now() + Duration::from_millis(200);
     for fault in experiment.fault.clone() {
         let fleet = fleet.clone();
@@ -187,9 +210,15 @@
     let dues = arrivals(&experiment.load, experiment.fleet.shards, seed);
     let coordinator = Rc::new(RefCell::new(Some(coordinator)));
     for (number, change) in variant.roster.clone().into_iter().enumerate() {
-        let (fleet, coordinator, program, own) =
-            (fleet.clone(), coordinator.clone(), program.clone(), variant.own.clone());
-        let before = variant.roster[..number].last().map_or(experiment.fleet.nodes, |change| change.nodes);
+        let (fleet, coordinator, program, own) = (
+            fleet.clone(),
+            coordinator.clone(),
+            program.clone(),
+            variant.own.clone(),
+        );
+        let before = variant.roster[..number]
+            .last()
+            .map_or(experiment.fleet.nodes, |change| change.nodes);
         let folder = folder.to_path_buf();
         tokio::task::spawn_local(async move {
             tokio::time::sleep_until(start + Duration::from_secs_f64(change.at)).await;
@@ -198,12 +227,17 @@
             fresh.iter().for_each(|&node| fleet.cold(node));
             let list = roster(&fleet, number as u64 + 2, &nodes, &fresh, &change.weights);
             let written = write(&folder.join("servers.toml"), &list);
-            let running = if change.restart { coordinator.take() } else { None };
+            let running = if change.restart {
+                coordinator.take()
+            } else {
+                None
+            };
             let restarted = match running {
                 Some(running) => {
                     let on = running.fronts;
                     running.stop().await;
-                    let fresh = Coordinator::start(&program, &fleet, &folder, &list, &own, Some(on)).await;
+                    let fresh =
+                        Coordinator::start(&program, &fleet, &folder, &list, &own, Some(on)).await;
                     fresh.map(|fresh| drop(coordinator.replace(Some(fresh))))
                 }
                 None => Ok(()),
@@ -212,10 +246,18 @@
                 eprintln!("roster: {cause}");
             }
             let now = fleet.now();
-            fleet.ledger.borrow_mut().removed.extend((change.nodes..before).map(|node| (node, now)));
+            fleet
+                .ledger
+                .borrow_mut()
+                .removed
+                .extend((change.nodes..before).map(|node| (node, now)));
         });
     }
-    let fronts = coordinator.borrow().as_ref().map(|c| c.fronts).ok_or("no coordinator")?;
+    let fronts = coordinator
+        .borrow()
+        .as_ref()
+        .map(|c| c.fronts)
+        .ok_or("no coordinator")?;
     play(dues, fronts, start, experiment.load.retries, ended.clone()).await;
     if let Some(coordinator) = coordinator.take() {
         coordinator.stop().await;
@@ -229,7 +271,14 @@
             "{silent} queries had no answer, half a second after their clients' time at the latest"
         ));
     }
-    Ok(result(variant, repeat, experiment.load.span, &ended, &fleet, broken))
+    Ok(result(
+        variant,
+        repeat,
+        experiment.load.span,
+        &ended,
+        &fleet,
+        broken,
+    ))
 }
 
 fn result(
@@ -255,7 +304,10 @@
             seen.saturating_record((one.took * 1e6) as u64);
         }
     }
-    let quantile = |at: f64| seen.as_ref().map_or(0.0, |seen| seen.value_at_quantile(at) as f64 / 1000.0);
+    let quantile = |at: f64| {
+        seen.as_ref()
+            .map_or(0.0, |seen| seen.value_at_quantile(at) as f64 / 1000.0)
+    };
     let count = |end: End| ended.iter().filter(|one| one.end == end).count();
     let second = |class: usize| -> Vec<f64> {
         let of = |at: usize| service(&|one: &&Ended| one.class == class && one.due as usize == at);
@@ -266,7 +318,10 @@
         repeat,
         queries: ended.len(),
         service: service(&|_| true),
-        by_class: [service(&|one| one.class == 0), service(&|one| one.class == 1)],
+        by_class: [
+            service(&|one| one.class == 0),
+            service(&|one| one.class == 1),
+        ],
         ends: [
             count(End::Served),
             count(End::Refused),
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -72,8 +72,13 @@
 }
 
 enum Reply {
-    Frame { to: mpsc::UnboundedSender<Vec<u8>>, id: String },
-    Search { to: mpsc::UnboundedSender<Vec<u8>> },
+    Frame {
+        to: mpsc::UnboundedSender<Vec<u8>>,
+        id: String,
+    },
+    Search {
+        to: mpsc::UnboundedSender<Vec<u8>>,
+    },
 }
 
 struct Waiting {
@@ -111,25 +116,36 @@
     pub async fn start(spec: FleetSpec, seed: u64) -> Result<Rc<Fleet>, String> {
         if spec.cells == 0 || spec.shards == 0 || spec.nodes < spec.cells as usize {
             return Err(
-                "fleet: 'cells' and 'shards' must be above 0, and 'nodes' no fewer than 'cells'".into()
+                "fleet: 'cells' and 'shards' must be above 0, and 'nodes' no fewer than 'cells'"
+                    .into(),
             );
         }
         if !matches!(spec.wire.as_str(), "frames" | "opensearch") {
-            return Err(format!("fleet.wire: '{}' is neither frames nor opensearch", spec.wire));
+            return Err(format!(
+                "fleet.wire: '{}' is neither frames nor opensearch",
+                spec.wire
+            ));
         }
         let work = |mean_ms: f64| {
             let sigma = (1.0 + spec.spread * spec.spread).ln().sqrt();
             let mean = (mean_ms / 1000.0).max(1e-6);
-            LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma).map_err(|e| format!("fleet.spread: {e}"))
+            LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma)
+                .map_err(|e| format!("fleet.spread: {e}"))
         };
         let work = [work(spec.work_ms[0])?, work(spec.work_ms[1])?];
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
         for index in 0..spec.nodes + spec.spare {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
+            let listener = TcpListener::bind("127.0.0.1:0")
+                .await
+                .map_err(|e| e.to_string())?;
             let address = listener.local_addr().map_err(|e| e.to_string())?;
             // Spare nodes are started cold when a roster takes them in.
-            let started = if index < spec.nodes { f64::NEG_INFINITY } else { 0.0 };
+            let started = if index < spec.nodes {
+                f64::NEG_INFINITY
+            } else {
+                0.0
+            };
             servers.push(Rc::new(Server {
                 index,
                 address,
@@ -144,8 +160,14 @@
             listeners.push(listener);
         }
         let rng = RefCell::new(StdRng::seed_from_u64(seed));
-        let fleet =
-            Rc::new(Fleet { spec, servers, ledger: RefCell::default(), start: Instant::now(), rng, work });
+        let fleet = Rc::new(Fleet {
+            spec,
+            servers,
+            ledger: RefCell::default(),
+            start: Instant::now(),
+            rng,
+            work,
+        });
         for (server, listener) in fleet.servers.iter().zip(listeners) {
             fleet.clone().listen(server.clone(), listener);
             tokio::task::spawn_local(fleet.clone().work_off(server.clone()));
@@ -179,7 +201,11 @@
 
     /// Changes what a node does.
     pub async fn set(self: &Rc<Self>, index: usize, mood: Mood) -> Result<(), String> {
-        let server = self.servers.get(index).ok_or(format!("there is no node {index}"))?.clone();
+        let server = self
+            .servers
+            .get(index)
+            .ok_or(format!("there is no node {index}"))?
+            .clone();
         let before = server.mood.replace(mood);
         if mood == Mood::Dead {
             if let Some(task) = server.listening.take() {
@@ -189,9 +215,12 @@
             server.waiting.borrow_mut().clear();
         } else if before == Mood::Dead {
             // It comes back on its old address, cold.
-            server.node.replace(Node::new(self.spec.node.clone(), self.now()));
-            let listener =
-                TcpListener::bind(server.address).await.map_err(|e| format!("node {index}: {e}"))?;
+            server
+                .node
+                .replace(Node::new(self.spec.node.clone(), self.now()));
+            let listener = TcpListener::bind(server.address)
+                .await
+                .map_err(|e| format!("node {index}: {e}"))?;
             self.clone().listen(server, listener);
         }
         Ok(())
@@ -200,7 +229,9 @@
     /// A node starts now, cold.
     pub fn cold(&self, index: usize) {
         if let Some(server) = self.servers.get(index) {
-            server.node.replace(Node::new(self.spec.node.clone(), self.now()));
+            server
+                .node
+                .replace(Node::new(self.spec.node.clone(), self.now()));
         }
     }
 
@@ -235,9 +266,12 @@
         let (queue, latency) = server.node.borrow().report();
         let mood = server.mood.get();
         let (to, mut bytes) = match waiting.reply {
-            Reply::Frame { to, id } => {
-                (to, frame(&format!("A{id} ok 1 queue={queue},latency_ms={latency:.2}\n{value}")))
-            }
+            Reply::Frame { to, id } => (
+                to,
+                frame(&format!(
+                    "A{id} ok 1 queue={queue},latency_ms={latency:.2}\n{value}"
+                )),
+            ),
             Reply::Search { to } => {
                 let hit = json!({"_index": "lab", "_id": waiting.shard.to_string(), "_score": 1.0, "_source": {"doc": value}});
                 let hits = json!({"total": {"value": 1, "relation": "eq"}, "max_score": 1.0, "hits": [hit]});
@@ -284,7 +318,15 @@
             _ => server.node.borrow_mut().arrive(now, part, work, call),
         };
         let ran = taken != Taken::Busy;
-        let arrival = Arrival { at: now, server: server.index, class, query, number, shard, ran };
+        let arrival = Arrival {
+            at: now,
+            server: server.index,
+            class,
+            query,
+            number,
+            shard,
+            ran,
+        };
         self.ledger.borrow_mut().arrivals.push(arrival);
         match taken {
             Taken::Busy => (part, Some(reply)),
@@ -294,7 +336,14 @@
                 (part, None)
             }
             Taken::Yes => {
-                server.waiting.borrow_mut().insert(part, Waiting { reply, query, shard });
+                server.waiting.borrow_mut().insert(
+                    part,
+                    Waiting {
+                        reply,
+                        query,
+                        shard,
+                    },
+                );
                 server.wake.notify_one();
                 (part, None)
             }
@@ -348,14 +397,19 @@
                     while !rest.is_empty() {
                         let (line, after) = rest.split_once('\n').ok_or_else(broken)?;
                         let words: Vec<&str> = line.split(' ').collect();
-                        let [id, shard, _, length] = words[..] else { return Err(broken()) };
+                        let [id, shard, _, length] = words[..] else {
+                            return Err(broken());
+                        };
                         let (shard, length) = (
                             shard.parse().map_err(|_| broken())?,
                             length.parse::<usize>().map_err(|_| broken())?,
                         );
                         let query = after.get(..length).ok_or_else(broken)?;
                         rest = &after[length..];
-                        let reply = Reply::Frame { to: out.clone(), id: id.into() };
+                        let reply = Reply::Frame {
+                            to: out.clone(),
+                            id: id.into(),
+                        };
                         let (part, refused) = self.take(server, query, shard, call, reply);
                         ids.insert(id.into(), part);
                         call = false;
@@ -401,13 +455,17 @@
                 }
                 return Ok(());
             }
-            let shard =
-                line.split("_shards:").nth(1).and_then(|rest| rest.split(['&', ' ']).next()?.parse().ok());
+            let shard = line
+                .split("_shards:")
+                .nth(1)
+                .and_then(|rest| rest.split(['&', ' ']).next()?.parse().ok());
             let mut length = 0;
             loop {
                 let mut field = String::new();
                 reader.read_line(&mut field).await?;
-                let Some((name, value)) = field.trim_end().split_once(':') else { break };
+                let Some((name, value)) = field.trim_end().split_once(':') else {
+                    break;
+                };
                 if name.eq_ignore_ascii_case("content-length") {
                     length = value.trim().parse().map_err(|_| broken())?;
                 }
@@ -418,8 +476,13 @@
             let mut body = vec![0; length];
             reader.read_exact(&mut body).await?;
             let text = String::from_utf8(body).map_err(|_| broken())?;
-            let (part, refused) =
-                self.take(server, &text, shard.ok_or_else(broken)?, true, Reply::Search { to: out.clone() });
+            let (part, refused) = self.take(
+                server,
+                &text,
+                shard.ok_or_else(broken)?,
+                true,
+                Reply::Search { to: out.clone() },
+            );
             last = Some(part);
             if refused.is_some() {
                 let _ = out.send(http(
@@ -446,10 +509,18 @@
 }
 
 /// A roster's text: nodes of these numbers with their weights. `fresh`: those that have just started.
-pub fn roster(fleet: &Fleet, generation: u64, nodes: &[usize], fresh: &[usize], weights: &[f64]) -> String {
+pub fn roster(
+    fleet: &Fleet,
+    generation: u64,
+    nodes: &[usize],
+    fresh: &[usize],
+    weights: &[f64],
+) -> String {
     let mut text = format!("generation = {generation}\nallow_shrink = true\n");
     for &index in nodes {
-        let Some(server) = fleet.servers.get(index) else { continue };
+        let Some(server) = fleet.servers.get(index) else {
+            continue;
+        };
         let weight = weights.get(index).copied().unwrap_or(1.0);
         let cell = index % fleet.spec.cells as usize;
         text.push_str(&format!(
@@ -531,7 +602,9 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(|e| format!("{}: {e}", program.display()))?;
-        let Some(errors) = child.stderr.take() else { return Err("the program's log is closed".into()) };
+        let Some(errors) = child.stderr.take() else {
+            return Err("the program's log is closed".into());
+        };
         let mut lines = BufReader::new(errors).lines();
         let mut fronts = [None, None];
         let mut said = String::new();
@@ -540,11 +613,14 @@
                 return Err(format!("{} ended at its start:\n{said}", program.display()));
             };
             let field = |name: &str| {
-                line.split(' ').find_map(|word| word.strip_prefix(name)).map(|w| w.trim_matches('"'))
+                line.split(' ')
+                    .find_map(|word| word.strip_prefix(name))
+                    .map(|w| w.trim_matches('"'))
             };
-            if let (Some(front), Some(address)) =
-                (field("front="), field("address=").and_then(|a| a.parse().ok()))
-            {
+            if let (Some(front), Some(address)) = (
+                field("front="),
+                field("address=").and_then(|a| a.parse().ok()),
+            ) {
                 fronts[usize::from(front != "platform")] = Some(address);
             }
             said.push_str(&line);
@@ -562,7 +638,10 @@
         let [Some(platform), Some(query)] = fronts else {
             return Err("the program did not say where it listens".into());
         };
-        let coordinator = Coordinator { child, fronts: [platform, query] };
+        let coordinator = Coordinator {
+            child,
+            fronts: [platform, query],
+        };
         coordinator.ready().await?;
         Ok(coordinator)
     }
@@ -575,7 +654,10 @@
                 let asked = stream
                     .write_all(b"GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
                     .await;
-                if asked.is_ok() && stream.read_exact(&mut told).await.is_ok() && told.ends_with(b"200") {
+                if asked.is_ok()
+                    && stream.read_exact(&mut told).await.is_ok()
+                    && told.ends_with(b"200")
+                {
                     return Ok(());
                 }
             }
@@ -597,9 +679,14 @@
     if beside.exists() {
         return Ok(beside);
     }
-    let release = own.parent().is_some_and(|folder| folder.ends_with("release"));
-    let mut build = std::process::Command::new(std::env::var("CARGO").unwrap_or_else(|_| "cargo".into()));
-    build.args(["build", "--locked", "-p", "cairnroad-coordinator"]).args(release.then_some("--release"));
+    let release = own
+        .parent()
+        .is_some_and(|folder| folder.ends_with("release"));
+    let mut build =
+        std::process::Command::new(std::env::var("CARGO").unwrap_or_else(|_| "cargo".into()));
+    build
+        .args(["build", "--locked", "-p", "cairnroad-coordinator"])
+        .args(release.then_some("--release"));
     match build.status() {
         Ok(status) if status.success() && beside.exists() => Ok(beside),
         _ => Err(format!(
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -11,7 +11,11 @@
 /// Class, query and try of a text, whatever is around the marker.
 pub fn marker(text: &str) -> Option<(usize, u64, u32)> {
     let mut words = text.split('~').nth(1)?.split(':');
-    Some((words.next()?.parse().ok()?, words.next()?.parse().ok()?, words.next()?.parse().ok()?))
+    Some((
+        words.next()?.parse().ok()?,
+        words.next()?.parse().ok()?,
+        words.next()?.parse().ok()?,
+    ))
 }
 
 /// What a sound server gives for a part.
@@ -50,18 +54,32 @@
         let mut runs: BTreeMap<(u64, u32, u32), usize> = BTreeMap::new();
         for arrival in &self.arrivals {
             if arrival.ran && once.get(arrival.class).copied().unwrap_or(false) {
-                *runs.entry((arrival.query, arrival.number, arrival.shard)).or_default() += 1;
+                *runs
+                    .entry((arrival.query, arrival.number, arrival.shard))
+                    .or_default() += 1;
             }
-            if let Some(gone) = self.removed.get(&arrival.server).filter(|gone| arrival.at > **gone + GRACE) {
+            if let Some(gone) = self
+                .removed
+                .get(&arrival.server)
+                .filter(|gone| arrival.at > **gone + GRACE)
+            {
                 let late = (arrival.at - gone) * 1000.0;
-                broken
-                    .push(format!("server {} got a part {late:.0} ms after it was removed", arrival.server));
+                broken.push(format!(
+                    "server {} got a part {late:.0} ms after it was removed",
+                    arrival.server
+                ));
             }
         }
         for ((query, _, shard), runs) in runs.into_iter().filter(|(_, runs)| *runs > 1) {
-            broken.push(format!("part {shard} of query {query} may run once and ran {runs} times"));
+            broken.push(format!(
+                "part {shard} of query {query} may run once and ran {runs} times"
+            ));
         }
-        broken.extend(self.fallen.iter().map(|server| format!("server {server} fell over, cold")));
+        broken.extend(
+            self.fallen
+                .iter()
+                .map(|server| format!("server {server} fell over, cold")),
+        );
         broken
     }
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -68,25 +68,40 @@
 pub fn arrivals(load: &Load, shards: u32, seed: u64) -> Vec<Due> {
     let mut rng = StdRng::seed_from_u64(seed);
     let rate = |at: f64| {
-        let bursts = load.burst.iter().filter(|burst| (burst.at..burst.at + burst.lasts).contains(&at));
+        let bursts = load
+            .burst
+            .iter()
+            .filter(|burst| (burst.at..burst.at + burst.lasts).contains(&at));
         load.rate * bursts.map(|burst| burst.times).fold(1.0, f64::max)
     };
     let mut all = Vec::new();
     let mut at = 0.0;
     loop {
         // A mean of more than 0 is a mean that can be drawn from.
-        let Ok(gap) = Exp::new(rate(at).max(1e-6)) else { return all };
+        let Ok(gap) = Exp::new(rate(at).max(1e-6)) else {
+            return all;
+        };
         at += gap.sample(&mut rng);
         if at >= load.span {
             return all;
         }
         let class = usize::from(rng.random::<bool>());
-        let count = if class == 0 { (shards * 3 / 5).max(1) } else { 1 + u32::from(rng.random::<bool>()) }
-            .min(shards);
+        let count = if class == 0 {
+            (shards * 3 / 5).max(1)
+        } else {
+            1 + u32::from(rng.random::<bool>())
+        }
+        .min(shards);
         let first = rng.random_range(0..shards);
         let query_front = rng.random::<f64>() < load.query_front;
         let shards = (0..count).map(|step| (first + step) % shards).collect();
-        all.push(Due { at, query: all.len() as u64 + 1, class, shards, query_front });
+        all.push(Due {
+            at,
+            query: all.len() as u64 + 1,
+            class,
+            shards,
+            query_front,
+        });
     }
 }
 
@@ -176,7 +191,11 @@
             Ok(Err(_)) => (End::Cut, None),
             Ok(Ok((status, body, wait))) => {
                 let (told, wrong) = judge(&due, status, &body);
-                let told = if Instant::now() > end { End::Late } else { told };
+                let told = if Instant::now() > end {
+                    End::Late
+                } else {
+                    told
+                };
                 if told == End::Refused && tries <= retries {
                     tokio::time::sleep(Duration::from_secs_f64(wait)).await;
                 }
@@ -203,33 +222,55 @@
         429 | 503 => return (End::Refused, None),
         _ => return (End::Failed, None),
     }
-    let hits = if due.query_front { &body["hits"]["hits"] } else { &body["hits"] };
+    let hits = if due.query_front {
+        &body["hits"]["hits"]
+    } else {
+        &body["hits"]
+    };
     let doc = |hit: &Value| match due.query_front {
         true => hit["_source"]["doc"].as_str().unwrap_or("").to_string(),
         false => {
             // A hits object of the query API comes as text where servers speak that.
             let text = hit["doc"].as_str().unwrap_or("");
-            let inner: Option<Value> =
-                text.starts_with('{').then(|| serde_json::from_str(text).ok()).flatten();
-            let inner = inner.and_then(|hits| Some(hits["hits"][0]["_source"]["doc"].as_str()?.to_string()));
+            let inner: Option<Value> = text
+                .starts_with('{')
+                .then(|| serde_json::from_str(text).ok())
+                .flatten();
+            let inner = inner
+                .and_then(|hits| Some(hits["hits"][0]["_source"]["doc"].as_str()?.to_string()));
             inner.unwrap_or_else(|| text.into())
         }
     };
     let mut found: Vec<String> = hits.as_array().into_iter().flatten().map(doc).collect();
     found.sort();
-    let mut wanted: Vec<String> = due.shards.iter().map(|&shard| value(due.query, shard)).collect();
+    let mut wanted: Vec<String> = due
+        .shards
+        .iter()
+        .map(|&shard| value(due.query, shard))
+        .collect();
     wanted.sort();
     let whole = match due.query_front {
         true => body["timed_out"] == json!(false),
         false => body["complete"] == json!(true),
     };
     let mut wrong = None;
-    if found.windows(2).any(|pair| pair[0] == pair[1]) || found.iter().any(|value| !wanted.contains(value)) {
-        wrong = Some(format!("query {}: values that no server made for it: {found:?}", due.query));
+    if found.windows(2).any(|pair| pair[0] == pair[1])
+        || found.iter().any(|value| !wanted.contains(value))
+    {
+        wrong = Some(format!(
+            "query {}: values that no server made for it: {found:?}",
+            due.query
+        ));
     } else if whole && found != wanted {
-        wrong =
-            Some(format!("query {}: marked whole with {} of {} parts", due.query, found.len(), wanted.len()));
-    } else if (found.len() as f64) < 0.8 * wanted.len() as f64 - 1e-9 || (due.class == 1 && found != wanted) {
+        wrong = Some(format!(
+            "query {}: marked whole with {} of {} parts",
+            due.query,
+            found.len(),
+            wanted.len()
+        ));
+    } else if (found.len() as f64) < 0.8 * wanted.len() as f64 - 1e-9
+        || (due.class == 1 && found != wanted)
+    {
         wrong = Some(format!(
             "query {}: {} of {} parts are under its class's floor",
             due.query,
@@ -259,7 +300,11 @@
     let request = request(due, number, left);
     let mut told = exchange(&mut stream, &request).await;
     // A connection that was closed while it was idle is no answer: the request goes once more on a new one.
-    if !fresh && told.as_ref().is_err_and(|e| e.kind() == std::io::ErrorKind::UnexpectedEof) {
+    if !fresh
+        && told
+            .as_ref()
+            .is_err_and(|e| e.kind() == std::io::ErrorKind::UnexpectedEof)
+    {
         stream = connect(to).await?;
         told = exchange(&mut stream, &request).await;
     }
@@ -279,18 +324,32 @@
 fn request(due: &Due, number: u32, left: f64) -> Vec<u8> {
     let text = text(due.class, due.query, number);
     let (head, body) = if due.query_front {
-        let shards = due.shards.iter().map(u32::to_string).collect::<Vec<_>>().join(",");
+        let shards = due
+            .shards
+            .iter()
+            .map(u32::to_string)
+            .collect::<Vec<_>>()
+            .join(",");
         let body = json!({"query": {"match": {"lab": text}}, "size": 100}).to_string();
         let class = CLASSES[due.class];
         (
-            format!("POST /{class}/_search?preference=_shards:{shards}&timeout={}ms", (left * 1000.0) as u64),
+            format!(
+                "POST /{class}/_search?preference=_shards:{shards}&timeout={}ms",
+                (left * 1000.0) as u64
+            ),
             body,
         )
     } else {
         let weight = 1.0 / due.shards.len() as f64;
-        let shards: Vec<Value> =
-            due.shards.iter().map(|shard| json!({"shard": shard, "weight": weight})).collect();
-        ("POST /api".to_string(), json!({"shards": shards, "q": text}).to_string())
+        let shards: Vec<Value> = due
+            .shards
+            .iter()
+            .map(|shard| json!({"shard": shard, "weight": weight}))
+            .collect();
+        (
+            "POST /api".to_string(),
+            json!({"shards": shards, "q": text}).to_string(),
+        )
     };
     let retry = if number > 1 { "X-Retry: 1\r\n" } else { "" };
     format!(
@@ -315,12 +374,18 @@
     if stream.read_line(&mut line).await.unwrap_or(0) == 0 {
         return Err(ended());
     }
-    let status = line.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
+    let status = line
+        .split(' ')
+        .nth(1)
+        .and_then(|word| word.parse().ok())
+        .unwrap_or(0);
     let (mut length, mut wait, mut close) = (0, 0.1, false);
     loop {
         line.clear();
         stream.read_line(&mut line).await?;
-        let Some((name, value)) = line.trim_end().split_once(':') else { break };
+        let Some((name, value)) = line.trim_end().split_once(':') else {
+            break;
+        };
         let value = value.trim();
         match name.to_ascii_lowercase().as_str() {
             "content-length" => length = value.parse().unwrap_or(0),
@@ -331,7 +396,12 @@
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await?;
-    Ok((status, serde_json::from_slice(&body).unwrap_or(Value::Null), wait, close))
+    Ok((
+        status,
+        serde_json::from_slice(&body).unwrap_or(Value::Null),
+        wait,
+        close,
+    ))
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/load/tests.rs
+++ b/crates/testbed/src/load/tests.rs
@@ -1,7 +1,13 @@
 use super::*;
 
 fn load(burst: Vec<Burst>) -> Load {
-    Load { rate: 100.0, span: 30.0, burst, query_front: 0.3, retries: 0 }
+    Load {
+        rate: 100.0,
+        span: 30.0,
+        burst,
+        query_front: 0.3,
+        retries: 0,
+    }
 }
 
 #[test]
@@ -12,8 +18,19 @@
     assert!((2_700..3_300).contains(&one.len()), "{}", one.len());
     let by_front = one.iter().filter(|due| due.query_front).count() as f64 / one.len() as f64;
     assert!((by_front - 0.3).abs() < 0.05, "{by_front}");
-    let burst = arrivals(&load(vec![Burst { at: 10.0, lasts: 10.0, times: 1.9 }]), 12, 1);
-    let within = burst.iter().filter(|due| (10.0..20.0).contains(&due.at)).count();
+    let burst = arrivals(
+        &load(vec![Burst {
+            at: 10.0,
+            lasts: 10.0,
+            times: 1.9,
+        }]),
+        12,
+        1,
+    );
+    let within = burst
+        .iter()
+        .filter(|due| (10.0..20.0).contains(&due.at))
+        .count();
     assert!((1_700..2_100).contains(&within), "{within}");
 }
 
@@ -21,7 +38,10 @@
 /// with a late one is told all the same.
 #[test]
 fn a_late_answer_is_told_from_one_that_never_comes() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let ends = tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
@@ -32,7 +52,8 @@
                     while stream.read(&mut buffer).await.is_ok_and(|bytes| bytes > 0) {
                         tokio::time::sleep(Duration::from_secs_f64(DEADLINES[0] + 0.2)).await;
                         let body = r#"{"complete":true,"hits":[{"shard":0,"doc":"made up"}]}"#;
-                        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+                        let head =
+                            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                         let _ = stream.write_all((head + body).as_bytes()).await;
                     }
                 });
@@ -40,8 +61,21 @@
         });
         let start = Instant::now();
         let one = |listens: f64| {
-            let due = Due { at: 0.0, query: 1, class: 0, shards: vec![0], query_front: false };
-            client(due, [to, to], start, 0, Rc::default(), Duration::from_secs_f64(listens))
+            let due = Due {
+                at: 0.0,
+                query: 1,
+                class: 0,
+                shards: vec![0],
+                query_front: false,
+            };
+            client(
+                due,
+                [to, to],
+                start,
+                0,
+                Rc::default(),
+                Duration::from_secs_f64(listens),
+            )
         };
         tokio::join!(one(0.0), one(30.0))
     });
@@ -54,7 +88,10 @@
 /// queries that were due in that second, not in one.
 #[test]
 fn a_stall_shows_in_every_query_that_was_due_in_it() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let took = tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
@@ -66,7 +103,9 @@
                 tokio::task::spawn_local(async move {
                     let mut buffer = [0; 4096];
                     while stream.read(&mut buffer).await.is_ok_and(|bytes| bytes > 0) {
-                        let _ = stream.write_all(b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n").await;
+                        let _ = stream
+                            .write_all(b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
+                            .await;
                     }
                 });
             }
@@ -79,8 +118,19 @@
             query_front: false,
         };
         let ended = Rc::new(RefCell::new(Vec::new()));
-        play((0..50).map(due).collect(), [to, to], start, 0, ended.clone()).await;
-        let took: Vec<f64> = ended.borrow().iter().map(|one| one.took + one.due).collect();
+        play(
+            (0..50).map(due).collect(),
+            [to, to],
+            start,
+            0,
+            ended.clone(),
+        )
+        .await;
+        let took: Vec<f64> = ended
+            .borrow()
+            .iter()
+            .map(|one| one.took + one.due)
+            .collect();
         took
     });
     assert_eq!(took.len(), 50);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -58,7 +58,10 @@
 }
 
 fn main() -> ExitCode {
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => {
             eprintln!("cairnroad-testbed: {e}");
@@ -68,10 +71,14 @@
     let local = tokio::task::LocalSet::new();
     let done = match Cli::parse().command {
         Command::Demo { seconds } => local.block_on(&runtime, demo::run(seconds)),
-        Command::Run { experiment, out } => local.block_on(&runtime, experiment::run(&experiment, &out)),
-        Command::Chaos { scenario, keep, program } => {
-            local.block_on(&runtime, chaos::run(&scenario, keep.as_deref(), program))
+        Command::Run { experiment, out } => {
+            local.block_on(&runtime, experiment::run(&experiment, &out))
         }
+        Command::Chaos {
+            scenario,
+            keep,
+            program,
+        } => local.block_on(&runtime, chaos::run(&scenario, keep.as_deref(), program)),
     };
     match done {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/testbed/src/model.rs
+++ b/crates/testbed/src/model.rs
@@ -73,7 +73,16 @@
     /// One that started at that time; long ago: it is warm.
     pub fn new(spec: Spec, started: f64) -> Node {
         let (running, waiting, offered) = (Vec::new(), VecDeque::new(), VecDeque::new());
-        Node { spec, started, slow: 1.0, running, waiting, offered, latency: 0.0, works: BTreeMap::new() }
+        Node {
+            spec,
+            started,
+            slow: 1.0,
+            running,
+            waiting,
+            offered,
+            latency: 0.0,
+            works: BTreeMap::new(),
+        }
     }
 
     /// What a core of it does in a second of work, from its cold share to 1, less where it is slow.
@@ -89,8 +98,17 @@
 
     /// A part with so many seconds of work; `call`: it is the first of its call.
     pub fn arrive(&mut self, now: f64, part: u64, work: f64, call: bool) -> Taken {
-        let work = work + if call { self.spec.call_ms / 1000.0 } else { 0.0 };
-        while self.offered.front().is_some_and(|(at, _)| now - at > self.spec.fall_s) {
+        let work = work
+            + if call {
+                self.spec.call_ms / 1000.0
+            } else {
+                0.0
+            };
+        while self
+            .offered
+            .front()
+            .is_some_and(|(at, _)| now - at > self.spec.fall_s)
+        {
             self.offered.pop_front();
         }
         self.offered.push_back((now, work));
@@ -110,10 +128,16 @@
 
     fn begin(&mut self, now: f64) {
         while self.running.len() < self.spec.cores {
-            let Some((part, work)) = self.waiting.pop_front() else { return };
+            let Some((part, work)) = self.waiting.pop_front() else {
+                return;
+            };
             let took = work / self.speed(now);
             self.works.insert(part, took);
-            self.running.push(Running { part, ends: now + took, cancelled: false });
+            self.running.push(Running {
+                part,
+                ends: now + took,
+                cancelled: false,
+            });
         }
     }
 
@@ -124,7 +148,11 @@
         if self.waiting.len() < before {
             return true;
         }
-        for running in self.running.iter_mut().filter(|running| running.part == part) {
+        for running in self
+            .running
+            .iter_mut()
+            .filter(|running| running.part == part)
+        {
             running.cancelled = true;
             if self.spec.cancel_stops {
                 running.ends = now;
@@ -135,14 +163,19 @@
 
     /// When something ends next.
     pub fn next(&self) -> Option<f64> {
-        self.running.iter().map(|running| running.ends).min_by(f64::total_cmp)
+        self.running
+            .iter()
+            .map(|running| running.ends)
+            .min_by(f64::total_cmp)
     }
 
     /// What has ended by now, in its order, without what was given up.
     pub fn advance(&mut self, now: f64) -> Vec<u64> {
         let mut done = Vec::new();
         while let Some(at) = self.next().filter(|&at| at <= now) {
-            let Some(place) = self.running.iter().position(|running| running.ends == at) else { break };
+            let Some(place) = self.running.iter().position(|running| running.ends == at) else {
+                break;
+            };
             let ended = self.running.swap_remove(place);
             let took = self.works.remove(&ended.part).unwrap_or(0.0);
             self.latency += (took - self.latency) * 0.1;
@@ -156,7 +189,10 @@
 
     /// Parts that wait or run, and the recent service time in milliseconds.
     pub fn report(&self) -> (usize, f64) {
-        (self.waiting.len() + self.running.len(), self.latency * 1000.0)
+        (
+            self.waiting.len() + self.running.len(),
+            self.latency * 1000.0,
+        )
     }
 }
 
--- a/crates/testbed/src/model/tests.rs
+++ b/crates/testbed/src/model/tests.rs
@@ -1,7 +1,12 @@
 use super::*;
 
 fn spec() -> Spec {
-    Spec { cores: 2, queue: 3, call_ms: 0.0, ..Spec::default() }
+    Spec {
+        cores: 2,
+        queue: 3,
+        call_ms: 0.0,
+        ..Spec::default()
+    }
 }
 
 /// Plays a node to its end; when each part was done.
@@ -16,11 +21,28 @@
 #[test]
 fn cores_run_side_by_side_and_the_rest_waits_in_order() {
     let mut node = Node::new(spec(), -100.0);
-    let taken: Vec<Taken> = (0..6).map(|part| node.arrive(0.0, part, 0.1, false)).collect();
-    assert_eq!(taken, [Taken::Yes, Taken::Yes, Taken::Yes, Taken::Yes, Taken::Yes, Taken::Busy]);
+    let taken: Vec<Taken> = (0..6)
+        .map(|part| node.arrive(0.0, part, 0.1, false))
+        .collect();
+    assert_eq!(
+        taken,
+        [
+            Taken::Yes,
+            Taken::Yes,
+            Taken::Yes,
+            Taken::Yes,
+            Taken::Yes,
+            Taken::Busy
+        ]
+    );
     let done = play(&mut node);
     let wanted = [(0, 0.1), (1, 0.1), (2, 0.2), (3, 0.2), (4, 0.3)];
-    assert!(done.iter().zip(wanted).all(|(a, b)| a.0 == b.0 && (a.1 - b.1).abs() < 1e-9), "{done:?}");
+    assert!(
+        done.iter()
+            .zip(wanted)
+            .all(|(a, b)| a.0 == b.0 && (a.1 - b.1).abs() < 1e-9),
+        "{done:?}"
+    );
 }
 
 #[test]
@@ -32,13 +54,24 @@
     assert_eq!(node.arrive(0.0, 1, 1.1, false), Taken::Yes);
     assert_eq!(node.arrive(0.1, 2, 0.2, false), Taken::Fell);
     let mut warm = Node::new(spec(), -16.0);
-    assert_eq!(warm.arrive(0.0, 1, 50.0, false), Taken::Yes, "a warm one only gets slow");
+    assert_eq!(
+        warm.arrive(0.0, 1, 50.0, false),
+        Taken::Yes,
+        "a warm one only gets slow"
+    );
 }
 
 #[test]
 fn a_cancel_takes_back_what_waits_and_stops_what_runs_where_that_is_so() {
     for stops in [false, true] {
-        let mut node = Node::new(Spec { cancel_stops: stops, cores: 1, ..spec() }, -100.0);
+        let mut node = Node::new(
+            Spec {
+                cancel_stops: stops,
+                cores: 1,
+                ..spec()
+            },
+            -100.0,
+        );
         node.arrive(0.0, 1, 1.0, false);
         node.arrive(0.0, 2, 1.0, false);
         node.arrive(0.0, 3, 1.0, false);
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -28,7 +28,8 @@
 /// Writes `runs.csv`, `summary.json` and `report.html` into a folder.
 pub fn write(experiment: &Experiment, summary: &Summary, out: &Path) -> Result<(), String> {
     let put = |name: &str, text: String| {
-        std::fs::write(out.join(name), text).map_err(|e| format!("{}: {e}", out.join(name).display()))
+        std::fs::write(out.join(name), text)
+            .map_err(|e| format!("{}: {e}", out.join(name).display()))
     };
     let mut csv = String::from("variant,repeat,queries,service,search,confirm,served,refused,failed,silent,parts_a_query,p50_ms,p99_ms,broken\n");
     for run in &summary.runs {
@@ -48,7 +49,10 @@
         ));
     }
     put("runs.csv", csv)?;
-    put("summary.json", serde_json::to_string_pretty(summary).map_err(|e| e.to_string())?)?;
+    put(
+        "summary.json",
+        serde_json::to_string_pretty(summary).map_err(|e| e.to_string())?,
+    )?;
     put("report.html", page(experiment, summary)?)
 }
 
@@ -63,11 +67,17 @@
     );
     html.push_str("<table border=\"1\" cellpadding=\"4\"><tr><th>variant<th>service (95 %)<th>p50 ms<th>p99 ms<th>parts a query<th>rules broken</tr>\n");
     for variant in &experiment.variant {
-        let runs: Vec<_> = summary.runs.iter().filter(|run| run.variant == variant.name).collect();
+        let runs: Vec<_> = summary
+            .runs
+            .iter()
+            .filter(|run| run.variant == variant.name)
+            .collect();
         let average = |pick: fn(&&crate::experiment::Run) -> f64| {
             runs.iter().map(pick).sum::<f64>() / runs.len().max(1) as f64
         };
-        let Some(service) = summary.service.get(&variant.name) else { continue };
+        let Some(service) = summary.service.get(&variant.name) else {
+            continue;
+        };
         html.push_str(&format!(
             "<tr><td>{}<td>{:.3} ({:.3} to {:.3})<td>{:.0}<td>{:.0}<td>{:.2}<td>{}</tr>\n",
             escape(&variant.name),
@@ -82,15 +92,25 @@
     }
     html.push_str("</table>\n");
     for (name, found) in &summary.differences {
-        html.push_str(&format!("<p>{}</p>\n", escape(&sentence(&experiment.variant[0].name, name, found))));
+        html.push_str(&format!(
+            "<p>{}</p>\n",
+            escape(&sentence(&experiment.variant[0].name, name, found))
+        ));
     }
     for (class, name) in CLASSES.iter().enumerate() {
         let plot = plot(experiment, summary, class).map_err(|e| format!("a plot: {e}"))?;
         html.push_str(&format!("<h2>Service over time, {name}</h2>\n{plot}\n"));
     }
     for run in summary.runs.iter().filter(|run| !run.broken.is_empty()) {
-        html.push_str(&format!("<h3>Broken in {} repeat {}</h3><ul>", escape(&run.variant), run.repeat));
-        run.broken.iter().take(50).for_each(|broken| html.push_str(&format!("<li>{}", escape(broken))));
+        html.push_str(&format!(
+            "<h3>Broken in {} repeat {}</h3><ul>",
+            escape(&run.variant),
+            run.repeat
+        ));
+        run.broken
+            .iter()
+            .take(50)
+            .for_each(|broken| html.push_str(&format!("<li>{}", escape(broken))));
         html.push_str("</ul>\n");
     }
     Ok(html)
@@ -112,13 +132,25 @@
             .x_label_area_size(30)
             .y_label_area_size(45)
             .build_cartesian_2d(0.0..span, 0.0..1.05)?;
-        chart.configure_mesh().x_desc("seconds").y_desc("service").draw()?;
-        let changes = experiment.variant.iter().flat_map(|variant| &variant.roster).map(|change| change.at);
+        chart
+            .configure_mesh()
+            .x_desc("seconds")
+            .y_desc("service")
+            .draw()?;
+        let changes = experiment
+            .variant
+            .iter()
+            .flat_map(|variant| &variant.roster)
+            .map(|change| change.at);
         for at in experiment.fault.iter().map(|fault| fault.at).chain(changes) {
             chart.draw_series(LineSeries::new([(at, 0.0), (at, 1.05)], BLACK.mix(0.3)))?;
         }
         for (number, variant) in experiment.variant.iter().enumerate() {
-            let runs: Vec<_> = summary.runs.iter().filter(|run| run.variant == variant.name).collect();
+            let runs: Vec<_> = summary
+                .runs
+                .iter()
+                .filter(|run| run.variant == variant.name)
+                .collect();
             let at = |second: usize| {
                 let values = runs.iter().filter_map(|run| run.seconds[class].get(second));
                 values.sum::<f64>() / runs.len().max(1) as f64
@@ -130,7 +162,11 @@
                 .label(variant.name.clone())
                 .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour));
         }
-        chart.configure_series_labels().border_style(BLACK).background_style(WHITE).draw()?;
+        chart
+            .configure_series_labels()
+            .border_style(BLACK)
+            .background_style(WHITE)
+            .draw()?;
         area.present()?;
     }
     Ok(svg)
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -4,7 +4,8 @@
 use std::process::{Command, Output};
 
 fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("cairnroad-testbed-{}-{name}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("cairnroad-testbed-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
@@ -14,8 +15,13 @@
     std::fs::write(folder.join("experiment.toml"), experiment).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_cairnroad-testbed"));
     let out = folder.join("out");
-    let told =
-        command.arg("run").arg(folder.join("experiment.toml")).arg("--out").arg(&out).output().unwrap();
+    let told = command
+        .arg("run")
+        .arg(folder.join("experiment.toml"))
+        .arg("--out")
+        .arg(&out)
+        .output()
+        .unwrap();
     (told, out)
 }
 
@@ -88,10 +94,13 @@
 fn every_mood_on_both_wires_breaks_no_rule_and_is_reported() {
     for wire in ["frames", "opensearch"] {
         let (told, out) = run(wire, &experiment(wire));
-        let said =
-            String::from_utf8_lossy(&told.stdout).into_owned() + &String::from_utf8_lossy(&told.stderr);
+        let said = String::from_utf8_lossy(&told.stdout).into_owned()
+            + &String::from_utf8_lossy(&told.stderr);
         assert_eq!(told.status.code(), Some(0), "{wire}: {said}");
-        assert!(said.contains("within noise"), "one repeat proves nothing: {said}");
+        assert!(
+            said.contains("within noise"),
+            "one repeat proves nothing: {said}"
+        );
         let csv = std::fs::read_to_string(out.join("runs.csv")).unwrap();
         assert_eq!(csv.lines().count(), 3, "{csv}");
         let page = std::fs::read_to_string(out.join("report.html")).unwrap();
@@ -106,9 +115,21 @@
 #[test]
 fn a_file_that_is_wrong_is_refused_with_its_cause() {
     let cases = [
-        ("rate", experiment("frames").replace("rate = 12.0", "rat = 12.0"), "unknown field `rat`"),
-        ("wire", experiment("smoke"), "'smoke' is neither frames nor opensearch"),
-        ("mood", experiment("frames").replace("\"silent\"", "\"sad\""), "unknown variant `sad`"),
+        (
+            "rate",
+            experiment("frames").replace("rate = 12.0", "rat = 12.0"),
+            "unknown field `rat`",
+        ),
+        (
+            "wire",
+            experiment("smoke"),
+            "'smoke' is neither frames nor opensearch",
+        ),
+        (
+            "mood",
+            experiment("frames").replace("\"silent\"", "\"sad\""),
+            "unknown variant `sad`",
+        ),
         (
             "cells",
             experiment("frames").replace("cells = 4", "cells = 0"),
@@ -116,7 +137,10 @@
         ),
         (
             "program",
-            experiment("frames").replace("name = \"as it is\"", "name = \"a\"\nprogram = \"/nowhere\""),
+            experiment("frames").replace(
+                "name = \"as it is\"",
+                "name = \"a\"\nprogram = \"/nowhere\"",
+            ),
             "/nowhere: No such file",
         ),
     ];
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -227,7 +227,11 @@
     pub fn never_ran(self) -> bool {
         match self {
             Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => true,
-            Outcome::Ok | Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => false,
+            Outcome::Ok
+            | Outcome::Error
+            | Outcome::Timeout
+            | Outcome::Reset
+            | Outcome::Cancelled => false,
         }
     }
 }
--- a/crates/zone-outage/src/lib.rs
+++ b/crates/zone-outage/src/lib.rs
@@ -46,15 +46,30 @@
             zone.kept.extend(sighting.kept);
         }
         // What went out when nobody anywhere answered says nothing of this zone: the fault may be ours.
-        let anywhere = zones.values().map(|zone| zone.answered).max().unwrap_or_default();
+        let anywhere = zones
+            .values()
+            .map(|zone| zone.answered)
+            .max()
+            .unwrap_or_default();
         // A zone that left the list is no zone; its servers are gone.
         self.0.retain(|zone, _| zones.contains_key(zone));
         let silent = |zone: &Zone| {
-            let count = zone.kept.iter().filter(|&&at| zone.answered < at && at <= anywhere).count();
+            let count = zone
+                .kept
+                .iter()
+                .filter(|&&at| zone.answered < at && at <= anywhere)
+                .count();
             count >= SILENT && count as f64 >= SILENT_SHARE * zone.size as f64
         };
-        let found: Vec<u32> = zones.iter().filter(|(_, zone)| silent(zone)).map(|(&zone, _)| zone).collect();
-        let fresh: Vec<u32> = found.into_iter().filter(|zone| !self.0.contains_key(zone)).collect();
+        let found: Vec<u32> = zones
+            .iter()
+            .filter(|(_, zone)| silent(zone))
+            .map(|(&zone, _)| zone)
+            .collect();
+        let fresh: Vec<u32> = found
+            .into_iter()
+            .filter(|zone| !self.0.contains_key(zone))
+            .collect();
         self.0.extend(fresh.iter().map(|&zone| (zone, now)));
         fresh
     }
