--- a/crates/admin/src/bans.rs
+++ b/crates/admin/src/bans.rs
@@ -1,7 +1,7 @@
 //! Which data nodes operators leave out. A ban holds whatever the list says, until the call back; after it the node
 //! counts as started anew, for it was restarted at some moment in between.
 
-use cairnroad_routing::{ServerState, Time};
+use cairnroad_types::{ServerState, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/admin/src/bans/tests.rs
+++ b/crates/admin/src/bans/tests.rs
@@ -26,8 +26,8 @@
         ServerState::Draining
     );
     assert_eq!(
-        bans.overlay("s-1", ServerState::Gone, None).0,
-        ServerState::Gone
+        bans.overlay("s-1", ServerState::Removed, None).0,
+        ServerState::Removed
     );
     assert_eq!(bans.overlay("s-2", READY, None), (READY, None));
     let back = bans.resumed("s-1", at(5.0)).unwrap();
--- a/crates/admin/src/retune.rs
+++ b/crates/admin/src/retune.rs
@@ -3,8 +3,8 @@
 //! A class's place is its number in all tables. Requests hold theirs until they end, so a class that is gone or
 //! changed keeps its place, without its name, until no request holds it.
 
-use cairnroad_routing::ClassId;
 use cairnroad_settings::Deployment;
+use cairnroad_types::ClassId;
 use serde_json::Value;
 
 /// Most places. Classes that change often while requests of the old ones are open must not grow the tables for good.
@@ -79,17 +79,24 @@
     let waits = [
         ("tickS", old.policy.tick != new.policy.tick),
         ("extra.positions", old.policy.cells != new.policy.cells),
-        ("extra.span", old.policy.reach != new.policy.reach),
+        (
+            "extra.span",
+            old.policy.cells_per_shard != new.policy.cells_per_shard,
+        ),
         ("extra.shards", old.shards != new.shards),
         (
             "extra.partsACall",
-            old.policy.parts_a_call != new.policy.parts_a_call,
+            old.policy.max_parts_per_call != new.policy.max_parts_per_call,
         ),
         (
             "report.names",
-            old.report_names != new.report_names || old.policy.probes != new.policy.probes,
+            old.report_names != new.report_names
+                || old.policy.health_check_value != new.policy.health_check_value,
+        ),
+        (
+            "registryMode",
+            old.policy.max_poll_interval != new.policy.max_poll_interval,
         ),
-        ("registryMode", old.policy.must_ask != new.policy.must_ask),
         ("caps.dialTimeoutS", old.dial_timeout != new.dial_timeout),
         ("caps.keepaliveS", old.keepalive != new.keepalive),
         ("caps.streamsPerConn", old.streams != new.streams),
@@ -97,9 +104,10 @@
     let mut policy = new.policy.clone();
     policy.classes = classes;
     policy.tick = old.policy.tick;
-    (policy.cells, policy.reach) = (old.policy.cells, old.policy.reach);
-    (policy.parts_a_call, policy.probes) = (old.policy.parts_a_call, old.policy.probes);
-    policy.must_ask = old.policy.must_ask;
+    (policy.cells, policy.cells_per_shard) = (old.policy.cells, old.policy.cells_per_shard);
+    (policy.max_parts_per_call, policy.health_check_value) =
+        (old.policy.max_parts_per_call, old.policy.health_check_value);
+    policy.max_poll_interval = old.policy.max_poll_interval;
     let deployment = Deployment {
         policy,
         class_names: names,
--- a/crates/admin/src/retune/tests.rs
+++ b/crates/admin/src/retune/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
-use cairnroad_routing::{Class, Effect, Settings};
+use cairnroad_types::{Class, Idempotency, Settings};
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
 
 fn class(aim: f64) -> Class {
     Class {
-        aim,
-        aim_stretch: 0.0,
+        latency_objective: aim,
+        objective_per_work: 0.0,
         deadline: 2.0,
-        worth: 1.0,
-        late_share: 0.0,
-        effect: Effect::Safe,
-        window: 0.0,
-        need: 1.0,
-        floor: 1.0,
-        partial: 0.0,
-        fetch: 0,
+        priority_weight: 1.0,
+        late_answer_share: 0.0,
+        idempotency: Idempotency::Idempotent,
+        dedup_window: 0.0,
+        complete_threshold: 1.0,
+        minimum_share: 1.0,
+        partial_answer_share: 0.0,
+        second_step_parts: 0,
     }
 }
 
--- a/crates/admin/src/stop.rs
+++ b/crates/admin/src/stop.rs
@@ -5,7 +5,7 @@
 //! middle of a request are refused, and the program ends once all is answered. When the kill comes follows from the
 //! deployment's deadlines, and every phase is over before it.
 
-use cairnroad_routing::Time;
+use cairnroad_types::Time;
 
 /// When idle connections are closed. New connections keep coming for up to 0.4 s, and clients use the ones they have.
 const CLOSE_IDLE: f64 = 0.5;
--- a/crates/admin/tests/stop.rs
+++ b/crates/admin/tests/stop.rs
@@ -1,7 +1,7 @@
 //! The phases of a stop, on a clock of the test's own.
 
 use cairnroad_admin::stop::{Seen, Step, Stop};
-use cairnroad_routing::Time;
+use cairnroad_types::Time;
 use quickcheck::{Gen, QuickCheck};
 
 /// The moments of all steps, in milliseconds after the order, where `seen` tells what is seen then.
--- a/crates/coordinator/src/backends/frames.rs
+++ b/crates/coordinator/src/backends/frames.rs
@@ -6,7 +6,7 @@
 use crate::words::{Attempt, Job, Judge, Value, What};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::schema::Direction;
-use cairnroad_routing::{Outcome, Time};
+use cairnroad_types::{Outcome, Time};
 use serde_json::{json, Value as Json};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -211,7 +211,7 @@
 fn outcome(end: &str) -> Option<Outcome> {
     match end {
         "ok" => Some(Outcome::Ok),
-        "busy" => Some(Outcome::Full),
+        "busy" => Some(Outcome::Rejected),
         "err" => Some(Outcome::Error),
         _ => None,
     }
@@ -267,7 +267,7 @@
         if end.barred() {
             return Some(Outcome::ConnectFailed);
         }
-        (self.spent || unread).then_some(Outcome::Moot)
+        (self.spent || unread).then_some(Outcome::NotSent)
     }
 
     /// The next frame, once the one before it is written. Parts that may not be written any more are returned.
@@ -277,14 +277,14 @@
             match self.pending.pop_front() {
                 None => break,
                 Some(Command::Call(jobs)) if self.bar(end, unread).is_some() => {
-                    let outcome = self.bar(end, unread).unwrap_or(Outcome::Moot);
+                    let outcome = self.bar(end, unread).unwrap_or(Outcome::NotSent);
                     barred.extend(jobs.into_iter().map(|job| (job, outcome)));
                 }
                 Some(Command::Call(jobs)) => {
                     let now = end.clock.now();
                     let (jobs, late): (Vec<Job>, Vec<Job>) =
                         jobs.into_iter().partition(|job| job.may_be_sent(now));
-                    barred.extend(late.into_iter().map(|job| (job, Outcome::Moot)));
+                    barred.extend(late.into_iter().map(|job| (job, Outcome::NotSent)));
                     if !jobs.is_empty() {
                         self.frame = call(&jobs, now);
                         for job in jobs.iter().filter(|job| job.judge.is_some()) {
@@ -441,7 +441,7 @@
         let _ = take(&end, &mut wire, &mut buffer).await;
     }
     let (cut, unsent_as) = match spoilt {
-        true => (Outcome::Error, Outcome::Moot),
+        true => (Outcome::Error, Outcome::NotSent),
         false => (Outcome::Reset, Outcome::ConnectFailed),
     };
     for (_, (attempt, _)) in std::mem::take(&mut wire.out) {
--- a/crates/coordinator/src/backends/opensearch.rs
+++ b/crates/coordinator/src/backends/opensearch.rs
@@ -3,7 +3,7 @@
 use crate::http::{self, Response};
 use crate::link::{Command, LinkEnd};
 use crate::words::{Job, Text, Value, What};
-use cairnroad_routing::{Outcome, Time};
+use cairnroad_types::{Outcome, Time};
 use serde::Deserialize;
 use serde_json::json;
 use serde_json::value::RawValue;
@@ -69,7 +69,7 @@
 pub fn outcome(response: &Response) -> (Outcome, Option<Value>) {
     match response.status {
         200 => {}
-        429 => return (Outcome::Full, None),
+        429 => return (Outcome::Rejected, None),
         _ => return (Outcome::Error, None),
     }
     let Ok(text) = std::str::from_utf8(&response.body) else {
@@ -107,7 +107,7 @@
             read = stream.read_buf(&mut buffer) => {
                 if matches!(read, Ok(bytes) if bytes > 0) {
                     tracing::warn!(server = %end.address, cause = "bytes that nobody asked for", "connection closed");
-                    why = Outcome::Moot;
+                    why = Outcome::NotSent;
                 }
                 break;
             }
@@ -125,7 +125,7 @@
                 let Some(job) = jobs.next() else { continue };
                 unsent.extend(jobs);
                 if !job.may_be_sent(end.clock.now()) {
-                    end.ended(job.attempt, Outcome::Moot, None).await;
+                    end.ended(job.attempt, Outcome::NotSent, None).await;
                     continue;
                 }
                 if !exchange(&mut end, &mut stream, &mut buffer, job).await {
@@ -137,7 +137,7 @@
             // This API has no report of the platform's kind.
             Some(Command::Probe) => {
                 end.tell(What::Probed {
-                    outcome: Outcome::Moot,
+                    outcome: Outcome::NotSent,
                     report: Vec::new(),
                 })
                 .await;
@@ -170,7 +170,7 @@
                 Some(Command::Cancel(attempt)) if attempt == job.attempt => return false,
                 Some(Command::Cancel(_)) => {}
                 Some(Command::Probe) => {
-                    end.tell(What::Probed { outcome: Outcome::Moot, report: Vec::new() }).await;
+                    end.tell(What::Probed { outcome: Outcome::NotSent, report: Vec::new() }).await;
                 }
                 Some(Command::Call(jobs)) => {
                     for job in jobs {
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of the program.
 
-use cairnroad_routing::Time;
+use cairnroad_types::Time;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -423,7 +423,7 @@
     }
     // Every refusal says when to come back, whether or not the simulator's clients are told.
     let longest = deployment.longest_advice;
-    deployment.policy.retry_after.get_or_insert(longest);
+    deployment.policy.max_retry_after.get_or_insert(longest);
     let seed = json.seed.unwrap_or_else(|| "0".into());
     let limits = json.limits.unwrap_or(JsonLimits {
         memory_mb: None,
@@ -579,7 +579,7 @@
     let policy = &deployment.policy;
     let layout = Layout {
         cells: policy.cells,
-        reach: policy.reach,
+        reach: policy.cells_per_shard,
         shards: deployment.shards,
     };
     Ok(Some(Source {
@@ -729,9 +729,9 @@
             let class = self.offer.deployment.class_names.get(index.class);
             json!({"name": index.name, "class": class, "shards": [index.first, index.last]})
         };
-        let class = |(_, name, class): (usize, &str, &cairnroad_routing::Class)| {
-            json!({"name": name, "aim_s": class.aim, "deadline_s": class.deadline, "least_share": class.floor,
-                "may_run_twice": class.effect != cairnroad_routing::Effect::Unsafe})
+        let class = |(_, name, class): (usize, &str, &cairnroad_types::Class)| {
+            json!({"name": name, "aim_s": class.latency_objective, "deadline_s": class.deadline, "least_share": class.minimum_share,
+                "may_run_twice": class.idempotency != cairnroad_types::Idempotency::AtMostOnce})
         };
         let contract = |(interface, plan): &(Interface, Plan)| {
             let path = plan.path.display().to_string();
@@ -809,7 +809,7 @@
         );
         assert!(config.limits.accepted + config.limits.links + 64 <= DEFAULT_SOCKETS);
         assert_eq!(
-            config.offer.deployment.policy.retry_after,
+            config.offer.deployment.policy.max_retry_after,
             Some(2.0),
             "refusals always say when to return"
         );
--- a/crates/coordinator/src/contract.rs
+++ b/crates/coordinator/src/contract.rs
@@ -11,7 +11,7 @@
 use cairnroad_contract::drift::{Interface, Ledger, Observation, Server};
 use cairnroad_contract::model::{Description, Kind};
 use cairnroad_contract::schema::Direction;
-use cairnroad_routing::ServerState;
+use cairnroad_types::ServerState;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -217,7 +217,7 @@
         }
         for row in rows {
             match row.state {
-                ServerState::Gone => servers.remove(row.id.as_str()),
+                ServerState::Removed => servers.remove(row.id.as_str()),
                 _ => servers.insert(
                     row.id.as_str().into(),
                     row.ready_at.map(|at| at.0 as f64 / 1e6),
--- a/crates/coordinator/src/discovery.rs
+++ b/crates/coordinator/src/discovery.rs
@@ -8,7 +8,7 @@
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::schema::Direction;
 use cairnroad_discovery_watch::{Ask, Call, Fault, Watch, DIAL};
-use cairnroad_routing::{ListNews, Listed, ServerId, ServerState};
+use cairnroad_types::{Endpoint, EndpointUpdate, ServerId, ServerState};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
         for row in &news.rows {
             let known = self.numbers.get(&row.id).map(|(number, _)| *number);
             let number = match (known, row.state) {
-                (Some(number), ServerState::Gone) => {
+                (Some(number), ServerState::Removed) => {
                     self.numbers.remove(&row.id);
                     number
                 }
@@ -45,7 +45,7 @@
                     self.numbers.insert(row.id.clone(), (number, row.clone()));
                     number
                 }
-                (None, ServerState::Gone) => continue,
+                (None, ServerState::Removed) => continue,
                 (None, _) => {
                     let number = ServerId(self.next);
                     self.next += 1;
@@ -84,8 +84,8 @@
 }
 
 /// The news in the decisions' words.
-pub fn list_news(rows: &[(ServerId, Row)], complete: bool, cached: bool) -> ListNews {
-    let listed = |(server, row): &(ServerId, Row)| Listed {
+pub fn list_news(rows: &[(ServerId, Row)], complete: bool, cached: bool) -> EndpointUpdate {
+    let listed = |(server, row): &(ServerId, Row)| Endpoint {
         server: *server,
         cell: row.cell,
         zone: row.zone,
@@ -97,9 +97,9 @@
     };
     let rows = rows.iter().map(listed).collect();
     match (cached, complete) {
-        (true, _) => ListNews::Cached(rows),
-        (_, true) => ListNews::Full(rows),
-        _ => ListNews::Delta(rows),
+        (true, _) => EndpointUpdate::Cached(rows),
+        (_, true) => EndpointUpdate::Snapshot(rows),
+        _ => EndpointUpdate::Delta(rows),
     }
 }
 
--- a/crates/coordinator/src/discovery/tests.rs
+++ b/crates/coordinator/src/discovery/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use cairnroad_routing::Time;
+use cairnroad_types::Time;
 
 #[test]
 fn a_list_is_understood_and_numbered_by_first_sight() {
@@ -18,7 +18,10 @@
         (rows[0].0, directory.number(&news)[0].0),
         (ServerId(0), ServerId(0))
     );
-    assert!(matches!(list_news(&rows, false, false), ListNews::Delta(_)));
+    assert!(matches!(
+        list_news(&rows, false, false),
+        EndpointUpdate::Delta(_)
+    ));
     assert!(
         directory
             .number(&read(&text.replace("leaving", "left")))
--- a/crates/coordinator/src/fronts/opensearch.rs
+++ b/crates/coordinator/src/fronts/opensearch.rs
@@ -5,7 +5,7 @@
 use crate::http;
 use crate::words::Index;
 use crate::words::{Answer, PartAnswer, PartSpec, Request, Text, Value};
-use cairnroad_routing::Time;
+use cairnroad_types::Time;
 use serde::{Deserialize, Serialize};
 use serde_json::value::{to_raw_value, RawValue};
 use serde_json::{json, Map, Value as Json};
--- a/crates/coordinator/src/fronts/places.rs
+++ b/crates/coordinator/src/fronts/places.rs
@@ -2,7 +2,7 @@
 //! place is needed, so that clients who ask nothing don't keep out those who do.
 
 use cairnroad_admin::stop::Seen;
-use cairnroad_routing::Time;
+use cairnroad_types::Time;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -3,8 +3,8 @@
 use super::exchange::{decimal, Exchange, Front, Reply};
 use crate::http;
 use crate::words::{Answer, PartSpec, Request, Text, Value};
-use cairnroad_routing::Time;
 use cairnroad_settings::Deployment;
+use cairnroad_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
--- a/crates/coordinator/src/link.rs
+++ b/crates/coordinator/src/link.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::contract::Contracts;
 use crate::words::{Attempt, Job, LinkEvent, Message, Value, What};
-use cairnroad_routing::Outcome;
+use cairnroad_types::Outcome;
 use std::cell::Cell;
 use std::io::Read;
 use std::net::SocketAddr;
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -159,7 +159,7 @@
     for (_, name, class) in offer.deployment.offered() {
         tracing::info!(
             class = name,
-            aim_s = class.aim,
+            aim_s = class.latency_objective,
             deadline_s = class.deadline,
             "class"
         );
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -1,7 +1,7 @@
 //! The wire form of the list of servers, as the agent and the configuration tell it.
 
 use crate::words::{News, Row};
-use cairnroad_routing::{ServerState, Time};
+use cairnroad_types::{ServerState, Time};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -49,7 +49,7 @@
             let state = match member.phase.as_str() {
                 "active" => ServerState::Ready,
                 "leaving" => ServerState::Draining,
-                "left" => ServerState::Gone,
+                "left" => ServerState::Removed,
                 // Not said to be active: it gets nothing new.
                 other => {
                     tracing::warn!(
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -10,7 +10,7 @@
 use cairnroad_endpoint_files::read::{read, File, MOST_BYTES, MOST_FILES};
 use cairnroad_endpoint_files::schedule::Schedule;
 use cairnroad_endpoint_files::settle::Settle;
-use cairnroad_routing::{ServerState, Time};
+use cairnroad_types::{ServerState, Time};
 use notify::{RecursiveMode, Watcher};
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -407,7 +407,7 @@
         }
         let gone = self.rows.iter().filter(|(id, _)| !rows.contains_key(*id));
         changed.extend(gone.map(|(_, row)| Row {
-            state: ServerState::Gone,
+            state: ServerState::Removed,
             ..row.clone()
         }));
         self.rows = rows;
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -158,7 +158,7 @@
 
 #[test]
 fn only_a_429_proves_that_a_search_never_began() {
-    use cairnroad_routing::Outcome;
+    use cairnroad_types::Outcome;
     let told = |status: u16, body: &str| {
         let text = format!(
             "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}",
@@ -180,6 +180,6 @@
     assert_eq!(told(200, &whole[..20]), Outcome::Error);
     assert_eq!(
         (told(429, "{}"), told(503, "{}"), told(404, "{}")),
-        (Outcome::Full, Outcome::Error, Outcome::Error)
+        (Outcome::Rejected, Outcome::Error, Outcome::Error)
     );
 }
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -8,7 +8,7 @@
 use cairnroad_cluster::facts::{self, What};
 use cairnroad_cluster::model::{may, State, FEATURES};
 use cairnroad_cluster::{advice, Group, Out, Setup, TICK};
-use cairnroad_routing::Time;
+use cairnroad_types::Time;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/coordinator/src/pool.rs
+++ b/crates/coordinator/src/pool.rs
@@ -8,8 +8,8 @@
 use crate::link::{Command, LinkEnd, Shared};
 use crate::tally::{Count, Tally};
 use crate::words::{Attempt, Ended, Job, LinkEvent, Message, Row, What};
-use cairnroad_routing::{Outcome, ServerId, ServerState, Time};
 use cairnroad_settings::Deployment;
+use cairnroad_types::{Outcome, ServerId, ServerState, Time};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -141,7 +141,7 @@
         // HTTP/1.1 carries one request at a time, and a search is a request of its own.
         let (streams, batch) = match config.backend {
             BackendKind::Frames => {
-                let batch = deployment.policy.parts_a_call as usize;
+                let batch = deployment.policy.max_parts_per_call as usize;
                 (deployment.streams, batch.min(deployment.streams))
             }
             BackendKind::OpenSearch => (1, 1),
@@ -183,7 +183,7 @@
             let listed: BTreeSet<ServerId> = rows.iter().map(|(server, _)| *server).collect();
             for (server, node) in &mut self.nodes {
                 if !listed.contains(server) {
-                    node.state = ServerState::Gone;
+                    node.state = ServerState::Removed;
                 }
             }
         }
@@ -423,7 +423,7 @@
             let gone = self
                 .nodes
                 .get(&link.server)
-                .is_none_or(|node| node.state == ServerState::Gone);
+                .is_none_or(|node| node.state == ServerState::Removed);
             let over = now - link.used > self.idle || link.silence(now) > self.silent;
             let done = gone || link.retired || link.shared.spent.get() || over;
             if link.up && link.out.is_empty() && done {
@@ -432,7 +432,7 @@
         }
         let linked: BTreeSet<ServerId> = self.links.values().map(|link| link.server).collect();
         self.nodes
-            .retain(|server, node| node.state != ServerState::Gone || linked.contains(server));
+            .retain(|server, node| node.state != ServerState::Removed || linked.contains(server));
     }
 
     /// How many servers and connections are known.
@@ -460,7 +460,7 @@
                 value,
             } => {
                 let known = link.out.remove(&attempt);
-                if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+                if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
                     link.used = now;
                     link.hear(now);
                 }
--- a/crates/coordinator/src/pool/tests.rs
+++ b/crates/coordinator/src/pool/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::words::Text;
-use cairnroad_routing::RequestId;
+use cairnroad_types::RequestId;
 
 /// Runs a test with a pool whose one server the test plays.
 fn before_a_server<F: std::future::Future>(
@@ -325,7 +325,7 @@
         assert!(frame(&mut server).await.starts_with("Qq2.0 "));
         assert_eq!(
             ends(&mut pool, &mut messages, &clock, 1).await,
-            [(1, Outcome::Moot)],
+            [(1, Outcome::NotSent)],
             "it never ran"
         );
         assert!(pool.is_out(first(2)));
@@ -465,7 +465,7 @@
             .policy
             .classes
             .iter_mut()
-            .for_each(|class| class.aim = aim);
+            .for_each(|class| class.latency_objective = aim);
         assert_eq!(silent(&deployment), aim * SILENT_SHARE);
     }
 }
--- a/crates/coordinator/src/stages/admit.rs
+++ b/crates/coordinator/src/stages/admit.rs
@@ -3,7 +3,7 @@
 use super::{book::Book, route::Route};
 use crate::tally::{Count, Tally};
 use crate::words::{Answer, Ask};
-use cairnroad_routing::{ClassId, Event, Time};
+use cairnroad_types::{ClassId, Event, Time};
 
 /// Advice for a request that finds the coordinator full, as a share of its class's aim.
 const FULL_ADVICE: f64 = 0.5;
@@ -45,7 +45,7 @@
         number: id.0,
         due,
         work,
-        repeat,
+        client_retry: repeat,
     });
     for (part, spec) in parts {
         route.push(Event::Part {
--- a/crates/coordinator/src/stages/book.rs
+++ b/crates/coordinator/src/stages/book.rs
@@ -2,8 +2,8 @@
 
 use crate::config::Config;
 use crate::words::{Answer, Ask, Attempt, Ended, Job, PartAnswer, PartSpec, Request, Value};
-use cairnroad_routing::{Class, Effect, Outcome, RequestId, Time};
 use cairnroad_settings::Deployment;
+use cairnroad_types::{Class, Idempotency, Outcome, RequestId, Time};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -104,8 +104,10 @@
         self.name_kept = NAME_KEPT.max(NAME_KEPT_DEADLINES * longest);
         self.late = LATE.max(LATE_TICKS * policy.tick);
         let window = |class: &Class| {
-            let margin = (WINDOW_MARGIN * class.window).max(WINDOW_MARGIN_TICKS * policy.tick);
-            (class.effect == Effect::Keyed).then_some(class.window - margin)
+            let margin =
+                (WINDOW_MARGIN * class.dedup_window).max(WINDOW_MARGIN_TICKS * policy.tick);
+            (class.idempotency == Idempotency::IdempotentWithKey)
+                .then_some(class.dedup_window - margin)
         };
         self.windows = policy.classes.iter().map(window).collect();
         for (place, name, _) in deployment.offered() {
@@ -223,8 +225,8 @@
         open.ends += 1;
         let result = match (ended.outcome, &ended.value) {
             (Outcome::Ok, Some(value)) => Ok(value.clone()),
-            (Outcome::Full, _) => Err("turned away"),
-            (Outcome::ConnectFailed | Outcome::Moot, _) => Err("no connection"),
+            (Outcome::Rejected, _) => Err("turned away"),
+            (Outcome::ConnectFailed | Outcome::NotSent, _) => Err("no connection"),
             (Outcome::Reset, _) => Err("the connection broke"),
             (Outcome::Timeout, _) => Err("no answer in time"),
             _ => Err("the server answered with an error"),
--- a/crates/coordinator/src/stages/book/tests.rs
+++ b/crates/coordinator/src/stages/book/tests.rs
@@ -4,11 +4,11 @@
 use crate::words::Text;
 
 /// A table for a deployment whose classes all have this effect, window and deadline.
-fn book(effect: Effect, window: f64, deadline: f64) -> Book {
+fn book(effect: Idempotency, window: f64, deadline: f64) -> Book {
     let config = crate::config::tests::sample();
     let mut deployment = config.offer.deployment.clone();
     for class in &mut deployment.policy.classes {
-        (class.effect, class.window, class.deadline) = (effect, window, deadline);
+        (class.idempotency, class.dedup_window, class.deadline) = (effect, window, deadline);
     }
     let mut book = Book::new(&config);
     book.retune(&deployment);
@@ -40,7 +40,10 @@
 #[test]
 fn a_name_is_remembered_for_longer_than_a_request_may_be_open() {
     for (deadline, kept) in [(2.0, 10.0), (12.0, 24.0)] {
-        let (start, mut book) = (Time::from_secs(100.0), book(Effect::Safe, 0.0, deadline));
+        let (start, mut book) = (
+            Time::from_secs(100.0),
+            book(Idempotency::Idempotent, 0.0, deadline),
+        );
         book.open(start, ask("first", start));
         for (at, known) in [(kept - 0.1, true), (kept + 0.1, false)] {
             book.open(start + at, ask(&at.to_string(), start + at));
@@ -56,7 +59,10 @@
 /// Guards against a keyed part's attempt that leaves after its window, counted from the first one that may have run.
 #[test]
 fn a_keyed_parts_attempts_know_their_windows_end() {
-    let (start, mut book) = (Time::from_secs(100.0), book(Effect::Keyed, 2.0, 9.0));
+    let (start, mut book) = (
+        Time::from_secs(100.0),
+        book(Idempotency::IdempotentWithKey, 2.0, 9.0),
+    );
     let (_, parts) = book.open(start, ask("keyed", start));
     let part = parts[0].0;
     let job = |book: &mut Book, at: f64| book.job(start + at, part, start + 9.0).unwrap();
@@ -81,7 +87,10 @@
     );
     third.wanted.set(false);
     assert!(!third.may_be_sent(start + 2.6));
-    let (start, mut book) = (Time::from_secs(100.0), self::book(Effect::Unsafe, 2.0, 9.0));
+    let (start, mut book) = (
+        Time::from_secs(100.0),
+        self::book(Idempotency::AtMostOnce, 2.0, 9.0),
+    );
     let (_, parts) = book.open(start, ask("once", start));
     assert!(book
         .job(start, parts[0].0, start + 9.0)
--- a/crates/coordinator/src/stages/mod.rs
+++ b/crates/coordinator/src/stages/mod.rs
@@ -23,7 +23,7 @@
 use cairnroad_admin::bans::Bans;
 use cairnroad_admin::call::{Call, Verdict};
 use cairnroad_admin::retune::{self, Retuned};
-use cairnroad_routing::{Action, ClassId, Event, Outcome, ServerId, Time};
+use cairnroad_types::{Action, ClassId, Event, Outcome, ServerId, Time};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -97,7 +97,7 @@
             started: now,
             fresh_list: false,
             tally: Tally::new(f64::from(config.log.tally_s), now),
-            warm_up: config.offer.deployment.policy.warm_up,
+            warm_up: config.offer.deployment.policy.slow_start_duration,
             sweep,
             bans: Bans::default(),
             shelf: config
@@ -140,7 +140,7 @@
                         outcome,
                         report,
                     }) => {
-                        self.route.push(Event::Probed {
+                        self.route.push(Event::HealthCheckEnded {
                             server,
                             outcome,
                             report,
@@ -161,7 +161,7 @@
         }
         for due in self.wheel.turn(now) {
             match due {
-                Due::Wake => self.route.push(Event::Wake),
+                Due::Wake => self.route.push(Event::TimerFired),
                 Due::Attempt(attempt) => {
                     if self.pool.abandon(attempt) {
                         self.ended(Ended {
@@ -181,7 +181,7 @@
             }
         }
         for query in self.book.lost_clients() {
-            self.route.push(Event::Withdrawn(query));
+            self.route.push(Event::ClientGone(query));
             self.book.close(query);
         }
         for ask in self.intake.take() {
@@ -246,7 +246,7 @@
         self.tally.outcome(ended.outcome);
         let Attempt { part, number } = ended.attempt;
         self.book.note(&ended);
-        self.route.push(Event::Done {
+        self.route.push(Event::AttemptEnded {
             id: part,
             attempt: number,
             outcome: ended.outcome,
@@ -276,8 +276,9 @@
             (row.state, row.ready_at) = self.bans.overlay(&row.id, row.state, row.ready_at);
         }
         self.pool.note_list(rows, complete);
-        self.route
-            .push(Event::List(discovery::list_news(rows, complete, cached)));
+        self.route.push(Event::Endpoints(discovery::list_news(
+            rows, complete, cached,
+        )));
     }
 
     /// Looks at what another process of this coordinator may have changed.
@@ -333,7 +334,7 @@
         self.book.retune(&deployment);
         self.pool.retune(&deployment);
         self.route.retune(&deployment, &renewed, &places);
-        self.warm_up = deployment.policy.warm_up;
+        self.warm_up = deployment.policy.slow_start_duration;
         let offer = Arc::new(Offer {
             deployment,
             indices,
@@ -370,7 +371,7 @@
             .map(|(server, _)| server);
         let servers: Vec<ServerId> = known.collect();
         if !servers.is_empty() {
-            self.route.push(Event::Advised(servers));
+            self.route.push(Event::OutlierAdvice(servers));
         }
     }
 
--- a/crates/coordinator/src/stages/relay.rs
+++ b/crates/coordinator/src/stages/relay.rs
@@ -3,7 +3,7 @@
 use super::book::Book;
 use crate::tally::{Count, Tally};
 use crate::words::Answer;
-use cairnroad_routing::{Action, Time};
+use cairnroad_types::{Action, Time};
 
 /// Advice where the decisions give none, in seconds.
 const ADVICE: f64 = 1.0;
@@ -12,13 +12,13 @@
 pub fn is_final(action: &Action) -> bool {
     matches!(
         action,
-        Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. }
+        Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. }
     )
 }
 
 pub fn relay(action: &Action, now: Time, book: &mut Book, tally: &mut Tally) {
     let id = match *action {
-        Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query } => {
+        Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
             query
         }
         _ => return,
@@ -26,11 +26,13 @@
     // An id that is no longer open was withdrawn in this very tick.
     let Some(open) = book.close(id) else { return };
     let answer = match *action {
-        Action::Answer { whole, .. } => Answer::Served {
+        Action::Answer {
+            complete: whole, ..
+        } => Answer::Served {
             whole,
             parts: open.answers(),
         },
-        Action::Refuse { retry_after, .. } => {
+        Action::Reject { retry_after, .. } => {
             if open.never_sent() {
                 tally.add(Count::Unsent);
             }
--- a/crates/coordinator/src/stages/route.rs
+++ b/crates/coordinator/src/stages/route.rs
@@ -1,11 +1,12 @@
 //! Route: the decisions, called once with all events of a tick.
 
 use crate::config::Config;
-use cairnroad_routing::{Action, Aggregator, Beliefs, ClassId, Event, ServerId, Time};
+use cairnroad_routing::RequestRouter;
 use cairnroad_settings::Deployment;
+use cairnroad_types::{Action, ClassId, Event, HealthSummary, ServerId, Time};
 
 pub struct Route {
-    aggregator: Aggregator,
+    aggregator: RequestRouter,
     aims: Vec<f64>,
     lists: Vec<Event>,
     events: Vec<Event>,
@@ -14,9 +15,13 @@
 impl Route {
     pub fn new(config: &Config) -> Self {
         let policy = config.offer.deployment.policy.clone();
-        let aims = policy.classes.iter().map(|class| class.aim).collect();
+        let aims = policy
+            .classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .collect();
         Route {
-            aggregator: Aggregator::new(policy, config.seed),
+            aggregator: RequestRouter::new(policy, config.seed),
             aims,
             lists: Vec::new(),
             events: Vec::new(),
@@ -29,7 +34,7 @@
             .policy
             .classes
             .iter()
-            .map(|class| class.aim)
+            .map(|class| class.latency_objective)
             .collect();
         self.aggregator
             .retune(deployment.policy.clone(), renewed, offered);
@@ -44,13 +49,13 @@
     /// not go to a server that the tick's news drains.
     pub fn push(&mut self, event: Event) {
         match event {
-            Event::List(_) => self.lists.push(event),
+            Event::Endpoints(_) => self.lists.push(event),
             _ => self.events.push(event),
         }
     }
 
     /// What the decisions believe of the servers, for the log.
-    pub fn beliefs(&self, now: Time) -> Beliefs {
+    pub fn beliefs(&self, now: Time) -> HealthSummary {
         self.aggregator.beliefs(now)
     }
 
@@ -62,7 +67,7 @@
     /// No query that is open gets longer than up to this moment.
     pub fn end_by(&mut self, moment: Time) {
         self.aggregator.end_by(moment);
-        self.events.push(Event::Wake);
+        self.events.push(Event::TimerFired);
     }
 
     /// How many servers the decisions know.
--- a/crates/coordinator/src/stages/send.rs
+++ b/crates/coordinator/src/stages/send.rs
@@ -6,7 +6,7 @@
 use crate::tally::{Count, Tally};
 use crate::wheel::{Due, Wheel};
 use crate::words::{Attempt, Ended};
-use cairnroad_routing::{Action, Time};
+use cairnroad_types::{Action, Time};
 
 pub fn carry(now: Time, action: &Action, book: &mut Book, pool: &mut Pool, wheel: &mut Wheel<Due>) {
     match *action {
@@ -27,11 +27,13 @@
                 number: attempt,
             },
         ),
-        Action::Probe(server) => pool.probe(server),
-        Action::Wake(at) => wheel.insert(at, Due::Wake),
+        Action::HealthCheck(server) => pool.probe(server),
+        Action::SetTimer(at) => wheel.insert(at, Due::Wake),
         // The watch asks by itself; finals are the relay's.
-        Action::Subscribe | Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. } => {
-        }
+        Action::SubscribeEndpoints
+        | Action::Answer { .. }
+        | Action::Reject { .. }
+        | Action::Fail { .. } => {}
     }
 }
 
--- a/crates/coordinator/src/stages/tests.rs
+++ b/crates/coordinator/src/stages/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::words::{Answer, LinkEvent, PartSpec, Request, Text, What};
-use cairnroad_routing::{RequestId, ServerState};
+use cairnroad_types::{RequestId, ServerState};
 use tokio::sync::oneshot;
 
 /// A core, and the other ends of its queues.
@@ -63,7 +63,7 @@
 fn replaced_servers_are_forgotten() {
     with_core(|Rig { mut core, .. }| {
         for generation in 0..300 {
-            let gone = row(generation, generation as u32 % 2, ServerState::Gone);
+            let gone = row(generation, generation as u32 % 2, ServerState::Removed);
             let fresh = (generation + 1..generation + 5)
                 .map(|at| row(at, at as u32 % 2, ServerState::Ready));
             // By changes and, now and then, by a whole list without the one that is gone.
@@ -103,7 +103,7 @@
         (None, false),
         (Some(Outcome::Reset), true),
         (Some(Outcome::ConnectFailed), true),
-        (Some(Outcome::Full), true),
+        (Some(Outcome::Rejected), true),
     ] {
         for gone in [false, true] {
             with_core(
--- a/crates/coordinator/src/surface.rs
+++ b/crates/coordinator/src/surface.rs
@@ -5,7 +5,7 @@
 use crate::fronts::{self, opensearch};
 use crate::http;
 use cairnroad_contract::publish::{self, Class, Index, Limits, Surface};
-use cairnroad_routing::Effect;
+use cairnroad_types::Idempotency;
 
 /// The surface of a configuration.
 pub fn of(config: &Config) -> Surface {
@@ -25,10 +25,10 @@
             .offered()
             .map(|(_, name, class)| Class {
                 name: name.into(),
-                aim: class.aim,
+                aim: class.latency_objective,
                 deadline: class.deadline,
-                repeatable: class.effect != Effect::Unsafe,
-                floor: class.floor,
+                repeatable: class.idempotency != Idempotency::AtMostOnce,
+                floor: class.minimum_share,
             })
             .collect(),
         shards: deployment.shards,
--- a/crates/coordinator/src/tally.rs
+++ b/crates/coordinator/src/tally.rs
@@ -1,7 +1,7 @@
 //! What this coordinator did and met since its last line, counted for the log: figures that can be added up over a
 //! fleet, to see what many coordinators do together. It decides nothing.
 
-use cairnroad_routing::{Action, Beliefs, Outcome, Time};
+use cairnroad_types::{Action, HealthSummary, Outcome, Time};
 
 /// What is counted, by its name on the line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,14 +90,16 @@
 
     pub fn action(&mut self, action: &Action) {
         match action {
-            Action::Answer { whole: true, .. } => self.add(Count::Served),
-            Action::Answer { whole: false, .. } => self.add(Count::Partial),
-            Action::Refuse { .. } => self.add(Count::Refused),
+            Action::Answer { complete: true, .. } => self.add(Count::Served),
+            Action::Answer {
+                complete: false, ..
+            } => self.add(Count::Partial),
+            Action::Reject { .. } => self.add(Count::Refused),
             Action::Fail { .. } => self.add(Count::Failed),
             Action::Send { .. } => self.add(Count::Sends),
             Action::Cancel { .. } => self.add(Count::Cancels),
-            Action::Probe(_) => self.add(Count::Probes),
-            Action::Wake(_) | Action::Subscribe => {}
+            Action::HealthCheck(_) => self.add(Count::Probes),
+            Action::SetTimer(_) | Action::SubscribeEndpoints => {}
         }
     }
 
@@ -105,9 +107,9 @@
         self.add(match outcome {
             Outcome::Ok => Count::Ok,
             Outcome::Error => Count::Errors,
-            Outcome::Full => Count::Busy,
+            Outcome::Rejected => Count::Busy,
             Outcome::Timeout | Outcome::Cancelled => Count::Timeouts,
-            Outcome::ConnectFailed | Outcome::Moot => Count::NoConnection,
+            Outcome::ConnectFailed | Outcome::NotSent => Count::NoConnection,
             Outcome::Reset => Count::Resets,
         });
     }
@@ -117,7 +119,7 @@
         &mut self,
         now: Time,
         links: usize,
-        beliefs: impl FnOnce() -> Beliefs,
+        beliefs: impl FnOnce() -> HealthSummary,
     ) -> Option<String> {
         if !self.is_on() || now - self.told < self.every {
             return None;
@@ -131,15 +133,15 @@
         let mut line: Vec<String> = pairs
             .map(|(name, count)| format!("{name}={count}"))
             .collect();
-        let Beliefs {
+        let HealthSummary {
             ready,
-            doubted,
+            outliers,
             overdue,
-            young,
-            usual_ms,
+            warming_up,
+            typical_latency_ms,
         } = beliefs();
         line.push(format!(
-            "links={links} ready={ready} doubted={doubted} overdue={overdue} young={young} usual_ms={usual_ms:?}"
+            "links={links} ready={ready} doubted={outliers} overdue={overdue} young={warming_up} usual_ms={typical_latency_ms:?}"
         ));
         Some(line.join(" "))
     }
--- a/crates/coordinator/src/tally/tests.rs
+++ b/crates/coordinator/src/tally/tests.rs
@@ -7,10 +7,10 @@
     tally.add(Count::Dials);
     tally.outcome(Outcome::Reset);
     tally.outcome(Outcome::Reset);
-    let beliefs = || Beliefs {
+    let beliefs = || HealthSummary {
         ready: 3,
-        doubted: 1,
-        ..Beliefs::default()
+        outliers: 1,
+        ..HealthSummary::default()
     };
     assert_eq!(tally.line(start + 4.9, 2, beliefs), None, "not due");
     let line = tally.line(start + 5.0, 2, beliefs).unwrap();
--- a/crates/coordinator/src/wheel.rs
+++ b/crates/coordinator/src/wheel.rs
@@ -3,7 +3,7 @@
 //! whether it still matters.
 
 use crate::words::Attempt;
-use cairnroad_routing::Time;
+use cairnroad_types::Time;
 
 const SLOTS: i64 = 1024;
 
--- a/crates/coordinator/src/words.rs
+++ b/crates/coordinator/src/words.rs
@@ -3,8 +3,8 @@
 
 use cairnroad_admin::call::{Call, Verdict};
 use cairnroad_contract::decide::InForce;
-use cairnroad_routing::{Outcome, RequestId, ServerState, Time};
 use cairnroad_settings::Deployment;
+use cairnroad_types::{Outcome, RequestId, ServerState, Time};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/flow-control/src/budget/tests.rs
+++ b/crates/flow-control/src/budget/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn what_was_taken_earns_further_attempts_within_the_window() {
-    let stated = Some(AttemptBudget {
-        free: 1.0,
-        share: 0.1,
+    let stated = Some(RetryBudgetLimits {
+        always_allowed: 1.0,
+        share_of_arrivals: 0.1,
         window: 10.0,
     });
     let at = Time::from_secs;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,6 +1,6 @@
 //! Sans-I/O decisions for a client library that reads many shards for one request.
 //!
-//! An [`Aggregator`] is told what happened ([`Event`]) and says what to do ([`Action`]): which replica gets
+//! An [`RequestRouter`] is told what happened ([`Event`]) and says what to do ([`Action`]): which replica gets
 //! each part of a query, when a part gets its one hedge, when to cancel, retry, answer, refuse or fail. It
 //! keeps no clock, opens no socket and shares nothing; the caller does both and feeds the outcomes back.
 //!
@@ -9,34 +9,37 @@
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: 1.0, aim_stretch: 0.0, deadline: 3.0, worth: 1.0, late_share: 0.0, effect: Effect::Safe,
-//!         window: 0.0, need: 1.0, floor: 1.0, partial: 0.0, fetch: 0,
+//!         latency_objective: 1.0, objective_per_work: 0.0, deadline: 3.0, priority_weight: 1.0, late_answer_share: 0.0,
+//!         idempotency: Idempotency::Idempotent,
+//!         dedup_window: 0.0, complete_threshold: 1.0, minimum_share: 1.0, partial_answer_share: 0.0, second_step_parts: 0,
 //!     }],
-//!     group_size: 1, cells: 2, reach: 2, parts_a_call: 1, tick: 0.005, max_attempts: 3, probes: None, cancel: true,
-//!     second_copies: true, retry_after: Some(0.5), must_ask: None, drain_grace: 1.0, cold_from: 0.2, warm_up: 10.0,
-//!     fall_multiple: 2.0, fall_window: 2.0, budget: None,
+//!     group_size: 1, cells: 2, cells_per_shard: 2, max_parts_per_call: 1, tick: 0.005, max_attempts: 3,
+//!     health_check_value: None, cancellation: true,
+//!     hedging: true, max_retry_after: Some(0.5), max_poll_interval: None, drain_grace: 1.0, slow_start_share: 0.2,
+//!     slow_start_duration: 10.0,
+//!     overload_multiple: 2.0, overload_window: 2.0, retry_budget: None,
 //! };
-//! let mut aggregator = Aggregator::new(settings, 7);
-//! let server = |id, cell| Listed {
+//! let mut router = RequestRouter::new(settings, 7);
+//! let server = |id, cell| Endpoint {
 //!     server: ServerId(id), cell, zone: 0, state: ServerState::Ready, size: 1.0, weight: 1.0, generation: 0,
 //!     ready_at: None,
 //! };
 //! let now = Time::from_secs(100.0);
 //! let events = [
-//!     Event::List(ListNews::Full(vec![server(1, 0), server(2, 1)])),
+//!     Event::Endpoints(EndpointUpdate::Snapshot(vec![server(1, 0), server(2, 1)])),
 //!     Event::Query {
-//!         id: RequestId(1), class: ClassId(0), number: 1, due: now + 3.0, work: None, repeat: false,
+//!         id: RequestId(1), class: ClassId(0), number: 1, due: now + 3.0, work: None, client_retry: false,
 //!     },
 //!     Event::Part { id: RequestId(2), number: 1, shard: 0, weight: 1.0 },
 //! ];
 //! let mut actions = Vec::new();
-//! aggregator.handle(now, &events, &mut actions);
+//! router.handle(now, &events, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { part: RequestId(2), .. }));
 //!
 //! actions.clear();
-//! let answer = Event::Done { id: RequestId(2), attempt: 0, outcome: Outcome::Ok };
-//! aggregator.handle(now + 0.1, &[answer], &mut actions);
-//! assert_eq!(actions[0], Action::Answer { query: RequestId(1), whole: true });
+//! let answer = Event::AttemptEnded { id: RequestId(2), attempt: 0, outcome: Outcome::Ok };
+//! router.handle(now + 0.1, &[answer], &mut actions);
+//! assert_eq!(actions[0], Action::Answer { query: RequestId(1), complete: true });
 //! ```
 
 #![forbid(unsafe_code)]
@@ -44,4 +47,4 @@
 mod policy;
 
 pub use cairnroad_types::*;
-pub use policy::Aggregator;
+pub use policy::RequestRouter;
--- a/crates/routing/src/policy/beliefs.rs
+++ b/crates/routing/src/policy/beliefs.rs
@@ -1,9 +1,9 @@
 //! What the decisions believe, told for the log. Nothing here decides.
 
-use super::Aggregator;
-use cairnroad_types::{Beliefs, ServerId, Time};
+use super::RequestRouter;
+use cairnroad_types::{HealthSummary, ServerId, Time};
 
-impl Aggregator {
+impl RequestRouter {
     /// How many servers are known.
     pub fn servers(&self) -> usize {
         self.servers.len()
@@ -20,19 +20,19 @@
     }
 
     /// What is believed of the servers now.
-    pub fn beliefs(&self, now: Time) -> Beliefs {
-        let mut beliefs = Beliefs::default();
+    pub fn beliefs(&self, now: Time) -> HealthSummary {
+        let mut beliefs = HealthSummary::default();
         for (_, server) in self.ready() {
             beliefs.ready += 1;
-            beliefs.doubted += usize::from(self.doubted(now, server));
+            beliefs.outliers += usize::from(self.doubted(now, server));
             beliefs.overdue += usize::from(server.out.first().is_some_and(|&(at, ..)| at <= now));
-            beliefs.young += usize::from(
+            beliefs.warming_up += usize::from(
                 server
                     .ready_at
-                    .is_some_and(|at| now - at < self.settings.warm_up),
+                    .is_some_and(|at| now - at < self.settings.slow_start_duration),
             );
         }
-        beliefs.usual_ms = self
+        beliefs.typical_latency_ms = self
             .usual
             .iter()
             .map(|usual| (usual * 1e3) as u32)
--- a/crates/routing/src/policy/choose.rs
+++ b/crates/routing/src/policy/choose.rs
@@ -8,17 +8,17 @@
 /// is within the tenth of copies, and many nodes with little traffic don't wear a bad server down or out.
 const TRIAL_SHARE: f64 = 0.04;
 
-impl Aggregator {
+impl RequestRouter {
     /// Servers that may be sent a part of this shard now: those of the cells from its own on, as far as the
     /// reach goes, around the ring.
     pub(super) fn holders(&mut self, now: Time, shard: u32) -> Vec<ServerId> {
         let Some(first) = shard.checked_rem(self.settings.cells) else {
             return Vec::new();
         };
-        let end = first.saturating_add(self.settings.reach);
+        let end = first.saturating_add(self.settings.cells_per_shard);
         let around = self
             .settings
-            .reach
+            .cells_per_shard
             .saturating_sub(self.settings.cells - first)
             .min(first);
         let cells = self
@@ -92,7 +92,7 @@
     /// Whether there is room for a trial part of this class.
     pub(super) fn may_try(&mut self, now: Time, class: usize) -> bool {
         let span = self.recent * CALM_LATELY; // in less, a node asked little sends too few parts for one
-        let safe = |class: &Class| class.effect == Effect::Safe;
+        let safe = |class: &Class| class.idempotency == Idempotency::Idempotent;
         (safe(&self.settings.classes[class]) || !self.settings.classes.iter().any(safe))
             && self.trials.count(now, self.shortest * TRIAL_GAP) < 1.0 // saved up, but not one query's burden
             && self.trials.count(now, span) + 1.0 <= TRIAL_SHARE * self.asked.count(now, span)
--- a/crates/routing/src/policy/cold.rs
+++ b/crates/routing/src/policy/cold.rs
@@ -8,7 +8,7 @@
 /// query come together, and what is earned between two queries would be lost.
 const COLD_BURST: f64 = 0.1;
 
-impl Aggregator {
+impl RequestRouter {
     /// The cold guard. A server that has just started earns parts at the stated multiple of its guaranteed
     /// capacity, taken to be what warm servers answer this node, its share of what they do for all. Fractions
     /// are carried over and begin at chance, so that sparse nodes send theirs, and not in step.
@@ -21,15 +21,16 @@
         let Some(age) = server
             .ready_at
             .map(|at| (now - at).max(0.0))
-            .filter(|&age| age < s.warm_up)
+            .filter(|&age| age < s.slow_start_duration)
         else {
             return true;
         };
-        let ramp =
-            s.cold_from + (1.0 - s.cold_from) * (age - s.fall_window / 2.0).max(0.0) / s.warm_up;
-        let earned = COLD_MARGIN * s.fall_multiple * ramp * self.take.best * server.size;
+        let ramp = s.slow_start_share
+            + (1.0 - s.slow_start_share) * (age - s.overload_window / 2.0).max(0.0)
+                / s.slow_start_duration;
+        let earned = COLD_MARGIN * s.overload_multiple * ramp * self.take.best * server.size;
         let (earlier, at) = server.earned;
-        let most = (earned * s.fall_window * COLD_BURST).max(1.0);
+        let most = (earned * s.overload_window * COLD_BURST).max(1.0);
         server.earned = ((earlier + earned * (now - at)).min(most), now);
         server.earned.0 >= 1.0
     }
@@ -39,11 +40,11 @@
         if !self.take.is_due(now) {
             return;
         }
-        let span = self.settings.warm_up * TAKE_WARM_UPS;
+        let span = self.settings.slow_start_duration * TAKE_WARM_UPS;
         let seen = span
             .min(self.born.map_or(0.0, |at| now - at))
-            .max(self.settings.fall_window);
-        let warm_up = self.settings.warm_up;
+            .max(self.settings.overload_window);
+        let warm_up = self.settings.slow_start_duration;
         let warm = |s: &&mut Server| {
             s.state == ServerState::Ready && s.ready_at.is_none_or(|at| now - at >= warm_up)
         };
--- a/crates/routing/src/policy/copies.rs
+++ b/crates/routing/src/policy/copies.rs
@@ -5,7 +5,7 @@
 /// Copies stay under this share of the parts lately sent by this node. The design's tenth.
 const HEDGE_SHARE: f64 = 0.1;
 
-impl Aggregator {
+impl RequestRouter {
     /// Whether the rules allow this part a further attempt.
     pub(super) fn may_repeat(&mut self, now: Time, id: RequestId) -> bool {
         let Some(part) = self.parts.get(&id) else {
@@ -17,21 +17,21 @@
         let class = &self.settings.classes[query.class];
         let margin = self.settings.tick * END_TICKS;
         let ran = part.may_have_run || !part.out.is_empty();
-        let allowed = match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed => {
+        let allowed = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotentWithKey => {
                 !ran || part
                     .first_sent
-                    .is_some_and(|at| now - at < class.window - margin)
+                    .is_some_and(|at| now - at < class.dedup_window - margin)
             }
-            Effect::Unsafe => !ran,
+            Idempotency::AtMostOnce => !ran,
         };
         let open = !query.suspect()
             && !part.answered
             && now < query.end_at
             && (part.tried.len() as u64)
                 < u64::from(self.settings.max_attempts.min(u32::from(u8::MAX)));
-        allowed && open && self.budget.left(now, self.settings.budget, margin) >= 1.0
+        allowed && open && self.budget.left(now, self.settings.retry_budget, margin) >= 1.0
     }
 
     /// The design's copy: one for a part unanswered after the fixed delay, to a replica that is not overdue.
--- a/crates/routing/src/policy/doubt.rs
+++ b/crates/routing/src/policy/doubt.rs
@@ -11,7 +11,7 @@
 /// A zone that was dark for this share of the warm-up time may have started anew, and warms up as if it had.
 const DARK_START: f64 = 0.1;
 
-impl Aggregator {
+impl RequestRouter {
     /// A server's health, from this node's own parts alone: one figure for slow, failing, refusing and
     /// silent servers. Measured against what is usual now, so that a general slowdown dooms nobody.
     pub(super) fn judge(&mut self, now: Time, flight: &Flight, outcome: Outcome) {
@@ -31,12 +31,12 @@
                 server.passed = server.passed.max(flight.sent);
                 server
                     .answers
-                    .push(now, self.settings.warm_up * TAKE_WARM_UPS);
+                    .push(now, self.settings.slow_start_duration * TAKE_WARM_UPS);
                 (ratio, PACE_GAIN)
             }
             // Silence so far: it says something only if it is worse than what was known.
             Outcome::Cancelled | Outcome::Timeout => (ratio.max(server.pace), BAD_GAIN),
-            Outcome::Moot => return,
+            Outcome::NotSent => return,
             _ => (WORST_PACE, PACE_GAIN),
         };
         if outcome == Outcome::ConnectFailed
@@ -52,14 +52,15 @@
         } else {
             server.hint
         };
-        if server.pace > DOUBT && !self.probing.armed && self.settings.probes.is_some() {
+        if server.pace > DOUBT && !self.probing.armed && self.settings.health_check_value.is_some()
+        {
             self.probing.armed = true;
             self.agenda.insert(now, Due::Probe);
         }
         let took = match outcome {
             Outcome::Ok => took,
             Outcome::Cancelled | Outcome::Timeout => took.max(server.wait.0),
-            Outcome::Full => self.settings.classes[flight.class].aim,
+            Outcome::Rejected => self.settings.classes[flight.class].latency_objective,
             _ => return,
         };
         server.wait = (server.wait.0 + (took - server.wait.0) * PACE_GAIN, now);
@@ -73,7 +74,9 @@
                 .out
                 .first()
                 .and_then(|&(_, id, attempt)| self.flights.get(&(id, attempt)));
-            let delay = |flight: &Flight| self.settings.classes[flight.class].aim * HEDGE_DELAY;
+            let delay = |flight: &Flight| {
+                self.settings.classes[flight.class].latency_objective * HEDGE_DELAY
+            };
             let waiting = oldest
                 .filter(|flight| now - flight.sent >= delay(flight))
                 .map(|flight| flight.sent);
@@ -103,7 +106,7 @@
         let Some(dark_for) = self.zones.found(now, zone) else {
             return;
         };
-        let restarted = dark_for > self.settings.warm_up * DARK_START;
+        let restarted = dark_for > self.settings.slow_start_duration * DARK_START;
         for server in self.servers.values_mut().filter(|s| s.zone == zone) {
             (server.pace, server.kept) = (1.0, None);
             if restarted {
@@ -123,7 +126,11 @@
         let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
-        let held = self.settings.probes.and_then(|at| report.get(at)).copied();
+        let held = self
+            .settings
+            .health_check_value
+            .and_then(|at| report.get(at))
+            .copied();
         server.hint = self
             .probing
             .hint(outcome, held, WORST_PACE)
@@ -159,7 +166,7 @@
         let oldest = self.ready().map(|(id, s)| (heard(s), id)).min();
         let due = oldest.filter(|&(at, _)| now - at > self.shortest);
         if let Some((_, id)) = due.filter(|_| self.probing.take()) {
-            actions.push(Action::Probe(id));
+            actions.push(Action::HealthCheck(id));
             if let Some(server) = self.servers.get_mut(&id) {
                 server.probed = now;
             }
--- a/crates/routing/src/policy/end.rs
+++ b/crates/routing/src/policy/end.rs
@@ -5,7 +5,7 @@
 /// A query refused before its aim may come again after this share of what is left of it.
 const ADVICE: f64 = 0.25;
 
-impl Aggregator {
+impl RequestRouter {
     /// What is in, and what is in or may still come, as shares of what the parts' weights add up to.
     pub(super) fn weights(&mut self, now: Time, id: RequestId) -> (f64, f64) {
         let Some(parts) = self.queries.get(&id).map(|q| q.parts.clone()) else {
@@ -31,13 +31,17 @@
         let Some(query) = self.queries.get(&id) else {
             return;
         };
-        let (need, floor) = self.settings.classes[query.class].bars(query.second_step);
+        let thresholds =
+            self.settings.classes[query.class].completion_thresholds(query.second_step);
         let whole = query.first_whole || !query.second_step;
-        if done >= need {
+        if done >= thresholds.complete {
             self.answer(now, id, whole, actions);
-        } else if possible < floor {
+        } else if possible < thresholds.minimum {
             self.give_up(now, id, actions);
-        } else if possible < need && done >= floor && possible - done < WEIGHT_SLACK {
+        } else if possible < thresholds.complete
+            && done >= thresholds.minimum
+            && possible - done < WEIGHT_SLACK
+        {
             self.answer(now, id, false, actions);
         }
     }
@@ -50,10 +54,14 @@
         let Some(class) = self.settings.classes.get(query.class) else {
             return;
         };
-        let (_, floor) = class.bars(query.second_step);
-        if done >= floor && class.partial * done.min(class.need) / class.need >= class.late_share {
+        let thresholds = class.completion_thresholds(query.second_step);
+        if done >= thresholds.minimum
+            && class.partial_answer_share * done.min(class.complete_threshold)
+                / class.complete_threshold
+                >= class.late_answer_share
+        {
             self.answer(now, id, false, actions);
-        } else if class.late_share <= 0.0 {
+        } else if class.late_answer_share <= 0.0 {
             self.give_up(now, id, actions);
         }
     }
@@ -68,8 +76,12 @@
         let Some(query) = self.queries.get_mut(&id) else {
             return;
         };
-        let step_follows = !query.second_step && self.settings.classes[query.class].fetch > 0;
-        actions.push(Action::Answer { query: id, whole });
+        let step_follows =
+            !query.second_step && self.settings.classes[query.class].second_step_parts > 0;
+        actions.push(Action::Answer {
+            query: id,
+            complete: whole,
+        });
         if step_follows {
             query.second_step = true;
             query.first_whole = whole;
@@ -96,14 +108,17 @@
             .settings
             .classes
             .get(query.class)
-            .map_or(Effect::Unsafe, |c| c.effect);
-        let harmless = effect == Effect::Safe || !ran;
+            .map_or(Idempotency::AtMostOnce, |c| c.idempotency);
+        let harmless = effect == Idempotency::Idempotent || !ran;
         // While its aim stands a query may come again within it; after that, as late as clients heed.
         let left = query.aim_at - now;
         let within = if left > 0.0 { left * ADVICE } else { f64::MAX };
-        let retry_after = self.settings.retry_after.map(|longest| longest.min(within));
+        let retry_after = self
+            .settings
+            .max_retry_after
+            .map(|longest| longest.min(within));
         actions.push(match harmless {
-            true => Action::Refuse {
+            true => Action::Reject {
                 query: id,
                 retry_after,
             },
@@ -150,7 +165,7 @@
     ) {
         if let Some(flight) = self
             .settings
-            .cancel
+            .cancellation
             .then(|| self.land(id, attempt))
             .flatten()
         {
--- a/crates/routing/src/policy/list.rs
+++ b/crates/routing/src/policy/list.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl Aggregator {
+impl RequestRouter {
     /// Forgets the servers that are gone and have nothing out: on a long day they are replaced without end.
     pub(super) fn forget_gone(&mut self) {
         let cells = &mut self.cells;
         self.servers.retain(|id, server| {
-            let known = server.state != ServerState::Gone || !server.out.is_empty();
+            let known = server.state != ServerState::Removed || !server.out.is_empty();
             if !known {
                 cells.entry(server.cell).or_default().remove(id);
             }
@@ -16,26 +16,28 @@
     }
 
     /// A server missing from a whole list is gone; an empty list is no news.
-    pub(super) fn note_list(&mut self, now: Time, news: &ListNews) {
+    pub(super) fn note_list(&mut self, now: Time, news: &EndpointUpdate) {
         let rows = match news {
-            ListNews::Failed => {
+            EndpointUpdate::Failed => {
                 let chance = self.chance.next();
                 let wait = self
                     .asking
-                    .failed(self.settings.must_ask.unwrap_or(0.0), chance);
+                    .failed(self.settings.max_poll_interval.unwrap_or(0.0), chance);
                 self.agenda.insert(now + wait, Due::Ask);
                 return;
             }
-            ListNews::Full(rows) | ListNews::Cached(rows) | ListNews::Delta(rows) => rows,
+            EndpointUpdate::Snapshot(rows)
+            | EndpointUpdate::Cached(rows)
+            | EndpointUpdate::Delta(rows) => rows,
         };
-        if !matches!(news, ListNews::Cached(_)) {
+        if !matches!(news, EndpointUpdate::Cached(_)) {
             self.asking.told();
         }
-        if matches!(news, ListNews::Full(_)) && !rows.is_empty() {
+        if matches!(news, EndpointUpdate::Snapshot(_)) && !rows.is_empty() {
             let listed: BTreeSet<ServerId> = rows.iter().map(|row| row.server).collect();
             for (id, server) in &mut self.servers {
                 if !listed.contains(id) {
-                    server.state = ServerState::Gone;
+                    server.state = ServerState::Removed;
                 }
             }
         }
@@ -88,10 +90,14 @@
 
     /// Asks to be told of changes, and again if nothing at all comes back.
     pub(super) fn ask(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let Some(must_ask) = self.settings.must_ask.filter(|_| !self.asking.subscribed) else {
+        let Some(must_ask) = self
+            .settings
+            .max_poll_interval
+            .filter(|_| !self.asking.subscribed)
+        else {
             return;
         };
-        actions.push(Action::Subscribe);
+        actions.push(Action::SubscribeEndpoints);
         self.agenda.insert(now + must_ask / 2.0, Due::Ask);
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -42,7 +42,7 @@
 
 /// Decides for one front node.
 #[derive(Default)]
-pub struct Aggregator {
+pub struct RequestRouter {
     settings: Settings,
     chance: Chance,
     born: Option<Time>,
@@ -77,12 +77,12 @@
     asking: Asking,
 }
 
-impl Aggregator {
+impl RequestRouter {
     /// A node that knows its settings and nothing else. `seed` is its only source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut node = Aggregator {
+        let mut node = RequestRouter {
             chance: Chance(seed),
-            ..Aggregator::default()
+            ..RequestRouter::default()
         };
         let all: Vec<ClassId> = (0..settings.classes.len() as u16).map(ClassId).collect();
         node.retune(settings, &[], &all);
@@ -94,7 +94,7 @@
     pub fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         if self.born.is_none() {
             self.born = Some(now);
-            if self.settings.must_ask.is_some() {
+            if self.settings.max_poll_interval.is_some() {
                 self.agenda.insert(now, Due::Ask);
             }
         }
@@ -103,13 +103,13 @@
         let (mut won, mut broken) = (Vec::new(), Vec::new());
         for event in events {
             match event {
-                Event::List(news) => self.note_list(now, news),
+                Event::Endpoints(news) => self.note_list(now, news),
                 &Event::Query { id, .. } => {
                     self.note_query(now, event);
                     fresh.insert(id);
                 }
                 Event::Part { .. } => fresh.extend(self.note_part(now, event)),
-                &Event::Done {
+                &Event::AttemptEnded {
                     id,
                     attempt,
                     outcome,
@@ -122,14 +122,14 @@
                         }
                     }
                 }
-                Event::Probed {
+                Event::HealthCheckEnded {
                     server,
                     outcome,
                     report,
                 } => self.note_probe(*server, *outcome, report),
-                Event::Advised(servers) => self.note_advice(now, servers),
-                Event::Withdrawn(id) => self.forget(now, *id, actions),
-                Event::Wake => {}
+                Event::OutlierAdvice(servers) => self.note_advice(now, servers),
+                Event::ClientGone(id) => self.forget(now, *id, actions),
+                Event::TimerFired => {}
             }
         }
         self.forget_gone();
@@ -167,7 +167,7 @@
                 Due::Probe => self.probe(now, actions),
             }
         }
-        actions.extend(self.agenda.wake(now).map(Action::Wake));
+        actions.extend(self.agenda.wake(now).map(Action::SetTimer));
     }
 
     fn send(&mut self, now: Time, id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
@@ -182,7 +182,7 @@
             return;
         };
         let class = &self.settings.classes[query.class];
-        let delay = class.aim * HEDGE_DELAY;
+        let delay = class.latency_objective * HEDGE_DELAY;
         let overdue = now + self.usual[query.class].min(delay);
         let attempt = part.tried.len() as u8;
         part.out.push(attempt);
@@ -191,12 +191,12 @@
             part.first_sent = Some(now);
             self.parts_sent.push(now, self.recent * CALM_LATELY);
             self.probing.earn(servers);
-            if class.effect != Effect::Unsafe && self.settings.second_copies {
+            if class.idempotency != Idempotency::AtMostOnce && self.settings.hedging {
                 self.agenda.insert(now + delay, Due::Hedge(id));
             }
         }
         if attempt > 0 {
-            self.budget.repeated(now, self.settings.budget);
+            self.budget.repeated(now, self.settings.retry_budget);
         }
         self.turns += 1;
         server.turn = self.turns;
--- a/crates/routing/src/policy/note.rs
+++ b/crates/routing/src/policy/note.rs
@@ -8,7 +8,7 @@
 /// Answers for an aim leave this share of it before: the way to the client and a busy processor take time.
 const AIM_MARGIN: f64 = 0.03;
 
-impl Aggregator {
+impl RequestRouter {
     pub(super) fn note_query(&mut self, now: Time, event: &Event) {
         let &Event::Query {
             id,
@@ -16,12 +16,12 @@
             number,
             due,
             work,
-            repeat,
+            client_retry: repeat,
         } = event
         else {
             return;
         };
-        self.budget.took(now, self.settings.budget);
+        self.budget.took(now, self.settings.retry_budget);
         let class = usize::from(class.0);
         let margin = self.settings.tick * END_TICKS;
         // A query of an unknown class is one that earns nothing: it ends at once, in `open_step`.
@@ -29,7 +29,7 @@
             .settings
             .classes
             .get(class)
-            .map(|class| (class.aim_for(work), class.deadline));
+            .map(|class| (class.latency_objective_for(work), class.deadline));
         let (aim, deadline) = terms.unwrap_or_default();
         let end_at = due.min(now + deadline) + -margin;
         // What a marked repeat has left of the deadline tells when its client came first. Of a try that isn't
@@ -90,7 +90,7 @@
         };
         self.parts.insert(id, part);
         self.asked.push(now, self.recent * CALM_LATELY);
-        self.budget.took(now, self.settings.budget);
+        self.budget.took(now, self.settings.retry_budget);
         Some(query_id)
     }
 
@@ -117,7 +117,7 @@
         }
         if matches!(
             outcome,
-            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Reset
+            Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Reset
         ) {
             self.note_heard(now, flight.server);
         }
--- a/crates/routing/src/policy/refuse.rs
+++ b/crates/routing/src/policy/refuse.rs
@@ -15,7 +15,7 @@
 /// Under this share of sound servers doubt proves little, and parts are sent all the same.
 const PANIC_SHARE: f64 = 0.5;
 
-impl Aggregator {
+impl RequestRouter {
     /// All parts of a step are sent at once; a query that can't be served, or not in time, is turned away
     /// before any of its parts is sent.
     pub(super) fn open_step(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
@@ -35,11 +35,12 @@
             .map(|id| self.parts[id].shard % cells)
             .collect::<BTreeSet<u32>>()
             .len();
-        let (_, floor) = self.settings.classes[class].bars(second_step);
-        let aim_left = (query.asked_at + self.settings.classes[class].aim) - now;
+        let thresholds = self.settings.classes[class].completion_thresholds(second_step);
+        let aim_left = (query.asked_at + self.settings.classes[class].latency_objective) - now;
         self.suspects.retain(|_, &mut at| now - at < self.recent);
         let suspect = query.repeat && self.suspects.contains_key(&query.kind);
-        let late = suspect || aim_left <= 0.0 && self.settings.classes[class].late_share <= 0.0;
+        let late =
+            suspect || aim_left <= 0.0 && self.settings.classes[class].late_answer_share <= 0.0;
         if late || (!second_step && self.too_slow(now, class, calls, aim_left)) {
             return self.give_up(now, id, actions);
         }
@@ -54,7 +55,7 @@
                     0.0
                 };
             }
-            if servable < floor * all {
+            if servable < thresholds.minimum * all {
                 return self.give_up(now, id, actions);
             }
         }
@@ -69,7 +70,7 @@
             let open = calls.get(&cell).filter(|&&(_, room)| room > 0).copied();
             let open = open.filter(|&(server, _)| self.cold_room(now, server));
             let room = open
-                .map_or(self.settings.parts_a_call, |(_, room)| room)
+                .map_or(self.settings.max_parts_per_call, |(_, room)| room)
                 .saturating_sub(1);
             let chosen = open.or_else(|| self.choose(now, part).map(|(_, server)| (server, room)));
             let Some((server, _)) = chosen else { continue };
@@ -99,7 +100,7 @@
         let likely = self.usual[class] * holders.iter().map(pace).fold(f64::MAX, f64::min);
         let sound = || self.ready().filter(|(_, s)| !self.doubted(now, s)).count() as f64;
         !holders.is_empty()
-            && (likely <= self.settings.classes[class].aim * HEDGE_DELAY
+            && (likely <= self.settings.classes[class].latency_objective * HEDGE_DELAY
                 || holders
                     .iter()
                     .any(|&id| self.standing(now, id, may_try).0 == 0)
@@ -121,14 +122,14 @@
     /// more for their work are shed later.
     pub(super) fn shed_limit(&mut self, class: usize, parts: usize) -> f64 {
         let (aim, worth) = (
-            self.settings.classes[class].aim,
-            self.settings.classes[class].worth,
+            self.settings.classes[class].latency_objective,
+            self.settings.classes[class].priority_weight,
         );
         let density = worth / (parts.max(1) as f64 * self.usual[class].max(1e-6));
         let gain = if self.density > 0.0 { USUAL_GAIN } else { 1.0 };
         self.density += (density - self.density) * gain;
         let share = SHED_AT * (density / self.density.max(1e-9)).sqrt();
-        let waits = if self.settings.classes[class].fetch > 0 {
+        let waits = if self.settings.classes[class].second_step_parts > 0 {
             2.0
         } else {
             1.0
--- a/crates/routing/src/policy/retune.rs
+++ b/crates/routing/src/policy/retune.rs
@@ -1,9 +1,9 @@
 //! Settings that change in service. What was learned of servers stays; nothing here decides about a query.
 
-use super::{Aggregator, Due, FIRST_GUESS, RECENT_AIMS};
+use super::{Due, RequestRouter, FIRST_GUESS, RECENT_AIMS};
 use cairnroad_types::{ClassId, Settings, Time};
 
-impl Aggregator {
+impl RequestRouter {
     /// Takes other settings. Places of classes only grow; `renewed` names those that hold another class than
     /// before, of which nothing is known yet, and `offered` those that queries may still come for.
     pub fn retune(&mut self, settings: Settings, renewed: &[ClassId], offered: &[ClassId]) {
@@ -11,7 +11,7 @@
             settings
                 .classes
                 .get(class)
-                .map_or(0.0, |class| class.aim * FIRST_GUESS)
+                .map_or(0.0, |class| class.latency_objective * FIRST_GUESS)
         };
         let known = self.usual.len();
         let grown = known..settings.classes.len();
@@ -29,8 +29,13 @@
                 .iter()
                 .filter_map(|class| settings.classes.get(usize::from(class.0)))
         };
-        self.shortest = aims().map(|class| class.aim).fold(f64::MAX, f64::min);
-        self.recent = RECENT_AIMS * aims().map(|class| class.aim).fold(0.0, f64::max);
+        self.shortest = aims()
+            .map(|class| class.latency_objective)
+            .fold(f64::MAX, f64::min);
+        self.recent = RECENT_AIMS
+            * aims()
+                .map(|class| class.latency_objective)
+                .fold(0.0, f64::max);
         self.settings = settings;
     }
 
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -33,18 +33,18 @@
 fn settings(coordinators: u32) -> Settings {
     Settings {
         cells: CELLS,
-        reach: 2,
+        cells_per_shard: 2,
         group_size: coordinators,
-        cold_from: 0.2,
-        fall_multiple: 1.5,
-        fall_window: 1.0,
-        warm_up: 10.0,
-        ..common::settings(vec![class(Effect::Safe)])
+        slow_start_share: 0.2,
+        overload_multiple: 1.5,
+        overload_window: 1.0,
+        slow_start_duration: 10.0,
+        ..common::settings(vec![class(Idempotency::Idempotent)])
     }
 }
 
-fn row(id: u32, ready_at: Option<Time>) -> Listed {
-    Listed {
+fn row(id: u32, ready_at: Option<Time>) -> Endpoint {
+    Endpoint {
         cell: id,
         ..common::listed(id, ServerState::Ready, ready_at)
     }
@@ -52,7 +52,7 @@
 
 /// One coordinator and the parts that it has out.
 struct One {
-    decisions: Aggregator,
+    decisions: RequestRouter,
     events: Vec<Event>,
     wake: Option<Time>,
     servers: BTreeMap<(u64, u8), u32>,
@@ -71,13 +71,14 @@
             window.push_back(age);
             while window
                 .front()
-                .is_some_and(|&first| age - first > settings.fall_window)
+                .is_some_and(|&first| age - first > settings.overload_window)
             {
                 window.pop_front();
             }
-            let from = (age - settings.fall_window).max(0.0) / settings.warm_up;
-            let ramp = settings.cold_from + (1.0 - settings.cold_from) * from;
-            let allowed = settings.fall_multiple * ramp * self.0.capacity * settings.fall_window;
+            let from = (age - settings.overload_window).max(0.0) / settings.slow_start_duration;
+            let ramp = settings.slow_start_share + (1.0 - settings.slow_start_share) * from;
+            let allowed =
+                settings.overload_multiple * ramp * self.0.capacity * settings.overload_window;
             worst = worst.max(window.len() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
         }
         worst
@@ -94,10 +95,10 @@
 fn play(load: Load, seed: u64, coordinators: u32, told_after: impl Fn(usize) -> f64) -> Sent {
     let start = Time::from_secs(1000.0);
     let back = start + 12.0;
-    let list: Vec<Listed> = (0..CELLS).map(|id| row(id, None)).collect();
+    let list: Vec<Endpoint> = (0..CELLS).map(|id| row(id, None)).collect();
     let one = |number: u32| One {
-        decisions: Aggregator::new(settings(coordinators), u64::from(number) + 1000 * seed + 1),
-        events: vec![Event::List(ListNews::Full(list.clone()))],
+        decisions: RequestRouter::new(settings(coordinators), u64::from(number) + 1000 * seed + 1),
+        events: vec![Event::Endpoints(EndpointUpdate::Snapshot(list.clone()))],
         wake: None,
         servers: BTreeMap::new(),
         attempts: BTreeMap::new(),
@@ -118,22 +119,26 @@
         for (number, one) in fleet.iter_mut().enumerate() {
             let told = |at: f64| (age - at).abs() < TICK / 2.0;
             if told(8.0) {
-                let gone = Listed {
-                    state: ServerState::Gone,
+                let gone = Endpoint {
+                    state: ServerState::Removed,
                     ..row(0, None)
                 };
-                one.events.push(Event::List(ListNews::Delta(vec![gone])));
+                one.events
+                    .push(Event::Endpoints(EndpointUpdate::Delta(vec![gone])));
             }
             if told(12.0 + (told_after(number) / TICK).round() * TICK) {
                 one.events
-                    .push(Event::List(ListNews::Delta(vec![row(0, Some(back))])));
+                    .push(Event::Endpoints(EndpointUpdate::Delta(vec![row(
+                        0,
+                        Some(back),
+                    )])));
             }
         }
         while answers.front().is_some_and(|answer| answer.0 <= now) {
             let Some((_, number, part, attempt, outcome)) = answers.pop_front() else {
                 break;
             };
-            fleet[number].events.push(Event::Done {
+            fleet[number].events.push(Event::AttemptEnded {
                 id: RequestId(part),
                 attempt,
                 outcome,
@@ -151,7 +156,7 @@
                 number: query,
                 due: now + 3.0,
                 work: None,
-                repeat: false,
+                client_retry: false,
             });
             let first = (chance() * f64::from(CELLS)) as u64;
             for at in 0..PARTS {
@@ -185,7 +190,7 @@
                             sent.push((age - 12.0, number));
                         }
                     }
-                    Action::Wake(at) => {
+                    Action::SetTimer(at) => {
                         one.wake = Some(one.wake.map_or(at, |earlier| earlier.min(at)))
                     }
                     _ => {}
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -3,19 +3,19 @@
 
 use cairnroad_routing::*;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: 1.0,
-        aim_stretch: 0.0,
+        latency_objective: 1.0,
+        objective_per_work: 0.0,
         deadline: 3.0,
-        worth: 1.0,
-        late_share: 0.0,
-        effect,
-        window: 1.0,
-        need: 1.0,
-        floor: 1.0,
-        partial: 0.0,
-        fetch: 0,
+        priority_weight: 1.0,
+        late_answer_share: 0.0,
+        idempotency: effect,
+        dedup_window: 1.0,
+        complete_threshold: 1.0,
+        minimum_share: 1.0,
+        partial_answer_share: 0.0,
+        second_step_parts: 0,
     }
 }
 
@@ -25,26 +25,26 @@
         classes,
         group_size: 1,
         cells: 3,
-        reach: 3,
-        parts_a_call: 1,
+        cells_per_shard: 3,
+        max_parts_per_call: 1,
         tick: 0.005,
         max_attempts: 3,
-        probes: None,
-        cancel: true,
-        second_copies: true,
-        retry_after: Some(0.5),
-        must_ask: None,
+        health_check_value: None,
+        cancellation: true,
+        hedging: true,
+        max_retry_after: Some(0.5),
+        max_poll_interval: None,
         drain_grace: 0.25,
-        cold_from: 0.2,
-        warm_up: 10.0,
-        fall_multiple: 2.0,
-        fall_window: 2.0,
-        budget: None,
+        slow_start_share: 0.2,
+        slow_start_duration: 10.0,
+        overload_multiple: 2.0,
+        overload_window: 2.0,
+        retry_budget: None,
     }
 }
 
-pub fn listed(id: u32, state: ServerState, ready_at: Option<Time>) -> Listed {
-    Listed {
+pub fn listed(id: u32, state: ServerState, ready_at: Option<Time>) -> Endpoint {
+    Endpoint {
         server: ServerId(id),
         cell: id % 3,
         zone: 0,
@@ -57,7 +57,7 @@
 }
 
 pub fn done(part: u64, attempt: u8, outcome: Outcome) -> Event {
-    Event::Done {
+    Event::AttemptEnded {
         id: RequestId(part),
         attempt,
         outcome,
@@ -65,7 +65,7 @@
 }
 
 pub struct Rig {
-    pub aggregator: Aggregator,
+    pub aggregator: RequestRouter,
     pub now: Time,
     next: u64,
 }
@@ -79,14 +79,14 @@
     /// The same with this seed.
     pub fn seeded(settings: Settings, seed: u64) -> Rig {
         let mut rig = Rig {
-            aggregator: Aggregator::new(settings, seed),
+            aggregator: RequestRouter::new(settings, seed),
             now: Time::from_secs(50.0),
             next: 1,
         };
         let rows = (0..3)
             .map(|id| listed(id, ServerState::Ready, None))
             .collect();
-        rig.play(&[Event::List(ListNews::Full(rows))]);
+        rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(rows))]);
         rig
     }
 
@@ -123,7 +123,7 @@
             number,
             due,
             work: None,
-            repeat: false,
+            client_retry: false,
         }];
         let mut parts = Vec::new();
         for (at, &shard) in shards.iter().enumerate() {
@@ -166,7 +166,7 @@
 /// Whether the actions hold a final answer for the query.
 pub fn ended(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|action| match action {
-        Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query } => {
+        Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
             query.0 == id
         }
         _ => false,
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -10,20 +10,20 @@
 const CELLS: u32 = 9;
 
 /// A node of a large fleet: aims are short, calls carry eight parts, and its own queries are few.
-fn sparse(effect: Effect) -> Settings {
+fn sparse(effect: Idempotency) -> Settings {
     let class = Class {
-        aim: 0.25,
+        latency_objective: 0.25,
         deadline: 0.7,
-        late_share: 0.3,
-        floor: 0.8,
-        partial: 0.9,
+        late_answer_share: 0.3,
+        minimum_share: 0.8,
+        partial_answer_share: 0.9,
         ..class(effect)
     };
     Settings {
         group_size: 100,
         cells: CELLS,
-        reach: 1,
-        parts_a_call: 8,
+        cells_per_shard: 1,
+        max_parts_per_call: 8,
         tick: 0.001,
         ..settings(vec![class])
     }
@@ -37,12 +37,12 @@
 /// A rig whose list has two servers a cell: `cell` and `cell + CELLS`.
 fn rig(settings: Settings) -> Rig {
     let mut rig = Rig::new(settings);
-    let row = |id: u32| Listed {
+    let row = |id: u32| Endpoint {
         cell: id % CELLS,
         zone: zone(id),
         ..listed(id, ServerState::Ready, None)
     };
-    rig.play(&[Event::List(ListNews::Full(
+    rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(
         (0..2 * CELLS).map(row).collect(),
     ))]);
     rig
@@ -71,12 +71,12 @@
 /// Guards against a query that is taken for slow because its parts are many: those of one call wait together.
 #[test]
 fn parts_that_share_calls_do_not_make_a_query_too_slow() {
-    let mut rig = rig(sparse(Effect::Safe));
+    let mut rig = rig(sparse(Idempotency::Idempotent));
     // 70 ms a part: for 36 parts one by one the slowest would take 320 ms, for 9 calls 224 ms; the aim is 250 ms.
     for _ in 0..40 {
         let actions = search(&mut rig, 0.07);
         assert!(
-            !actions.iter().any(|a| matches!(a, Action::Refuse { .. })),
+            !actions.iter().any(|a| matches!(a, Action::Reject { .. })),
             "refused though it is in time"
         );
         rig.now = rig.now + 0.1;
@@ -86,17 +86,17 @@
 /// Guards against answers that leave a few short ticks before their aim and arrive after it.
 #[test]
 fn a_partial_answer_leaves_in_time_to_arrive() {
-    let mut rig = rig(sparse(Effect::Safe));
+    let mut rig = rig(sparse(Idempotency::Idempotent));
     search(&mut rig, 0.04);
     let (events, id, parts) = rig.query(0, &shards());
     rig.play(&events);
     rig.after(0.04, &oks(parts[..32].iter().copied()));
     assert!(
-        !ended(&rig.after(0.2, &[Event::Wake]), id),
+        !ended(&rig.after(0.2, &[Event::TimerFired]), id),
         "not long before its aim"
     );
     assert!(
-        ended(&rig.after(0.003, &[Event::Wake]), id),
+        ended(&rig.after(0.003, &[Event::TimerFired]), id),
         "7 ms before its aim of 250 ms"
     );
 }
@@ -105,8 +105,8 @@
 /// is over.
 #[test]
 fn a_sparse_node_forgets_a_jam() {
-    let mut rig = rig(sparse(Effect::Safe));
-    let refused = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Refuse { .. }));
+    let mut rig = rig(sparse(Idempotency::Idempotent));
+    let refused = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Reject { .. }));
     while !refused(&search(&mut rig, 0.2)) {}
     let again = (0..20).filter(|_| refused(&search(&mut rig, 0.2))).count();
     assert!(again > 10, "while it lasts, most are refused: {again}");
@@ -120,7 +120,7 @@
 /// Plays four quiet searches some seconds apart, then one of which only the first `answered` parts are in by the
 /// hedge delay; returns how many copies that brings.
 fn copies_after(answered: usize) -> usize {
-    let mut rig = rig(sparse(Effect::Safe));
+    let mut rig = rig(sparse(Idempotency::Idempotent));
     for _ in 0..4 {
         search(&mut rig, 0.04);
         rig.now = rig.now + 2.4;
@@ -128,7 +128,7 @@
     let (events, _, parts) = rig.query(0, &shards());
     rig.play(&events);
     rig.after(0.04, &oks(parts[..answered].iter().copied()));
-    sends(&rig.after(0.085, &[Event::Wake])).len()
+    sends(&rig.after(0.085, &[Event::TimerFired])).len()
 }
 
 /// Guards against a lost zone that costs every node with little traffic its next search: a third of its parts is
@@ -156,7 +156,7 @@
             .collect()
     };
     rig.after(0.04, &answers(&sent, 0));
-    let copies = sends(&rig.after(0.085, &[Event::Wake]));
+    let copies = sends(&rig.after(0.085, &[Event::TimerFired]));
     rig.after(0.04, &answers(&copies, 1));
     sent.iter()
         .filter(|(_, server)| zone(*server) == lost)
@@ -165,7 +165,7 @@
 
 /// A node that lost a zone's parts in one search, and the sends to that zone in the two searches after it.
 fn after_a_lost_zone() -> (Rig, [usize; 2]) {
-    let mut rig = rig(sparse(Effect::Safe));
+    let mut rig = rig(sparse(Idempotency::Idempotent));
     for _ in 0..4 {
         search(&mut rig, 0.04);
         rig.now = rig.now + 2.4;
@@ -214,7 +214,7 @@
 /// up: with every zone silent none is dark.
 #[test]
 fn a_node_that_hears_nobody_has_no_dark_zone() {
-    let mut rig = rig(sparse(Effect::Safe));
+    let mut rig = rig(sparse(Idempotency::Idempotent));
     search(&mut rig, 0.04);
     for _ in 0..3 {
         rig.now = rig.now + 1.0;
@@ -242,18 +242,18 @@
 /// A node with two servers a cell whose first cell lost both: every query needs a part there, and none may be partial. How
 /// many queries it served of those asked in the 60 s after both are well again, and how long the first took; `probed`: its
 /// probes failed before.
-fn sent_after_a_lost_cell(effect: Effect, probed: bool) -> (usize, usize, f64) {
+fn sent_after_a_lost_cell(effect: Idempotency, probed: bool) -> (usize, usize, f64) {
     let class = Class {
-        aim: 1.0,
+        latency_objective: 1.0,
         deadline: 2.5,
         ..class(effect)
     };
     let probes = probed.then_some(0);
     let mut rig = rig(Settings {
         cells: CELLS,
-        reach: 1,
+        cells_per_shard: 1,
         tick: 0.005,
-        probes,
+        health_check_value: probes,
         ..settings(vec![class])
     });
     let ask = |rig: &mut Rig, well: bool| {
@@ -286,7 +286,7 @@
     for _ in 0..40 {
         ask(&mut rig, false);
         if probed {
-            let failed = |server| Event::Probed {
+            let failed = |server| Event::HealthCheckEnded {
                 server: ServerId(server),
                 outcome: Outcome::Timeout,
                 report: vec![],
@@ -318,10 +318,10 @@
 #[test]
 fn a_shard_whose_servers_are_all_doubted_is_tried_again_though_nothing_else_is_sent() {
     for (effect, probed) in [
-        (Effect::Safe, false),
-        (Effect::Safe, true),
-        (Effect::Unsafe, false),
-        (Effect::Keyed, false),
+        (Idempotency::Idempotent, false),
+        (Idempotency::Idempotent, true),
+        (Idempotency::AtMostOnce, false),
+        (Idempotency::IdempotentWithKey, false),
     ] {
         let (served, asked, first) = sent_after_a_lost_cell(effect, probed);
         assert!(
--- a/crates/routing/tests/mechanism.rs
+++ b/crates/routing/tests/mechanism.rs
@@ -6,7 +6,7 @@
 use common::*;
 
 fn safe() -> Settings {
-    settings(vec![class(Effect::Safe)])
+    settings(vec![class(Idempotency::Idempotent)])
 }
 
 #[test]
@@ -58,14 +58,14 @@
     let (events, id, parts) = rig.query(0, &[0]);
     let first = sends(&rig.play(&events))[0].1;
     assert!(
-        sends(&rig.after(0.499, &[Event::Wake])).is_empty(),
+        sends(&rig.after(0.499, &[Event::TimerFired])).is_empty(),
         "not before half the aim"
     );
-    let copy = sends(&rig.after(0.001, &[Event::Wake]));
+    let copy = sends(&rig.after(0.001, &[Event::TimerFired]));
     assert_eq!(copy.len(), 1);
     assert_ne!(copy[0].1, first);
     assert!(
-        sends(&rig.after(0.3, &[Event::Wake])).is_empty(),
+        sends(&rig.after(0.3, &[Event::TimerFired])).is_empty(),
         "one copy only"
     );
     let actions = rig.play(&[done(parts[0], 1, Outcome::Ok)]);
@@ -75,7 +75,7 @@
     }));
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        whole: true
+        complete: true
     }));
 }
 
@@ -86,7 +86,7 @@
     let (events, ..) = rig.query(0, &[0]);
     rig.play(&events);
     assert_eq!(
-        sends(&rig.after(0.5, &[Event::Wake])).len(),
+        sends(&rig.after(0.5, &[Event::TimerFired])).len(),
         1,
         "one in ten"
     );
@@ -95,7 +95,7 @@
     let (events, ..) = rig.query(0, &[0]);
     rig.play(&events);
     assert!(
-        sends(&rig.after(0.5, &[Event::Wake])).is_empty(),
+        sends(&rig.after(0.5, &[Event::TimerFired])).is_empty(),
         "one in nine is too many"
     );
 }
@@ -106,7 +106,7 @@
     rig.warm(30);
     let (events, _, parts) = rig.query(0, &[0]);
     rig.play(&events);
-    let actions = rig.after(0.8, &[Event::Wake, done(parts[0], 0, Outcome::Ok)]);
+    let actions = rig.after(0.8, &[Event::TimerFired, done(parts[0], 0, Outcome::Ok)]);
     assert!(sends(&actions).is_empty());
 }
 
@@ -116,19 +116,19 @@
     rig.warm(60);
     let (events, ..) = rig.query(0, &[0, 1, 2]);
     rig.play(&events);
-    assert!(sends(&rig.after(0.5, &[Event::Wake])).is_empty());
+    assert!(sends(&rig.after(0.5, &[Event::TimerFired])).is_empty());
 }
 
 #[test]
 fn unsafe_parts_go_again_only_on_proof_and_are_failed_otherwise() {
     for (outcome, again) in [
-        (Outcome::Full, true),
+        (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
         (Outcome::Error, false),
         (Outcome::Reset, false),
         (Outcome::Timeout, false),
     ] {
-        let mut rig = Rig::new(settings(vec![class(Effect::Unsafe)]));
+        let mut rig = Rig::new(settings(vec![class(Idempotency::AtMostOnce)]));
         let (events, id, parts) = rig.query(0, &[0]);
         rig.play(&events);
         let actions = rig.after(0.1, &[done(parts[0], 0, outcome)]);
@@ -141,15 +141,15 @@
             "{outcome:?}"
         );
     }
-    let mut rig = Rig::new(settings(vec![class(Effect::Unsafe)]));
+    let mut rig = Rig::new(settings(vec![class(Idempotency::AtMostOnce)]));
     rig.warm(30);
     let (events, id, _) = rig.query(0, &[0]);
     rig.play(&events);
     assert!(
-        sends(&rig.after(0.5, &[Event::Wake])).is_empty(),
+        sends(&rig.after(0.5, &[Event::TimerFired])).is_empty(),
         "never copied"
     );
-    let actions = rig.after(0.5, &[Event::Wake]);
+    let actions = rig.after(0.5, &[Event::TimerFired]);
     assert!(
         actions.contains(&Action::Fail {
             query: RequestId(id)
@@ -161,9 +161,9 @@
 #[test]
 fn keyed_parts_go_again_only_inside_the_window() {
     for (at, again) in [(0.5, true), (0.99, false)] {
-        let mut keyed = class(Effect::Keyed);
-        keyed.aim = 3.0;
-        keyed.window = 1.0;
+        let mut keyed = class(Idempotency::IdempotentWithKey);
+        keyed.latency_objective = 3.0;
+        keyed.dedup_window = 1.0;
         let mut rig = Rig::new(settings(vec![keyed]));
         let (events, _, parts) = rig.query(0, &[0]);
         rig.play(&events);
@@ -174,16 +174,16 @@
 
 #[test]
 fn every_query_ends_before_its_client_leaves() {
-    let mut late = class(Effect::Safe);
-    late.late_share = 0.3;
+    let mut late = class(Idempotency::Idempotent);
+    late.late_answer_share = 0.3;
     let mut rig = Rig::new(settings(vec![late]));
     let (events, id, _) = rig.query(0, &[0]);
     rig.play(&events);
     assert!(
-        !ended(&rig.after(2.9, &[Event::Wake]), id),
+        !ended(&rig.after(2.9, &[Event::TimerFired]), id),
         "a late answer still earns"
     );
-    assert!(ended(&rig.after(0.09, &[Event::Wake]), id));
+    assert!(ended(&rig.after(0.09, &[Event::TimerFired]), id));
 }
 
 #[test]
@@ -191,8 +191,8 @@
     let mut rig = Rig::new(safe());
     let (events, id, _) = rig.query(0, &[0]);
     rig.play(&events);
-    let actions = rig.after(0.99, &[Event::Wake]);
-    assert!(actions.contains(&Action::Refuse {
+    let actions = rig.after(0.99, &[Event::TimerFired]);
+    assert!(actions.contains(&Action::Reject {
         query: RequestId(id),
         retry_after: Some(0.5)
     }));
@@ -200,9 +200,9 @@
 
 #[test]
 fn nothing_goes_to_a_draining_or_gone_server() {
-    for state in [ServerState::Draining, ServerState::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         let mut rig = Rig::new(safe());
-        rig.play(&[Event::List(ListNews::Delta(
+        rig.play(&[Event::Endpoints(EndpointUpdate::Delta(
             (0..3).map(|id| listed(id, state, None)).collect(),
         ))]);
         let (events, id, _) = rig.query(0, &[0]);
@@ -215,10 +215,10 @@
 #[test]
 fn an_empty_list_is_no_reason_to_stop_but_a_full_one_removes() {
     let mut rig = Rig::new(safe());
-    rig.play(&[Event::List(ListNews::Full(Vec::new()))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(Vec::new()))]);
     let (events, ..) = rig.query(0, &[0]);
     assert_eq!(sends(&rig.play(&events)).len(), 1);
-    rig.play(&[Event::List(ListNews::Full(vec![listed(
+    rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(vec![listed(
         1,
         ServerState::Ready,
         None,
@@ -234,7 +234,7 @@
     let mut rig = Rig::new(safe());
     rig.warm(200); // 20 a second over three servers: each takes 6.7 a second
     let back = vec![listed(0, ServerState::Ready, Some(rig.now))];
-    rig.play(&[Event::List(ListNews::Delta(back))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Delta(back))]);
     let mut cold = 0;
     for _ in 0..40 {
         let (events, _, parts) = rig.query(0, &[0]);
@@ -252,7 +252,7 @@
     let mut rig = Rig::new(safe());
     rig.serve(1000, 0.01); // 100 a second over three servers: each takes 33 a second
     let back = vec![listed(0, ServerState::Ready, Some(rig.now))];
-    rig.play(&[Event::List(ListNews::Delta(back))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Delta(back))]);
     let mut cold = 0;
     for _ in 0..8 {
         let (events, _, parts) = rig.query(0, &[0, 1, 2, 3, 4, 5]);
@@ -274,8 +274,8 @@
 
 #[test]
 fn partial_answers_keep_the_floor_and_are_not_marked_whole() {
-    let mut report = class(Effect::Safe);
-    (report.floor, report.partial) = (0.5, 0.8);
+    let mut report = class(Idempotency::Idempotent);
+    (report.minimum_share, report.partial_answer_share) = (0.5, 0.8);
     let mut rig = Rig::new(settings(vec![report]));
     let (events, id, parts) = rig.query(0, &[0, 1]);
     rig.play(&events);
@@ -283,22 +283,22 @@
         !ended(&rig.after(0.1, &[done(parts[0], 0, Outcome::Ok)]), id),
         "the rest may still come"
     );
-    let actions = rig.after(0.9, &[Event::Wake]);
+    let actions = rig.after(0.9, &[Event::TimerFired]);
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        whole: false
+        complete: false
     }));
     let (events, id, _) = rig.query(0, &[0, 1]);
     rig.play(&events);
-    let actions = rig.after(0.99, &[Event::Wake]);
+    let actions = rig.after(0.99, &[Event::TimerFired]);
     assert!(actions.iter().all(|a| !matches!(a, Action::Answer { .. })));
     assert!(ended(&actions, id));
 }
 
 #[test]
 fn enough_weight_makes_a_whole_answer_and_cancels_the_rest() {
-    let mut ranking = class(Effect::Safe);
-    (ranking.need, ranking.floor) = (0.75, 0.75);
+    let mut ranking = class(Idempotency::Idempotent);
+    (ranking.complete_threshold, ranking.minimum_share) = (0.75, 0.75);
     let mut rig = Rig::new(settings(vec![ranking]));
     let (events, id, parts) = rig.query(0, &[0, 1, 2, 0]);
     rig.play(&events);
@@ -310,7 +310,7 @@
     let actions = rig.play(&in_time[2..]);
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        whole: true
+        complete: true
     }));
     assert!(actions.contains(&Action::Cancel {
         part: RequestId(parts[3]),
@@ -320,15 +320,15 @@
 
 #[test]
 fn a_fetch_step_is_a_second_set_of_parts_on_the_same_clock() {
-    let mut page = class(Effect::Safe);
-    page.fetch = 1;
+    let mut page = class(Idempotency::Idempotent);
+    page.second_step_parts = 1;
     let mut rig = Rig::new(settings(vec![page]));
     let (events, id, parts) = rig.query(0, &[0]);
     rig.play(&events);
     let actions = rig.after(0.1, &[done(parts[0], 0, Outcome::Ok)]);
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        whole: true
+        complete: true
     }));
     let second = Event::Part {
         id: RequestId(77),
@@ -340,7 +340,7 @@
     let actions = rig.after(0.1, &[done(77, 0, Outcome::Ok)]);
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        whole: true
+        complete: true
     }));
     let (events, id, parts) = rig.query(0, &[0]);
     rig.play(&events);
@@ -352,7 +352,7 @@
         weight: 1.0,
     }]);
     assert!(
-        ended(&rig.after(0.49, &[Event::Wake]), id),
+        ended(&rig.after(0.49, &[Event::TimerFired]), id),
         "the aim counts from the query's start"
     );
 }
@@ -360,9 +360,9 @@
 #[test]
 fn a_told_budget_counts_retries_and_copies_together() {
     let mut told = safe();
-    told.budget = Some(AttemptBudget {
-        free: 1.0,
-        share: 0.0,
+    told.retry_budget = Some(RetryBudgetLimits {
+        always_allowed: 1.0,
+        share_of_arrivals: 0.0,
         window: 10.0,
     });
     let mut rig = Rig::new(told);
@@ -370,13 +370,13 @@
     let (events, _, parts) = rig.query(0, &[0]);
     rig.play(&events);
     assert_eq!(
-        sends(&rig.after(0.1, &[done(parts[0], 0, Outcome::Full)])).len(),
+        sends(&rig.after(0.1, &[done(parts[0], 0, Outcome::Rejected)])).len(),
         1
     );
     let (events, ..) = rig.query(0, &[0]);
     rig.play(&events);
     assert!(
-        sends(&rig.after(0.5, &[Event::Wake])).is_empty(),
+        sends(&rig.after(0.5, &[Event::TimerFired])).is_empty(),
         "the retry spent it"
     );
 }
@@ -403,21 +403,29 @@
 #[test]
 fn the_list_is_asked_for_at_the_start_and_again_after_a_failure() {
     let mut asked = safe();
-    asked.must_ask = Some(10.0);
-    let mut aggregator = Aggregator::new(asked, 3);
+    asked.max_poll_interval = Some(10.0);
+    let mut aggregator = RequestRouter::new(asked, 3);
     let (mut now, mut actions) = (Time::from_secs(5.0), Vec::new());
     let cached = vec![listed(0, ServerState::Ready, None)];
-    aggregator.handle(now, &[Event::List(ListNews::Cached(cached))], &mut actions);
-    assert!(actions.contains(&Action::Subscribe));
+    aggregator.handle(
+        now,
+        &[Event::Endpoints(EndpointUpdate::Cached(cached))],
+        &mut actions,
+    );
+    assert!(actions.contains(&Action::SubscribeEndpoints));
     actions.clear();
-    aggregator.handle(now + 0.1, &[Event::List(ListNews::Failed)], &mut actions);
+    aggregator.handle(
+        now + 0.1,
+        &[Event::Endpoints(EndpointUpdate::Failed)],
+        &mut actions,
+    );
     assert!(
-        !actions.contains(&Action::Subscribe),
+        !actions.contains(&Action::SubscribeEndpoints),
         "not in the same breath"
     );
     now = now + 1.0;
-    aggregator.handle(now, &[Event::Wake], &mut actions);
-    assert!(actions.contains(&Action::Subscribe));
+    aggregator.handle(now, &[Event::TimerFired], &mut actions);
+    assert!(actions.contains(&Action::SubscribeEndpoints));
 }
 
 #[test]
@@ -425,8 +433,8 @@
     // Incident i25f4e0: one of two replicas was replaced; its cold successor showed no wait.
     let mut rig = Rig::new(safe());
     let now = rig.now;
-    rig.play(&[Event::List(ListNews::Delta(vec![
-        listed(1, ServerState::Gone, None),
+    rig.play(&[Event::Endpoints(EndpointUpdate::Delta(vec![
+        listed(1, ServerState::Removed, None),
         listed(2, ServerState::Ready, Some(now)),
     ]))]);
     let mut refused = 0;
@@ -434,7 +442,7 @@
         let (events, id, _) = rig.query(0, &[0]);
         let actions = rig.play(&events);
         refused += usize::from(ended(&actions, id) && sends(&actions).is_empty());
-        rig.after(0.02, &[Event::Wake]);
+        rig.after(0.02, &[Event::TimerFired]);
     }
     assert!(
         refused > 10,
@@ -475,7 +483,9 @@
         let (mut events, id, _) = rig.query(0, &[0]);
         let now = rig.now;
         if let Event::Query {
-            due, repeat: mark, ..
+            due,
+            client_retry: mark,
+            ..
         } = &mut events[0]
         {
             (*due, *mark) = (now + left, repeat);
@@ -507,16 +517,16 @@
 #[test]
 fn advice_leaves_time_within_the_aim() {
     let mut rig = Rig::new(Settings {
-        retry_after: Some(2.0),
+        max_retry_after: Some(2.0),
         ..safe()
     });
     let drained = (0..3)
         .map(|id| listed(id, ServerState::Draining, None))
         .collect();
-    rig.play(&[Event::List(ListNews::Delta(drained))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Delta(drained))]);
     let (events, _, _) = rig.query(0, &[0]);
     let actions = rig.play(&events);
-    let Some(Action::Refuse {
+    let Some(Action::Reject {
         retry_after: Some(wait),
         ..
     }) = actions.first()
@@ -530,8 +540,8 @@
 fn a_fetch_step_halves_the_wait_with_which_a_query_is_let_in() {
     // Hunt h50b957: two-step queries were let in with the waits of one and ended late.
     for (fetch, let_in) in [(0, true), (2, false)] {
-        let mut page = class(Effect::Safe);
-        (page.fetch, page.late_share) = (fetch, 0.5);
+        let mut page = class(Idempotency::Idempotent);
+        (page.second_step_parts, page.late_answer_share) = (fetch, 0.5);
         let mut rig = Rig::new(settings(vec![page]));
         let (events, ..) = rig.query(0, &[0, 1, 2]);
         rig.play(&events); // one part out at each replica, for 0.3 s: over half of the 0.5 of the aim
@@ -553,9 +563,9 @@
     let now = rig.now;
     let rows = vec![
         listed(1, ServerState::Ready, Some(now)),
-        listed(2, ServerState::Gone, None),
+        listed(2, ServerState::Removed, None),
     ];
-    rig.play(&[Event::List(ListNews::Delta(rows))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Delta(rows))]);
     let mut cold = 0;
     for _ in 0..40 {
         let (events, _, parts) = rig.query(0, &[0]);
@@ -579,7 +589,7 @@
     let actions = rig.after(0.1, &[done(parts[0], 0, Outcome::Ok)]);
     assert!(actions
         .iter()
-        .any(|a| matches!(a, Action::Answer { whole: true, .. })));
+        .any(|a| matches!(a, Action::Answer { complete: true, .. })));
 }
 
 #[test]
@@ -601,8 +611,8 @@
     );
     for (shards, sent) in [(&[0, 1], 0), (&[0, 2], 2)] {
         let (mut events, _, _) = rig.query(0, shards);
-        if let Event::Query { repeat, .. } = &mut events[0] {
-            *repeat = true;
+        if let Event::Query { client_retry, .. } = &mut events[0] {
+            *client_retry = true;
         }
         assert_eq!(sends(&rig.after(0.1, &events)).len(), sent, "{shards:?}");
     }
@@ -626,7 +636,7 @@
     let mut rig = Rig::new(safe());
     rig.serve(20, 0.5);
     let row = listed(2, ServerState::Ready, Some(rig.now));
-    rig.play(&[Event::List(ListNews::Delta(vec![row]))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Delta(vec![row]))]);
     let mut cold = Vec::new();
     for at in 0..18 {
         let (events, _, parts) = rig.query(0, &[0]);
@@ -648,10 +658,10 @@
             let (events, _, parts) = rig.query(0, &[0]);
             rig.play(&events);
             rig.after(0.05, &[done(parts[0], 0, Outcome::Ok)]);
-            rig.after(0.45, &[Event::Wake]);
+            rig.after(0.45, &[Event::TimerFired]);
         }
         let row = listed(2, ServerState::Ready, Some(rig.now));
-        rig.play(&[Event::List(ListNews::Delta(vec![row]))]);
+        rig.play(&[Event::Endpoints(EndpointUpdate::Delta(vec![row]))]);
         (0..3).any(|_| {
             let (events, _, parts) = rig.query(0, &[0]);
             let sent = sends(&rig.play(&events))[0].1;
@@ -697,26 +707,26 @@
 #[test]
 fn a_query_whose_shard_has_no_sound_replica_is_refused_before_its_other_parts_are_sent() {
     let mut drawn = safe();
-    (drawn.cells, drawn.reach) = (6, 1);
+    (drawn.cells, drawn.cells_per_shard) = (6, 1);
     let mut rig = Rig::new(drawn);
     let rows = (0..6)
-        .map(|id| Listed {
+        .map(|id| Endpoint {
             cell: id,
             ..listed(id, ServerState::Ready, None)
         })
         .collect();
-    rig.play(&[Event::List(ListNews::Full(rows))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(rows))]);
     rig.serve(30, 0.1);
     // The only holder of a shard is sent to even if it is bad; shard 5 has two, and both are silent.
-    let spare = Listed {
+    let spare = Endpoint {
         cell: 5,
         ..listed(9, ServerState::Ready, None)
     };
-    rig.play(&[Event::List(ListNews::Delta(vec![spare]))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Delta(vec![spare]))]);
     for _ in 0..4 {
         let (events, ..) = rig.query(0, &[5]);
         rig.play(&events);
-        rig.after(1.1, &[Event::Wake]);
+        rig.after(1.1, &[Event::TimerFired]);
         rig.serve(30, 0.1);
     }
     let (events, ..) = rig.query(0, &[5]);
@@ -729,14 +739,14 @@
 #[test]
 fn probes_follow_own_doubt_and_are_hints() {
     let mut drawn = safe();
-    drawn.probes = Some(0);
+    drawn.health_check_value = Some(0);
     let mut rig = Rig::new(drawn);
     rig.warm(30);
     let probed = |actions: &[Action]| -> Vec<u32> {
         actions
             .iter()
             .filter_map(|a| {
-                if let Action::Probe(s) = a {
+                if let Action::HealthCheck(s) = a {
                     Some(s.0)
                 } else {
                     None
@@ -746,7 +756,7 @@
     };
     for _ in 0..20 {
         assert!(
-            probed(&rig.after(0.1, &[Event::Wake])).is_empty(),
+            probed(&rig.after(0.1, &[Event::TimerFired])).is_empty(),
             "no doubt, no probe"
         );
     }
@@ -755,14 +765,14 @@
     let mut seen = probed(&rig.after(0.05, &[done(parts[0], 0, Outcome::Reset)]));
     seen.extend(probed(&rig.after(0.05, &[done(parts[0], 1, Outcome::Ok)])));
     for _ in 0..30 {
-        seen.extend(probed(&rig.after(0.1, &[Event::Wake])));
+        seen.extend(probed(&rig.after(0.1, &[Event::TimerFired])));
     }
     assert!(
         seen.len() >= 3 && seen.len() <= 15,
         "rationed by parts sent: {seen:?}"
     );
     // A report of many requests held keeps server 1 out of turn, until its own quick answer says otherwise.
-    let report = |id: u32, held: f64| Event::Probed {
+    let report = |id: u32, held: f64| Event::HealthCheckEnded {
         server: ServerId(id),
         outcome: Outcome::Ok,
         report: vec![held],
@@ -821,7 +831,7 @@
         sends(&rig.after(0.001, &[done(parts[0], 0, Outcome::Reset)])),
         [(parts[0], first)]
     );
-    let copy = sends(&rig.after(0.5, &[Event::Wake]));
+    let copy = sends(&rig.after(0.5, &[Event::TimerFired]));
     assert!(
         copy.len() == 1 && copy[0].1 != first,
         "{copy:?}, out at {first}"
@@ -839,11 +849,11 @@
         parts.extend(ids);
     }
     assert!(
-        sends(&rig.after(0.8, &[Event::Wake])).is_empty(),
+        sends(&rig.after(0.8, &[Event::TimerFired])).is_empty(),
         "no copy straight after the stall"
     );
     let waves: Vec<usize> = (0..100)
-        .map(|_| sends(&rig.after(0.005, &[Event::Wake])).len())
+        .map(|_| sends(&rig.after(0.005, &[Event::TimerFired])).len())
         .collect();
     assert!(waves.iter().all(|&copies| copies <= 4), "{waves:?}");
 }
@@ -853,17 +863,19 @@
     // Cells of two servers: 0 and 2 hold the even shards, 1 and 3 the odd ones.
     let mut settings = Settings {
         cells: 2,
-        reach: 1,
-        parts_a_call: 2,
+        cells_per_shard: 1,
+        max_parts_per_call: 2,
         ..safe()
     };
     settings.group_size = 1;
     let mut rig = Rig::new(settings);
-    let listed = |id| Listed {
+    let listed = |id| Endpoint {
         cell: id % 2,
         ..listed(id, ServerState::Ready, None)
     };
-    rig.play(&[Event::List(ListNews::Full((0..4).map(listed).collect()))]);
+    rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(
+        (0..4).map(listed).collect(),
+    ))]);
     let servers_of = |rig: &mut Rig, shards: &[u32]| -> Vec<u32> {
         let (events, ..) = rig.query(0, shards);
         sends(&rig.play(&events))
@@ -891,18 +903,18 @@
 fn a_part_that_later_ones_overtook_is_no_queue() {
     // On a heavy-tail day the long parts of costly queries had everything refused at their servers.
     for (overtaken, let_in) in [(true, true), (false, false)] {
-        let mut page = class(Effect::Unsafe);
-        page.late_share = 0.5;
+        let mut page = class(Idempotency::AtMostOnce);
+        page.late_answer_share = 0.5;
         let mut rig = Rig::new(Settings {
             cells: 1,
-            reach: 1,
+            cells_per_shard: 1,
             ..settings(vec![page])
         });
-        let one = Listed {
+        let one = Endpoint {
             cell: 0,
             ..listed(0, ServerState::Ready, None)
         };
-        rig.play(&[Event::List(ListNews::Full(vec![one]))]);
+        rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(vec![one]))]);
         let (long, ..) = rig.query(0, &[0]);
         rig.play(&long);
         rig.after(0.05, &[]);
@@ -920,11 +932,13 @@
 fn weights_share_turns_smoothly() {
     let mut rig = Rig::new(safe());
     let list = |rig: &mut Rig, weights: [f64; 3]| {
-        let row = |id: u32| Listed {
+        let row = |id: u32| Endpoint {
             weight: weights[id as usize],
             ..listed(id, ServerState::Ready, None)
         };
-        rig.play(&[Event::List(ListNews::Full((0..3).map(row).collect()))]);
+        rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(
+            (0..3).map(row).collect(),
+        ))]);
     };
     let play = |rig: &mut Rig, count: usize| -> Vec<u32> {
         let one = |_| {
@@ -951,8 +965,8 @@
     list(&mut rig, [1.0, 1.0, 0.0]);
     let sent = play(&mut rig, 300);
     assert!(!sent.contains(&2), "others can take it");
-    let gone = [0, 1].map(|id| listed(id, ServerState::Gone, None));
-    rig.play(&[Event::List(ListNews::Delta(gone.to_vec()))]);
+    let gone = [0, 1].map(|id| listed(id, ServerState::Removed, None));
+    rig.play(&[Event::Endpoints(EndpointUpdate::Delta(gone.to_vec()))]);
     assert_eq!(play(&mut rig, 3), [2, 2, 2], "no other can");
 }
 
@@ -961,11 +975,13 @@
 fn a_query_keeps_to_the_servers_of_its_list() {
     let mut rig = Rig::new(safe());
     let list = |rig: &mut Rig, generation: u64, ids: std::ops::Range<u32>| {
-        let row = |id| Listed {
+        let row = |id| Endpoint {
             generation,
             ..listed(id, ServerState::Ready, None)
         };
-        rig.play(&[Event::List(ListNews::Full(ids.map(row).collect()))])
+        rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(
+            ids.map(row).collect(),
+        ))])
     };
     list(&mut rig, 1, 0..3);
     let (events, _, parts) = rig.query(0, &[0]);
@@ -999,7 +1015,7 @@
         rig.after(0.05, &[done(parts[0], 0, Outcome::Ok)]);
         server
     };
-    rig.play(&[Event::Advised(vec![ServerId(1), ServerId(99)])]);
+    rig.play(&[Event::OutlierAdvice(vec![ServerId(1), ServerId(99)])]);
     let sent: Vec<u32> = (0..12).map(|_| served(&mut rig)).collect();
     assert!(
         !sent.contains(&1) && sent.contains(&0) && sent.contains(&2),
@@ -1019,14 +1035,17 @@
 #[test]
 fn rounded_weights_add_up_to_the_whole() {
     let floored = Class {
-        floor: 0.8,
-        partial: 0.9,
-        late_share: 0.3,
-        ..class(Effect::Safe)
+        minimum_share: 0.8,
+        partial_answer_share: 0.9,
+        late_answer_share: 0.3,
+        ..class(Idempotency::Idempotent)
     };
     let shards: Vec<u32> = (0..94).collect();
     for weight in [0.010638, 0.01063, 0.010639, 0.0107] {
-        let mut rig = Rig::new(settings(vec![class(Effect::Safe), floored.clone()]));
+        let mut rig = Rig::new(settings(vec![
+            class(Idempotency::Idempotent),
+            floored.clone(),
+        ]));
         let (events, id, parts) = rig.weighted(0, &shards, weight);
         assert_eq!(
             sends(&rig.play(&events)).len(),
@@ -1045,7 +1064,7 @@
         assert!(
             actions.contains(&Action::Answer {
                 query: RequestId(id),
-                whole: true
+                complete: true
             }),
             "{actions:?}"
         );
@@ -1058,13 +1077,13 @@
                 .map(|&part| done(part, 0, Outcome::Ok))
                 .collect();
             rig.after(0.02, &some);
-            let actions = rig.after(0.97, &[Event::Wake]);
+            let actions = rig.after(0.97, &[Event::TimerFired]);
             let partial = actions.contains(&Action::Answer {
                 query: RequestId(id),
-                whole: false,
+                complete: false,
             });
             assert_eq!(partial, answered, "weights of {weight}: {in_time} of 94");
-            rig.after(3.0, &[Event::Wake]);
+            rig.after(3.0, &[Event::TimerFired]);
         }
     }
 }
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -82,23 +82,25 @@
                 let ran = view.attempts.iter().any(|(_, o)| {
                     !matches!(
                         o,
-                        Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+                        Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
                     )
                 });
-                match class.effect {
-                    Effect::Safe => {}
-                    Effect::Keyed => {
+                match class.idempotency {
+                    Idempotency::Idempotent => {}
+                    Idempotency::IdempotentWithKey => {
                         assert!(
-                            !ran || view.first_risky.is_none_or(|at| now - at < class.window),
+                            !ran || view
+                                .first_risky
+                                .is_none_or(|at| now - at < class.dedup_window),
                             "window"
                         )
                     }
-                    Effect::Unsafe => assert!(!ran, "an unsafe part may run twice"),
+                    Idempotency::AtMostOnce => assert!(!ran, "an unsafe part may run twice"),
                 }
                 let again = !view.attempts.is_empty();
                 if again {
                     if view.attempts.iter().any(|(_, o)| o.is_none()) {
-                        assert!(self.settings.second_copies);
+                        assert!(self.settings.hedging);
                         assert!(view
                             .attempts
                             .iter()
@@ -110,11 +112,12 @@
                 view.first_risky.get_or_insert(now);
                 let attempt = view.attempts.len() as u8;
                 view.attempts.push((server, None));
-                if let Some(budget) = self.settings.budget.filter(|_| again) {
+                if let Some(budget) = self.settings.retry_budget.filter(|_| again) {
                     let recent = |list: &[Time]| {
                         list.iter().filter(|&&at| now - at <= budget.window).count() as f64
                     };
-                    let allowed = budget.free + budget.share * recent(&self.taken);
+                    let allowed =
+                        budget.always_allowed + budget.share_of_arrivals * recent(&self.taken);
                     assert!(
                         recent(&self.further) <= allowed + 1e-9,
                         "budget: {} of {allowed} at {}",
@@ -128,7 +131,7 @@
                 }
                 let (outcome, late) = match self.dice.below(20) {
                     0 => (Outcome::Error, 0.01),
-                    1 => (Outcome::Full, 0.002),
+                    1 => (Outcome::Rejected, 0.002),
                     2 => (Outcome::ConnectFailed, 0.25),
                     3 => (Outcome::Reset, 0.1),
                     4 => (Outcome::Timeout, until - now),
@@ -149,14 +152,14 @@
                 attempt,
             } => {
                 let view = &self.parts[&id];
-                assert!((attempt as usize) < view.attempts.len() && self.settings.cancel);
+                assert!((attempt as usize) < view.attempts.len() && self.settings.cancellation);
                 for out in self.out.iter_mut().filter(|o| o.1 == id && o.2 == attempt) {
                     (out.0, out.3) = (now, Outcome::Cancelled);
                 }
             }
             Action::Answer {
                 query: RequestId(id),
-                whole,
+                complete: whole,
             } => {
                 let query = self
                     .queries
@@ -174,11 +177,15 @@
                     count += 1;
                 }
                 let second = query.step == 2;
-                let need = if second { 1.0 } else { class.need };
-                let floor = if second && class.floor >= class.need {
+                let need = if second {
                     1.0
                 } else {
-                    class.floor
+                    class.complete_threshold
+                };
+                let floor = if second && class.minimum_share >= class.complete_threshold {
+                    1.0
+                } else {
+                    class.minimum_share
                 };
                 assert!(weight + 1e-4 >= floor, "less than the floor");
                 assert!(
@@ -186,8 +193,8 @@
                     "not whole"
                 );
                 self.answers += 1;
-                if class.fetch > 0 && !second {
-                    let parts = class.fetch.min(count);
+                if class.second_step_parts > 0 && !second {
+                    let parts = class.second_step_parts.min(count);
                     let query = self.queries.get_mut(&id).unwrap();
                     (query.step, query.first_whole) = (2, whole);
                     let number = query.number;
@@ -196,7 +203,7 @@
                     self.queries.remove(&id);
                 }
             }
-            Action::Refuse {
+            Action::Reject {
                 query: RequestId(id),
                 ..
             } => {
@@ -205,7 +212,7 @@
                     .remove(&id)
                     .expect("a refusal of a finished query");
                 assert!(now <= query.due, "lost");
-                if self.settings.classes[query.class].effect == Effect::Unsafe {
+                if self.settings.classes[query.class].idempotency == Idempotency::AtMostOnce {
                     let mut attempts = self
                         .parts
                         .values()
@@ -214,7 +221,7 @@
                     let proved = |o: &Option<Outcome>| {
                         matches!(
                             o,
-                            Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+                            Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
                         )
                     };
                     assert!(
@@ -232,11 +239,11 @@
                     .expect("a failure of a finished query");
                 assert!(now <= query.due, "lost");
             }
-            Action::Wake(at) => {
+            Action::SetTimer(at) => {
                 self.wake.insert(at);
             }
-            Action::Subscribe => assert!(self.settings.must_ask.is_some()),
-            Action::Probe(_) => assert!(self.settings.probes.is_some()),
+            Action::SubscribeEndpoints => assert!(self.settings.max_poll_interval.is_some()),
+            Action::HealthCheck(_) => assert!(self.settings.health_check_value.is_some()),
         }
     }
 
@@ -288,9 +295,9 @@
             number,
             due,
             work: self.dice.chance(0.1).then_some(f64::NAN),
-            repeat: false,
+            client_retry: false,
         });
-        let parts = if self.settings.classes[class].effect == Effect::Unsafe {
+        let parts = if self.settings.classes[class].idempotency == Idempotency::AtMostOnce {
             1
         } else {
             1 + self.dice.below(6)
@@ -307,13 +314,13 @@
             view.attempts[attempt as usize].1 = Some(outcome);
             // An answer counts while its query's step still runs.
             view.answered |= outcome == Outcome::Ok;
-            self.events.push(Event::Done {
+            self.events.push(Event::AttemptEnded {
                 id: RequestId(id),
                 attempt,
                 outcome,
             });
             if self.dice.chance(0.02) {
-                self.events.push(Event::Done {
+                self.events.push(Event::AttemptEnded {
                     id: RequestId(id),
                     attempt,
                     outcome,
@@ -326,7 +333,7 @@
         let server = self.dice.below(8) as u32;
         let row = match self.dice.below(5) {
             0 => listed(server, ServerState::Draining, None),
-            1 => listed(server, ServerState::Gone, None),
+            1 => listed(server, ServerState::Removed, None),
             2 => listed(server, ServerState::Ready, Some(self.now)),
             _ => listed(
                 server,
@@ -341,7 +348,8 @@
         if let Some(at) = row.ready_at.filter(|&at| at == self.now) {
             self.cold.insert(server, (at, Vec::new()));
         }
-        self.events.push(Event::List(ListNews::Delta(vec![row])));
+        self.events
+            .push(Event::Endpoints(EndpointUpdate::Delta(vec![row])));
     }
 
     fn noise(&mut self) {
@@ -353,18 +361,18 @@
             Outcome::Timeout
         };
         self.events.push(match self.dice.below(6) {
-            4 | 5 => Event::Probed {
+            4 | 5 => Event::HealthCheckEnded {
                 server: ServerId(self.dice.below(9) as u32),
                 outcome,
                 report,
             },
-            0 => Event::Done {
+            0 => Event::AttemptEnded {
                 id: RequestId(id.0 + 1_000_000),
                 attempt: 200,
                 outcome: Outcome::Ok,
             },
-            1 => Event::List(ListNews::Failed),
-            2 => Event::List(ListNews::Full(Vec::new())),
+            1 => Event::Endpoints(EndpointUpdate::Failed),
+            2 => Event::Endpoints(EndpointUpdate::Snapshot(Vec::new())),
             _ => Event::Part {
                 id: RequestId(id.0 + 1_000_000),
                 number: u64::MAX,
@@ -383,7 +391,7 @@
             .filter(|_| self.dice.chance(0.02))
         {
             self.queries.remove(&id);
-            self.events.push(Event::Withdrawn(RequestId(id)));
+            self.events.push(Event::ClientGone(RequestId(id)));
         }
     }
 }
@@ -392,27 +400,27 @@
 fn play(seed: u64) -> (u64, usize) {
     let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut classes = vec![
-        class(Effect::Safe),
-        class(Effect::Unsafe),
-        class(Effect::Keyed),
+        class(Idempotency::Idempotent),
+        class(Idempotency::AtMostOnce),
+        class(Idempotency::IdempotentWithKey),
     ];
-    classes[2].window = 0.7;
-    classes[1].late_share = if dice.chance(0.5) { 0.3 } else { 0.0 };
+    classes[2].dedup_window = 0.7;
+    classes[1].late_answer_share = if dice.chance(0.5) { 0.3 } else { 0.0 };
     if dice.chance(0.5) {
-        (classes[0].need, classes[0].floor) = (0.75, 0.75);
+        (classes[0].complete_threshold, classes[0].minimum_share) = (0.75, 0.75);
     } else if dice.chance(0.5) {
-        (classes[0].floor, classes[0].partial) = (0.6, 0.8);
+        (classes[0].minimum_share, classes[0].partial_answer_share) = (0.6, 0.8);
     }
-    classes[0].fetch = dice.below(3) as u32;
+    classes[0].second_step_parts = dice.below(3) as u32;
     let mut drawn = settings(classes);
-    drawn.second_copies = dice.chance(0.8);
-    drawn.cancel = dice.chance(0.8);
+    drawn.hedging = dice.chance(0.8);
+    drawn.cancellation = dice.chance(0.8);
     drawn.max_attempts = 1 + dice.below(4) as u32;
-    drawn.probes = dice.chance(0.5).then_some(0);
-    drawn.must_ask = dice.chance(0.5).then_some(10.0);
-    drawn.budget = dice.chance(0.5).then_some(AttemptBudget {
-        free: 3.0,
-        share: 0.1,
+    drawn.health_check_value = dice.chance(0.5).then_some(0);
+    drawn.max_poll_interval = dice.chance(0.5).then_some(10.0);
+    drawn.retry_budget = dice.chance(0.5).then_some(RetryBudgetLimits {
+        always_allowed: 3.0,
+        share_of_arrivals: 0.1,
         window: 5.0,
     });
     let mut world = World {
@@ -432,11 +440,13 @@
         next: 0,
         events: Vec::new(),
     };
-    let mut aggregator = Aggregator::new(drawn, seed);
+    let mut aggregator = RequestRouter::new(drawn, seed);
     let rows = (0..8)
         .map(|id| listed(id, ServerState::Ready, None))
         .collect();
-    world.events.push(Event::List(ListNews::Cached(rows)));
+    world
+        .events
+        .push(Event::Endpoints(EndpointUpdate::Cached(rows)));
     for _ in 0..6000 {
         world.now = world.now + 0.005;
         // The node stalls now and then; the wire's time-outs go on meanwhile.
@@ -457,7 +467,7 @@
         let now = world.now;
         if world.wake.first().is_some_and(|&at| at <= now) {
             world.wake.retain(|&at| at > now);
-            world.events.push(Event::Wake);
+            world.events.push(Event::TimerFired);
         }
         if world.events.is_empty() {
             continue;
@@ -526,24 +536,29 @@
 #[test]
 fn absurd_settings_and_events_do_not_panic() {
     for cells in [0, 1, u32::MAX] {
-        let mut odd = settings(vec![class(Effect::Safe)]);
-        (odd.cells, odd.reach, odd.warm_up, odd.fall_window) = (cells, u32::MAX, 0.0, f64::NAN);
-        let mut aggregator = Aggregator::new(odd, 0);
+        let mut odd = settings(vec![class(Idempotency::Idempotent)]);
+        (
+            odd.cells,
+            odd.cells_per_shard,
+            odd.slow_start_duration,
+            odd.overload_window,
+        ) = (cells, u32::MAX, 0.0, f64::NAN);
+        let mut aggregator = RequestRouter::new(odd, 0);
         let mut actions = Vec::new();
-        let row = Listed {
+        let row = Endpoint {
             cell: u32::MAX,
             size: f64::NAN,
             ..listed(9, ServerState::Ready, Some(Time(i64::MAX)))
         };
         let events = [
-            Event::List(ListNews::Full(vec![row])),
+            Event::Endpoints(EndpointUpdate::Snapshot(vec![row])),
             Event::Query {
                 id: RequestId(1),
                 class: ClassId(0),
                 number: 0,
                 due: Time(i64::MIN),
                 work: None,
-                repeat: true,
+                client_retry: true,
             },
             Event::Part {
                 id: RequestId(2),
@@ -557,7 +572,7 @@
                 number: 1,
                 due: Time(i64::MAX),
                 work: Some(f64::INFINITY),
-                repeat: true,
+                client_retry: true,
             },
             Event::Part {
                 id: RequestId(4),
@@ -565,19 +580,19 @@
                 shard: 0,
                 weight: 1.0,
             },
-            Event::Done {
+            Event::AttemptEnded {
                 id: RequestId(2),
                 attempt: 0,
                 outcome: Outcome::Ok,
             },
-            Event::Withdrawn(RequestId(77)),
+            Event::ClientGone(RequestId(77)),
         ];
         aggregator.handle(Time(0), &events, &mut actions);
-        aggregator.handle(Time(i64::MAX), &[Event::Wake], &mut actions);
+        aggregator.handle(Time(i64::MAX), &[Event::TimerFired], &mut actions);
         let ends = actions.iter().filter(|a| {
             matches!(
                 a,
-                Action::Refuse { .. } | Action::Fail { .. } | Action::Answer { .. }
+                Action::Reject { .. } | Action::Fail { .. } | Action::Answer { .. }
             )
         });
         assert_eq!(ends.count(), 2, "both queries ended, cells {cells}");
@@ -586,14 +601,14 @@
 
 #[test]
 fn a_clock_that_goes_back_is_answered_all_the_same() {
-    let mut aggregator = Aggregator::new(settings(vec![class(Effect::Safe)]), 3);
+    let mut aggregator = RequestRouter::new(settings(vec![class(Idempotency::Idempotent)]), 3);
     let rows = (0..3)
         .map(|id| listed(id, ServerState::Ready, None))
         .collect();
     let mut actions = Vec::new();
     aggregator.handle(
         Time::from_secs(100.0),
-        &[Event::List(ListNews::Full(rows))],
+        &[Event::Endpoints(EndpointUpdate::Snapshot(rows))],
         &mut actions,
     );
     for (number, at) in [200.0, 150.0, -1e12, 1e12, 99.0].into_iter().enumerate() {
@@ -609,7 +624,7 @@
             number,
             due,
             work: None,
-            repeat: false,
+            client_retry: false,
         };
         let events = [
             query,
@@ -624,7 +639,7 @@
         aggregator.handle(Time::from_secs(at), &events, &mut actions);
         aggregator.handle(
             Time::from_secs(at) + 0.1,
-            &[Event::Done {
+            &[Event::AttemptEnded {
                 id: part,
                 attempt: 0,
                 outcome: Outcome::Ok,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub use fault::Fault;
 
-use cairnroad_routing::{AttemptBudget, Class, Effect, Settings};
+use cairnroad_types::{Class, Idempotency, RetryBudgetLimits, Settings};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -135,7 +135,7 @@
     /// The shortest aim of the classes that may be asked for, in seconds.
     pub fn shortest_aim(&self) -> f64 {
         self.offered()
-            .map(|(.., class)| class.aim)
+            .map(|(.., class)| class.latency_objective)
             .reduce(f64::min)
             .unwrap_or(1.0)
     }
@@ -211,15 +211,15 @@
     let classes = wire.classes.iter().enumerate().map(|(at, class)| {
         let lacks = |key: &'static str| Fault::Lacks { key, at };
         Ok(Class {
-            aim: class.aim_s,
-            aim_stretch: class.aim_stretch.unwrap_or(0.0),
+            latency_objective: class.aim_s,
+            objective_per_work: class.aim_stretch.unwrap_or(0.0),
             deadline: class.deadline_s,
-            worth: class.value,
-            late_share: class.late_share,
-            effect: match class.effect.as_str() {
-                "idempotent" => Effect::Safe,
-                "deduplicated" => Effect::Keyed,
-                "at_most_once" => Effect::Unsafe,
+            priority_weight: class.value,
+            late_answer_share: class.late_share,
+            idempotency: match class.effect.as_str() {
+                "idempotent" => Idempotency::Idempotent,
+                "deduplicated" => Idempotency::IdempotentWithKey,
+                "at_most_once" => Idempotency::AtMostOnce,
                 other => {
                     return Err(Fault::Unknown {
                         key: format!("classes[{at}].effect"),
@@ -227,17 +227,17 @@
                     })
                 }
             },
-            window: class.dedup_window_s.unwrap_or(0.0),
-            need: *extra
+            dedup_window: class.dedup_window_s.unwrap_or(0.0),
+            complete_threshold: *extra
                 .need_by_class
                 .get(at)
                 .ok_or_else(|| lacks("needByClass"))?,
-            floor: *extra.min_share.get(at).ok_or_else(|| lacks("minShare"))?,
-            partial: *extra
+            minimum_share: *extra.min_share.get(at).ok_or_else(|| lacks("minShare"))?,
+            partial_answer_share: *extra
                 .partial_earns
                 .get(at)
                 .ok_or_else(|| lacks("partialEarns"))?,
-            fetch: *extra
+            second_step_parts: *extra
                 .fetch_parts
                 .get(at)
                 .ok_or_else(|| lacks("fetchParts"))?,
@@ -245,14 +245,14 @@
     });
     let (caps, safety) = (&wire.caps, &wire.safety);
     let budget = match (safety.budget_free, safety.resend_ratio, safety.look_back_s) {
-        (free, Some(share), Some(window)) => Some(AttemptBudget {
-            free: free.unwrap_or(0.0),
-            share,
+        (free, Some(share), Some(window)) => Some(RetryBudgetLimits {
+            always_allowed: free.unwrap_or(0.0),
+            share_of_arrivals: share,
             window,
         }),
-        (Some(free), None, Some(window)) => Some(AttemptBudget {
-            free,
-            share: 0.0,
+        (Some(free), None, Some(window)) => Some(RetryBudgetLimits {
+            always_allowed: free,
+            share_of_arrivals: 0.0,
             window,
         }),
         _ => None,
@@ -261,20 +261,20 @@
         classes: classes.collect::<Result<_, Fault>>()?,
         group_size: wire.group_size,
         cells: extra.positions,
-        reach: extra.span,
-        parts_a_call: extra.parts_a_call.max(1),
+        cells_per_shard: extra.span,
+        max_parts_per_call: extra.parts_a_call.max(1),
         tick: wire.tick_s,
         max_attempts: caps.attempts_cap,
-        probes: match &wire.report {
+        health_check_value: match &wire.report {
             Some(report) if caps.probes == Some(true) => {
                 report.names.iter().position(|n| n == "inflight")
             }
             _ => None,
         },
-        cancel: caps.cancel,
-        second_copies: caps.second_copies,
-        retry_after: caps.max_retry_after_s.filter(|_| caps.retry_after),
-        must_ask: match wire.registry_mode.as_str() {
+        cancellation: caps.cancel,
+        hedging: caps.second_copies,
+        max_retry_after: caps.max_retry_after_s.filter(|_| caps.retry_after),
+        max_poll_interval: match wire.registry_mode.as_str() {
             "pushed" => None,
             "on_request" => Some(safety.must_ask_in_s.ok_or(Fault::Missing {
                 key: "safety.mustAskInS",
@@ -287,11 +287,11 @@
             }
         },
         drain_grace: safety.stop_sending_within_s,
-        cold_from: safety.cold_from,
-        warm_up: safety.warm_up_s,
-        fall_multiple: safety.fall_multiple,
-        fall_window: safety.fall_s,
-        budget,
+        slow_start_share: safety.cold_from,
+        slow_start_duration: safety.warm_up_s,
+        overload_multiple: safety.fall_multiple,
+        overload_window: safety.fall_s,
+        retry_budget: budget,
     };
     Ok(Deployment {
         policy,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -11,16 +11,22 @@
 #[test]
 fn settings_are_read_and_unknown_keys_ignored() {
     let settings = parse(TEXT.as_bytes()).unwrap().policy;
-    assert_eq!(settings.classes[0].effect, Effect::Keyed);
     assert_eq!(
-        (settings.classes[0].floor, settings.classes[0].fetch),
+        settings.classes[0].idempotency,
+        Idempotency::IdempotentWithKey
+    );
+    assert_eq!(
+        (
+            settings.classes[0].minimum_share,
+            settings.classes[0].second_step_parts
+        ),
         (0.5, 3)
     );
     assert_eq!(
-        (settings.must_ask, settings.retry_after),
+        (settings.max_poll_interval, settings.max_retry_after),
         (Some(10.0), None)
     );
-    assert_eq!(settings.budget.unwrap().window, 10.0);
+    assert_eq!(settings.retry_budget.unwrap().window, 10.0);
 }
 
 #[test]
@@ -68,14 +74,20 @@
 
 #[test]
 fn probes_need_leave_and_a_count_of_requests_held() {
-    assert_eq!(parse(TEXT.as_bytes()).unwrap().policy.probes, None);
+    assert_eq!(
+        parse(TEXT.as_bytes()).unwrap().policy.health_check_value,
+        None
+    );
     let names = r#""report": {"how": "pull", "names": ["util", "inflight"]}, "unheardOf""#;
     let told = TEXT.replace("\"unheardOf\"", names);
     assert_eq!(
-        parse(told.as_bytes()).unwrap().policy.probes,
+        parse(told.as_bytes()).unwrap().policy.health_check_value,
         None,
         "not without leave"
     );
     let allowed = told.replace("\"cancel\": true", "\"cancel\": true, \"probes\": true");
-    assert_eq!(parse(allowed.as_bytes()).unwrap().policy.probes, Some(1));
+    assert_eq!(
+        parse(allowed.as_bytes()).unwrap().policy.health_check_value,
+        Some(1)
+    );
 }
--- a/crates/simulator-host/src/frame.rs
+++ b/crates/simulator-host/src/frame.rs
@@ -1,7 +1,8 @@
 //! The binary frames: batches in, replies out.
 
-use cairnroad_routing::{
-    Action, ClassId, Event, ListNews, Listed, Outcome, RequestId, ServerId, ServerState, Time,
+use cairnroad_types::{
+    Action, ClassId, Endpoint, EndpointUpdate, Event, Outcome, RequestId, ServerId, ServerState,
+    Time,
 };
 use std::io::{ErrorKind, Read};
 
@@ -29,7 +30,7 @@
     },
     Page {
         buffer: u8,
-        rows: Vec<Listed>,
+        rows: Vec<Endpoint>,
     },
     Sync {
         instance: u16,
@@ -173,7 +174,7 @@
             let _final = f.u8()?;
             let _server = f.u32()?;
             let _duration = f.f64()?;
-            Event::Done {
+            Event::AttemptEnded {
                 id,
                 attempt: f.u8()?,
                 outcome,
@@ -184,14 +185,14 @@
             let _duration = f.f64()?;
             let outcome = outcome(f.u8()?)?;
             let report = (0..f.u8()?).map(|_| f.f32()).collect::<Result<_, _>>()?;
-            Event::Probed {
+            Event::HealthCheckEnded {
                 server,
                 outcome,
                 report,
             }
         }
-        6 => Event::Withdrawn(RequestId(f.u64()?)),
-        7 => Event::Wake,
+        6 => Event::ClientGone(RequestId(f.u64()?)),
+        7 => Event::TimerFired,
         10 => return Ok(Record::Retire { instance }),
         _ => return Err("unknown event".into()),
     };
@@ -216,7 +217,7 @@
             number,
             due,
             work,
-            repeat: flags & REPEAT != 0,
+            client_retry: flags & REPEAT != 0,
         }
     } else {
         Event::Part {
@@ -228,21 +229,21 @@
     })
 }
 
-fn parse_row(f: &mut Fields) -> Result<Listed, String> {
+fn parse_row(f: &mut Fields) -> Result<Endpoint, String> {
     let server = ServerId(f.u32()?);
     let zone = u32::from(f.u8()?) + 1;
     let _kind = f.u16()?;
     let cell = u32::from(f.u16()?);
     let state = match f.u8()? {
         1 => ServerState::Ready,
-        2 => ServerState::Gone,
+        2 => ServerState::Removed,
         3 => ServerState::Draining,
         other => return Err(format!("unknown condition {other}")),
     };
     let size = f.f32()?;
     let ready_at = f.f64()?;
     let ready_at = (ready_at != 0.0).then(|| Time::from_secs(ready_at));
-    Ok(Listed {
+    Ok(Endpoint {
         server,
         cell,
         zone,
@@ -258,23 +259,23 @@
     Ok(match code {
         0 => Outcome::Error,
         1 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
 
 /// The list news of a sync, from its form and the page that it names.
-pub fn list_news(form: u8, rows: Option<Vec<Listed>>) -> Option<ListNews> {
+pub fn list_news(form: u8, rows: Option<Vec<Endpoint>>) -> Option<EndpointUpdate> {
     Some(match form {
-        0 => ListNews::Full(rows?),
-        1 => ListNews::Failed,
-        2 => ListNews::Cached(rows?),
-        3 => ListNews::Delta(rows?),
+        0 => EndpointUpdate::Snapshot(rows?),
+        1 => EndpointUpdate::Failed,
+        2 => EndpointUpdate::Cached(rows?),
+        3 => EndpointUpdate::Delta(rows?),
         _ => return None,
     })
 }
@@ -302,7 +303,7 @@
                 put(&until.secs().to_le_bytes());
                 1
             }
-            Action::Refuse { query, retry_after } => {
+            Action::Reject { query, retry_after } => {
                 put(&query.0.to_le_bytes());
                 put(&retry_after.unwrap_or(0.0).to_le_bytes());
                 2
@@ -316,22 +317,22 @@
                 put(&[*attempt]);
                 4
             }
-            Action::Wake(at) => {
+            Action::SetTimer(at) => {
                 put(&at.secs().to_le_bytes());
                 put(&0u64.to_le_bytes());
                 5
             }
-            Action::Probe(server) => {
+            Action::HealthCheck(server) => {
                 put(&server.0.to_le_bytes());
                 6
             }
-            Action::Subscribe => {
+            Action::SubscribeEndpoints => {
                 put(&[1]);
                 11
             }
-            Action::Answer { query, whole } => {
+            Action::Answer { query, complete } => {
                 put(&query.0.to_le_bytes());
-                put(&[u8::from(*whole)]);
+                put(&[u8::from(*complete)]);
                 13
             }
         };
--- a/crates/simulator-host/src/frame/tests.rs
+++ b/crates/simulator-host/src/frame/tests.rs
@@ -80,12 +80,12 @@
         3,
         &Action::Answer {
             query: RequestId(4),
-            whole: true,
+            complete: true,
         },
     );
     reply.push(
         3,
-        &Action::Refuse {
+        &Action::Reject {
             query: RequestId(4),
             retry_after: Some(0.5),
         },
@@ -114,7 +114,7 @@
 #[test]
 fn probes_are_asked_for_and_their_reports_read() {
     let mut reply = Reply::default();
-    reply.push(3, &Action::Probe(ServerId(7)));
+    reply.push(3, &Action::HealthCheck(ServerId(7)));
     assert_eq!(
         reply.finish(),
         bytes("0f000000 01000000 06 06000000 0300 07000000")
@@ -123,7 +123,7 @@
     let Record::Event { instance: 3, event } = parse_record(8, Fields(&health)).unwrap() else {
         panic!()
     };
-    let Event::Probed {
+    let Event::HealthCheckEnded {
         server,
         outcome,
         report,
--- a/crates/simulator-host/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -3,7 +3,8 @@
 
 mod frame;
 
-use cairnroad_routing::{Action, Aggregator, Event, Time};
+use cairnroad_routing::RequestRouter;
+use cairnroad_types::{Action, Event, Time};
 use frame::{Batch, Record, Reply};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Read, Write};
@@ -12,8 +13,8 @@
 /// The instances of this process and the list pages they may be told of.
 #[derive(Default)]
 struct Host {
-    instances: BTreeMap<u16, Aggregator>,
-    pages: BTreeMap<u8, Vec<cairnroad_routing::Listed>>,
+    instances: BTreeMap<u16, RequestRouter>,
+    pages: BTreeMap<u8, Vec<cairnroad_types::Endpoint>>,
 }
 
 impl Host {
@@ -30,7 +31,7 @@
                     let settings = cairnroad_settings::parse(&setup)
                         .map_err(|e| format!("record {at}, provision: {e}"))?;
                     self.instances
-                        .insert(instance, Aggregator::new(settings.policy, seed));
+                        .insert(instance, RequestRouter::new(settings.policy, seed));
                     inbox.insert(instance, Vec::new());
                 }
                 Record::Retire { instance } => {
@@ -49,7 +50,10 @@
                     let news = frame::list_news(form, rows).ok_or_else(|| {
                         format!("record {at}, sync: form {form} or page {buffer} is unknown")
                     })?;
-                    inbox.entry(instance).or_default().push(Event::List(news));
+                    inbox
+                        .entry(instance)
+                        .or_default()
+                        .push(Event::Endpoints(news));
                 }
                 Record::Event { instance, event } => inbox.entry(instance).or_default().push(event),
                 Record::Ignored { instance } => {
