--- a/crates/admin/src/retune.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -14,7 +14,7 @@
 
 /// What other settings make of those in force.
 #[derive(Debug)]
-pub struct Retuned {
+pub struct Reconfiguration {
     /// What is in force from now on.
     pub deployment: Deployment,
     /// The place of each class of the new file, in its order.
@@ -30,7 +30,7 @@
     in_force: &Deployment,
     fresh: &Deployment,
     held: impl Fn(ClassId) -> bool,
-) -> Result<Retuned, String> {
+) -> Result<Reconfiguration, String> {
     let mut names = vec![String::new(); in_force.class_names.len()];
     let mut classes = in_force.policy.classes.clone();
     let mut places = vec![None; fresh.class_names.len()];
@@ -115,7 +115,7 @@
         longest_advice: new.longest_advice,
         ..old.clone()
     };
-    Ok(Retuned {
+    Ok(Reconfiguration {
         deployment,
         places: places.into_iter().flatten().map(id).collect(),
         renewed,
--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/request.rs
@@ -5,7 +5,7 @@
 
 /// What a caller asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminRequest {
     /// Whether this process is ready to serve.
     Ready,
     /// Leave a data node out.
@@ -22,7 +22,7 @@
 
 /// How a call ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdminResponse {
     /// It is so.
     Yes,
     /// Not now: another state has to come first.
@@ -41,62 +41,62 @@
     TooMany,
 }
 
-impl Verdict {
+impl AdminResponse {
     /// The status that tells it.
     pub fn status(&self) -> u16 {
         match self {
-            Verdict::Yes => 200,
-            Verdict::NotNow(_) | Verdict::TooMany => 503,
-            Verdict::Unknown | Verdict::NoPeers | Verdict::NoSuchCall => 404,
-            Verdict::Method(_) => 405,
-            Verdict::BadId => 400,
+            AdminResponse::Yes => 200,
+            AdminResponse::NotNow(_) | AdminResponse::TooMany => 503,
+            AdminResponse::Unknown | AdminResponse::NoPeers | AdminResponse::NoSuchCall => 404,
+            AdminResponse::Method(_) => 405,
+            AdminResponse::BadId => 400,
         }
     }
 
     /// The same for people: what is wrong, and what to do.
     pub fn text(&self) -> &'static str {
         match self {
-            Verdict::Yes => "yes",
-            Verdict::NotNow(cause) => cause,
-            Verdict::Unknown => {
+            AdminResponse::Yes => "yes",
+            AdminResponse::NotNow(cause) => cause,
+            AdminResponse::Unknown => {
                 "no data node of this id was ever listed: look at the list of data nodes"
             }
-            Verdict::NoPeers => "this coordinator takes part in no group: see docs/PEERS.md",
-            Verdict::NoSuchCall => "there is no such call: see docs/OPERATION.md",
-            Verdict::Method("GET") => "this call takes GET",
-            Verdict::Method(_) => "this call takes PUT",
-            Verdict::BadId => "the id of the data node is empty, too long or malformed",
-            Verdict::TooMany => "too many data nodes are suspended: resume some first",
+            AdminResponse::NoPeers => "this coordinator takes part in no group: see docs/PEERS.md",
+            AdminResponse::NoSuchCall => "there is no such call: see docs/OPERATION.md",
+            AdminResponse::Method("GET") => "this call takes GET",
+            AdminResponse::Method(_) => "this call takes PUT",
+            AdminResponse::BadId => "the id of the data node is empty, too long or malformed",
+            AdminResponse::TooMany => "too many data nodes are suspended: resume some first",
         }
     }
 }
 
 /// The call that a method and a target stand for, or why there is none.
-pub fn read(method: &str, target: &str) -> Result<Call, Verdict> {
+pub fn read(method: &str, target: &str) -> Result<AdminRequest, AdminResponse> {
     let path = target.split('?').next().unwrap_or("");
     let steps: Vec<&str> = path
         .strip_prefix("/v1/")
-        .ok_or(Verdict::NoSuchCall)?
+        .ok_or(AdminResponse::NoSuchCall)?
         .split('/')
         .collect();
     let (call, takes) = match steps[..] {
-        ["readyz"] => (Call::Ready, "GET"),
-        ["peers"] => (Call::Peers, "GET"),
-        ["coordinator", "drain"] => (Call::Drain, "PUT"),
-        ["coordinator", "activate"] => (Call::Activate, "PUT"),
-        ["data-nodes", id, "suspend"] => (Call::Suspend(node(id)?), "PUT"),
-        ["data-nodes", id, "resume"] => (Call::Resume(node(id)?), "PUT"),
-        _ => return Err(Verdict::NoSuchCall),
+        ["readyz"] => (AdminRequest::Ready, "GET"),
+        ["peers"] => (AdminRequest::Peers, "GET"),
+        ["coordinator", "drain"] => (AdminRequest::Drain, "PUT"),
+        ["coordinator", "activate"] => (AdminRequest::Activate, "PUT"),
+        ["data-nodes", id, "suspend"] => (AdminRequest::Suspend(node(id)?), "PUT"),
+        ["data-nodes", id, "resume"] => (AdminRequest::Resume(node(id)?), "PUT"),
+        _ => return Err(AdminResponse::NoSuchCall),
     };
     if method == takes {
         Ok(call)
     } else {
-        Err(Verdict::Method(takes))
+        Err(AdminResponse::Method(takes))
     }
 }
 
 /// An id out of a path, its percent signs undone.
-fn node(text: &str) -> Result<String, Verdict> {
+fn node(text: &str) -> Result<String, AdminResponse> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
@@ -111,13 +111,13 @@
         let digits = digits.filter(|digits| digits.bytes().all(|b| b.is_ascii_hexdigit()));
         let value = digits
             .and_then(|digits| u8::from_str_radix(digits, 16).ok())
-            .ok_or(Verdict::BadId)?;
+            .ok_or(AdminResponse::BadId)?;
         bytes.push(value);
         rest = &rest[2..];
     }
-    let id = String::from_utf8(bytes).map_err(|_| Verdict::BadId)?;
+    let id = String::from_utf8(bytes).map_err(|_| AdminResponse::BadId)?;
     if id.is_empty() || id.len() > MOST_ID || id.chars().any(char::is_control) {
-        return Err(Verdict::BadId);
+        return Err(AdminResponse::BadId);
     }
     Ok(id)
 }
--- /dev/null
+++ b/crates/admin/src/request/tests.rs
@@ -0,0 +1,75 @@
+use super::*;
+use quickcheck::{Gen, QuickCheck};
+
+#[test]
+fn every_call_is_told_from_what_is_none() {
+    let suspend = |id: &str| Ok(AdminRequest::Suspend(id.into()));
+    for (method, target, expected) in [
+        ("GET", "/v1/readyz", Ok(AdminRequest::Ready)),
+        ("GET", "/v1/readyz?verbose", Ok(AdminRequest::Ready)),
+        ("PUT", "/v1/readyz", Err(AdminResponse::Method("GET"))),
+        ("GET", "/v1/peers", Ok(AdminRequest::Peers)),
+        ("PUT", "/v1/coordinator/drain", Ok(AdminRequest::Drain)),
+        (
+            "PUT",
+            "/v1/coordinator/activate",
+            Ok(AdminRequest::Activate),
+        ),
+        (
+            "POST",
+            "/v1/coordinator/activate",
+            Err(AdminResponse::Method("PUT")),
+        ),
+        ("PUT", "/v1/data-nodes/s-1/suspend", suspend("s-1")),
+        ("PUT", "/v1/data-nodes/s%2f1%20/suspend", suspend("s/1 ")),
+        (
+            "PUT",
+            "/v1/data-nodes/s-1/resume",
+            Ok(AdminRequest::Resume("s-1".into())),
+        ),
+        (
+            "GET",
+            "/v1/data-nodes/s-1/resume",
+            Err(AdminResponse::Method("PUT")),
+        ),
+        ("PUT", "/v1/data-nodes//resume", Err(AdminResponse::BadId)),
+        ("PUT", "/v1/data-nodes/%/resume", Err(AdminResponse::BadId)),
+        (
+            "PUT",
+            "/v1/data-nodes/%ff/resume",
+            Err(AdminResponse::BadId),
+        ),
+        (
+            "PUT",
+            "/v1/data-nodes/%0a/resume",
+            Err(AdminResponse::BadId),
+        ),
+        ("PUT", "/v1/data-nodes/s-1", Err(AdminResponse::NoSuchCall)),
+        (
+            "PUT",
+            "/v1/coordinator/drain/",
+            Err(AdminResponse::NoSuchCall),
+        ),
+        ("GET", "/v1/", Err(AdminResponse::NoSuchCall)),
+        ("GET", "/", Err(AdminResponse::NoSuchCall)),
+        ("GET", "", Err(AdminResponse::NoSuchCall)),
+    ] {
+        assert_eq!(read(method, target), expected, "{method} {target}");
+    }
+    let long = format!("/v1/data-nodes/{}/resume", "a".repeat(MOST_ID + 1));
+    assert_eq!(read("PUT", &long), Err(AdminResponse::BadId));
+}
+
+/// Guards against a path that ends the program instead of getting its no.
+#[test]
+fn no_path_is_too_odd() {
+    let one = |id: String| {
+        let target = format!("/v1/data-nodes/{id}/suspend");
+        !matches!(read("PUT", &target), Ok(AdminRequest::Suspend(id)) if id.is_empty() || id.len() > MOST_ID)
+    };
+    let fixed = Gen::from_size_and_seed(40, 7);
+    QuickCheck::new()
+        .rng(fixed)
+        .tests(2_000)
+        .quickcheck(one as fn(String) -> bool);
+}
--- a/crates/admin/src/stop.rs
+++ b/crates/admin/src/shutdown.rs
@@ -34,7 +34,7 @@
 
 /// What the program does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum ShutdownPhase {
     /// Everybody is served and told that the connection ends.
     Serving,
     /// Idle connections are closed, too.
@@ -64,20 +64,20 @@
 
 /// One order to stop, from its moment on.
 #[derive(Debug)]
-pub struct Stop {
+pub struct GracefulShutdown {
     ordered: Time,
-    step: Step,
+    step: ShutdownPhase,
     since: Time,
     /// Seconds from the order to the kill, at the soonest.
     kill: f64,
 }
 
-impl Stop {
+impl GracefulShutdown {
     /// The order came now; `longest` is the longest deadline of all classes, in seconds.
-    pub fn new(now: Time, longest: f64) -> Stop {
-        Stop {
+    pub fn new(now: Time, longest: f64) -> GracefulShutdown {
+        GracefulShutdown {
             ordered: now,
-            step: Step::Serving,
+            step: ShutdownPhase::Serving,
             since: now,
             kill: longest.min(LONGEST_COUNTED) + KILLED_AFTER,
         }
@@ -89,7 +89,7 @@
     }
 
     /// What is done now. It only goes forward.
-    pub fn step(&mut self, now: Time, seen: Seen) -> Step {
+    pub fn step(&mut self, now: Time, seen: Seen) -> ShutdownPhase {
         let (age, for_so_long) = (now - self.ordered, now - self.since);
         let quiet = now - seen.last_asked >= QUIET;
         let earliest = EARLIEST_DEAF
@@ -103,13 +103,19 @@
         let told = now - self.since.max(seen.last_answered) >= LAST_WORDS;
         let waited = for_so_long >= STAYING || age >= self.kill - KILL_MARGIN;
         let next = match self.step {
-            Step::Serving if age >= CLOSE_IDLE => Step::Closing,
-            Step::Closing if age >= latest || (age >= earliest && quiet) => Step::Deaf,
-            Step::Deaf if seen.coming_in == 0 || for_so_long >= HALF_SENT || age >= refused_by => {
-                Step::Refusing
+            ShutdownPhase::Serving if age >= CLOSE_IDLE => ShutdownPhase::Closing,
+            ShutdownPhase::Closing if age >= latest || (age >= earliest && quiet) => {
+                ShutdownPhase::Deaf
             }
-            Step::Refusing if seen.serving == 0 && told && (seen.staying == 0 || waited) => {
-                Step::Over
+            ShutdownPhase::Deaf
+                if seen.coming_in == 0 || for_so_long >= HALF_SENT || age >= refused_by =>
+            {
+                ShutdownPhase::Refusing
+            }
+            ShutdownPhase::Refusing
+                if seen.serving == 0 && told && (seen.staying == 0 || waited) =>
+            {
+                ShutdownPhase::Over
             }
             step => step,
         };
--- a/crates/admin/src/bans.rs
+++ b/crates/admin/src/suspensions.rs
@@ -13,14 +13,14 @@
 
 /// One data node's maintenance, as it is kept for the next process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ban {
+pub struct Suspension {
     /// When it was suspended, in microseconds of Unix time.
     pub since_us: i64,
     /// When it was called back; `null` while it is left out.
     pub back_us: Option<i64>,
 }
 
-impl Ban {
+impl Suspension {
     fn holds(&self) -> bool {
         self.back_us.is_none()
     }
@@ -28,13 +28,13 @@
 
 /// All bans, and which ids were ever listed.
 #[derive(Debug, Default)]
-pub struct Bans {
-    bans: BTreeMap<String, Ban>,
+pub struct Suspensions {
+    bans: BTreeMap<String, Suspension>,
     seen: BTreeSet<String>,
     order: VecDeque<String>,
 }
 
-impl Bans {
+impl Suspensions {
     /// Notes that the list names a data node.
     pub fn listed(&mut self, id: &str) {
         if self.seen.contains(id) {
@@ -60,10 +60,10 @@
     }
 
     /// The ban that a call to suspend leaves in force. A repeated call changes nothing.
-    pub fn suspended(&self, id: &str, now: Time) -> Ban {
+    pub fn suspended(&self, id: &str, now: Time) -> Suspension {
         match self.bans.get(id) {
             Some(ban) if ban.holds() => *ban,
-            _ => Ban {
+            _ => Suspension {
                 since_us: now.0,
                 back_us: None,
             },
@@ -71,22 +71,22 @@
     }
 
     /// What a call back leaves, if the data node was left out.
-    pub fn resumed(&self, id: &str, now: Time) -> Option<Ban> {
+    pub fn resumed(&self, id: &str, now: Time) -> Option<Suspension> {
         let ban = self.bans.get(id).filter(|ban| ban.holds())?;
-        Some(Ban {
+        Some(Suspension {
             back_us: Some(now.0),
             ..*ban
         })
     }
 
     /// Puts a ban, or its end, into force. Whether that changes anything.
-    pub fn put(&mut self, id: &str, ban: Ban) -> bool {
+    pub fn put(&mut self, id: &str, ban: Suspension) -> bool {
         self.has_room(id) && self.bans.insert(id.into(), ban) != Some(ban)
     }
 
     /// Takes in all that is kept, which another process may have changed. Returns the ids that changed. One that is
     /// kept no more was called back long ago.
-    pub fn merge(&mut self, kept: &BTreeMap<String, Ban>) -> Vec<String> {
+    pub fn merge(&mut self, kept: &BTreeMap<String, Suspension>) -> Vec<String> {
         let dropped = self
             .bans
             .keys()
@@ -106,7 +106,7 @@
 
     /// Ends the memory of those that were called back so long ago that they are warm; their ids.
     pub fn expire(&mut self, now: Time, warm_up: f64) -> Vec<String> {
-        let warm = |ban: &Ban| ban.back_us.is_some_and(|at| now - Time(at) > warm_up);
+        let warm = |ban: &Suspension| ban.back_us.is_some_and(|at| now - Time(at) > warm_up);
         let over: Vec<String> = self
             .bans
             .iter()
--- a/crates/admin/src/bans/tests.rs
+++ b/crates/admin/src/suspensions/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_ban_holds_against_the_list_until_the_one_call_back() {
-    let mut bans = Bans::default();
+    let mut bans = Suspensions::default();
     bans.listed("s-1");
     assert!(bans.knows("s-1") && !bans.knows("s-2"));
     for now in [1.0, 2.0] {
@@ -38,10 +38,10 @@
 /// Guards against a cold node that is pushed over because the list tells late of its start, or never.
 #[test]
 fn a_node_that_is_back_counts_as_started_at_the_call_or_as_the_list_says() {
-    let mut bans = Bans::default();
+    let mut bans = Suspensions::default();
     bans.put(
         "s-1",
-        Ban {
+        Suspension {
             since_us: 1_000_000,
             back_us: Some(5_000_000),
         },
@@ -67,13 +67,13 @@
 
 #[test]
 fn what_another_process_keeps_is_taken_over() {
-    let mut bans = Bans::default();
+    let mut bans = Suspensions::default();
     let (held, back) = (
-        Ban {
+        Suspension {
             since_us: 1,
             back_us: None,
         },
-        Ban {
+        Suspension {
             since_us: 1,
             back_us: Some(2),
         },
@@ -92,7 +92,7 @@
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut bans = Bans::default();
+    let mut bans = Suspensions::default();
     for number in 0..MOST_SEEN + 10 {
         bans.listed(&format!("s-{number}"));
     }
@@ -100,7 +100,7 @@
     for number in 0..MOST_BANS {
         assert!(bans.put(
             &format!("s-{number}"),
-            Ban {
+            Suspension {
                 since_us: 1,
                 back_us: None
             }
@@ -109,7 +109,7 @@
     assert!(!bans.has_room("s-x") && bans.has_room("s-0"));
     assert!(!bans.put(
         "s-x",
-        Ban {
+        Suspension {
             since_us: 1,
             back_us: None
         }
--- a/crates/admin/tests/stop.rs
+++ b/crates/admin/tests/shutdown.rs
@@ -1,14 +1,14 @@
 //! The phases of a stop, on a clock of the test's own.
 
-use cairnroad_admin::stop::{Seen, Step, Stop};
+use cairnroad_admin::shutdown::{GracefulShutdown, Seen, ShutdownPhase};
 use cairnroad_types::Time;
 use quickcheck::{Gen, QuickCheck};
 
 /// The moments of all steps, in milliseconds after the order, where `seen` tells what is seen then.
-fn moments(longest: f64, seen: impl Fn(f64) -> Seen) -> Vec<(Step, i64)> {
+fn moments(longest: f64, seen: impl Fn(f64) -> Seen) -> Vec<(ShutdownPhase, i64)> {
     let start = Time::from_secs(100.0);
-    let mut stop = Stop::new(start, longest);
-    let mut moments = vec![(Step::Serving, 0)];
+    let mut stop = GracefulShutdown::new(start, longest);
+    let mut moments = vec![(ShutdownPhase::Serving, 0)];
     for tick in 0..1000 {
         let now = start + f64::from(tick) * 0.005;
         let step = stop.step(now, seen(now - start));
@@ -28,11 +28,11 @@
 fn a_quiet_program_ends_within_a_second() {
     let all = moments(2.5, |_| Seen::default());
     let expected = [
-        (Step::Serving, 0),
-        (Step::Closing, 500),
-        (Step::Deaf, 900),
-        (Step::Refusing, 905),
-        (Step::Over, 955),
+        (ShutdownPhase::Serving, 0),
+        (ShutdownPhase::Closing, 500),
+        (ShutdownPhase::Deaf, 900),
+        (ShutdownPhase::Refusing, 905),
+        (ShutdownPhase::Over, 955),
     ];
     assert_eq!(all, expected);
 }
@@ -48,11 +48,11 @@
         ..Seen::default()
     };
     let expected = [
-        (Step::Serving, 0),
-        (Step::Closing, 500),
-        (Step::Deaf, 1200),
-        (Step::Refusing, 1500),
-        (Step::Over, 1900),
+        (ShutdownPhase::Serving, 0),
+        (ShutdownPhase::Closing, 500),
+        (ShutdownPhase::Deaf, 1200),
+        (ShutdownPhase::Refusing, 1500),
+        (ShutdownPhase::Over, 1900),
     ];
     assert_eq!(moments(2.5, coming), expected);
 }
@@ -63,16 +63,16 @@
         coming_in: usize::from(age < 1.1),
         ..Seen::default()
     });
-    assert_eq!(all[3], (Step::Refusing, 1100));
+    assert_eq!(all[3], (ShutdownPhase::Refusing, 1100));
 }
 
 /// Guards against a request that comes late in the stop and would be answered only after the kill.
 #[test]
 fn all_is_answered_before_the_kill() {
     let start = Time::from_secs(100.0);
-    assert_eq!(Stop::new(start, 2.5).answered_by() - start, 3.1);
-    assert_eq!(Stop::new(start, 9.0).answered_by() - start, 3.6);
-    assert!((Stop::new(start, 0.4).answered_by() - start - 1.0).abs() < 1e-5);
+    assert_eq!(GracefulShutdown::new(start, 2.5).answered_by() - start, 3.1);
+    assert_eq!(GracefulShutdown::new(start, 9.0).answered_by() - start, 3.6);
+    assert!((GracefulShutdown::new(start, 0.4).answered_by() - start - 1.0).abs() < 1e-5);
 }
 
 /// Guards against an end right behind the last answer: with bytes unread the system resets the connection, and the
@@ -84,7 +84,7 @@
         last_answered: now(age.min(2.0)),
         ..Seen::default()
     });
-    assert_eq!(all[4], (Step::Over, 2050));
+    assert_eq!(all[4], (ShutdownPhase::Over, 2050));
 }
 
 /// Guards against an end while a connection that was accepted last still waits for its first request.
@@ -94,7 +94,7 @@
         staying: usize::from(age < 1.0),
         ..Seen::default()
     });
-    assert_eq!(all[4], (Step::Over, 1000));
+    assert_eq!(all[4], (ShutdownPhase::Over, 1000));
 }
 
 /// Guards against phases fitted to one deployment's deadlines: with short ones the kill comes while the program still
@@ -116,9 +116,9 @@
                 .find(|(other, _)| *other == step)
                 .map_or(i64::MAX, |(_, at)| *at)
         };
-        at(Step::Deaf) <= (kill - 400).max(500) + 5
-            && at(Step::Refusing) <= (kill - 150).max(505) + 5
-            && at(Step::Over) <= (kill - 100).max(555) + 5
+        at(ShutdownPhase::Deaf) <= (kill - 400).max(500) + 5
+            && at(ShutdownPhase::Refusing) <= (kill - 150).max(505) + 5
+            && at(ShutdownPhase::Over) <= (kill - 100).max(555) + 5
     }
     let fixed = Gen::from_size_and_seed(100, 31);
     QuickCheck::new()
--- a/crates/cluster/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -1,6 +1,6 @@
 //! Groups on a virtual clock and an emulated network, with faults from a seeded schedule. The decisions are those that
 //! ship.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use cairnroad_cluster::facts::{Phase, What};
 use cairnroad_cluster::model::{Name, Standing, State};
--- a/crates/coordinator/src/door.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -1,10 +1,12 @@
 //! The operators' door: calls over HTTP/1.1 on a listener of its own, one a connection. What a call means is decided
-//! in `cairnroad_admin::call`; the core carries it out.
+//! in `cairnroad_admin::request`; the core carries it out.
 
+pub mod suspension_store;
+
+use crate::cluster::Peers;
 use crate::http;
-use crate::peers::Peers;
-use crate::words::{Message, Phase};
-use cairnroad_admin::call::{self, Call, Verdict};
+use crate::messages::{Message, Phase};
+use cairnroad_admin::request::{self as admin_request, AdminRequest, AdminResponse};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -78,20 +80,20 @@
         Ok(None) => return,
         Ok(Some(Ok(request))) => {
             read.set(true);
-            let verdict = match call::read(&request.method, &request.target) {
-                Ok(Call::Peers) => {
+            let verdict = match admin_request::read(&request.method, &request.target) {
+                Ok(AdminRequest::Peers) => {
                     view = door.view().await;
                     if view.is_some() {
-                        Verdict::Yes
+                        AdminResponse::Yes
                     } else {
-                        Verdict::NoPeers
+                        AdminResponse::NoPeers
                     }
                 }
                 Ok(call) => door.carry_out(call).await,
                 Err(verdict) => verdict,
             };
             let allow = match verdict {
-                Verdict::Method(takes) => vec![("Allow", takes.to_string())],
+                AdminResponse::Method(takes) => vec![("Allow", takes.to_string())],
                 _ => Vec::new(),
             };
             (verdict.status(), allow, verdict.text())
@@ -148,22 +150,22 @@
         timeout(CARRIED_OUT, view).await.ok().flatten()
     }
 
-    async fn carry_out(&self, call: Call) -> Verdict {
-        if call == Call::Ready {
+    async fn carry_out(&self, call: AdminRequest) -> AdminResponse {
+        if call == AdminRequest::Ready {
             return match *self.phase.borrow() {
-                Phase::Serving => Verdict::Yes,
+                Phase::Serving => AdminResponse::Yes,
                 Phase::Starting => {
-                    Verdict::NotNow("not ready yet: the list of data nodes has not come")
+                    AdminResponse::NotNow("not ready yet: the list of data nodes has not come")
                 }
-                Phase::Drained => Verdict::NotNow("drained: activate the coordinator first"),
+                Phase::Drained => AdminResponse::NotNow("drained: activate the coordinator first"),
                 Phase::Stopping | Phase::Closing | Phase::Refusing => {
-                    Verdict::NotNow("the process was told to stop")
+                    AdminResponse::NotNow("the process was told to stop")
                 }
             };
         }
         let (reply, verdict) = oneshot::channel();
-        let busy = Verdict::NotNow("the coordinator is too busy: call again");
-        if self.core.try_send(Message::Operate(call, reply)).is_err() {
+        let busy = AdminResponse::NotNow("the coordinator is too busy: call again");
+        if self.core.try_send(Message::Admin(call, reply)).is_err() {
             return busy;
         }
         match timeout(CARRIED_OUT, verdict).await {
--- a/crates/coordinator/src/shelf.rs
+++ b/crates/coordinator/src/admin_api/suspension_store.rs
@@ -1,7 +1,7 @@
 //! Where bans on data nodes are kept: a folder that all processes of one coordinator share, a file each, so that two
 //! processes never undo each other's changes. A file is written aside and renamed; half a file is never read.
 
-use cairnroad_admin::bans::{Ban, MOST_BANS};
+use cairnroad_admin::suspensions::{Suspension, MOST_BANS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
@@ -12,28 +12,28 @@
 
 /// The folder, if there is one, and what could not be written there yet.
 #[derive(Default)]
-pub struct Shelf {
+pub struct SuspensionStore {
     folder: Option<PathBuf>,
-    unkept: BTreeMap<String, Ban>,
+    unkept: BTreeMap<String, Suspension>,
     complained: bool,
 }
 
-impl Shelf {
+impl SuspensionStore {
     /// The shelf of the coordinator of this name below the folder for passing files.
-    pub fn new(passing: Option<&Path>, name: &str) -> Shelf {
+    pub fn new(passing: Option<&Path>, name: &str) -> SuspensionStore {
         let folder = passing.map(|passing| passing.join(format!("cairnroad-{}", escape(name))));
         let made = folder.as_ref().map_or(Ok(()), std::fs::create_dir_all);
         if let (Err(cause), Some(folder)) = (made, &folder) {
             tracing::error!(folder = %folder.display(), %cause, "bans can't be kept");
         }
-        Shelf {
+        SuspensionStore {
             folder,
-            ..Shelf::default()
+            ..SuspensionStore::default()
         }
     }
 
     /// Keeps a ban, or how it ended. Where that fails it is tried again at the next look.
-    pub fn keep(&mut self, id: &str, ban: Ban) {
+    pub fn keep(&mut self, id: &str, ban: Suspension) {
         let Some(folder) = &self.folder else { return };
         let path = folder.join(format!("{}.{ENDING}", escape(id)));
         let aside = folder.join(format!("{}.{}", escape(id), std::process::id()));
@@ -62,7 +62,7 @@
     }
 
     /// All that is kept; `None` where there is no folder, or it can't be read.
-    pub fn look(&mut self) -> Option<BTreeMap<String, Ban>> {
+    pub fn look(&mut self) -> Option<BTreeMap<String, Suspension>> {
         for (id, ban) in self.unkept.clone() {
             self.keep(&id, ban);
         }
@@ -90,7 +90,7 @@
     }
 }
 
-fn read(path: &Path) -> std::io::Result<(String, Ban)> {
+fn read(path: &Path) -> std::io::Result<(String, Suspension)> {
     use std::io::Read;
     let mut text = Vec::new();
     std::fs::File::open(path)?
--- a/crates/coordinator/src/shelf/tests.rs
+++ b/crates/coordinator/src/admin_api/suspension_store/tests.rs
@@ -11,10 +11,10 @@
 fn two_processes_see_each_others_bans_and_undo_none() {
     let folder = folder("two");
     let (mut old, mut new) = (
-        Shelf::new(Some(&folder), "n1"),
-        Shelf::new(Some(&folder), "n1"),
+        SuspensionStore::new(Some(&folder), "n1"),
+        SuspensionStore::new(Some(&folder), "n1"),
     );
-    let ban = |since_us| Ban {
+    let ban = |since_us| Suspension {
         since_us,
         back_us: None,
     };
@@ -38,12 +38,12 @@
 #[test]
 fn a_ban_that_cannot_be_kept_holds_here_and_is_kept_later() {
     let folder = folder("full");
-    let mut shelf = Shelf::new(Some(&folder), "n1");
+    let mut shelf = SuspensionStore::new(Some(&folder), "n1");
     let own = folder.join("cairnroad-n1");
     std::fs::remove_dir_all(&own).unwrap();
     shelf.keep(
         "s-1",
-        Ban {
+        Suspension {
             since_us: 1,
             back_us: None,
         },
--- a/crates/coordinator/src/backends/frames.rs
+++ b/crates/coordinator/src/backends/frames.rs
@@ -1,9 +1,9 @@
 //! The platform's frames: length, letter, rest.
 
+use crate::connections::connection::{self, Command, ConnectionHandle};
 use crate::contract::{Head, Part};
 use crate::http;
-use crate::link::{self, Command, LinkEnd};
-use crate::words::{Attempt, Job, Judge, Value, What};
+use crate::messages::{Attempt, ConnectionEvent, ContractsInForce, OutboundAttempt, Value};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::schema::Direction;
 use cairnroad_types::{Outcome, Time};
@@ -118,7 +118,7 @@
 }
 
 /// The `Q` frame of a call.
-pub fn call(jobs: &[Job], now: Time) -> Vec<u8> {
+pub fn call(jobs: &[OutboundAttempt], now: Time) -> Vec<u8> {
     let mut body = vec![b'Q'];
     for job in jobs {
         let text = job.text.as_str();
@@ -136,15 +136,15 @@
 }
 
 /// How many milliseconds are left for a part.
-fn wait(job: &Job, now: Time) -> i64 {
+fn wait(job: &OutboundAttempt, now: Time) -> i64 {
     (((job.until - now) * 1000.0) as i64).max(1)
 }
 
 /// Tells of a message as the description of frames has it: by its letter, its line's fields and what stands behind.
 /// Whether it may be used.
 fn told(
-    end: &LinkEnd,
-    judge: &Judge,
+    end: &ConnectionHandle,
+    judge: &ContractsInForce,
     word: &'static str,
     direction: Direction,
     payload: &[u8],
@@ -197,7 +197,7 @@
     report.split(',').map(pair).collect()
 }
 
-fn id(job: &Job) -> String {
+fn id(job: &OutboundAttempt) -> String {
     format!("{}.{}", job.name, job.shard)
 }
 
@@ -225,9 +225,9 @@
     /// The frame being written, how much of it is, and its parts.
     frame: Vec<u8>,
     written: usize,
-    writing: Vec<Job>,
+    writing: Vec<OutboundAttempt>,
     /// Parts whose frame is written whole, by their ids on this wire.
-    out: BTreeMap<String, (Attempt, Judge)>,
+    out: BTreeMap<String, (Attempt, ContractsInForce)>,
     names: BTreeMap<Attempt, String>,
     /// Ids of parts that were cancelled, the latest last: a late answer to one is no fault of the server.
     cancelled: VecDeque<String>,
@@ -263,7 +263,7 @@
 
     /// Whether a call may not be written any more, as an outcome that says it never ran: its server drains or is
     /// gone, or the connection is spent or stands in the middle of a frame, which may never end.
-    fn bar(&self, end: &LinkEnd, unread: bool) -> Option<Outcome> {
+    fn bar(&self, end: &ConnectionHandle, unread: bool) -> Option<Outcome> {
         if end.barred() {
             return Some(Outcome::ConnectFailed);
         }
@@ -271,7 +271,7 @@
     }
 
     /// The next frame, once the one before it is written. Parts that may not be written any more are returned.
-    fn load(&mut self, end: &LinkEnd, unread: bool) -> Vec<(Job, Outcome)> {
+    fn load(&mut self, end: &ConnectionHandle, unread: bool) -> Vec<(OutboundAttempt, Outcome)> {
         let mut barred = Vec::new();
         while self.frame.is_empty() {
             match self.pending.pop_front() {
@@ -282,7 +282,7 @@
                 }
                 Some(Command::Call(jobs)) => {
                     let now = end.clock.now();
-                    let (jobs, late): (Vec<Job>, Vec<Job>) =
+                    let (jobs, late): (Vec<OutboundAttempt>, Vec<OutboundAttempt>) =
                         jobs.into_iter().partition(|job| job.may_be_sent(now));
                     barred.extend(late.into_iter().map(|job| (job, Outcome::NotSent)));
                     if !jobs.is_empty() {
@@ -376,7 +376,7 @@
 }
 
 /// A connection's life.
-pub async fn run(mut end: LinkEnd) {
+pub async fn run(mut end: ConnectionHandle) {
     let Some(stream) = end.dial().await else {
         return end.close(Vec::new(), Outcome::ConnectFailed).await;
     };
@@ -433,7 +433,7 @@
     end.spend();
     if !spoilt {
         // A write may fail before the answers are read that came before the break.
-        link::look(reader.as_ref(), &mut buffer);
+        connection::look(reader.as_ref(), &mut buffer);
     }
     // What was read before the end still counts; the rest may have run. A connection that is closed for what came
     // on it was not broken by the server, and a query whose answers came spoilt is not what breaks it.
@@ -448,7 +448,7 @@
         end.ended(attempt, cut, None).await;
     }
     for _ in 0..wire.probes {
-        end.tell(What::Probed {
+        end.tell(ConnectionEvent::HealthCheckEnded {
             outcome: Outcome::Reset,
             report: Vec::new(),
         })
@@ -459,7 +459,7 @@
         match command {
             Command::Call(jobs) => unsent.extend(jobs),
             Command::Probe => {
-                end.tell(What::Probed {
+                end.tell(ConnectionEvent::HealthCheckEnded {
                     outcome: Outcome::ConnectFailed,
                     report: Vec::new(),
                 })
@@ -473,7 +473,11 @@
 
 /// Takes all whole frames off the buffer and tells what they mean; how many bytes that took. An error: what came
 /// can't be used, nor can what comes behind it.
-async fn take(end: &LinkEnd, wire: &mut Wire, buffer: &mut Vec<u8>) -> Result<usize, String> {
+async fn take(
+    end: &ConnectionHandle,
+    wire: &mut Wire,
+    buffer: &mut Vec<u8>,
+) -> Result<usize, String> {
     let mut used = 0;
     while let Some((frame, length)) = parse(&buffer[used..])? {
         used += length;
@@ -490,7 +494,7 @@
                     if wire.spent {
                         end.spend();
                     }
-                    end.tell(What::Heard).await;
+                    end.tell(ConnectionEvent::Heard).await;
                     continue;
                 };
                 wire.names.remove(&attempt);
@@ -541,7 +545,8 @@
                     Outcome::Ok
                 };
                 let report = report(&String::from_utf8_lossy(text), &end.report_names);
-                end.tell(What::Probed { outcome, report }).await;
+                end.tell(ConnectionEvent::HealthCheckEnded { outcome, report })
+                    .await;
             }
             Frame::Ping | Frame::Load(_) => {
                 return Err("a probe's answer that nobody asked for".into())
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -3,11 +3,11 @@
 pub mod frames;
 pub mod opensearch;
 
-use crate::config::BackendKind;
-use crate::link::LinkEnd;
+use crate::configuration::BackendKind;
+use crate::connections::connection::ConnectionHandle;
 
 /// Starts a connection's task.
-pub fn spawn(kind: BackendKind, end: LinkEnd) {
+pub fn spawn(kind: BackendKind, end: ConnectionHandle) {
     match kind {
         BackendKind::Frames => tokio::task::spawn_local(frames::run(end)),
         BackendKind::OpenSearch => tokio::task::spawn_local(opensearch::run(end)),
--- a/crates/coordinator/src/backends/opensearch.rs
+++ b/crates/coordinator/src/backends/opensearch.rs
@@ -1,8 +1,8 @@
 //! The query API as a server's wire: each part is a search of one shard, one request at a time on a connection.
 
+use crate::connections::connection::{Command, ConnectionHandle};
 use crate::http::{self, Response};
-use crate::link::{Command, LinkEnd};
-use crate::words::{Job, Text, Value, What};
+use crate::messages::{ConnectionEvent, OutboundAttempt, Text, Value};
 use cairnroad_types::{Outcome, Time};
 use serde::Deserialize;
 use serde_json::json;
@@ -18,7 +18,7 @@
 const STALL: Duration = Duration::from_secs(1);
 
 /// The request of a part.
-pub fn search(job: &Job, host: &str, now: Time) -> Vec<u8> {
+pub fn search(job: &OutboundAttempt, host: &str, now: Time) -> Vec<u8> {
     let body = match &job.text {
         Text::Query(text) => text.to_string(),
         Text::Plain(text) => {
@@ -91,7 +91,7 @@
 }
 
 /// A connection's life.
-pub async fn run(mut end: LinkEnd) {
+pub async fn run(mut end: ConnectionHandle) {
     let Some(mut stream) = end.dial().await else {
         return end.close(Vec::new(), Outcome::ConnectFailed).await;
     };
@@ -136,7 +136,7 @@
             Some(Command::Cancel(_)) => {}
             // This API has no report of the platform's kind.
             Some(Command::Probe) => {
-                end.tell(What::Probed {
+                end.tell(ConnectionEvent::HealthCheckEnded {
                     outcome: Outcome::NotSent,
                     report: Vec::new(),
                 })
@@ -150,10 +150,10 @@
 
 /// One search. Whether the connection can take another.
 async fn exchange(
-    end: &mut LinkEnd,
+    end: &mut ConnectionHandle,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    job: Job,
+    job: OutboundAttempt,
 ) -> bool {
     let host = end.address.to_string();
     let request = search(&job, &host, end.clock.now());
@@ -170,7 +170,7 @@
                 Some(Command::Cancel(attempt)) if attempt == job.attempt => return false,
                 Some(Command::Cancel(_)) => {}
                 Some(Command::Probe) => {
-                    end.tell(What::Probed { outcome: Outcome::NotSent, report: Vec::new() }).await;
+                    end.tell(ConnectionEvent::HealthCheckEnded { outcome: Outcome::NotSent, report: Vec::new() }).await;
                 }
                 Some(Command::Call(jobs)) => {
                     for job in jobs {
@@ -240,7 +240,7 @@
 }
 
 /// Tells of an answer that began and did not come whole.
-fn cut(end: &LinkEnd, job: &Job, request: &[u8], buffer: &[u8]) {
+fn cut(end: &ConnectionHandle, job: &OutboundAttempt, request: &[u8], buffer: &[u8]) {
     let response = Response {
         status: 0,
         fields: http::Fields::default(),
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -2,8 +2,8 @@
 //! here are the datagrams, the time, the log, and the words that go to and from the core.
 
 use crate::clock::Clock;
-use crate::config;
-use crate::words::{Message, Phase};
+use crate::configuration;
+use crate::messages::{Message, Phase};
 use cairnroad_cluster::envelope::MOST_BYTES;
 use cairnroad_cluster::facts::{self, What};
 use cairnroad_cluster::model::{may, State, FEATURES};
@@ -84,7 +84,7 @@
 }
 
 /// Begins to take part.
-pub async fn start(settings: &config::Peers, given: Given) -> Result<Peers, Fault> {
+pub async fn start(settings: &configuration::Peers, given: Given) -> Result<Peers, Fault> {
     let fault = |cause| Fault::Listen {
         address: settings.listen,
         cause,
@@ -181,7 +181,7 @@
     let listed = given.doubts.borrow().1;
     let heeded = advice::heeded(&group.advice(), group.view().there(), listed);
     if !heeded.is_empty() {
-        let _ = given.core.try_send(Message::Advice(heeded.clone()));
+        let _ = given.core.try_send(Message::OutlierAdvice(heeded.clone()));
     }
     if heeded != *told {
         tracing::info!(servers = heeded.join(", "), "peers doubt these data nodes");
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -2,7 +2,7 @@
 //! differs, 2 something can't be read.
 
 use crate::cli::{Contract, Kind, Output, Roster as RosterCommand};
-use crate::{config, contract, membership, surface};
+use crate::{configuration, contract, discovery::file_source, published_descriptions};
 use cairnroad_contract::diff::{diff, Weight};
 use cairnroad_contract::model::Description;
 use cairnroad_contract::replay::replay;
@@ -33,7 +33,7 @@
 
 /// `check-config`: the configuration with all descriptions that it names.
 pub fn check_config(output: Output) -> u8 {
-    let read = config::load(crate::variable).and_then(|config| {
+    let read = configuration::load(crate::variable).and_then(|config| {
         let faulty = contract::read(&config.contracts, config.backend)
             .into_iter()
             .filter_map(|(interface, held)| {
@@ -136,14 +136,14 @@
 }
 
 fn show(kind: Kind, yaml: bool) -> u8 {
-    let config = match config::load(crate::variable) {
+    let config = match configuration::load(crate::variable) {
         Ok(config) => config,
         Err(text) => {
             complain(&text);
             return UNREADABLE;
         }
     };
-    let surface = surface::of(&config);
+    let surface = published_descriptions::of(&config);
     let document = match kind {
         Kind::Openapi => publish::openapi(&surface),
         Kind::Asyncapi => publish::asyncapi(&surface),
@@ -289,8 +289,8 @@
 }
 
 /// The roster's source in the configuration.
-fn source() -> Result<config::Source, (u8, String)> {
-    let config = config::load(crate::variable).map_err(|text| (UNREADABLE, text))?;
+fn source() -> Result<configuration::Source, (u8, String)> {
+    let config = configuration::load(crate::variable).map_err(|text| (UNREADABLE, text))?;
     let cause =
         "'membership.source' is not \"files\" in the project's own file: there is no roster";
     config.files.ok_or((UNREADABLE, cause.into()))
@@ -298,14 +298,14 @@
 
 fn read_roster(path: &Path) -> Result<Roster, (u8, String)> {
     std::fs::metadata(path).map_err(|e| (UNREADABLE, format!("{}: {e}", path.display())))?;
-    read(&membership::files(path)).map_err(|faults| (FAULTY, lines(&faults)))
+    read(&file_source::files(path)).map_err(|faults| (FAULTY, lines(&faults)))
 }
 
 fn check_roster(path: Option<&Path>, output: Output) -> Result<u8, (u8, String)> {
     let source = source()?;
     let path = path.unwrap_or(&source.path);
     std::fs::metadata(path).map_err(|e| (UNREADABLE, format!("{}: {e}", path.display())))?;
-    let read = read(&membership::files(path));
+    let read = read(&file_source::files(path));
     let faults = match &read {
         Ok(roster) => sound(roster, &source.layout),
         Err(faults) => faults.clone(),
@@ -377,7 +377,7 @@
         .clone()
         .and_then(|folder| recover(&Folder(folder)).0)
         .map(|kept| kept.roster);
-    let standing = read(&membership::files(&source.path)).ok();
+    let standing = read(&file_source::files(&source.path)).ok();
     let old = [standing, kept]
         .into_iter()
         .flatten()
@@ -396,7 +396,7 @@
     };
     replace(&target, write(&roster).as_bytes()).map_err(|e| failed(&target, e))?;
     // Until the last file of the old generation is gone, the folder is refused as a mix.
-    for (name, _) in membership::files(&source.path)
+    for (name, _) in file_source::files(&source.path)
         .iter()
         .filter(|(name, _)| folder && name != "roster.toml")
     {
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -2,9 +2,9 @@
 //! `NODE_CONFIG` names, and this project's own file under `deploy/`. Errors name the file and the faulty key, with its
 //! line in the project's own file.
 
-use crate::log;
-use crate::members::Page;
-use crate::words::{Index, News, Offer};
+use crate::discovery::endpoint_list::Page;
+use crate::messages::{EndpointListUpdate, Index, ServedConfiguration};
+use crate::observability::log;
 use cairnroad_cluster::facts::MOST_OFFERS;
 use cairnroad_cluster::names;
 use cairnroad_contract::decide::Mode;
@@ -38,8 +38,8 @@
     pub seed: u64,
     pub limits: Limits,
     /// The list as an earlier life had it.
-    pub known: News,
-    pub offer: Arc<Offer>,
+    pub known: EndpointListUpdate,
+    pub offer: Arc<ServedConfiguration>,
     /// Where operators' calls are taken, if anywhere.
     pub admin: Option<SocketAddr>,
     /// The folder that all processes of one coordinator share (`TMPDIR`), if there is one.
@@ -61,7 +61,7 @@
 impl Config {
     /// The first key that this configuration's file has and another's lacks.
     pub fn lacked_by(&self, other: &Config) -> Option<String> {
-        cairnroad_admin::retune::lacks(&self.stated, &other.stated)
+        cairnroad_admin::reconfigure::lacks(&self.stated, &other.stated)
     }
 
     /// The keys that another file says differently and that take effect only at a restart. `discovery` takes
@@ -486,7 +486,7 @@
             limits.sockets.unwrap_or(DEFAULT_SOCKETS) / sharers as usize,
         ),
         known: json.known.map(Page::news).unwrap_or_default(),
-        offer: Arc::new(Offer {
+        offer: Arc::new(ServedConfiguration {
             deployment,
             indices,
         }),
--- a/crates/coordinator/src/link.rs
+++ b/crates/coordinator/src/connections/connection.rs
@@ -3,7 +3,9 @@
 
 use crate::clock::Clock;
 use crate::contract::Contracts;
-use crate::words::{Attempt, Job, LinkEvent, Message, Value, What};
+use crate::messages::{
+    Attempt, ConnectionEvent, ConnectionReport, Message, OutboundAttempt, Value,
+};
 use cairnroad_types::Outcome;
 use std::cell::Cell;
 use std::io::Read;
@@ -18,7 +20,7 @@
 /// What the core asks of a connection.
 pub enum Command {
     /// Parts that make up one call.
-    Call(Vec<Job>),
+    Call(Vec<OutboundAttempt>),
     Cancel(Attempt),
     Probe,
 }
@@ -43,7 +45,7 @@
 }
 
 /// The task's end of a connection.
-pub struct LinkEnd {
+pub struct ConnectionHandle {
     pub id: u64,
     /// The server's id.
     pub server: Arc<str>,
@@ -58,7 +60,7 @@
     pub core: mpsc::Sender<Message>,
 }
 
-impl LinkEnd {
+impl ConnectionHandle {
     pub fn barred(&self) -> bool {
         self.shared.barred.get()
     }
@@ -72,18 +74,18 @@
         self.shared.spent.set(spent);
     }
 
-    pub async fn tell(&self, what: What) {
+    pub async fn tell(&self, what: ConnectionEvent) {
         let _ = self
             .core
-            .send(Message::Link(LinkEvent {
-                link: self.id,
-                what,
+            .send(Message::Connection(ConnectionReport {
+                connection: self.id,
+                event: what,
             }))
             .await;
     }
 
     pub async fn ended(&self, attempt: Attempt, outcome: Outcome, value: Option<Value>) {
-        self.tell(What::Ended {
+        self.tell(ConnectionEvent::AttemptEnded {
             attempt,
             outcome,
             value,
@@ -99,7 +101,7 @@
             stream = tokio::net::TcpStream::connect(self.address) => {
                 let stream = stream.ok()?;
                 let _ = stream.set_nodelay(true);
-                self.tell(What::Up).await;
+                self.tell(ConnectionEvent::Connected).await;
                 Some(stream)
             }
         }
@@ -107,7 +109,7 @@
 
     /// Reports what never reached the wire, then the end. `why` says that it never ran: no connection, or, where
     /// the connection was closed from here, never sent, which says nothing of the server's health.
-    pub async fn close(mut self, unsent: Vec<Job>, why: Outcome) {
+    pub async fn close(mut self, unsent: Vec<OutboundAttempt>, why: Outcome) {
         for job in unsent {
             self.ended(job.attempt, why, None).await;
         }
@@ -120,7 +122,7 @@
                     }
                 }
                 Command::Probe => {
-                    self.tell(What::Probed {
+                    self.tell(ConnectionEvent::HealthCheckEnded {
                         outcome: Outcome::ConnectFailed,
                         report: Vec::new(),
                     })
@@ -129,7 +131,7 @@
                 Command::Cancel(_) => {}
             }
         }
-        self.tell(What::Closed).await;
+        self.tell(ConnectionEvent::Closed).await;
     }
 }
 
--- a/crates/coordinator/src/pool.rs
+++ b/crates/coordinator/src/connections/pool.rs
@@ -3,11 +3,14 @@
 
 use crate::backends;
 use crate::clock::Clock;
-use crate::config::{BackendKind, Config};
+use crate::configuration::{BackendKind, Config};
+use crate::connections::connection::{Command, ConnectionHandle, Shared};
 use crate::contract::Contracts;
-use crate::link::{Command, LinkEnd, Shared};
-use crate::tally::{Count, Tally};
-use crate::words::{Attempt, Ended, Job, LinkEvent, Message, Row, What};
+use crate::messages::{
+    Attempt, AttemptResult, ConnectionEvent, ConnectionReport, EndpointEntry, Message,
+    OutboundAttempt,
+};
+use crate::observability::metrics::{Counter, Metrics};
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Outcome, ServerId, ServerState, Time};
 use std::cell::Cell;
@@ -33,8 +36,8 @@
 const SWEEP_SHARE: f64 = 0.1;
 
 /// What a connection brought to the core's table.
-pub enum Brought {
-    Attempt(Ended),
+pub enum PoolEvent {
+    Attempt(AttemptResult),
     Probe {
         server: ServerId,
         outcome: Outcome,
@@ -45,7 +48,7 @@
 }
 
 /// The core's end of a connection.
-struct Link {
+struct Connection {
     server: ServerId,
     address: SocketAddr,
     commands: mpsc::Sender<Command>,
@@ -61,7 +64,7 @@
     retired: bool,
 }
 
-impl Link {
+impl Connection {
     fn owe(&mut self, now: Time) {
         self.owes_since.get_or_insert(now);
     }
@@ -124,10 +127,10 @@
     core: mpsc::Sender<Message>,
     next: u64,
     nodes: BTreeMap<ServerId, Node>,
-    links: BTreeMap<u64, Link>,
+    links: BTreeMap<u64, Connection>,
     /// On which connection each attempt is out, and whether it is still to be sent.
     out: BTreeMap<Attempt, (u64, Rc<Cell<bool>>)>,
-    staged: BTreeMap<ServerId, Vec<Job>>,
+    staged: BTreeMap<ServerId, Vec<OutboundAttempt>>,
 }
 
 impl Pool {
@@ -178,7 +181,7 @@
     }
 
     /// Takes in the list. What is queued for a server that drains or is gone is not sent any more.
-    pub fn note_list(&mut self, rows: &[(ServerId, Row)], complete: bool) {
+    pub fn note_list(&mut self, rows: &[(ServerId, EndpointEntry)], complete: bool) {
         if complete && !rows.is_empty() {
             let listed: BTreeSet<ServerId> = rows.iter().map(|(server, _)| *server).collect();
             for (server, node) in &mut self.nodes {
@@ -216,20 +219,24 @@
     }
 
     /// Keeps a part for the tick's calls.
-    pub fn stage(&mut self, server: ServerId, job: Job) {
+    pub fn stage(&mut self, server: ServerId, job: OutboundAttempt) {
         self.staged.entry(server).or_default().push(job);
     }
 
     /// Sends what is staged, call by call. Returns the parts that no connection takes, and new dials with the
     /// moment by which each must be up.
-    pub fn flush(&mut self, now: Time, tally: &mut Tally) -> (Vec<Ended>, Vec<(u64, Time)>) {
+    pub fn flush(
+        &mut self,
+        now: Time,
+        tally: &mut Metrics,
+    ) -> (Vec<AttemptResult>, Vec<(u64, Time)>) {
         let (mut failed, mut dials) = (Vec::new(), Vec::new());
         for (server, mut jobs) in std::mem::take(&mut self.staged) {
             while !jobs.is_empty() {
                 let rest = jobs.split_off(jobs.len().min(self.batch));
                 let call = std::mem::replace(&mut jobs, rest);
                 let Some(id) = self.link_for(now, server, &call, &mut dials) else {
-                    let ended = |job: Job| Ended {
+                    let ended = |job: OutboundAttempt| AttemptResult {
                         attempt: job.attempt,
                         outcome: Outcome::ConnectFailed,
                         value: None,
@@ -240,7 +247,7 @@
                 let Some(link) = self.links.get_mut(&id) else {
                     continue;
                 };
-                tally.add(Count::Calls);
+                tally.add(Counter::Calls);
                 for job in &call {
                     link.out.insert(job.attempt);
                     self.out.insert(job.attempt, (id, job.wanted.clone()));
@@ -259,7 +266,7 @@
         &mut self,
         now: Time,
         server: ServerId,
-        call: &[Job],
+        call: &[OutboundAttempt],
         dials: &mut Vec<(u64, Time)>,
     ) -> Option<u64> {
         let node = self
@@ -267,7 +274,7 @@
             .get(&server)
             .filter(|node| node.state == ServerState::Ready)?;
         let (address, name) = (node.address, node.id.clone());
-        let silent = |link: &Link| link.silence(now) > self.silent;
+        let silent = |link: &Connection| link.silence(now) > self.silent;
         let to_server = self.links.values().filter(|link| link.server == server);
         let too_many = to_server.filter(|link| silent(link)).count() >= MOST_SILENT;
         let usable = self.links.iter().filter(|(_, link)| {
@@ -294,7 +301,7 @@
         self.next += 1;
         let shared = Rc::new(Shared::default());
         let (commands, queue) = mpsc::channel(QUEUE);
-        let end = LinkEnd {
+        let end = ConnectionHandle {
             id,
             server: name,
             address,
@@ -306,7 +313,7 @@
             core: self.core.clone(),
         };
         backends::spawn(self.kind, end);
-        let link = Link {
+        let link = Connection {
             server,
             address,
             commands,
@@ -442,19 +449,19 @@
     }
 
     /// Notes what a connection tells; returns what the decisions must hear.
-    pub fn note(&mut self, now: Time, event: LinkEvent) -> Option<Brought> {
-        let link = self.links.get_mut(&event.link)?;
-        match event.what {
-            What::Up => {
+    pub fn note(&mut self, now: Time, event: ConnectionReport) -> Option<PoolEvent> {
+        let link = self.links.get_mut(&event.connection)?;
+        match event.event {
+            ConnectionEvent::Connected => {
                 link.up = true;
                 link.hear(now);
                 None
             }
-            What::Heard => {
+            ConnectionEvent::Heard => {
                 link.hear(now);
                 None
             }
-            What::Ended {
+            ConnectionEvent::AttemptEnded {
                 attempt,
                 outcome,
                 value,
@@ -468,20 +475,20 @@
                     return None; // cancelled or timed out meanwhile
                 }
                 self.out.remove(&attempt);
-                Some(Brought::Attempt(Ended {
+                Some(PoolEvent::Attempt(AttemptResult {
                     attempt,
                     outcome,
                     value,
                 }))
             }
-            What::Probed { outcome, report } => Some(Brought::Probe {
+            ConnectionEvent::HealthCheckEnded { outcome, report } => Some(PoolEvent::Probe {
                 server: link.server,
                 outcome,
                 report,
             }),
-            What::Closed => {
-                let link = self.links.remove(&event.link)?;
-                (!link.up).then_some(Brought::NotUp)
+            ConnectionEvent::Closed => {
+                let link = self.links.remove(&event.connection)?;
+                (!link.up).then_some(PoolEvent::NotUp)
             }
         }
     }
--- a/crates/coordinator/src/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -1,7 +1,7 @@
 //! The pool before a data node that the test plays: what waits, what crosses, what never ran.
 
 use super::*;
-use crate::words::Text;
+use crate::messages::Text;
 use cairnroad_types::RequestId;
 
 /// Runs a test with a pool whose one server the test plays.
@@ -16,7 +16,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (to_core, messages) = mpsc::channel(512);
         let clock = Clock::new(0.005);
-        let config = crate::config::tests::sample();
+        let config = crate::configuration::tests::sample();
         let contracts = Rc::new(Contracts::new(clock.clone(), Default::default()));
         let mut pool = Pool::new(&config, contracts, clock.clone(), to_core);
         pool.note_list(
@@ -27,12 +27,12 @@
     });
 }
 
-fn tally() -> Tally {
-    Tally::new(0.0, Time(0))
+fn tally() -> Metrics {
+    Metrics::new(0.0, Time(0))
 }
 
-fn list(address: SocketAddr, state: ServerState) -> Vec<(ServerId, Row)> {
-    let row = Row {
+fn list(address: SocketAddr, state: ServerState) -> Vec<(ServerId, EndpointEntry)> {
+    let row = EndpointEntry {
         id: "s".into(),
         address,
         cell: 0,
@@ -46,10 +46,10 @@
     vec![(ServerId(0), row)]
 }
 
-fn job(attempt: Attempt, clock: &Clock) -> Job {
+fn job(attempt: Attempt, clock: &Clock) -> OutboundAttempt {
     let (name, class) = (format!("q{}", attempt.part.0).into(), "c".into());
     let (text, until) = (Text::Plain("t".into()), clock.now() + 9.0);
-    Job {
+    OutboundAttempt {
         attempt,
         wanted: Rc::new(Cell::new(true)),
         send_by: None,
@@ -81,7 +81,7 @@
             let shared = Rc::new(Shared::default());
             let (unheard, owes_since, retired, up) = (0.0, None, false, true);
             let used = Time::from_secs(used);
-            Link {
+            Connection {
                 server: ServerId(server),
                 address,
                 commands,
@@ -142,10 +142,10 @@
                 "part {number}"
             );
             if dials {
-                let Some(Message::Link(event)) = messages.recv().await else {
+                let Some(Message::Connection(event)) = messages.recv().await else {
                     panic!("no connection")
                 };
-                assert!(matches!(event.what, What::Up));
+                assert!(matches!(event.event, ConnectionEvent::Connected));
                 pool.note(start + sent, event);
             }
             pool.cancel(start + cancelled, attempt);
@@ -175,7 +175,7 @@
         };
         assert_eq!(send(&mut pool, 1), 1);
         let (mut server, _) = listener.accept().await.unwrap();
-        let Some(Message::Link(up)) = messages.recv().await else {
+        let Some(Message::Connection(up)) = messages.recv().await else {
             panic!("no connection")
         };
         pool.note(now, up);
@@ -219,10 +219,10 @@
         let (failed, dials) = pool.flush(clock.now(), &mut tally());
         assert_eq!((failed.len(), dials.len()), (0, 1));
         pool.note_list(&list(address, ServerState::Draining), false);
-        let Some(Message::Link(event)) = messages.recv().await else {
+        let Some(Message::Connection(event)) = messages.recv().await else {
             panic!("no outcome")
         };
-        let Some(Brought::Attempt(ended)) = pool.note(clock.now(), event) else {
+        let Some(PoolEvent::Attempt(ended)) = pool.note(clock.now(), event) else {
             panic!("no attempt")
         };
         assert_eq!(
@@ -241,10 +241,10 @@
 ) -> Vec<(u64, Outcome)> {
     let mut ends = Vec::new();
     while ends.len() < count {
-        let Some(Message::Link(event)) = messages.recv().await else {
+        let Some(Message::Connection(event)) = messages.recv().await else {
             panic!("no message")
         };
-        if let Some(Brought::Attempt(ended)) = pool.note(clock.now(), event) {
+        if let Some(PoolEvent::Attempt(ended)) = pool.note(clock.now(), event) {
             ends.push((ended.attempt.part.0, ended.outcome));
         }
     }
@@ -341,7 +341,7 @@
         send(&mut pool, &clock, [1]);
         let (mut server, _) = listener.accept().await.unwrap();
         frame(&mut server).await;
-        let Some(Message::Link(up)) = messages.recv().await else {
+        let Some(Message::Connection(up)) = messages.recv().await else {
             panic!("no connection")
         };
         pool.note(clock.now(), up);
@@ -452,7 +452,10 @@
 /// Guards against sweeps and silences fitted to one deployment's keepalive and aims.
 #[test]
 fn sweeps_and_silence_follow_from_the_settings() {
-    let mut deployment = crate::config::tests::sample().offer.deployment.clone();
+    let mut deployment = crate::configuration::tests::sample()
+        .offer
+        .deployment
+        .clone();
     for keepalive in [0.2, 1.0, 1.6, 15.0, 60.0] {
         deployment.keepalive = keepalive;
         assert!(
--- a/crates/coordinator/src/contract.rs
+++ b/crates/coordinator/src/contract.rs
@@ -3,9 +3,9 @@
 //! under `enforce` in place, before anything is done with them.
 
 use crate::clock::Clock;
-use crate::config::{BackendKind, Plan};
+use crate::configuration::{BackendKind, Plan};
 use crate::http;
-use crate::words::{Judge, Row};
+use crate::messages::{ContractsInForce, EndpointEntry};
 use cairnroad_contract::check::{Answered, Asked, Departure};
 use cairnroad_contract::decide::{self, Held, InForce, Mode, Room, Sampler};
 use cairnroad_contract::drift::{Interface, Ledger, Observation, Server};
@@ -93,7 +93,7 @@
 /// See the module's page.
 pub struct Contracts {
     clock: Clock,
-    in_force: RefCell<Judge>,
+    in_force: RefCell<ContractsInForce>,
     samplers: RefCell<BTreeMap<Interface, Sampler>>,
     ledger: Arc<Mutex<Ledger>>,
     waiting: Arc<Mutex<Waiting>>,
@@ -204,12 +204,12 @@
     }
 
     /// What is in force for a request that comes now; `None`: nothing.
-    pub fn current(&self) -> Judge {
+    pub fn current(&self) -> ContractsInForce {
         self.in_force.borrow().clone()
     }
 
     /// Takes in news of the servers, so that the ledger knows who is there and since when.
-    pub fn note_list(&self, rows: &[Row], complete: bool) {
+    pub fn note_list(&self, rows: &[EndpointEntry], complete: bool) {
         let mut servers = self.servers.borrow_mut();
         if complete && !rows.is_empty() {
             let listed: BTreeSet<&str> = rows.iter().map(|row| row.id.as_str()).collect();
@@ -372,7 +372,7 @@
     /// A request to a server and what came for it; `whole`: all of it. Whether the answer may be used.
     pub fn exchange(
         &self,
-        judge: &Judge,
+        judge: &ContractsInForce,
         party: &Arc<str>,
         request: &[u8],
         response: &http::Response,
@@ -444,7 +444,7 @@
     /// A frame or a page, its line written and its fields made only where they are looked at. Whether it may be used.
     pub fn frame(
         &self,
-        judge: &Judge,
+        judge: &ContractsInForce,
         interface: Interface,
         party: &Arc<str>,
         part: Part,
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The wire form of the list of servers, as the agent and the configuration tell it.
 
-use crate::words::{News, Row};
+use crate::messages::{EndpointEntry, EndpointListUpdate};
 use cairnroad_types::{ServerState, Time};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -42,7 +42,7 @@
 
 impl Page {
     /// What the page says. A line that can't be read costs nobody but its own server, which counts as left out.
-    pub fn news(self) -> News {
+    pub fn news(self) -> EndpointListUpdate {
         let row = |line: &RawValue| {
             let member: Member =
                 serde_json::from_str(line.get()).map_err(|e| format!("members: {e}"))?;
@@ -70,7 +70,7 @@
                 (member.up_since_ms > 0).then(|| Time(member.up_since_ms.saturating_mul(1000)));
             let (cell, size) = (member.cell, member.size);
             let zone = zone(&member.locality);
-            Ok(Row {
+            Ok(EndpointEntry {
                 id: member.id,
                 address,
                 cell,
@@ -90,7 +90,7 @@
                 .ok()
         };
         let rows = self.members.iter().filter_map(|line| read(line)).collect();
-        News {
+        EndpointListUpdate {
             revision: self.revision,
             complete: self.complete,
             rows,
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/discovery/file_source.rs
@@ -1,8 +1,8 @@
 //! The list of servers from watched files: a thread of its own watches, reads and keeps; what is decided about it
 //! stands in `cairnroad_endpoint_files`. The core is told whole lists, as by discovery.
 
-use crate::config::Source;
-use crate::words::{Message, News, Row};
+use crate::configuration::Source;
+use crate::messages::{EndpointEntry, EndpointListUpdate, Message};
 use cairnroad_endpoint_files::decide::{judge, Verdict};
 use cairnroad_endpoint_files::keep::{keep, recover, Folder, Kept};
 use cairnroad_endpoint_files::model::{lines, Phase, Roster};
@@ -116,8 +116,8 @@
     started: BTreeMap<String, Option<f64>>,
     slot: Option<usize>,
     /// What the core was told of each server, and weights that it is still to be told.
-    rows: BTreeMap<String, Row>,
-    weighed: BTreeMap<String, Row>,
+    rows: BTreeMap<String, EndpointEntry>,
+    weighed: BTreeMap<String, EndpointEntry>,
     /// The stamps of the files that hold what is in force.
     clear: Vec<Stamp>,
     /// The faults that were told last, so that each is told once, and whether the state folder failed last time.
@@ -370,11 +370,11 @@
             let before = self.rows.get(id);
             // A server is of the list that brought it, or brought it to its cell.
             let stays = before.filter(|row| row.cell == server.cell);
-            let row = Row {
+            let row = EndpointEntry {
                 id: id.clone(),
                 address: server.address,
                 cell: server.cell,
-                zone: crate::members::zone(&server.locality),
+                zone: crate::discovery::endpoint_list::zone(&server.locality),
                 state,
                 size: 1.0,
                 weight: at.weight,
@@ -395,7 +395,7 @@
                 Some(before) if before == row => {}
                 Some(before)
                     if *before
-                        == (Row {
+                        == (EndpointEntry {
                             weight: before.weight,
                             ..row.clone()
                         }) =>
@@ -406,14 +406,14 @@
             }
         }
         let gone = self.rows.iter().filter(|(id, _)| !rows.contains_key(*id));
-        changed.extend(gone.map(|(_, row)| Row {
+        changed.extend(gone.map(|(_, row)| EndpointEntry {
             state: ServerState::Removed,
             ..row.clone()
         }));
         self.rows = rows;
         let revision = roster.generation;
         let news = |rows, complete| {
-            Message::News(News {
+            Message::Endpoints(EndpointListUpdate {
                 revision,
                 complete,
                 rows,
@@ -438,7 +438,7 @@
         }
         let revision = self.schedule.roster().generation;
         self.core
-            .blocking_send(Message::News(News {
+            .blocking_send(Message::Endpoints(EndpointListUpdate {
                 revision,
                 complete: false,
                 rows,
--- a/crates/coordinator/src/discovery.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -1,10 +1,13 @@
 //! The list of servers: the agent's wire form, and the watch that keeps it fresh.
 
+pub mod endpoint_list;
+pub mod file_source;
+
 use crate::clock::Clock;
 use crate::contract::{Contracts, Part};
+use crate::discovery::endpoint_list::Page;
 use crate::http;
-use crate::members::Page;
-use crate::words::{Message, News, Row};
+use crate::messages::{EndpointEntry, EndpointListUpdate, Message};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::schema::Direction;
 use cairnroad_discovery_watch::{Ask, Call, Fault, Watch, DIAL};
@@ -26,13 +29,13 @@
 /// never twice. An id that is gone is forgotten: on a long day servers are replaced under new ids without end.
 #[derive(Default)]
 pub struct Directory {
-    numbers: BTreeMap<String, (ServerId, Row)>,
+    numbers: BTreeMap<String, (ServerId, EndpointEntry)>,
     next: u32,
 }
 
 impl Directory {
     /// The rows with their servers' numbers. One that comes back after it was gone gets a new number.
-    pub fn number(&mut self, news: &News) -> Vec<(ServerId, Row)> {
+    pub fn number(&mut self, news: &EndpointListUpdate) -> Vec<(ServerId, EndpointEntry)> {
         let mut rows = Vec::with_capacity(news.rows.len());
         for row in &news.rows {
             let known = self.numbers.get(&row.id).map(|(number, _)| *number);
@@ -64,7 +67,7 @@
     }
 
     /// What the list last said of a server.
-    pub fn row(&self, id: &str) -> Option<(ServerId, Row)> {
+    pub fn row(&self, id: &str) -> Option<(ServerId, EndpointEntry)> {
         self.numbers.get(id).cloned()
     }
 
@@ -84,8 +87,12 @@
 }
 
 /// The news in the decisions' words.
-pub fn list_news(rows: &[(ServerId, Row)], complete: bool, cached: bool) -> EndpointUpdate {
-    let listed = |(server, row): &(ServerId, Row)| Endpoint {
+pub fn list_news(
+    rows: &[(ServerId, EndpointEntry)],
+    complete: bool,
+    cached: bool,
+) -> EndpointUpdate {
+    let listed = |(server, row): &(ServerId, EndpointEntry)| Endpoint {
         server: *server,
         cell: row.cell,
         zone: row.zone,
@@ -212,7 +219,7 @@
         if watch.answered(clock.now(), news.revision) {
             tracing::warn!(server = %agent, "discovery: the list came after it counted as told");
         }
-        if core.send(Message::News(news)).await.is_err() || answer.close {
+        if core.send(Message::Endpoints(news)).await.is_err() || answer.close {
             return Ok(());
         }
     }
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -1,6 +1,6 @@
 //! `docs/ERRORS.md` is made from the errors' types; the test here fails when it is stale.
 
-use crate::peers;
+use crate::cluster;
 use cairnroad_cluster::{names, Dropped};
 use cairnroad_discovery_watch::Fault as Watch;
 use cairnroad_settings::Fault as Settings;
@@ -123,15 +123,15 @@
 }
 
 fn part() -> Vec<Row> {
-    let all = vec![peers::Fault::Listen {
+    let all = vec![cluster::Fault::Listen {
         address: ([127, 0, 0, 1], 7400).into(),
         cause: io(),
     }];
-    let place = |fault: &peers::Fault| match fault {
-        peers::Fault::Listen { .. } => 0,
+    let place = |fault: &cluster::Fault| match fault {
+        cluster::Fault::Listen { .. } => 0,
     };
     assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
-    rows(all, peers::Fault::help)
+    rows(all, cluster::Fault::help)
 }
 
 fn page() -> String {
--- a/crates/coordinator/src/fronts/places.rs
+++ b/crates/coordinator/src/fronts/client_connections.rs
@@ -1,7 +1,7 @@
 //! The places that client connections take up, of all fronts together. One that idles is told to leave when its
 //! place is needed, so that clients who ask nothing don't keep out those who do.
 
-use cairnroad_admin::stop::Seen;
+use cairnroad_admin::shutdown::Seen;
 use cairnroad_types::Time;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 type Idle = BTreeMap<(Time, u64), (f64, Rc<Notify>)>;
 
 #[derive(Default)]
-pub struct Places {
+pub struct ClientConnections {
     open: Cell<usize>,
     /// Requests that came in and aren't answered, and when the last one came.
     serving: Cell<usize>,
@@ -32,12 +32,12 @@
     idle: RefCell<Idle>,
 }
 
-impl Places {
-    pub fn take(self: &Rc<Self>) -> Place {
+impl ClientConnections {
+    pub fn take(self: &Rc<Self>) -> ClientConnection {
         self.open.set(self.open.get() + 1);
         let id = self.next.replace(self.next.get() + 1);
         let (used, serving, parted) = (Cell::new(false), Cell::new(false), Cell::new(false));
-        Place {
+        ClientConnection {
             places: self.clone(),
             id,
             idle_since: Cell::new(None),
@@ -98,8 +98,8 @@
 }
 
 /// One connection's place, given back when it is dropped.
-pub struct Place {
-    places: Rc<Places>,
+pub struct ClientConnection {
+    places: Rc<ClientConnections>,
     id: u64,
     idle_since: Cell<Option<Time>>,
     /// A request has come in on it.
@@ -111,7 +111,7 @@
     leave: Rc<Notify>,
 }
 
-impl Place {
+impl ClientConnection {
     /// From `now` on the connection waits, until it is busy again.
     pub fn idle(&self, now: Time) {
         if self.idle_since.get().is_none() {
@@ -173,7 +173,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.busy();
         self.released();
--- a/crates/coordinator/src/fronts/places/tests.rs
+++ b/crates/coordinator/src/fronts/client_connections/tests.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn the_longest_idle_leaves_first_and_neither_the_young_nor_the_busy() {
-    let places = Rc::new(Places::default());
+    let places = Rc::new(ClientConnections::default());
     let at = Time::from_secs;
-    let held: Vec<Place> = (0..4).map(|_| places.take()).collect();
+    let held: Vec<ClientConnection> = (0..4).map(|_| places.take()).collect();
     assert!(!places.make_room(at(9.0)), "nobody idles");
     for (place, since) in held.iter().zip([3.0, 1.0, 2.0, 9.0]) {
         place.idle(at(since));
@@ -45,10 +45,10 @@
 /// have not been told of the end, or keeping others out.
 #[test]
 fn a_connection_that_was_told_of_the_end_counts_for_nothing_but_its_place() {
-    let places = Rc::new(Places::default());
-    let held: Vec<Place> = (0..3).map(|_| places.take()).collect();
+    let places = Rc::new(ClientConnections::default());
+    let held: Vec<ClientConnection> = (0..3).map(|_| places.take()).collect();
     held[0].idle(Time::from_secs(1.0));
-    let seen = |places: &Places| {
+    let seen = |places: &ClientConnections| {
         (
             places.open(),
             places.busy(),
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -1,12 +1,14 @@
 //! What the fronts share: what a connection of theirs holds, a reply, and the wait for final answers under watch for
 //! a client that goes away.
 
-use super::places::Places;
+use super::client_connections::ClientConnections;
 use crate::clock::Clock;
-use crate::config::Limits;
+use crate::configuration::Limits;
 use crate::contract::Contracts;
-use crate::stages::intake;
-use crate::words::{Answer, Ask, Judge, Offer, Phase, Request};
+use crate::messages::{
+    Answer, ClientRequest, ContractsInForce, Phase, Request, ServedConfiguration,
+};
+use crate::pipeline::request_queue;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -28,13 +30,13 @@
 /// What every connection of a front holds.
 pub struct Front {
     /// What clients may ask for; it changes with the settings.
-    pub offer: watch::Receiver<Arc<Offer>>,
-    pub core: mpsc::Sender<Ask>,
+    pub offer: watch::Receiver<Arc<ServedConfiguration>>,
+    pub core: mpsc::Sender<ClientRequest>,
     pub clock: Clock,
     pub phase: watch::Receiver<Phase>,
     pub limits: Limits,
     /// Where the connections of all fronts are counted.
-    pub places: Rc<Places>,
+    pub places: Rc<ClientConnections>,
     pub kind: Kind,
     /// Names for requests that bring none.
     pub names: Cell<u64>,
@@ -43,7 +45,7 @@
 
 impl Front {
     /// What clients may ask for now.
-    pub fn offer(&self) -> Arc<Offer> {
+    pub fn offer(&self) -> Arc<ServedConfiguration> {
         self.offer.borrow().clone()
     }
 
@@ -99,7 +101,7 @@
     /// More was sent ahead than is kept: what lies behind the buffer is lost.
     pub overrun: &'a mut bool,
     /// What was in force when the request came.
-    pub judge: Judge,
+    pub judge: ContractsInForce,
 }
 
 impl Exchange<'_> {
@@ -110,7 +112,7 @@
         let handed = requests.into_iter().map(|mut request| {
             request.judge = self.judge.clone();
             request.due = self.front.places.due(request.due);
-            intake::hand_over(&self.front.core, request, advice)
+            request_queue::hand_over(&self.front.core, request, advice)
         });
         let waiting: Vec<_> = handed.collect();
         let answers = async {
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -1,18 +1,18 @@
 //! The fronts: a client's wire as requests, and final answers as that wire has them. What both share is here:
 //! the listener, the life of a client's connection, and the watch for a client that goes away.
 
+pub mod client_connections;
 pub mod exchange;
 pub mod opensearch;
-pub mod places;
 pub mod platform;
 
+use crate::connections::connection;
 use crate::contract::Watched;
 use crate::http;
-use crate::link;
-use crate::words::{Judge, Phase};
+use crate::messages::{ContractsInForce, Phase};
 use cairnroad_contract::drift::Interface;
+use client_connections::ClientConnection;
 use exchange::{Exchange, Front, Kind, Reply};
-use places::Place;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -100,7 +100,7 @@
 }
 
 /// A connection's life: one request after another.
-async fn serve(mut stream: TcpStream, front: &Front, place: Place) {
+async fn serve(mut stream: TcpStream, front: &Front, place: ClientConnection) {
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     let mut first = Some(Instant::now() + SLOW);
@@ -207,7 +207,7 @@
 /// Holds a request against its front's description, if one is in force. `Err`: it must not be served.
 fn hold_against(
     front: &Front,
-    judge: &Judge,
+    judge: &ContractsInForce,
     request: &http::Request,
 ) -> Result<Option<Watched>, String> {
     let Some(in_force) = judge else {
@@ -242,7 +242,7 @@
     front: &Front,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    place: &Place,
+    place: &ClientConnection,
     first: Option<Instant>,
     overrun: bool,
 ) -> Result<Next, http::Bad> {
@@ -311,7 +311,7 @@
             () = place.needed(), if idle => None,
         };
         // A request that is there already is served first; what comes from now on crosses the end.
-        let came = link::look(stream, buffer);
+        let came = connection::look(stream, buffer);
         match bad {
             Some(bad) if !came || http::request(buffer)?.is_none() => return Err(bad),
             None if !came => return Ok(Next::Rests),
@@ -330,7 +330,7 @@
 
 /// Tells a client of the end, then reads and drops what it still sends, for a while or until its place is needed:
 /// closing with bytes unread would reset the connection under the answer. Nothing that is read from here on is served.
-async fn linger(front: &Front, stream: &mut TcpStream, place: &Place, most: Duration) {
+async fn linger(front: &Front, stream: &mut TcpStream, place: &ClientConnection, most: Duration) {
     let _ = stream.shutdown().await;
     place.part(front.clock.now());
     tokio::select! {
--- a/crates/coordinator/src/fronts/opensearch.rs
+++ b/crates/coordinator/src/fronts/opensearch.rs
@@ -3,8 +3,8 @@
 
 use super::exchange::{Exchange, Front, Reply};
 use crate::http;
-use crate::words::Index;
-use crate::words::{Answer, PartAnswer, PartSpec, Request, Text, Value};
+use crate::messages::Index;
+use crate::messages::{Answer, PartAnswer, PartSpec, Request, Text, Value};
 use cairnroad_types::Time;
 use serde::{Deserialize, Serialize};
 use serde_json::value::{to_raw_value, RawValue};
@@ -515,8 +515,11 @@
 /// The final answer in this API's words.
 fn word(search: &Search, answer: Answer, took: f64) -> Reply {
     match answer {
-        Answer::Served { whole, parts } => served(search, whole, &parts, took),
-        Answer::Refused { retry_after, busy } => {
+        Answer::Served {
+            complete: whole,
+            parts,
+        } => served(search, whole, &parts, took),
+        Answer::Rejected { retry_after, busy } => {
             let (status, kind) = if busy {
                 (429, "rejected_execution_exception")
             } else {
@@ -525,7 +528,7 @@
             error(status, kind, "refused: trying again is harmless")
                 .with("Retry-After", whole_secs(retry_after))
         }
-        Answer::Repeated => error(
+        Answer::DuplicateName => error(
             409,
             "illegal_state_exception",
             "the search's name was used before",
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::{decimal, Exchange, Front, Reply};
 use crate::http;
-use crate::words::{Answer, PartSpec, Request, Text, Value};
+use crate::messages::{Answer, PartSpec, Request, Text, Value};
 use cairnroad_settings::Deployment;
 use cairnroad_types::Time;
 use serde::{Deserialize, Serialize};
@@ -138,7 +138,10 @@
 /// The final answer in this protocol's words.
 fn word(answer: Answer) -> Reply {
     match answer {
-        Answer::Served { whole, parts } => {
+        Answer::Served {
+            complete: whole,
+            parts,
+        } => {
             let mut hits = Vec::with_capacity(parts.len());
             for part in &parts {
                 let Ok(value) = &part.value else { continue };
@@ -162,12 +165,12 @@
             .unwrap_or_default();
             Reply::json(200, body)
         }
-        Answer::Refused { retry_after, busy } => {
+        Answer::Rejected { retry_after, busy } => {
             let status = if busy { 429 } else { 503 };
             error(status, "refused: trying again is harmless")
                 .with("Retry-After", decimal(retry_after))
         }
-        Answer::Repeated => error(409, "X-Request-Id was used before"),
+        Answer::DuplicateName => error(409, "X-Request-Id was used before"),
         Answer::Failed { late: true } => error(504, "failed: no answer in time"),
         Answer::Failed { late: false } => error(500, "failed"),
     }
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -1,42 +1,38 @@
 //! The cairnroad coordinator: takes queries from clients on two fronts, has the decision module choose, and
 //! sends their parts to servers over one of two backends. See `ARCHITECTURE.md`.
 
+mod admin_api;
 mod backends;
 mod cli;
 mod clock;
+mod cluster;
 mod commands;
-mod config;
+mod configuration;
+mod connections;
 mod contract;
 mod discovery;
-mod door;
 #[cfg(test)]
 mod errors_page;
 mod fronts;
 mod http;
-mod inherit;
-mod link;
-mod log;
-mod members;
-mod membership;
+mod messages;
+mod observability;
 #[cfg(test)]
 mod parser_tests;
-mod peers;
-mod pool;
-mod shelf;
+mod pipeline;
+mod published_descriptions;
 mod signals;
-mod stages;
-mod surface;
-mod tally;
-mod wheel;
-mod words;
+mod socket_activation;
+mod timer_wheel;
 
-use cairnroad_admin::stop::{Step, Stop};
+use cairnroad_admin::shutdown::{GracefulShutdown, ShutdownPhase};
 use clap::Parser;
 use clock::Clock;
 use contract::Contracts;
 use fronts::exchange::{Front, Kind};
+use messages::{Message, Phase, ServedConfiguration};
+use pipeline::Core;
 use signals::Signal;
-use stages::Core;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -45,7 +41,6 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
-use words::{Message, Offer, Phase};
 
 /// Messages from connections and discovery that may wait for the core's next tick.
 const MESSAGES: usize = 4096;
@@ -67,10 +62,13 @@
             .map_err(|e| format!("SIGTERM: {e}"))?;
         let hangups =
             signals::Kept::new(signal_hook::consts::SIGHUP).map_err(|e| format!("SIGHUP: {e}"))?;
-        let config = config::load(variable)?;
-        log::start(config.log.level, config.log.format);
+        let config = configuration::load(variable)?;
+        observability::log::start(config.log.level, config.log.format);
         // Before anything else opens a descriptor or starts a thread.
-        let inherited = config.inherited.map(inherit::listener).transpose()?;
+        let inherited = config
+            .inherited
+            .map(socket_activation::listener)
+            .transpose()?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
@@ -94,13 +92,13 @@
 /// takes effect live. A faulty file changes nothing.
 async fn reload(
     mut hangups: Signal,
-    mut config: config::Config,
+    mut config: configuration::Config,
     agent: watch::Sender<SocketAddr>,
     contracts: Rc<Contracts>,
     core: mpsc::Sender<Message>,
 ) {
     while hangups.recv().await.is_some() {
-        let fresh = match config::load(variable) {
+        let fresh = match configuration::load(variable) {
             Ok(fresh) => fresh,
             Err(text) => {
                 tracing::error!(cause = text, "reload: the old settings stay");
@@ -121,7 +119,7 @@
                 continue;
             }
         }
-        contracts.republish(surface::pages(&config));
+        contracts.republish(published_descriptions::pages(&config));
         let waiting = config.needs_restart(&fresh);
         if !waiting.is_empty() {
             tracing::warn!(
@@ -143,11 +141,11 @@
 /// Has the core take other settings, between two ticks and whole or not at all. Returns what is in force then.
 async fn retune(
     core: &mpsc::Sender<Message>,
-    fresh: &config::Config,
-) -> Result<Arc<Offer>, String> {
+    fresh: &configuration::Config,
+) -> Result<Arc<ServedConfiguration>, String> {
     let (reply, taken) = oneshot::channel();
-    let offer = Box::new(Offer::clone(&fresh.offer));
-    core.send(Message::Retune(offer, reply))
+    let offer = Box::new(ServedConfiguration::clone(&fresh.offer));
+    core.send(Message::Reconfigure(offer, reply))
         .await
         .map_err(|_| "the core ended")?;
     let offer = taken.await.map_err(|_| "the core ended")??;
@@ -155,7 +153,7 @@
     Ok(offer)
 }
 
-fn tell_classes(offer: &Offer) {
+fn tell_classes(offer: &ServedConfiguration) {
     for (_, name, class) in offer.deployment.offered() {
         tracing::info!(
             class = name,
@@ -167,14 +165,14 @@
 }
 
 /// Reads the descriptions that a configuration names, aside, and puts them into force.
-async fn adopt(contracts: &Contracts, config: &config::Config) -> Result<(), String> {
+async fn adopt(contracts: &Contracts, config: &configuration::Config) -> Result<(), String> {
     let (plans, backend) = (config.contracts.clone(), config.backend);
     let read = tokio::task::spawn_blocking(move || contract::read(&plans, backend)).await;
     contracts.adopt(read.map_err(|e| format!("reading descriptions: {e}"))?)
 }
 
 async fn serve(
-    config: config::Config,
+    config: configuration::Config,
     inherited: Option<std::net::TcpListener>,
     stop: signals::Kept,
     hangups: signals::Kept,
@@ -182,16 +180,19 @@
     let mut stop = Signal::new(stop).map_err(|e| format!("SIGTERM: {e}"))?;
     let hangups = Signal::new(hangups).map_err(|e| format!("SIGHUP: {e}"))?;
     let clock = Clock::new(config.offer.deployment.policy.tick);
-    let contracts = Rc::new(Contracts::new(clock.clone(), surface::pages(&config)));
+    let contracts = Rc::new(Contracts::new(
+        clock.clone(),
+        published_descriptions::pages(&config),
+    ));
     if !config.contracts.is_empty() {
         adopt(&contracts, &config).await?;
     }
-    let (asks, asked) = mpsc::channel(stages::intake::QUEUE);
+    let (asks, asked) = mpsc::channel(pipeline::request_queue::QUEUE);
     let (to_core, messages) = mpsc::channel(MESSAGES);
     let (phase, phases) = watch::channel(Phase::Starting);
     let (deaf, deafs) = watch::channel(false);
     let phase = Rc::new(phase);
-    let places = Rc::new(fronts::places::Places::default());
+    let places = Rc::new(fronts::client_connections::ClientConnections::default());
     let (offer, offers) = watch::channel(config.offer.clone());
     let shared = inherited.is_some();
     let mut inherited = inherited;
@@ -258,7 +259,7 @@
             core.tell_peers(tell);
             let (name, seed) = (config.name.clone(), config.seed);
             let (clock, phases, core) = (clock.clone(), phases.clone(), to_core.clone());
-            let given = peers::Given {
+            let given = cluster::Given {
                 name,
                 seed,
                 clock,
@@ -267,7 +268,7 @@
                 core,
             };
             Some(Rc::new(
-                peers::start(settings, given)
+                cluster::start(settings, given)
                     .await
                     .map_err(|fault| format!("{fault}: {}", fault.help()))?,
             ))
@@ -277,7 +278,7 @@
         let fault = |cause: std::io::Error| format!("admin: listen on {address}: {cause}");
         let listener = TcpListener::bind(address).await.map_err(fault)?;
         tracing::info!(address = %listener.local_addr().map_err(fault)?, "operators' calls are taken");
-        tokio::task::spawn_local(door::listen(
+        tokio::task::spawn_local(admin_api::listen(
             listener,
             to_core.clone(),
             phase.clone(),
@@ -287,7 +288,7 @@
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let (agent, agents) = watch::channel(config.discovery.unwrap_or(nowhere));
     match config.files.clone() {
-        Some(source) => membership::start(source, to_core.clone())?,
+        Some(source) => discovery::file_source::start(source, to_core.clone())?,
         None => {
             let watch = discovery::watch(agents, to_core.clone(), contracts.clone(), clock.clone());
             tokio::task::spawn_local(watch);
@@ -305,22 +306,22 @@
         listeners.iter().for_each(|listener| listener.abort());
     }
     let longest = offers.borrow().deployment.longest_deadline();
-    let mut stop = Stop::new(clock.now(), longest);
+    let mut stop = GracefulShutdown::new(clock.now(), longest);
     places.answer_by(stop.answered_by());
     // What is open already may have longer than that.
-    let _ = to_core.send(Message::EndBy(stop.answered_by())).await;
+    let _ = to_core.send(Message::FinishBy(stop.answered_by())).await;
     loop {
         let step = stop.step(clock.now(), places.seen());
         let next = match step {
-            Step::Serving => Phase::Stopping,
-            Step::Closing | Step::Deaf => Phase::Closing,
-            Step::Refusing | Step::Over => Phase::Refusing,
+            ShutdownPhase::Serving => Phase::Stopping,
+            ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::Closing,
+            ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::Refusing,
         };
         phase.send_if_modified(|phase| std::mem::replace(phase, next) != next);
-        if step >= Step::Deaf {
+        if step >= ShutdownPhase::Deaf {
             deaf.send_replace(true);
         }
-        if step == Step::Over {
+        if step == ShutdownPhase::Over {
             break;
         }
         tokio::time::sleep(STOP_TICK).await;
--- a/crates/coordinator/src/words.rs
+++ b/crates/coordinator/src/messages.rs
@@ -1,7 +1,7 @@
 //! The words that all parts of the program share: requests, attempts, outcomes and news, without any wire. It uses
 //! nothing of the program, so that stages, pool, backends, fronts and discovery can each be read alone.
 
-use cairnroad_admin::call::{Call, Verdict};
+use cairnroad_admin::request::{AdminRequest, AdminResponse};
 use cairnroad_contract::decide::InForce;
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Outcome, RequestId, ServerState, Time};
@@ -36,7 +36,7 @@
 }
 
 /// The descriptions that were in force when a request came; `None`: none were.
-pub type Judge = Option<Arc<InForce>>;
+pub type ContractsInForce = Option<Arc<InForce>>;
 
 /// A request, whichever front it came by.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     pub parts: Vec<PartSpec>,
     pub text: Text,
     /// What its servers' answers are held against.
-    pub judge: Judge,
+    pub judge: ContractsInForce,
 }
 
 /// What a server gave for a part, byte by byte as it came.
@@ -76,25 +76,20 @@
 #[derive(Clone, Debug)]
 pub enum Answer {
     Served {
-        whole: bool,
+        complete: bool,
         parts: Vec<PartAnswer>,
     },
     /// Trying again is harmless, after so many seconds.
-    Refused {
-        retry_after: f64,
-        busy: bool,
-    },
+    Rejected { retry_after: f64, busy: bool },
     /// Nothing is promised.
-    Failed {
-        late: bool,
-    },
+    Failed { late: bool },
     /// Not taken: its name was used before.
-    Repeated,
+    DuplicateName,
 }
 
 /// A request and where its answer goes. A front that drops the other end has lost its client.
 #[derive(Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     pub request: Request,
     pub reply: oneshot::Sender<Answer>,
 }
@@ -108,7 +103,7 @@
 
 /// An attempt as a backend sends it.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct OutboundAttempt {
     /// Whether it is still to be sent. The core takes that back at once, wherever the job waits: behind a dial, or
     /// behind other frames.
     pub wanted: Rc<Cell<bool>>,
@@ -122,10 +117,10 @@
     pub shard: u32,
     pub text: Text,
     pub until: Time,
-    pub judge: Judge,
+    pub judge: ContractsInForce,
 }
 
-impl Job {
+impl OutboundAttempt {
     /// Whether it may begin to be sent now.
     pub fn may_be_sent(&self, now: Time) -> bool {
         self.wanted.get() && self.send_by.is_none_or(|by| now < by)
@@ -134,7 +129,7 @@
 
 /// How an attempt ended, and what it brought.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub attempt: Attempt,
     pub outcome: Outcome,
     pub value: Option<Value>,
@@ -142,15 +137,15 @@
 
 /// What an answer says.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct EndpointListUpdate {
     pub revision: u64,
     pub complete: bool,
-    pub rows: Vec<Row>,
+    pub rows: Vec<EndpointEntry>,
 }
 
 /// One server's line, understood.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct EndpointEntry {
     pub id: String,
     pub address: SocketAddr,
     pub cell: u32,
@@ -165,21 +160,21 @@
 }
 
 /// What a connection tells the core.
-pub struct LinkEvent {
-    pub link: u64,
-    pub what: What,
+pub struct ConnectionReport {
+    pub connection: u64,
+    pub event: ConnectionEvent,
 }
 
-pub enum What {
-    Up,
+pub enum ConnectionEvent {
+    Connected,
     /// An answer to a cancelled part.
     Heard,
-    Ended {
+    AttemptEnded {
         attempt: Attempt,
         outcome: Outcome,
         value: Option<Value>,
     },
-    Probed {
+    HealthCheckEnded {
         outcome: Outcome,
         report: Vec<f64>,
     },
@@ -188,21 +183,24 @@
 
 /// What reaches the core from outside its task.
 pub enum Message {
-    News(News),
-    Link(LinkEvent),
+    Endpoints(EndpointListUpdate),
+    Connection(ConnectionReport),
     /// An operator's call, and where its end is told.
-    Operate(Call, oneshot::Sender<Verdict>),
+    Admin(AdminRequest, oneshot::Sender<AdminResponse>),
     /// The data nodes that peers doubt.
-    Advice(Vec<String>),
+    OutlierAdvice(Vec<String>),
     /// Every request has to have its final answer by this moment: the program is told to stop.
-    EndBy(Time),
+    FinishBy(Time),
     /// Other settings, the indices that go by their classes, and where it is told what became of them.
-    Retune(Box<Offer>, oneshot::Sender<Result<Arc<Offer>, String>>),
+    Reconfigure(
+        Box<ServedConfiguration>,
+        oneshot::Sender<Result<Arc<ServedConfiguration>, String>>,
+    ),
 }
 
 /// What clients may ask for, and by which terms.
 #[derive(Clone, Debug, Default)]
-pub struct Offer {
+pub struct ServedConfiguration {
     pub deployment: Deployment,
     pub indices: Vec<Index>,
 }
--- a/crates/coordinator/src/tally.rs
+++ b/crates/coordinator/src/observability/metrics.rs
@@ -5,7 +5,7 @@
 
 /// What is counted, by its name on the line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Count {
+pub enum Counter {
     Queries,
     Repeats,
     Full,
@@ -62,16 +62,16 @@
 ];
 
 /// Counts since the last line.
-pub struct Tally {
+pub struct Metrics {
     counts: [u32; NAMES.len()],
     every: f64,
     told: Time,
 }
 
-impl Tally {
+impl Metrics {
     /// A tally that has a line due every so many seconds; 0: never.
     pub fn new(every: f64, now: Time) -> Self {
-        Tally {
+        Metrics {
             counts: [0; NAMES.len()],
             every,
             told: now,
@@ -83,34 +83,34 @@
         self.every > 0.0
     }
 
-    pub fn add(&mut self, count: Count) {
+    pub fn add(&mut self, count: Counter) {
         let count = &mut self.counts[count as usize];
         *count = count.saturating_add(1);
     }
 
     pub fn action(&mut self, action: &Action) {
         match action {
-            Action::Answer { complete: true, .. } => self.add(Count::Served),
+            Action::Answer { complete: true, .. } => self.add(Counter::Served),
             Action::Answer {
                 complete: false, ..
-            } => self.add(Count::Partial),
-            Action::Reject { .. } => self.add(Count::Refused),
-            Action::Fail { .. } => self.add(Count::Failed),
-            Action::Send { .. } => self.add(Count::Sends),
-            Action::Cancel { .. } => self.add(Count::Cancels),
-            Action::HealthCheck(_) => self.add(Count::Probes),
+            } => self.add(Counter::Partial),
+            Action::Reject { .. } => self.add(Counter::Refused),
+            Action::Fail { .. } => self.add(Counter::Failed),
+            Action::Send { .. } => self.add(Counter::Sends),
+            Action::Cancel { .. } => self.add(Counter::Cancels),
+            Action::HealthCheck(_) => self.add(Counter::Probes),
             Action::SetTimer(_) | Action::SubscribeEndpoints => {}
         }
     }
 
     pub fn outcome(&mut self, outcome: Outcome) {
         self.add(match outcome {
-            Outcome::Ok => Count::Ok,
-            Outcome::Error => Count::Errors,
-            Outcome::Rejected => Count::Busy,
-            Outcome::Timeout | Outcome::Cancelled => Count::Timeouts,
-            Outcome::ConnectFailed | Outcome::NotSent => Count::NoConnection,
-            Outcome::Reset => Count::Resets,
+            Outcome::Ok => Counter::Ok,
+            Outcome::Error => Counter::Errors,
+            Outcome::Rejected => Counter::Busy,
+            Outcome::Timeout | Outcome::Cancelled => Counter::Timeouts,
+            Outcome::ConnectFailed | Outcome::NotSent => Counter::NoConnection,
+            Outcome::Reset => Counter::Resets,
         });
     }
 
--- a/crates/coordinator/src/tally/tests.rs
+++ b/crates/coordinator/src/observability/metrics/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn a_line_tells_what_was_counted_since_the_last_one() {
     let start = Time::from_secs(10.0);
-    let mut tally = Tally::new(5.0, start);
-    tally.add(Count::Dials);
+    let mut tally = Metrics::new(5.0, start);
+    tally.add(Counter::Dials);
     tally.outcome(Outcome::Reset);
     tally.outcome(Outcome::Reset);
     let beliefs = || HealthSummary {
@@ -24,7 +24,7 @@
         "nothing was counted since"
     );
     assert_eq!(
-        Tally::new(0.0, start).line(start + 99.0, 0, beliefs),
+        Metrics::new(0.0, start).line(start + 99.0, 0, beliefs),
         None,
         "off"
     );
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -1,8 +1,8 @@
 //! Random cuts of valid messages and random garbage against every parser, from fixed seeds.
 
 use crate::backends::{frames, opensearch};
+use crate::discovery::endpoint_list::Page;
 use crate::http;
-use crate::members::Page;
 use quickcheck::{Gen, QuickCheck, Testable};
 
 fn check(seed: u64, property: impl Testable) {
--- a/crates/coordinator/src/stages/admit.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -1,18 +1,24 @@
 //! Admit: lets a request in, with ids of its own, or refuses it at once where the coordinator holds all it may.
 
-use super::{book::Book, route::Route};
-use crate::tally::{Count, Tally};
-use crate::words::{Answer, Ask};
+use super::{request_table::RequestTable, routing::RoutingStage};
+use crate::messages::{Answer, ClientRequest};
+use crate::observability::metrics::{Counter, Metrics};
 use cairnroad_types::{ClassId, Event, Time};
 
 /// Advice for a request that finds the coordinator full, as a share of its class's aim.
 const FULL_ADVICE: f64 = 0.5;
 
-pub fn admit(now: Time, ask: Ask, book: &mut Book, route: &mut Route, tally: &mut Tally) {
+pub fn admit(
+    now: Time,
+    ask: ClientRequest,
+    book: &mut RequestTable,
+    route: &mut RoutingStage,
+    tally: &mut Metrics,
+) {
     tally.add(if ask.request.repeat {
-        Count::Repeats
+        Counter::Repeats
     } else {
-        Count::Queries
+        Counter::Queries
     });
     if ask.reply.is_closed() {
         return; // its client left before it was taken in
@@ -20,13 +26,13 @@
     // Servers tell parts apart by their request's name: two of one name could swap their values, also where the
     // first has just ended and a part of it that was given up is still to be answered.
     if book.knows(&ask.request.name) {
-        let _ = ask.reply.send(Answer::Repeated);
+        let _ = ask.reply.send(Answer::DuplicateName);
         return;
     }
     if !book.has_room(ask.request.parts.len()) {
-        tally.add(Count::Full);
+        tally.add(Counter::Full);
         let retry_after = FULL_ADVICE * route.aim(ask.request.class);
-        let _ = ask.reply.send(Answer::Refused {
+        let _ = ask.reply.send(Answer::Rejected {
             retry_after,
             busy: true,
         });
--- a/crates/coordinator/src/stages/send.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -1,14 +1,20 @@
 //! Send: carries the decisions' sends, cancels, probes and timers to the pool and the wheel. Sends of one tick
 //! to one server leave together.
 
-use super::book::Book;
-use crate::pool::Pool;
-use crate::tally::{Count, Tally};
-use crate::wheel::{Due, Wheel};
-use crate::words::{Attempt, Ended};
+use super::request_table::RequestTable;
+use crate::connections::pool::Pool;
+use crate::messages::{Attempt, AttemptResult};
+use crate::observability::metrics::{Counter, Metrics};
+use crate::timer_wheel::{Timer, TimerWheel};
 use cairnroad_types::{Action, Time};
 
-pub fn carry(now: Time, action: &Action, book: &mut Book, pool: &mut Pool, wheel: &mut Wheel<Due>) {
+pub fn carry(
+    now: Time,
+    action: &Action,
+    book: &mut RequestTable,
+    pool: &mut Pool,
+    wheel: &mut TimerWheel<Timer>,
+) {
     match *action {
         Action::Send {
             part,
@@ -16,7 +22,7 @@
             until,
         } => {
             if let Some(job) = book.job(now, part, until) {
-                wheel.insert(until, Due::Attempt(job.attempt));
+                wheel.insert(until, Timer::Attempt(job.attempt));
                 pool.stage(server, job);
             }
         }
@@ -28,7 +34,7 @@
             },
         ),
         Action::HealthCheck(server) => pool.probe(server),
-        Action::SetTimer(at) => wheel.insert(at, Due::Wake),
+        Action::SetTimer(at) => wheel.insert(at, Timer::Wake),
         // The watch asks by itself; finals are the relay's.
         Action::SubscribeEndpoints
         | Action::Answer { .. }
@@ -38,11 +44,16 @@
 }
 
 /// Sends what is staged; returns attempts that could not be sent at all.
-pub fn flush(now: Time, pool: &mut Pool, wheel: &mut Wheel<Due>, tally: &mut Tally) -> Vec<Ended> {
+pub fn flush(
+    now: Time,
+    pool: &mut Pool,
+    wheel: &mut TimerWheel<Timer>,
+    tally: &mut Metrics,
+) -> Vec<AttemptResult> {
     let (failed, dials) = pool.flush(now, tally);
     for (link, at) in dials {
-        tally.add(Count::Dials);
-        wheel.insert(at, Due::Dial(link));
+        tally.add(Counter::Dials);
+        wheel.insert(at, Timer::Dial(link));
     }
     failed
 }
--- a/crates/coordinator/src/stages/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -4,25 +4,28 @@
 //! carries their sends and cancels to the pool, `relay` words the final answers, `book` keeps the table of what
 //! is open. One task, [`Core`], owns them all.
 
-pub mod admit;
-pub mod book;
-pub mod intake;
-pub mod relay;
-pub mod route;
-pub mod send;
+pub mod admission;
+pub mod dispatch;
+pub mod request_queue;
+pub mod request_table;
+pub mod respond;
+pub mod routing;
 
+use crate::admin_api::suspension_store::SuspensionStore;
 use crate::clock::Clock;
-use crate::config::Config;
+use crate::configuration::Config;
+use crate::connections::pool::{self, Pool, PoolEvent};
 use crate::contract::Contracts;
 use crate::discovery::{self, Directory};
-use crate::pool::{self, Brought, Pool};
-use crate::shelf::Shelf;
-use crate::tally::{Count, Tally};
-use crate::wheel::{Due, Wheel};
-use crate::words::{Ask, Attempt, Ended, Index, Message, News, Offer, Phase, Row};
-use cairnroad_admin::bans::Bans;
-use cairnroad_admin::call::{Call, Verdict};
-use cairnroad_admin::retune::{self, Retuned};
+use crate::messages::{
+    Attempt, AttemptResult, ClientRequest, EndpointEntry, EndpointListUpdate, Index, Message,
+    Phase, ServedConfiguration,
+};
+use crate::observability::metrics::{Counter, Metrics};
+use crate::timer_wheel::{Timer, TimerWheel};
+use cairnroad_admin::reconfigure::{self, Reconfiguration};
+use cairnroad_admin::request::{AdminRequest, AdminResponse};
+use cairnroad_admin::suspensions::Suspensions;
 use cairnroad_types::{Action, ClassId, Event, Outcome, ServerId, Time};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -45,25 +48,25 @@
 /// All state of the core, in the hands of one task.
 pub struct Core {
     clock: Clock,
-    intake: intake::Intake,
-    route: route::Route,
-    book: book::Book,
+    intake: request_queue::Intake,
+    route: routing::RoutingStage,
+    book: request_table::RequestTable,
     pool: Pool,
-    wheel: Wheel<Due>,
+    wheel: TimerWheel<Timer>,
     directory: Directory,
     contracts: Rc<Contracts>,
     messages: mpsc::Receiver<Message>,
     phase: Rc<watch::Sender<Phase>>,
     /// What the fronts offer.
-    offer: watch::Sender<Arc<Offer>>,
+    offer: watch::Sender<Arc<ServedConfiguration>>,
     started: Time,
     fresh_list: bool,
-    tally: Tally,
+    tally: Metrics,
     warm_up: f64,
     sweep: f64,
-    bans: Bans,
+    bans: Suspensions,
     /// Where bans are kept; `None` without a door for operators.
-    shelf: Option<Shelf>,
+    shelf: Option<SuspensionStore>,
     /// Where peers are told what is doubted; `None` without peers.
     peers: Option<watch::Sender<(Vec<String>, usize)>>,
 }
@@ -73,20 +76,20 @@
         config: &Config,
         contracts: Rc<Contracts>,
         clock: Clock,
-        asks: mpsc::Receiver<Ask>,
+        asks: mpsc::Receiver<ClientRequest>,
         messages: (mpsc::Sender<Message>, mpsc::Receiver<Message>),
         phase: Rc<watch::Sender<Phase>>,
-        offer: watch::Sender<Arc<Offer>>,
+        offer: watch::Sender<Arc<ServedConfiguration>>,
     ) -> Self {
         let now = clock.now();
-        let mut wheel = Wheel::new(now, config.offer.deployment.policy.tick);
+        let mut wheel = TimerWheel::new(now, config.offer.deployment.policy.tick);
         let sweep = pool::sweep_every(&config.offer.deployment);
-        wheel.insert(now + sweep, Due::Sweep);
+        wheel.insert(now + sweep, Timer::Sweep);
         let mut core = Core {
             clock: clock.clone(),
-            intake: intake::Intake::new(asks),
-            route: route::Route::new(config),
-            book: book::Book::new(config),
+            intake: request_queue::Intake::new(asks),
+            route: routing::RoutingStage::new(config),
+            book: request_table::RequestTable::new(config),
             pool: Pool::new(config, contracts.clone(), clock, messages.0),
             wheel,
             directory: Directory::default(),
@@ -96,13 +99,13 @@
             offer,
             started: now,
             fresh_list: false,
-            tally: Tally::new(f64::from(config.log.tally_s), now),
+            tally: Metrics::new(f64::from(config.log.tally_s), now),
             warm_up: config.offer.deployment.policy.slow_start_duration,
             sweep,
-            bans: Bans::default(),
+            bans: Suspensions::default(),
             shelf: config
                 .admin
-                .map(|_| Shelf::new(config.passing.as_deref(), &config.name)),
+                .map(|_| SuspensionStore::new(config.passing.as_deref(), &config.name)),
             peers: None,
         };
         // Before any list: what an earlier process was told must hold from the first send on.
@@ -132,10 +135,10 @@
         let now = self.clock.now();
         while let Ok(message) = self.messages.try_recv() {
             match message {
-                Message::News(news) => self.note_news(&news, false),
-                Message::Link(event) => match self.pool.note(now, event) {
-                    Some(Brought::Attempt(ended)) => self.ended(ended),
-                    Some(Brought::Probe {
+                Message::Endpoints(news) => self.note_news(&news, false),
+                Message::Connection(event) => match self.pool.note(now, event) {
+                    Some(PoolEvent::Attempt(ended)) => self.ended(ended),
+                    Some(PoolEvent::Probe {
                         server,
                         outcome,
                         report,
@@ -146,38 +149,38 @@
                             report,
                         });
                     }
-                    Some(Brought::NotUp) => self.tally.add(Count::DialFaults),
+                    Some(PoolEvent::NotUp) => self.tally.add(Counter::DialFaults),
                     None => {}
                 },
-                Message::Operate(call, reply) => {
+                Message::Admin(call, reply) => {
                     let _ = reply.send(self.operate(now, call));
                 }
-                Message::Advice(ids) => self.advised(&ids),
-                Message::EndBy(moment) => self.route.end_by(moment),
-                Message::Retune(fresh, reply) => {
+                Message::OutlierAdvice(ids) => self.advised(&ids),
+                Message::FinishBy(moment) => self.route.end_by(moment),
+                Message::Reconfigure(fresh, reply) => {
                     let _ = reply.send(self.retune(*fresh));
                 }
             }
         }
         for due in self.wheel.turn(now) {
             match due {
-                Due::Wake => self.route.push(Event::TimerFired),
-                Due::Attempt(attempt) => {
+                Timer::Wake => self.route.push(Event::TimerFired),
+                Timer::Attempt(attempt) => {
                     if self.pool.abandon(attempt) {
-                        self.ended(Ended {
+                        self.ended(AttemptResult {
                             attempt,
                             outcome: Outcome::Timeout,
                             value: None,
                         });
                     }
                 }
-                Due::Dial(link) => self.pool.dial_is_due(link),
-                Due::Sweep => {
+                Timer::Dial(link) => self.pool.dial_is_due(link),
+                Timer::Sweep => {
                     self.pool.sweep(now);
-                    self.wheel.insert(now + self.sweep, Due::Sweep);
+                    self.wheel.insert(now + self.sweep, Timer::Sweep);
                 }
-                Due::Look => self.look(now),
-                Due::TellDoubts => self.tell_doubts(now),
+                Timer::Look => self.look(now),
+                Timer::TellDoubts => self.tell_doubts(now),
             }
         }
         for query in self.book.lost_clients() {
@@ -185,18 +188,18 @@
             self.book.close(query);
         }
         for ask in self.intake.take() {
-            admit::admit(now, ask, &mut self.book, &mut self.route, &mut self.tally);
+            admission::admit(now, ask, &mut self.book, &mut self.route, &mut self.tally);
         }
         // Sends that fail at once bring outcomes, which are the next call's events; three attempts a part
         // bound the rounds.
         while self.route.has_events() {
             for action in self.route.decide(now) {
                 self.tally.action(&action);
-                if relay::is_final(&action) {
-                    relay::relay(&action, now, &mut self.book, &mut self.tally);
+                if respond::is_final(&action) {
+                    respond::relay(&action, now, &mut self.book, &mut self.tally);
                 } else {
                     self.count_send(now, &action);
-                    send::carry(
+                    dispatch::carry(
                         now,
                         &action,
                         &mut self.book,
@@ -208,7 +211,7 @@
             for attempt in self.book.take_unwanted() {
                 self.pool.unwant(attempt);
             }
-            for ended in send::flush(now, &mut self.pool, &mut self.wheel, &mut self.tally) {
+            for ended in dispatch::flush(now, &mut self.pool, &mut self.wheel, &mut self.tally) {
                 self.ended(ended);
             }
         }
@@ -232,17 +235,17 @@
         }
         let earlier = self.book.attempts(part);
         if earlier > 0 {
-            self.tally.add(Count::Further);
+            self.tally.add(Counter::Further);
         }
         if (0..earlier).any(|number| self.pool.is_out(Attempt { part, number })) {
-            self.tally.add(Count::Copies);
+            self.tally.add(Counter::Copies);
         }
         if self.pool.is_young(now, server, self.warm_up) {
-            self.tally.add(Count::Cold);
+            self.tally.add(Counter::Cold);
         }
     }
 
-    fn ended(&mut self, ended: Ended) {
+    fn ended(&mut self, ended: AttemptResult) {
         self.tally.outcome(ended.outcome);
         let Attempt { part, number } = ended.attempt;
         self.book.note(&ended);
@@ -253,13 +256,13 @@
         });
     }
 
-    fn note_news(&mut self, news: &News, cached: bool) {
+    fn note_news(&mut self, news: &EndpointListUpdate, cached: bool) {
         self.contracts.note_list(&news.rows, news.complete);
         if !news.rows.is_empty() {
             self.tally.add(if news.complete {
-                Count::Lists
+                Counter::Lists
             } else {
-                Count::Changes
+                Counter::Changes
             });
         }
         let mut rows = self.directory.number(news);
@@ -271,7 +274,7 @@
     }
 
     /// Tells pool and decisions what the list says, as operators' bans leave it.
-    fn tell(&mut self, rows: &mut [(ServerId, Row)], complete: bool, cached: bool) {
+    fn tell(&mut self, rows: &mut [(ServerId, EndpointEntry)], complete: bool, cached: bool) {
         for (_, row) in &mut *rows {
             (row.state, row.ready_at) = self.bans.overlay(&row.id, row.state, row.ready_at);
         }
@@ -297,7 +300,7 @@
                 self.tell_again(&changed);
             }
         }
-        self.wheel.insert(now + LOOK, Due::Look);
+        self.wheel.insert(now + LOOK, Timer::Look);
     }
 
     /// Says anew what the list says of these servers.
@@ -307,11 +310,11 @@
     }
 
     /// Takes other settings: before anything else of this tick, and whole or not at all.
-    fn retune(&mut self, fresh: Offer) -> Result<Arc<Offer>, String> {
+    fn retune(&mut self, fresh: ServedConfiguration) -> Result<Arc<ServedConfiguration>, String> {
         let in_force = self.offer.borrow().clone();
         let held = |class: ClassId| self.book.holds(usize::from(class.0));
-        let retuned = retune::retune(&in_force.deployment, &fresh.deployment, held)?;
-        let Retuned {
+        let retuned = reconfigure::retune(&in_force.deployment, &fresh.deployment, held)?;
+        let Reconfiguration {
             deployment,
             places,
             renewed,
@@ -335,7 +338,7 @@
         self.pool.retune(&deployment);
         self.route.retune(&deployment, &renewed, &places);
         self.warm_up = deployment.policy.slow_start_duration;
-        let offer = Arc::new(Offer {
+        let offer = Arc::new(ServedConfiguration {
             deployment,
             indices,
         });
@@ -347,7 +350,7 @@
     pub fn tell_peers(&mut self, peers: watch::Sender<(Vec<String>, usize)>) {
         self.peers = Some(peers);
         self.wheel
-            .insert(self.clock.now() + TELL_DOUBTS, Due::TellDoubts);
+            .insert(self.clock.now() + TELL_DOUBTS, Timer::TellDoubts);
     }
 
     fn tell_doubts(&mut self, now: Time) {
@@ -360,7 +363,7 @@
             *told = (ids, listed);
             fresh
         });
-        self.wheel.insert(now + TELL_DOUBTS, Due::TellDoubts);
+        self.wheel.insert(now + TELL_DOUBTS, Timer::TellDoubts);
     }
 
     /// Peers doubt these data nodes. Only those that this coordinator's own list names are looked at.
@@ -376,24 +379,24 @@
     }
 
     /// Carries out an operator's call.
-    fn operate(&mut self, now: Time, call: Call) -> Verdict {
+    fn operate(&mut self, now: Time, call: AdminRequest) -> AdminResponse {
         let verdict = match &call {
             // The door answers these by itself.
-            Call::Ready | Call::Peers => Verdict::Yes,
-            Call::Suspend(id) if !self.bans.knows(id) => Verdict::Unknown,
-            Call::Suspend(id) if !self.bans.has_room(id) => Verdict::TooMany,
-            Call::Suspend(id) => self.put(id, self.bans.suspended(id, now)),
-            Call::Resume(id) if !self.bans.knows(id) => Verdict::Unknown,
-            Call::Resume(id) => match self.bans.resumed(id, now) {
+            AdminRequest::Ready | AdminRequest::Peers => AdminResponse::Yes,
+            AdminRequest::Suspend(id) if !self.bans.knows(id) => AdminResponse::Unknown,
+            AdminRequest::Suspend(id) if !self.bans.has_room(id) => AdminResponse::TooMany,
+            AdminRequest::Suspend(id) => self.put(id, self.bans.suspended(id, now)),
+            AdminRequest::Resume(id) if !self.bans.knows(id) => AdminResponse::Unknown,
+            AdminRequest::Resume(id) => match self.bans.resumed(id, now) {
                 Some(ban) => self.put(id, ban),
-                None => Verdict::Yes,
+                None => AdminResponse::Yes,
             },
-            Call::Drain => self.turn_to(|phase| match phase {
+            AdminRequest::Drain => self.turn_to(|phase| match phase {
                 Phase::Starting | Phase::Serving => Some(Phase::Drained),
                 _ => None,
             }),
             // The next tick says whether it is ready.
-            Call::Activate => {
+            AdminRequest::Activate => {
                 self.turn_to(|phase| (phase == Phase::Drained).then_some(Phase::Starting))
             }
         };
@@ -401,25 +404,25 @@
         verdict
     }
 
-    fn put(&mut self, id: &str, ban: cairnroad_admin::bans::Ban) -> Verdict {
+    fn put(&mut self, id: &str, ban: cairnroad_admin::suspensions::Suspension) -> AdminResponse {
         if self.bans.put(id, ban) {
             if let Some(shelf) = &mut self.shelf {
                 shelf.keep(id, ban);
             }
             self.tell_again(&[id.to_string()]);
         }
-        Verdict::Yes
+        AdminResponse::Yes
     }
 
-    fn turn_to(&self, next: impl Fn(Phase) -> Option<Phase>) -> Verdict {
+    fn turn_to(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
         let current = *self.phase.borrow();
         if matches!(current, Phase::Stopping | Phase::Closing | Phase::Refusing) {
-            return Verdict::NotNow("the process was told to stop");
+            return AdminResponse::NotNow("the process was told to stop");
         }
         if let Some(phase) = next(current) {
             self.phase.send_replace(phase);
         }
-        Verdict::Yes
+        AdminResponse::Yes
     }
 
     /// Ready once a server is known, from a fresh list or, if that doesn't come, from the cached one.
--- a/crates/coordinator/src/stages/intake.rs
+++ b/crates/coordinator/src/pipeline/request_queue.rs
@@ -1,20 +1,20 @@
 //! Intake: the bounded queue between the fronts and the core.
 
-use crate::words::{Answer, Ask, Request};
+use crate::messages::{Answer, ClientRequest, Request};
 use tokio::sync::{mpsc, oneshot};
 
 /// Requests that may wait for the core's next tick.
 pub const QUEUE: usize = 256;
 /// The core's end.
-pub struct Intake(mpsc::Receiver<Ask>);
+pub struct Intake(mpsc::Receiver<ClientRequest>);
 
 impl Intake {
-    pub fn new(asks: mpsc::Receiver<Ask>) -> Self {
+    pub fn new(asks: mpsc::Receiver<ClientRequest>) -> Self {
         Intake(asks)
     }
 
     /// All that came since the last tick.
-    pub fn take(&mut self) -> Vec<Ask> {
+    pub fn take(&mut self) -> Vec<ClientRequest> {
         std::iter::from_fn(|| self.0.try_recv().ok()).collect()
     }
 }
@@ -22,14 +22,14 @@
 /// A front's end: hands a request over and returns where its answer will come. With the queue full, that is a
 /// refusal at once, with this advice in seconds.
 pub fn hand_over(
-    core: &mpsc::Sender<Ask>,
+    core: &mpsc::Sender<ClientRequest>,
     request: Request,
     advice: f64,
 ) -> oneshot::Receiver<Answer> {
     let (reply, answer) = oneshot::channel();
-    if let Err(fault) = core.try_send(Ask { request, reply }) {
+    if let Err(fault) = core.try_send(ClientRequest { request, reply }) {
         let (mpsc::error::TrySendError::Full(ask) | mpsc::error::TrySendError::Closed(ask)) = fault;
-        let _ = ask.reply.send(Answer::Refused {
+        let _ = ask.reply.send(Answer::Rejected {
             retry_after: advice,
             busy: true,
         });
--- a/crates/coordinator/src/stages/book.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -1,7 +1,10 @@
 //! Book: the table of open requests and their parts, and what has come in for each.
 
-use crate::config::Config;
-use crate::words::{Answer, Ask, Attempt, Ended, Job, PartAnswer, PartSpec, Request, Value};
+use crate::configuration::Config;
+use crate::messages::{
+    Answer, Attempt, AttemptResult, ClientRequest, OutboundAttempt, PartAnswer, PartSpec, Request,
+    Value,
+};
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Class, Idempotency, Outcome, RequestId, Time};
 use std::cell::Cell;
@@ -25,7 +28,7 @@
 const WINDOW_MARGIN_TICKS: f64 = 2.0;
 
 /// An open request.
-pub struct Open {
+pub struct OpenRequest {
     request: Request,
     pub reply: oneshot::Sender<Answer>,
     parts: Vec<RequestId>,
@@ -34,7 +37,7 @@
     ends: u32,
 }
 
-impl Open {
+impl OpenRequest {
     /// What came for each part, in the request's order.
     pub fn answers(&self) -> Vec<PartAnswer> {
         let parts = self.parts.iter().zip(&self.request.parts);
@@ -69,11 +72,11 @@
 
 /// All that is open.
 #[derive(Default)]
-pub struct Book {
+pub struct RequestTable {
     cap: usize,
     classes: Vec<Arc<str>>,
     next: u64,
-    queries: BTreeMap<RequestId, Open>,
+    queries: BTreeMap<RequestId, OpenRequest>,
     parts: BTreeMap<RequestId, OpenPart>,
     /// Each class's window for further attempts, in seconds less the margin; `None` where it has none.
     windows: Vec<Option<f64>>,
@@ -86,11 +89,11 @@
     taken: VecDeque<(Time, Arc<str>)>,
 }
 
-impl Book {
+impl RequestTable {
     pub fn new(config: &Config) -> Self {
-        let mut book = Book {
+        let mut book = RequestTable {
             next: 1,
-            ..Book::default()
+            ..RequestTable::default()
         };
         book.retune(&config.offer.deployment);
         book
@@ -138,7 +141,11 @@
     }
 
     /// Opens a request: its id, and its parts' ids.
-    pub fn open(&mut self, now: Time, ask: Ask) -> (RequestId, Vec<(RequestId, PartSpec)>) {
+    pub fn open(
+        &mut self,
+        now: Time,
+        ask: ClientRequest,
+    ) -> (RequestId, Vec<(RequestId, PartSpec)>) {
         while self
             .taken
             .front()
@@ -170,7 +177,7 @@
             );
         }
         let ids = parts.iter().map(|(part, _)| *part).collect();
-        let open = Open {
+        let open = OpenRequest {
             request: ask.request,
             reply: ask.reply,
             parts: ids,
@@ -182,12 +189,12 @@
     }
 
     /// Whether a request's time is all but over.
-    pub fn is_late(&self, now: Time, open: &Open) -> bool {
+    pub fn is_late(&self, now: Time, open: &OpenRequest) -> bool {
         open.request.due - now < self.late
     }
 
     /// Takes a request out of the table: whoever holds it gives the final answer, and nobody else can.
-    pub fn close(&mut self, id: RequestId) -> Option<Open> {
+    pub fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
         let open = self.queries.remove(&id)?;
         for part in &open.parts {
             let attempts = self.parts.remove(part).map_or(0, |part| part.attempts);
@@ -214,7 +221,7 @@
     }
 
     /// Notes how an attempt ended. The first value stands.
-    pub fn note(&mut self, ended: &Ended) {
+    pub fn note(&mut self, ended: &AttemptResult) {
         let Some(part) = self.parts.get_mut(&ended.attempt.part) else {
             return;
         };
@@ -241,7 +248,7 @@
     }
 
     /// The next attempt of an open part, as a backend sends it. Attempts are numbered as the decisions do.
-    pub fn job(&mut self, now: Time, part: RequestId, until: Time) -> Option<Job> {
+    pub fn job(&mut self, now: Time, part: RequestId, until: Time) -> Option<OutboundAttempt> {
         let open = self.parts.get_mut(&part)?;
         let request = &self.queries.get(&open.query)?.request;
         if open.attempts == open.never_ran {
@@ -251,7 +258,7 @@
         let send_by = window.map(|window| open.first_sent + window);
         let number = open.attempts;
         open.attempts += 1;
-        Some(Job {
+        Some(OutboundAttempt {
             attempt: Attempt { part, number },
             wanted: Rc::new(Cell::new(true)),
             send_by,
--- a/crates/coordinator/src/stages/book/tests.rs
+++ b/crates/coordinator/src/pipeline/request_table/tests.rs
@@ -1,21 +1,21 @@
 //! The table of open requests, on a clock of the test's own.
 
 use super::*;
-use crate::words::Text;
+use crate::messages::Text;
 
 /// A table for a deployment whose classes all have this effect, window and deadline.
-fn book(effect: Idempotency, window: f64, deadline: f64) -> Book {
-    let config = crate::config::tests::sample();
+fn book(effect: Idempotency, window: f64, deadline: f64) -> RequestTable {
+    let config = crate::configuration::tests::sample();
     let mut deployment = config.offer.deployment.clone();
     for class in &mut deployment.policy.classes {
         (class.idempotency, class.dedup_window, class.deadline) = (effect, window, deadline);
     }
-    let mut book = Book::new(&config);
+    let mut book = RequestTable::new(&config);
     book.retune(&deployment);
     book
 }
 
-fn ask(name: &str, now: Time) -> Ask {
+fn ask(name: &str, now: Time) -> ClientRequest {
     let (reply, _) = oneshot::channel();
     let parts = vec![PartSpec {
         shard: 0,
@@ -33,7 +33,7 @@
         text,
         judge: None,
     };
-    Ask { request, reply }
+    ClientRequest { request, reply }
 }
 
 /// Guards against a name that is forgotten while its request may still be open, where deadlines are long.
@@ -65,17 +65,17 @@
     );
     let (_, parts) = book.open(start, ask("keyed", start));
     let part = parts[0].0;
-    let job = |book: &mut Book, at: f64| book.job(start + at, part, start + 9.0).unwrap();
+    let job = |book: &mut RequestTable, at: f64| book.job(start + at, part, start + 9.0).unwrap();
     let first = job(&mut book, 0.0);
     assert!(first.may_be_sent(start + 1.9) && !first.may_be_sent(start + 2.0));
-    book.note(&Ended {
+    book.note(&AttemptResult {
         attempt: first.attempt,
         outcome: Outcome::ConnectFailed,
         value: None,
     });
     let second = job(&mut book, 1.5);
     assert!(second.may_be_sent(start + 3.4), "the first one never ran");
-    book.note(&Ended {
+    book.note(&AttemptResult {
         attempt: second.attempt,
         outcome: Outcome::Reset,
         value: None,
@@ -103,10 +103,10 @@
 fn what_ends_some_ticks_early_is_late_with_any_tick() {
     for (tick, late, early) in [(0.005, 0.04, 0.06), (0.04, 0.18, 0.22)] {
         let start = Time::from_secs(100.0);
-        let config = crate::config::tests::sample();
+        let config = crate::configuration::tests::sample();
         let mut deployment = config.offer.deployment.clone();
         deployment.policy.tick = tick;
-        let mut book = Book::new(&config);
+        let mut book = RequestTable::new(&config);
         book.retune(&deployment);
         let (id, _) = book.open(start, ask("one", start));
         let open = book.close(id).unwrap();
--- a/crates/coordinator/src/stages/relay.rs
+++ b/crates/coordinator/src/pipeline/respond.rs
@@ -1,8 +1,8 @@
 //! Relay: words the decisions' final answers and gives each to its front, once.
 
-use super::book::Book;
-use crate::tally::{Count, Tally};
-use crate::words::Answer;
+use super::request_table::RequestTable;
+use crate::messages::Answer;
+use crate::observability::metrics::{Counter, Metrics};
 use cairnroad_types::{Action, Time};
 
 /// Advice where the decisions give none, in seconds.
@@ -16,7 +16,7 @@
     )
 }
 
-pub fn relay(action: &Action, now: Time, book: &mut Book, tally: &mut Tally) {
+pub fn relay(action: &Action, now: Time, book: &mut RequestTable, tally: &mut Metrics) {
     let id = match *action {
         Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
             query
@@ -29,14 +29,14 @@
         Action::Answer {
             complete: whole, ..
         } => Answer::Served {
-            whole,
+            complete: whole,
             parts: open.answers(),
         },
         Action::Reject { retry_after, .. } => {
             if open.never_sent() {
-                tally.add(Count::Unsent);
+                tally.add(Counter::Unsent);
             }
-            Answer::Refused {
+            Answer::Rejected {
                 retry_after: retry_after.unwrap_or(ADVICE),
                 busy: open.never_sent(),
             }
--- a/crates/coordinator/src/stages/route.rs
+++ b/crates/coordinator/src/pipeline/routing.rs
@@ -1,18 +1,18 @@
 //! Route: the decisions, called once with all events of a tick.
 
-use crate::config::Config;
+use crate::configuration::Config;
 use cairnroad_routing::RequestRouter;
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Action, ClassId, Event, HealthSummary, ServerId, Time};
 
-pub struct Route {
+pub struct RoutingStage {
     aggregator: RequestRouter,
     aims: Vec<f64>,
     lists: Vec<Event>,
     events: Vec<Event>,
 }
 
-impl Route {
+impl RoutingStage {
     pub fn new(config: &Config) -> Self {
         let policy = config.offer.deployment.policy.clone();
         let aims = policy
@@ -20,7 +20,7 @@
             .iter()
             .map(|class| class.latency_objective)
             .collect();
-        Route {
+        RoutingStage {
             aggregator: RequestRouter::new(policy, config.seed),
             aims,
             lists: Vec::new(),
--- a/crates/coordinator/src/stages/tests.rs
+++ b/crates/coordinator/src/pipeline/tests.rs
@@ -1,14 +1,14 @@
 //! The core by its turns. No connection's task runs between them, so what comes in one tick is the test's choice.
 
 use super::*;
-use crate::words::{Answer, LinkEvent, PartSpec, Request, Text, What};
+use crate::messages::{Answer, ConnectionEvent, ConnectionReport, PartSpec, Request, Text};
 use cairnroad_types::{RequestId, ServerState};
 use tokio::sync::oneshot;
 
 /// A core, and the other ends of its queues.
 struct Rig {
     core: Core,
-    asks: mpsc::Sender<Ask>,
+    asks: mpsc::Sender<ClientRequest>,
     messages: mpsc::Sender<Message>,
 }
 
@@ -18,7 +18,7 @@
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let config = crate::config::tests::sample();
+        let config = crate::configuration::tests::sample();
         let (clock, (asks, asked)) = (
             Clock::new(config.offer.deployment.policy.tick),
             mpsc::channel(4),
@@ -44,8 +44,8 @@
     });
 }
 
-fn row(at: usize, cell: u32, state: ServerState) -> Row {
-    Row {
+fn row(at: usize, cell: u32, state: ServerState) -> EndpointEntry {
+    EndpointEntry {
         id: format!("s-{at}"),
         address: "127.0.0.1:1".parse().unwrap(),
         cell,
@@ -73,7 +73,7 @@
                 .chain(fresh)
                 .collect();
             core.note_news(
-                &News {
+                &EndpointListUpdate {
                     revision: 1,
                     complete,
                     rows,
@@ -114,7 +114,7 @@
                  }| {
                     let rows = (0..2).map(|at| row(at, 0, ServerState::Ready)).collect();
                     core.note_news(
-                        &News {
+                        &EndpointListUpdate {
                             revision: 1,
                             complete: true,
                             rows,
@@ -135,7 +135,7 @@
                         text: Text::Plain("t".into()),
                         judge: None,
                     };
-                    asks.try_send(Ask { request, reply }).unwrap();
+                    asks.try_send(ClientRequest { request, reply }).unwrap();
                     // The request is the first id, its part the second.
                     let attempt = |number| Attempt {
                         part: RequestId(2),
@@ -144,13 +144,16 @@
                     if let Some(outcome) = ended {
                         core.turn();
                         assert!(core.pool.is_out(attempt(0)), "the first attempt");
-                        let what = What::Ended {
+                        let what = ConnectionEvent::AttemptEnded {
                             attempt: attempt(0),
                             outcome,
                             value: None,
                         };
                         assert!(messages
-                            .try_send(Message::Link(LinkEvent { link: 0, what }))
+                            .try_send(Message::Connection(ConnectionReport {
+                                connection: 0,
+                                event: what
+                            }))
                             .is_ok());
                     }
                     if gone {
--- a/crates/coordinator/src/surface.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -1,6 +1,6 @@
 //! What this instance offers and uses, for its own descriptions.
 
-use crate::config::{BackendKind, Config};
+use crate::configuration::{BackendKind, Config};
 use crate::contract::Pages;
 use crate::fronts::{self, opensearch};
 use crate::http;
--- a/crates/coordinator/src/wheel.rs
+++ b/crates/coordinator/src/timer_wheel.rs
@@ -2,13 +2,13 @@
 //! fires in the first turn at or after the end of its tick. Nothing is taken back: whoever gets an item asks
 //! whether it still matters.
 
-use crate::words::Attempt;
+use crate::messages::Attempt;
 use cairnroad_types::Time;
 
 const SLOTS: i64 = 1024;
 
 /// What a turn of the core's wheel brings.
-pub enum Due {
+pub enum Timer {
     /// The decisions asked to be called.
     Wake,
     /// An attempt's time is up.
@@ -24,18 +24,18 @@
 }
 
 /// Items by the tick in which they fall due.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     tick: i64,
     /// The last tick that was turned to.
     at: i64,
     slots: Vec<Vec<(i64, T)>>,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// A wheel that stands at `now` and turns in steps of `tick` seconds.
     pub fn new(now: Time, tick: f64) -> Self {
         let tick = ((tick * 1e6) as i64).max(1);
-        Wheel {
+        TimerWheel {
             tick,
             at: now.0.div_euclid(tick),
             slots: (0..SLOTS).map(|_| Vec::new()).collect(),
--- a/crates/coordinator/src/wheel/tests.rs
+++ b/crates/coordinator/src/timer_wheel/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn items_fire_in_order_and_never_early() {
     let start = Time::from_secs(100.0);
-    let mut wheel = Wheel::new(start, 0.005);
+    let mut wheel = TimerWheel::new(start, 0.005);
     for (secs, name) in [(0.012, 'b'), (0.001, 'a'), (20.0, 'z'), (5.12, 'r')] {
         wheel.insert(start + secs, name);
     }
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Loopback stand-ins, written from the public pages of each wire: discovery, servers of both forms, clients of
 //! both forms; and the program itself, started as a user would.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 pub mod script;
 
@@ -664,7 +664,10 @@
         )
     }
 
-    #[allow(clippy::too_many_arguments)] // all that a test may say of its surroundings
+    #[allow(
+        clippy::too_many_arguments,
+        reason = "all that a test may say of its surroundings"
+    )]
     fn start_given(
         servers: Wire,
         stage: Arc<Stage>,
--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -635,8 +635,8 @@
     check(&["serv"], 2, &["serve"]);
     let sample = Command::new(env!("CARGO_BIN_EXE_cairnroad"))
         .arg("check-config")
-        .env("NODE_CONFIG", "../api/sample/config.json")
-        .env("CAIRNROAD_FILE", "../api/sample/cairnroad.toml")
+        .env("NODE_CONFIG", "../../api/sample/config.json")
+        .env("CAIRNROAD_FILE", "../../api/sample/cairnroad.toml")
         .output()
         .unwrap();
     let text = String::from_utf8(sample.stdout).unwrap();
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -31,7 +31,10 @@
 
 impl Chance {
     /// The next number, from 0 to under 1.
-    #[allow(clippy::should_implement_trait)] // it never ends, and is no iterator
+    #[expect(
+        clippy::should_implement_trait,
+        reason = "it never ends, and is no iterator"
+    )]
     pub fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut x = self.0;
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A hand-driven deployment: builds settings and events, and keeps what the aggregator did.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use cairnroad_routing::*;
 
