--- a/crates/cluster/examples/simulate.rs
+++ b/crates/cluster/examples/simulate.rs
@@ -6,7 +6,7 @@
 #[path = "../tests/sim/mod.rs"]
 mod sim;
 
-use cairnroad_cluster::model::State;
+use cairnroad_cluster::model::MemberState;
 use sim::{Fault, Sim};
 
 /// Seconds that are watched for failures that are none.
@@ -90,7 +90,9 @@
     let mut known: Vec<f64> = sim
         .seen
         .iter()
-        .filter(|seen| seen.at >= at && seen.state == State::Failed && killed.contains(&seen.of))
+        .filter(|seen| {
+            seen.at >= at && seen.state == MemberState::Failed && killed.contains(&seen.of)
+        })
         .map(|seen| seen.at - at)
         .collect();
     known.sort_by(f64::total_cmp);
--- a/crates/cluster/src/envelope.rs
+++ b/crates/cluster/src/datagram.rs
@@ -9,24 +9,24 @@
 //! | 1 and so many | the length of the cluster's name, and the name |
 //! | rest | the message, in the form of the library `postcard` |
 
-use crate::errors::Dropped;
-use crate::facts::Fact;
-use crate::model::{Id, Name};
+use crate::errors::DatagramError;
+use crate::gossip_state::GossipEntry;
+use crate::model::{MemberId, NameHash};
 use serde::{Deserialize, Serialize};
 
 /// The largest datagram.
-pub const MOST_BYTES: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The version of this form.
 pub const VERSION: u8 = 1;
 /// What the library's own messages may take.
-pub(crate) const MOST_SWIM: usize = 1_200;
+pub(crate) const MAX_SWIM_BYTES: usize = 1_200;
 /// The longest name of a cluster, in bytes.
-pub const MOST_CLUSTER: usize = 64;
+pub const MAX_CLUSTER_NAME_BYTES: usize = 64;
 /// Sums of facts that an exchange compares.
-pub(crate) const BUCKETS: usize = 32;
+pub(crate) const DIGEST_BUCKETS: usize = 32;
 
 const MAGIC: [u8; 2] = *b"cr";
-const HEAD: usize = MAGIC.len() + 1 + 4;
+const HEADER_BYTES: usize = MAGIC.len() + 1 + 4;
 
 /// A message between two coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -38,48 +38,48 @@
         /// The digest of its view.
         digest: u64,
         /// The sender's name.
-        from: Name,
+        from: NameHash,
         /// The message.
         bytes: Vec<u8>,
     },
     /// Sums of the facts that the sender knows, by their writers' names.
-    Sums {
+    Digests {
         /// The sender.
-        from: Id,
+        from: MemberId,
         /// The sums.
-        sums: Box<[u64; BUCKETS]>,
+        digests: Box<[u64; DIGEST_BUCKETS]>,
         /// An answer is not wanted.
-        last: bool,
+        is_reply: bool,
     },
-    /// Facts, whole.
-    Facts(Vec<Fact>),
+    /// GossipState, whole.
+    GossipEntries(Vec<GossipEntry>),
     /// Whoever bears this name at this address: is it alive?
-    Who {
+    IdentityQuery {
         /// The one that asks.
-        from: Id,
+        from: MemberId,
         /// The one that is meant.
-        whom: Id,
+        subject: MemberId,
     },
     /// It is, or was when it was last heard of.
-    Here {
+    IdentityReply {
         /// The one that was meant.
-        whom: Id,
+        subject: MemberId,
         /// It says so itself.
-        itself: bool,
+        from_subject: bool,
     },
 }
 
 /// A datagram of this cluster with this message; `None` where it would be too large.
-pub fn seal(cluster: &str, message: &Message) -> Option<Vec<u8>> {
+pub fn encode(cluster: &str, message: &Message) -> Option<Vec<u8>> {
     let name = cluster.as_bytes();
-    let mut body = Vec::with_capacity(MOST_BYTES);
+    let mut body = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     body.push(u8::try_from(name.len()).ok()?);
     body.extend_from_slice(name);
     let body = postcard::to_extend(message, body).ok()?;
-    if HEAD + body.len() > MOST_BYTES {
+    if HEADER_BYTES + body.len() > MAX_DATAGRAM_BYTES {
         return None;
     }
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.push(VERSION);
     bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -88,28 +88,32 @@
 }
 
 /// The message of a datagram of this cluster.
-pub fn open(cluster: &str, bytes: &[u8]) -> Result<Message, Dropped> {
-    if bytes.len() > MOST_BYTES {
-        return Err(Dropped::Garbage);
+pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Message, DatagramError> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DatagramError::Malformed);
     }
-    let rest = bytes.strip_prefix(&MAGIC).ok_or(Dropped::Garbage)?;
-    let (&version, rest) = rest.split_first().ok_or(Dropped::Garbage)?;
-    let (sum, body) = rest.split_first_chunk::<4>().ok_or(Dropped::Garbage)?;
+    let rest = bytes.strip_prefix(&MAGIC).ok_or(DatagramError::Malformed)?;
+    let (&version, rest) = rest.split_first().ok_or(DatagramError::Malformed)?;
+    let (sum, body) = rest
+        .split_first_chunk::<4>()
+        .ok_or(DatagramError::Malformed)?;
     // A foreign version may count its checksum otherwise.
     if version != VERSION {
-        return Err(Dropped::Version);
+        return Err(DatagramError::ForeignVersion);
     }
     if crc32fast::hash(body) != u32::from_le_bytes(*sum) {
-        return Err(Dropped::Garbage);
+        return Err(DatagramError::Malformed);
     }
-    let (&length, rest) = body.split_first().ok_or(Dropped::Garbage)?;
-    let name = rest.get(..usize::from(length)).ok_or(Dropped::Garbage)?;
+    let (&length, rest) = body.split_first().ok_or(DatagramError::Malformed)?;
+    let name = rest
+        .get(..usize::from(length))
+        .ok_or(DatagramError::Malformed)?;
     if name != cluster.as_bytes() {
-        return Err(Dropped::Cluster);
+        return Err(DatagramError::ForeignCluster);
     }
     match postcard::take_from_bytes(&rest[name.len()..]) {
         Ok((message, [])) => Ok(message),
-        _ => Err(Dropped::Garbage),
+        _ => Err(DatagramError::Malformed),
     }
 }
 
--- a/crates/cluster/src/errors.rs
+++ b/crates/cluster/src/errors.rs
@@ -2,46 +2,48 @@
 
 /// A datagram that is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Dropped {
+pub enum DatagramError {
     /// It is no message of a coordinator, or was damaged on its way.
     #[error("garbage")]
-    Garbage,
+    Malformed,
     /// It speaks another version of the protocol.
     #[error("a foreign version")]
-    Version,
+    ForeignVersion,
     /// It is of another cluster.
     #[error("a foreign cluster")]
-    Cluster,
+    ForeignCluster,
     /// It claims to come from this coordinator itself, or is meant for another one.
     #[error("not for this coordinator")]
     Misdirected,
     /// It tells of more members than can be kept in mind.
     #[error("too many members")]
-    Full,
+    TooManyMembers,
 }
 
 /// All causes, in the order in which they are counted.
-pub const CAUSES: [Dropped; 5] = [
-    Dropped::Garbage,
-    Dropped::Version,
-    Dropped::Cluster,
-    Dropped::Misdirected,
-    Dropped::Full,
+pub const DATAGRAM_ERRORS: [DatagramError; 5] = [
+    DatagramError::Malformed,
+    DatagramError::ForeignVersion,
+    DatagramError::ForeignCluster,
+    DatagramError::Misdirected,
+    DatagramError::TooManyMembers,
 ];
 
-impl Dropped {
+impl DatagramError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Dropped::Garbage => "see who else sends to the address of 'peers.listen'",
-            Dropped::Version => {
+            DatagramError::Malformed => "see who else sends to the address of 'peers.listen'",
+            DatagramError::ForeignVersion => {
                 "nothing while a release rolls; else bring all coordinators to one version"
             }
-            Dropped::Cluster => {
+            DatagramError::ForeignCluster => {
                 "two fleets share addresses: see 'peers.seeds' and 'peers.cluster' on both sides"
             }
-            Dropped::Misdirected => "nothing; if it goes on, two coordinators may use one address",
-            Dropped::Full => "see whether coordinators start under ever new names",
+            DatagramError::Misdirected => {
+                "nothing; if it goes on, two coordinators may use one address"
+            }
+            DatagramError::TooManyMembers => "see whether coordinators start under ever new names",
         }
     }
 }
--- /dev/null
+++ b/crates/cluster/src/gossip_state/tests.rs
@@ -0,0 +1,191 @@
+use super::*;
+
+fn at(secs: f64) -> Time {
+    Time::from_secs(secs)
+}
+
+fn entry(writer: &str, generation: u64, version: u32, value: GossipValue) -> GossipEntry {
+    GossipEntry {
+        writer: NameHash::of(writer),
+        generation,
+        version,
+        value,
+    }
+}
+
+fn outliers(ids: &[&str]) -> GossipValue {
+    GossipValue::Outliers(ids.iter().map(|id| id.to_string()).collect())
+}
+
+#[test]
+fn the_newest_life_and_version_win_in_any_order() {
+    let phases = [
+        entry("a", 5, 1, GossipValue::Phase(Phase::Starting)),
+        entry("a", 5, 2, GossipValue::Phase(Phase::Serving)),
+        entry("a", 6, 1, GossipValue::Phase(Phase::Starting)),
+    ];
+    for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [2, 0, 1]] {
+        let mut state = GossipState::default();
+        for number in order {
+            state.merge(at(1.0), phases[number].clone());
+        }
+        assert_eq!(
+            state.phase(NameHash::of("a"), 6),
+            Some(Phase::Starting),
+            "{order:?}"
+        );
+        assert_eq!(state.phase(NameHash::of("a"), 5), None);
+        assert!(!state.merge(at(2.0), phases[1].clone()), "old news is none");
+    }
+}
+
+#[test]
+fn what_an_earlier_life_said_is_void() {
+    let mut state = GossipState::default();
+    assert!(state.merge(at(1.0), entry("a", 5, 9, outliers(&["s-1"]))));
+    state.mark_presence(at(1.0), NameHash::of("a"), true);
+    assert_eq!(state.outlier_reports(at(1.0), NameHash(0)).len(), 1);
+    assert!(state.merge(
+        at(1.0),
+        entry("a", 6, 1, GossipValue::Phase(Phase::Starting))
+    ));
+    assert!(state.outlier_reports(at(1.0), NameHash(0)).is_empty());
+    assert!(
+        !state.merge(at(1.0), entry("a", 5, 10, outliers(&["s-1"]))),
+        "an earlier life writes no more"
+    );
+}
+
+#[test]
+fn doubts_are_counted_while_fresh_of_those_who_are_there() {
+    let mut state = GossipState::default();
+    for (writer, ids) in [
+        ("a", vec!["s-1", "s-2"]),
+        ("b", vec!["s-1"]),
+        ("c", vec!["s-1"]),
+    ] {
+        state.merge(at(1.0), entry(writer, 1, 1, outliers(&ids)));
+        state.mark_presence(at(1.0), NameHash::of(writer), writer != "c");
+    }
+    assert_eq!(
+        state.outlier_reports(at(2.0), NameHash(0)),
+        BTreeMap::from([("s-1", 2), ("s-2", 1)])
+    );
+    assert_eq!(
+        state.outlier_reports(at(2.0), NameHash::of("b"))["s-1"],
+        1,
+        "one's own word is no advice"
+    );
+    assert!(state
+        .outlier_reports(at(1.0 + OUTLIER_REPORT_TTL + 0.1), NameHash(0))
+        .is_empty());
+    // The same word again, from one who heard it late, is no news.
+    assert!(!state.merge(at(20.0), entry("a", 1, 1, outliers(&["s-1", "s-2"]))));
+}
+
+#[test]
+fn facts_of_those_who_are_gone_are_forgotten() {
+    let mut state = GossipState::default();
+    let phase = |writer| entry(writer, 1, 1, GossipValue::Phase(Phase::Serving));
+    state.merge(at(1.0), phase("a"));
+    state.merge(at(1.0), phase("b"));
+    state.mark_presence(at(1.0), NameHash::of("a"), true);
+    state.remove_expired(at(60.0));
+    assert_eq!(state.len(), 2);
+    state.remove_expired(at(62.0));
+    assert_eq!(state.len(), 1, "a word of one who was never seen goes, too");
+    state.mark_presence(at(100.0), NameHash::of("a"), false);
+    state.remove_expired(at(159.0));
+    assert_eq!(state.phase(NameHash::of("a"), 1), Some(Phase::Serving));
+    state.remove_expired(at(161.0));
+    assert!(state.is_empty());
+    // That it left is kept for as long as old words that it is there may live, by one clock for all.
+    let left = entry("a", 1, 2, GossipValue::Departure { at_ms: 100_000 });
+    assert!(state.merge(at(200.0), left.clone()) && state.has_left(NameHash::of("a"), 1));
+    state.remove_expired(at(3_699.0));
+    assert!(state.has_left(NameHash::of("a"), 1) && !state.has_left(NameHash::of("a"), 2));
+    state.remove_expired(at(3_701.0));
+    assert!(
+        state.is_empty() && !state.merge(at(3_701.0), left),
+        "not by one who expires it later either"
+    );
+}
+
+#[test]
+fn what_breaks_its_bounds_is_not_taken() {
+    let mut state = GossipState::default();
+    let description = |name: &str, room: &str, offers: usize| GossipValue::Description {
+        name: name.into(),
+        room: room.into(),
+        offers: vec!["x".into(); offers],
+    };
+    let long = "x".repeat(65);
+    assert!(
+        !state.merge(at(1.0), entry("a", 1, 1, description("b", "r", 0))),
+        "another's name"
+    );
+    assert!(!state.merge(at(1.0), entry("a", 1, 1, description("a", &long, 0))));
+    assert!(!state.merge(
+        at(1.0),
+        entry("a", 1, 1, description("a", "r", MAX_OFFERS + 1))
+    ));
+    assert!(!state.merge(at(1.0), entry("a", 1, 1, outliers(&[&long]))));
+    assert!(!state.merge(
+        at(1.0),
+        entry("a", 1, 1, outliers(&["s"; MAX_REPORTED_OUTLIERS + 1]))
+    ));
+    assert!(state.merge(at(1.0), entry("a", 1, 1, description("a", "r", MAX_OFFERS))));
+    assert_eq!(
+        state.description(NameHash::of("a")).map(|description| (
+            description.0,
+            description.1,
+            description.2.len()
+        )),
+        Some(("a", "r", 8))
+    );
+    for number in 0..MAX_ENTRIES as u64 + 10 {
+        let entry = GossipEntry {
+            writer: NameHash(number),
+            generation: 1,
+            version: 1,
+            value: GossipValue::Phase(Phase::Serving),
+        };
+        state.merge(at(1.0), entry);
+    }
+    assert_eq!(state.len(), MAX_ENTRIES);
+}
+
+#[test]
+fn sums_tell_where_two_differ_and_the_difference_makes_them_equal() {
+    let (mut one, mut other) = (GossipState::default(), GossipState::default());
+    for number in 0..200 {
+        let writer = format!("n{number}");
+        let entry = entry(&writer, 1, 1, GossipValue::Phase(Phase::Serving));
+        for state in [&mut one, &mut other] {
+            state.merge(at(1.0), entry.clone());
+            state.mark_presence(at(1.0), NameHash::of(&writer), true);
+        }
+    }
+    assert!(one.entries_differing_from(&other.digests()).is_empty());
+    one.merge(
+        at(2.0),
+        entry("n7", 1, 2, GossipValue::Phase(Phase::Draining)),
+    );
+    other.merge(
+        at(2.0),
+        entry("n8", 1, 2, GossipValue::Phase(Phase::Stopping)),
+    );
+    let (from_one, from_other) = (
+        one.entries_differing_from(&other.digests()),
+        other.entries_differing_from(&one.digests()),
+    );
+    assert!(from_one.len() < 40, "only some buckets: {}", from_one.len());
+    for entry in from_one {
+        other.merge(at(3.0), entry);
+    }
+    for entry in from_other {
+        one.merge(at(3.0), entry);
+    }
+    assert_eq!(one.digests(), other.digests());
+    assert_eq!(one.phase(NameHash::of("n8"), 1), Some(Phase::Stopping));
+}
--- a/crates/cluster/src/doubt.rs
+++ b/crates/cluster/src/local_health.rs
@@ -3,36 +3,36 @@
 //! before it says so.
 
 /// The most doubt.
-pub const MOST: u32 = 8;
+pub const MAX_SCORE: u32 = 8;
 /// By how much timers are stretched at most: one that is cut off alone has to find out in the end.
-const MOST_STRETCH: u32 = 3;
+const MAX_TIMEOUT_MULTIPLIER: u32 = 3;
 /// With so much doubt a coordinator does nothing for others: what it sees may be its own fault.
-pub const TOO_MUCH: u32 = 4;
+pub const DEGRADED_SCORE: u32 = 4;
 
 /// What tells for or against oneself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum HealthEvidence {
     /// A probe of ours was answered.
-    Answered,
+    ProbeAnswered,
     /// A probe of ours was not, and of those who were asked then nobody heard us.
-    Unheard,
+    Unreachable,
     /// Others suspected us, and we had to refute it.
     Suspected,
     /// We did not run for a while.
-    Late,
+    Paused,
 }
 
 /// How much a coordinator doubts itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Doubt(u32);
+pub struct LocalHealth(u32);
 
-impl Doubt {
+impl LocalHealth {
     /// Takes in a sign.
-    pub fn note(&mut self, sign: Sign) {
-        self.0 = match sign {
-            Sign::Answered => self.0.saturating_sub(1),
-            Sign::Suspected => (self.0 + 1).min(MOST),
-            Sign::Unheard | Sign::Late => (self.0 + 2).min(MOST),
+    pub fn record(&mut self, evidence: HealthEvidence) {
+        self.0 = match evidence {
+            HealthEvidence::ProbeAnswered => self.0.saturating_sub(1),
+            HealthEvidence::Suspected => (self.0 + 1).min(MAX_SCORE),
+            HealthEvidence::Unreachable | HealthEvidence::Paused => (self.0 + 2).min(MAX_SCORE),
         };
     }
 
@@ -42,13 +42,13 @@
     }
 
     /// By how much timers that lead to a verdict on others are stretched.
-    pub fn stretch(self) -> u32 {
-        (self.0 + 1).min(MOST_STRETCH)
+    pub fn timeout_multiplier(self) -> u32 {
+        (self.0 + 1).min(MAX_TIMEOUT_MULTIPLIER)
     }
 
     /// Whether it is too much to do anything for others.
-    pub fn is_too_much(self) -> bool {
-        self.0 >= TOO_MUCH
+    pub fn is_degraded(self) -> bool {
+        self.0 >= DEGRADED_SCORE
     }
 }
 
--- a/crates/cluster/src/model.rs
+++ b/crates/cluster/src/model.rs
@@ -1,4 +1,4 @@
-//! The words of the group: identities, members, standings, and the one table of what each standing allows.
+//! The words of the group: identities, members, quorum_views, and the one table of what each quorum_view allows.
 
 use cairnroad_types::Time;
 use serde::{Deserialize, Serialize};
@@ -8,37 +8,37 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Name(pub u64);
+pub struct NameHash(pub u64);
 
-impl Name {
+impl NameHash {
     /// The name that this text is.
-    pub fn of(text: &str) -> Name {
-        Name(xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
+    pub fn of(text: &str) -> NameHash {
+        NameHash(xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
     }
 }
 
 /// One life of a coordinator. Of two under one name, the later one is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct MemberId {
     /// Its name.
-    pub name: Name,
+    pub name: NameHash,
     /// When the process started, in Unix milliseconds, or later than any earlier life that it met.
     pub generation: u64,
     /// How often it came back after others had declared it failed, in this life.
-    pub returns: u16,
+    pub rejoins: u16,
     /// Where its datagrams go.
     pub address: SocketAddr,
 }
 
-impl Id {
+impl MemberId {
     /// Whether this one is meant where both bear one name.
-    pub fn supersedes(&self, other: &Id) -> bool {
-        (self.generation, self.returns, self.address)
-            > (other.generation, other.returns, other.address)
+    pub fn supersedes(&self, other: &MemberId) -> bool {
+        (self.generation, self.rejoins, self.address)
+            > (other.generation, other.rejoins, other.address)
     }
 
     /// Whether it is another process than the other one.
-    pub fn is_another_life(&self, other: &Id) -> bool {
+    pub fn is_another_process(&self, other: &MemberId) -> bool {
         (self.generation, self.address) != (other.generation, other.address)
     }
 
@@ -47,7 +47,7 @@
         let mut bytes = [0; 18];
         bytes[..8].copy_from_slice(&self.name.0.to_le_bytes());
         bytes[8..16].copy_from_slice(&self.generation.to_le_bytes());
-        bytes[16..].copy_from_slice(&self.returns.to_le_bytes());
+        bytes[16..].copy_from_slice(&self.rejoins.to_le_bytes());
         xxhash_rust::xxh3::xxh3_64(&bytes)
     }
 }
@@ -55,7 +55,7 @@
 /// Where a member stands in one coordinator's eyes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum MemberState {
     /// It answers, or others say that it does.
     Alive,
     /// Somebody got no answer from it. It still counts as there.
@@ -66,10 +66,10 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// Whether it counts as there.
-    pub fn is_there(self) -> bool {
-        matches!(self, State::Alive | State::Suspected)
+    pub fn is_live(self) -> bool {
+        matches!(self, MemberState::Alive | MemberState::Suspected)
     }
 }
 
@@ -77,9 +77,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Which life of which name.
-    pub id: Id,
+    pub id: MemberId,
     /// Its state.
-    pub state: State,
+    pub state: MemberState,
     /// Since when, on this coordinator's clock.
     pub since: Time,
     /// The member's number for refuting suspicion.
@@ -89,54 +89,69 @@
 /// How much of the configured group a coordinator sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum QuorumView {
     /// Nobody but itself; or it can't trust what it sees: it was replaced, or has just been stopped for long.
-    Alone,
+    #[serde(rename = "alone")]
+    Isolated,
     /// Half of the group or less; or it doubts itself.
     Minority,
     /// More than half.
     Majority,
     /// All.
-    Whole,
+    #[serde(rename = "whole")]
+    Complete,
 }
 
-impl Standing {
-    /// The standing of one that sees `there` of `all` names, itself included.
-    pub fn of(there: usize, all: usize) -> Standing {
-        match there {
-            _ if there >= all => Standing::Whole,
-            0 | 1 => Standing::Alone,
-            _ if 2 * there > all => Standing::Majority,
-            _ => Standing::Minority,
+impl QuorumView {
+    /// The quorum_view of one that sees `there` of `all` names, itself included.
+    pub fn from_counts(live: usize, configured: usize) -> QuorumView {
+        match live {
+            _ if live >= configured => QuorumView::Complete,
+            0 | 1 => QuorumView::Isolated,
+            _ if 2 * live > configured => QuorumView::Majority,
+            _ => QuorumView::Minority,
         }
     }
 }
 
 /// What a coordinator may want to do and has to ask for first. Later features add a line here and to [`may`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Feature {
+pub enum ClusterAction {
     /// Serve clients by its own list.
-    Serve,
+    ServeClients,
     /// Tell others what it knows: its phase, which data nodes it doubts.
-    Tell,
+    ShareState,
     /// Heed what others tell, as advice.
-    Heed,
+    UseAdvice,
     /// Do something for the whole group, of which there may be only one at a time.
-    ActForAll,
+    ActForCluster,
     /// Take over something from one that has failed.
     TakeOver,
 }
 
 /// All features, in the order of the table.
-pub const FEATURES: [Feature; 5] = [
-    Feature::Serve,
-    Feature::Tell,
-    Feature::Heed,
-    Feature::ActForAll,
-    Feature::TakeOver,
+pub const CLUSTER_ACTIONS: [ClusterAction; 5] = [
+    ClusterAction::ServeClients,
+    ClusterAction::ShareState,
+    ClusterAction::UseAdvice,
+    ClusterAction::ActForCluster,
+    ClusterAction::TakeOver,
 ];
 
-/// The one table of what each feature may do in each standing.
+impl ClusterAction {
+    /// The key of this action on the page of `GET /v1/peers`.
+    pub fn key(self) -> &'static str {
+        match self {
+            ClusterAction::ServeClients => "serve",
+            ClusterAction::ShareState => "tell",
+            ClusterAction::UseAdvice => "heed",
+            ClusterAction::ActForCluster => "actforall",
+            ClusterAction::TakeOver => "takeover",
+        }
+    }
+}
+
+/// The one table of what each action may do in each quorum_view.
 ///
 /// | | alone | minority | majority | whole |
 /// | --- | --- | --- | --- | --- |
@@ -145,55 +160,57 @@
 /// | `Heed` | no | yes | yes | yes |
 /// | `ActForAll` | no | no | yes | yes |
 /// | `TakeOver` | no | no | yes | yes |
-pub fn may(standing: Standing, feature: Feature) -> bool {
-    match feature {
+pub fn is_allowed(quorum_view: QuorumView, action: ClusterAction) -> bool {
+    match action {
         // Cut off or not, a coordinator owes its clients answers, and its own list is all that this takes.
-        Feature::Serve => true,
+        ClusterAction::ServeClients => true,
         // Whoever hears it can use it, and nobody else is misled.
-        Feature::Tell => true,
+        ClusterAction::ShareState => true,
         // What was heard before one was alone is old, and one that doubts itself as much may hear wrong.
-        Feature::Heed => standing > Standing::Alone,
+        ClusterAction::UseAdvice => quorum_view > QuorumView::Isolated,
         // Two sides of a cut can't both see more than half of the group.
-        Feature::ActForAll | Feature::TakeOver => standing >= Standing::Majority,
+        ClusterAction::ActForCluster | ClusterAction::TakeOver => {
+            quorum_view >= QuorumView::Majority
+        }
     }
 }
 
 /// What one coordinator sees at one moment: always whole, never a mix of two.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct ClusterView {
     /// Counts up with every change, here or, where others counted further, there.
     pub epoch: u64,
     /// Equal at all coordinators that see the same members.
     pub digest: u64,
     /// This coordinator.
-    pub own: Id,
-    /// Its standing.
-    pub standing: Standing,
+    pub local: MemberId,
+    /// Its quorum_view.
+    pub quorum_view: QuorumView,
     /// How much it doubts itself, from 0.
-    pub doubt: u32,
+    pub health_score: u32,
     /// Another process under this one's name has taken its place.
-    pub replaced_by: Option<Id>,
+    pub replaced_by: Option<MemberId>,
     /// Of those who are there: how many last spoke from an equal view, and how many from another.
-    pub agree: usize,
+    pub agreeing: usize,
     /// See `agree`.
-    pub differ: usize,
+    pub differing: usize,
     /// All members that are known, this one left out.
     pub members: Vec<Member>,
 }
 
-impl View {
+impl ClusterView {
     /// How many are there, this one included.
-    pub fn there(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         1 + self
             .members
             .iter()
-            .filter(|member| member.state.is_there())
+            .filter(|member| member.state.is_live())
             .count()
     }
 
     /// Whether this coordinator may do a thing now.
-    pub fn may(&self, feature: Feature) -> bool {
-        may(self.standing, feature)
+    pub fn allows(&self, action: ClusterAction) -> bool {
+        is_allowed(self.quorum_view, action)
     }
 }
 
--- a/crates/cluster/src/model/tests.rs
+++ b/crates/cluster/src/model/tests.rs
@@ -4,8 +4,11 @@
 fn two_sides_of_a_cut_never_both_act_for_all() {
     for all in 1..40 {
         for there in 0..=all {
-            let (one, other) = (Standing::of(there, all), Standing::of(all - there, all));
-            let acts = |standing| may(standing, Feature::ActForAll);
+            let (one, other) = (
+                QuorumView::from_counts(there, all),
+                QuorumView::from_counts(all - there, all),
+            );
+            let acts = |quorum_view| is_allowed(quorum_view, ClusterAction::ActForCluster);
             assert!(!(acts(one) && acts(other)), "{there} of {all}");
         }
     }
@@ -13,21 +16,21 @@
 
 #[test]
 fn a_standing_is_reckoned_from_the_configured_group() {
-    let of = |there| Standing::of(there, 12);
-    assert_eq!([of(12), of(13)], [Standing::Whole; 2]);
+    let of = |there| QuorumView::from_counts(there, 12);
+    assert_eq!([of(12), of(13)], [QuorumView::Complete; 2]);
     assert_eq!(
         [of(7), of(6), of(2), of(1), of(0)],
         [
-            Standing::Majority,
-            Standing::Minority,
-            Standing::Minority,
-            Standing::Alone,
-            Standing::Alone
+            QuorumView::Majority,
+            QuorumView::Minority,
+            QuorumView::Minority,
+            QuorumView::Isolated,
+            QuorumView::Isolated
         ]
     );
     assert_eq!(
-        Standing::of(1, 1),
-        Standing::Whole,
+        QuorumView::from_counts(1, 1),
+        QuorumView::Complete,
         "a group of one is whole"
     );
 }
@@ -35,15 +38,15 @@
 /// The table in the documentation is this one.
 #[test]
 fn more_of_the_group_never_allows_less() {
-    let standings = [
-        Standing::Alone,
-        Standing::Minority,
-        Standing::Majority,
-        Standing::Whole,
+    let quorum_views = [
+        QuorumView::Isolated,
+        QuorumView::Minority,
+        QuorumView::Majority,
+        QuorumView::Complete,
     ];
-    let row = |feature| standings.map(|standing| may(standing, feature));
+    let row = |action| quorum_views.map(|quorum_view| is_allowed(quorum_view, action));
     assert_eq!(
-        FEATURES.map(row),
+        CLUSTER_ACTIONS.map(row),
         [
             [true, true, true, true],
             [true, true, true, true],
@@ -56,15 +59,15 @@
 
 #[test]
 fn of_two_lives_under_one_name_the_later_one_is_meant() {
-    let id = |generation, returns, port| Id {
-        name: Name::of("n1"),
+    let id = |generation, rejoins, port| MemberId {
+        name: NameHash::of("n1"),
         generation,
-        returns,
+        rejoins,
         address: SocketAddr::from(([127, 0, 0, 1], port)),
     };
     assert!(id(2, 0, 1).supersedes(&id(1, 9, 2)) && !id(1, 9, 2).supersedes(&id(2, 0, 1)));
-    assert!(id(1, 1, 1).supersedes(&id(1, 0, 1)) && !id(1, 1, 1).is_another_life(&id(1, 0, 1)));
-    assert!(id(1, 0, 2).supersedes(&id(1, 0, 1)) && id(1, 0, 2).is_another_life(&id(1, 0, 1)));
+    assert!(id(1, 1, 1).supersedes(&id(1, 0, 1)) && !id(1, 1, 1).is_another_process(&id(1, 0, 1)));
+    assert!(id(1, 0, 2).supersedes(&id(1, 0, 1)) && id(1, 0, 2).is_another_process(&id(1, 0, 1)));
     assert!(!id(1, 0, 1).supersedes(&id(1, 0, 1)));
     assert_ne!(id(1, 0, 1).digest(), id(1, 1, 1).digest());
 }
--- a/crates/cluster/tests/group.rs
+++ b/crates/cluster/tests/group.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use cairnroad_cluster::model::{may, Feature, Standing, State};
+use cairnroad_cluster::model::{is_allowed, ClusterAction, MemberState, QuorumView};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sim::{Fault, Sim};
@@ -29,12 +29,12 @@
 fn all_find_each_other_and_nobody_fails_without_a_fault() {
     for seed in 0..5 {
         let mut sim = whole(seed);
-        assert!((0..SIZE).all(|by| sim.standing(by) == Some(Standing::Whole)));
+        assert!((0..SIZE).all(|by| sim.quorum_view(by) == Some(QuorumView::Complete)));
         sim.play(600.0);
         assert_eq!((sim.wrong(), sim.failures(0.0).len()), (None, 0));
         let view = sim.groups[3].as_ref().unwrap().view();
         assert_eq!(
-            (view.agree, view.differ),
+            (view.agreeing, view.differing),
             (SIZE - 1, 0),
             "all last spoke from an equal view"
         );
@@ -55,15 +55,18 @@
     for by in sim.alive() {
         let view = sim.groups[by].as_ref().unwrap().view();
         let state = |of: usize| {
-            let name = cairnroad_cluster::model::Name::of(&format!("n{of}"));
+            let name = cairnroad_cluster::model::NameHash::of(&format!("n{of}"));
             view.members
                 .iter()
                 .find(|member| member.id.name == name)
                 .unwrap()
                 .state
         };
-        assert_eq!((state(4), state(5)), (State::Failed, State::Left));
-        assert_eq!(view.standing, Standing::Majority);
+        assert_eq!(
+            (state(4), state(5)),
+            (MemberState::Failed, MemberState::Left)
+        );
+        assert_eq!(view.quorum_view, QuorumView::Majority);
     }
 }
 
@@ -77,16 +80,19 @@
         for by in 0..SIZE {
             let minority = side.contains(&by);
             let expected = if minority {
-                Standing::Minority
+                QuorumView::Minority
             } else {
-                Standing::Majority
+                QuorumView::Majority
             };
-            assert_eq!(sim.standing(by), Some(expected), "{by}");
+            assert_eq!(sim.quorum_view(by), Some(expected), "{by}");
             assert!(
-                may(expected, Feature::Serve),
+                is_allowed(expected, ClusterAction::ServeClients),
                 "both sides serve their clients"
             );
-            assert_eq!(may(expected, Feature::ActForAll), !minority);
+            assert_eq!(
+                is_allowed(expected, ClusterAction::ActForCluster),
+                !minority
+            );
             assert_eq!(sim.sees(by).len(), if minority { 5 } else { 7 });
         }
         // Another cut opens while this one heals.
@@ -108,13 +114,13 @@
         assert!(!sim.sees(0).contains(&2), "the others know that it is gone");
         sim.play(51.0);
         let first = sim
-            .standings
+            .quorum_views
             .iter()
             .find(|(at, by, _)| *at >= 50.0 && *by == 2)
             .unwrap();
         assert_eq!(
             first.2,
-            Standing::Alone,
+            QuorumView::Isolated,
             "it acts for nobody before others know it again"
         );
         sim.settle(SETTLED).unwrap();
@@ -155,7 +161,10 @@
         for by in (0..SIZE).filter(|by| *by != 6) {
             assert!(!sim.sees(by).contains(&6), "{by}");
         }
-        assert!(!may(sim.standing(6).unwrap(), Feature::ActForAll));
+        assert!(!is_allowed(
+            sim.quorum_view(6).unwrap(),
+            ClusterAction::ActForCluster
+        ));
         sim.play(60.0);
         let said: Vec<_> = sim
             .failures(20.0)
@@ -192,7 +201,7 @@
         sim.settle(4.0 * DETECTED).unwrap();
         for by in sim.alive() {
             assert!(
-                !may(sim.standing(by).unwrap(), Feature::ActForAll),
+                !is_allowed(sim.quorum_view(by).unwrap(), ClusterAction::ActForCluster),
                 "a third of the group is no majority"
             );
         }
@@ -243,7 +252,7 @@
     let alive_again = sim
         .seen
         .iter()
-        .any(|seen| seen.of == 9 && seen.state == State::Alive && seen.at > 25.0);
+        .any(|seen| seen.of == 9 && seen.state == MemberState::Alive && seen.at > 25.0);
     assert!(!alive_again);
 }
 
@@ -268,35 +277,35 @@
 
 /// A schedule from a seed: a handful of faults within a minute, then all is healed.
 fn schedule(seed: u64) -> Vec<(f64, Fault)> {
-    let mut chance = StdRng::seed_from_u64(seed);
+    let mut random = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
-    for _ in 0..chance.random_range(2..9) {
-        let at = 15.0 + 60.0 * chance.random::<f64>();
-        let member = chance.random_range(0..SIZE);
-        let side = |chance: &mut StdRng| -> Vec<usize> {
-            let share = chance.random::<f64>();
+    for _ in 0..random.random_range(2..9) {
+        let at = 15.0 + 60.0 * random.random::<f64>();
+        let member = random.random_range(0..SIZE);
+        let side = |random: &mut StdRng| -> Vec<usize> {
+            let share = random.random::<f64>();
             (0..SIZE)
-                .filter(|_| chance.random::<f64>() < share)
+                .filter(|_| random.random::<f64>() < share)
                 .collect()
         };
         faults.push((
             at,
-            match chance.random_range(0..9) {
-                0 | 1 => Fault::Cut(side(&mut chance)),
+            match random.random_range(0..9) {
+                0 | 1 => Fault::Cut(side(&mut random)),
                 2 => Fault::Mute(vec![member]),
                 3 => Fault::Heal,
                 4 => Fault::Kill(member),
                 5 => Fault::Restart(
                     member,
-                    if chance.random::<f64>() < 0.3 {
+                    if random.random::<f64>() < 0.3 {
                         -600.0
                     } else {
                         0.0
                     },
                 ),
-                6 => Fault::Stop(member, 20.0 * chance.random::<f64>()),
+                6 => Fault::Stop(member, 20.0 * random.random::<f64>()),
                 7 => Fault::Leave(member),
-                _ => Fault::Loss(0.3 * chance.random::<f64>(), 0.1),
+                _ => Fault::Loss(0.3 * random.random::<f64>(), 0.1),
             },
         ));
     }
--- a/crates/cluster/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -2,9 +2,9 @@
 //! ship.
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
-use cairnroad_cluster::facts::{Phase, What};
-use cairnroad_cluster::model::{Name, Standing, State};
-use cairnroad_cluster::{Group, Out, Setup, TICK};
+use cairnroad_cluster::gossip_state::{GossipValue, Phase};
+use cairnroad_cluster::model::{MemberState, NameHash, QuorumView};
+use cairnroad_cluster::{Membership, MembershipConfig, Output, TICK_INTERVAL};
 use cairnroad_types::Time;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -69,30 +69,30 @@
     pub at: f64,
     pub by: usize,
     pub of: usize,
-    pub state: State,
+    pub state: MemberState,
 }
 
 pub struct Sim {
     pub size: usize,
-    pub groups: Vec<Option<Group>>,
+    pub groups: Vec<Option<Membership>>,
     /// Who has left by its own word and was not started since.
     pub left: BTreeSet<usize>,
     pub seen: Vec<Seen>,
-    pub standings: Vec<(f64, usize, Standing)>,
+    pub quorum_views: Vec<(f64, usize, QuorumView)>,
     pub bytes: Vec<u64>,
     pub datagrams: u64,
     start: Time,
     now: Time,
     queue: BinaryHeap<Reverse<Entry>>,
     number: u64,
-    chance: StdRng,
+    random: StdRng,
     lives: Vec<u64>,
     stopped: BTreeMap<usize, (Time, VecDeque<Vec<u8>>)>,
     cuts: Vec<BTreeSet<usize>>,
     muted: BTreeSet<usize>,
     loss: f64,
     twice: f64,
-    names: BTreeMap<Name, usize>,
+    names: BTreeMap<NameHash, usize>,
     seeds: usize,
 }
 
@@ -119,14 +119,14 @@
             groups: (0..size).map(|_| None).collect(),
             left: BTreeSet::new(),
             seen: Vec::new(),
-            standings: Vec::new(),
+            quorum_views: Vec::new(),
             bytes: vec![0; size],
             datagrams: 0,
             start,
             now: start,
             queue: BinaryHeap::new(),
             number: 0,
-            chance: StdRng::seed_from_u64(seed),
+            random: StdRng::seed_from_u64(seed),
             lives: vec![0; size],
             stopped: BTreeMap::new(),
             cuts: Vec::new(),
@@ -134,13 +134,13 @@
             loss: 0.0,
             twice: 0.0,
             names: (0..size)
-                .map(|member| (Name::of(&format!("n{member}")), member))
+                .map(|member| (NameHash::of(&format!("n{member}")), member))
                 .collect(),
             seeds: 3.min(size),
         };
         for member in 0..size {
             sim.begin(member, 0.0);
-            let at = sim.now + sim.chance.random::<f64>() * TICK;
+            let at = sim.now + sim.random.random::<f64>() * TICK_INTERVAL;
             sim.push(at, Event::Tick(member));
         }
         sim
@@ -148,7 +148,7 @@
 
     fn begin(&mut self, member: usize, skew: f64) {
         self.lives[member] += 1;
-        let setup = Setup {
+        let setup = MembershipConfig {
             cluster: "sim".into(),
             name: format!("n{member}"),
             room: "kita".into(),
@@ -157,11 +157,11 @@
             generation: ((self.now + skew).secs() * 1e3) as u64,
             group: (0..self.size).map(|member| format!("n{member}")).collect(),
             seeds: (0..self.seeds).map(address).collect(),
-            seed: self.chance.random(),
+            seed: self.random.random(),
         };
         self.left.remove(&member);
-        let mut group = Group::new(setup, self.now);
-        group.say(self.now, What::Phase(Phase::Serving));
+        let mut group = Membership::new(setup, self.now);
+        group.publish(self.now, GossipValue::Phase(Phase::Serving));
         self.groups[member] = Some(group);
     }
 
@@ -196,7 +196,7 @@
                 Event::Datagram { from, to, bytes } => self.deliver(from, to, bytes),
                 Event::Tick(member) => {
                     self.tick(member);
-                    let at = self.now + TICK;
+                    let at = self.now + TICK_INTERVAL;
                     self.push(at, Event::Tick(member));
                 }
                 Event::Fault(fault) => self.strike(fault),
@@ -217,24 +217,24 @@
         };
         let mut out = Vec::new();
         for bytes in waiting.into_iter().flatten() {
-            group.datagram(now, &bytes, &mut out);
+            group.on_datagram(now, &bytes, &mut out);
         }
         group.tick(now, &mut out);
         self.carry_out(member, out);
     }
 
-    fn carry_out(&mut self, from: usize, out: Vec<Out>) {
+    fn carry_out(&mut self, from: usize, out: Vec<Output>) {
         for out in out {
             match out {
-                Out::Send { to, bytes } => {
+                Output::SendDatagram { to, bytes } => {
                     self.bytes[from] += bytes.len() as u64;
                     self.datagrams += 1;
-                    let copies = 1 + usize::from(self.chance.random::<f64>() < self.twice);
+                    let copies = 1 + usize::from(self.random.random::<f64>() < self.twice);
                     for _ in 0..copies {
-                        if self.chance.random::<f64>() < self.loss {
+                        if self.random.random::<f64>() < self.loss {
                             continue;
                         }
-                        let at = self.now + (0.0002 + 0.003 * self.chance.random::<f64>());
+                        let at = self.now + (0.0002 + 0.003 * self.random.random::<f64>());
                         self.push(
                             at,
                             Event::Datagram {
@@ -245,7 +245,7 @@
                         );
                     }
                 }
-                Out::Member { id, state, .. } => {
+                Output::MemberChanged { id, state, .. } => {
                     let Some(&of) = self.names.get(&id.name) else {
                         continue;
                     };
@@ -256,7 +256,9 @@
                         state,
                     });
                 }
-                Out::Standing(standing) => self.standings.push((self.age(), from, standing)),
+                Output::QuorumChanged(standing) => {
+                    self.quorum_views.push((self.age(), from, standing))
+                }
                 _ => {}
             }
         }
@@ -281,7 +283,7 @@
             return;
         };
         let mut out = Vec::new();
-        group.datagram(self.now, &bytes, &mut out);
+        group.on_datagram(self.now, &bytes, &mut out);
         self.carry_out(to, out);
     }
 
@@ -335,22 +337,24 @@
             return BTreeSet::new();
         };
         let view = group.view();
-        let there = view.members.iter().filter(|member| member.state.is_there());
+        let there = view.members.iter().filter(|member| member.state.is_live());
         there
             .filter_map(|member| self.names.get(&member.id.name).copied())
             .chain([by])
             .collect()
     }
 
-    pub fn standing(&self, by: usize) -> Option<Standing> {
-        self.groups[by].as_ref().map(|group| group.view().standing)
+    pub fn quorum_view(&self, by: usize) -> Option<QuorumView> {
+        self.groups[by]
+            .as_ref()
+            .map(|group| group.view().quorum_view)
     }
 
     /// What is wrong in the views, if anything: each of those alive sees just those who are.
     pub fn wrong(&self) -> Option<String> {
         let alive = self.alive();
         let mut digests = BTreeSet::new();
-        let mut left: BTreeMap<usize, BTreeSet<State>> = BTreeMap::new();
+        let mut left: BTreeMap<usize, BTreeSet<MemberState>> = BTreeMap::new();
         for &by in &alive {
             let sees = self.sees(by);
             if sees != alive {
@@ -401,7 +405,7 @@
     pub fn failures(&self, from: f64) -> Vec<&Seen> {
         self.seen
             .iter()
-            .filter(|seen| seen.at >= from && seen.state == State::Failed)
+            .filter(|seen| seen.at >= from && seen.state == MemberState::Failed)
             .collect()
     }
 }
--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod suspension_store;
 
-use crate::cluster::Peers;
+use crate::cluster::ClusterHandle;
 use crate::http;
 use crate::messages::{Message, Phase};
 use cairnroad_admin::request::{self as admin_request, AdminRequest, AdminResponse};
@@ -35,7 +35,7 @@
 struct Door {
     core: mpsc::Sender<Message>,
     phase: Rc<watch::Sender<Phase>>,
-    peers: Option<Rc<Peers>>,
+    peers: Option<Rc<ClusterHandle>>,
 }
 
 /// Takes calls for as long as the program lives.
@@ -43,7 +43,7 @@
     listener: TcpListener,
     core: mpsc::Sender<Message>,
     phase: Rc<watch::Sender<Phase>>,
-    peers: Option<Rc<Peers>>,
+    peers: Option<Rc<ClusterHandle>>,
 ) {
     let door = Rc::new(Door { core, phase, peers });
     let mut callers = Waiting::new();
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -4,10 +4,10 @@
 use crate::clock::Clock;
 use crate::configuration;
 use crate::messages::{Message, Phase};
-use cairnroad_cluster::envelope::MOST_BYTES;
-use cairnroad_cluster::facts::{self, What};
-use cairnroad_cluster::model::{may, State, FEATURES};
-use cairnroad_cluster::{advice, Group, Out, Setup, TICK};
+use cairnroad_cluster::datagram::MAX_DATAGRAM_BYTES;
+use cairnroad_cluster::gossip_state::{self, GossipValue};
+use cairnroad_cluster::model::{is_allowed, ClusterAction, MemberState, CLUSTER_ACTIONS};
+use cairnroad_cluster::{outlier_advice, Membership, MembershipConfig, Output, TICK_INTERVAL};
 use cairnroad_types::Time;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 
 /// Why this coordinator can't take part.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum ClusterError {
     #[error("peers.listen: {address}: {cause}")]
     Listen {
         address: SocketAddr,
@@ -34,11 +34,11 @@
     },
 }
 
-impl Fault {
+impl ClusterError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Fault::Listen { .. } => {
+            ClusterError::Listen { .. } => {
                 "free the port, or name another in 'peers.listen'; 0 takes any, which 'peers.advertise' can't name"
             }
         }
@@ -46,34 +46,34 @@
 }
 
 /// The way to the task that takes part.
-pub struct Peers {
-    calls: mpsc::Sender<Call>,
+pub struct ClusterHandle {
+    calls: mpsc::Sender<ClusterRequest>,
 }
 
-enum Call {
+enum ClusterRequest {
     View(oneshot::Sender<String>),
     Leave(oneshot::Sender<()>),
 }
 
-impl Peers {
+impl ClusterHandle {
     /// What this coordinator sees, as JSON.
     pub async fn view(&self) -> Option<String> {
         let (reply, view) = oneshot::channel();
-        self.calls.try_send(Call::View(reply)).ok()?;
+        self.calls.try_send(ClusterRequest::View(reply)).ok()?;
         view.await.ok()
     }
 
     /// Leaves by its own word.
     pub async fn leave(&self) {
         let (reply, left) = oneshot::channel();
-        if self.calls.send(Call::Leave(reply)).await.is_ok() {
+        if self.calls.send(ClusterRequest::Leave(reply)).await.is_ok() {
             let _ = tokio::time::timeout(LAST_WORDS, left).await;
         }
     }
 }
 
-/// What the task is given beside its settings.
-pub struct Given {
+/// What the task is dependencies beside its settings.
+pub struct ClusterDependencies {
     pub name: String,
     pub seed: u64,
     pub clock: Clock,
@@ -84,46 +84,54 @@
 }
 
 /// Begins to take part.
-pub async fn start(settings: &configuration::Peers, given: Given) -> Result<Peers, Fault> {
-    let fault = |cause| Fault::Listen {
+pub async fn start(
+    settings: &configuration::Peers,
+    dependencies: ClusterDependencies,
+) -> Result<ClusterHandle, ClusterError> {
+    let fault = |cause| ClusterError::Listen {
         address: settings.listen,
         cause,
     };
     let socket = UdpSocket::bind(settings.listen).await.map_err(fault)?;
     let bound = socket.local_addr().map_err(fault)?;
     let address = settings.advertise.unwrap_or(bound);
-    tracing::info!(peers = %bound, %address, cluster = settings.cluster, "takes part in its group");
-    let now = given.clock.now();
-    let setup = Setup {
+    tracing::info!(listen = %bound, %address, cluster = settings.cluster, "joining the cluster");
+    let now = dependencies.clock.now();
+    let setup = MembershipConfig {
         cluster: settings.cluster.clone(),
-        name: given.name.clone(),
+        name: dependencies.name.clone(),
         room: settings.room.clone(),
         offers: settings.offers.clone(),
         address,
         generation: (now.0 / 1_000) as u64,
         group: settings.group.clone(),
         seeds: settings.seeds.clone(),
-        seed: given.seed,
+        seed: dependencies.seed,
     };
     let (calls, called) = mpsc::channel(CALLS);
-    tokio::task::spawn_local(run(socket, Group::new(setup, now), called, given));
-    Ok(Peers { calls })
+    tokio::task::spawn_local(run(
+        socket,
+        Membership::new(setup, now),
+        called,
+        dependencies,
+    ));
+    Ok(ClusterHandle { calls })
 }
 
 async fn run(
     socket: UdpSocket,
-    mut group: Group,
-    mut calls: mpsc::Receiver<Call>,
-    mut given: Given,
+    mut group: Membership,
+    mut calls: mpsc::Receiver<ClusterRequest>,
+    mut dependencies: ClusterDependencies,
 ) {
-    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK));
+    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK_INTERVAL));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut buffer = [0; MOST_BYTES + 1];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     let mut told = Vec::new();
     let mut ticked = 0u32;
-    let clock = given.clock.clone();
+    let clock = dependencies.clock.clone();
     // What it was before this task began is told, too.
-    given.phases.mark_changed();
+    dependencies.phases.mark_changed();
     loop {
         let mut out = Vec::new();
         tokio::select! {
@@ -132,7 +140,7 @@
                 // What came during a stop is read before any of its time is judged.
                 for _ in 0..MOST_AT_ONCE {
                     match socket.try_recv_from(&mut buffer) {
-                        Ok((bytes, _)) => group.datagram(clock.now(), &buffer[..bytes], &mut out),
+                        Ok((bytes, _)) => group.on_datagram(clock.now(), &buffer[..bytes], &mut out),
                         Err(cause) if cause.kind() == std::io::ErrorKind::WouldBlock => break,
                         // A peer's port that nobody listens at tells so here; it says nothing of this socket.
                         Err(_) => {}
@@ -141,30 +149,30 @@
                 group.tick(clock.now(), &mut out);
                 ticked = ticked.wrapping_add(1);
                 if ticked.is_multiple_of(ADVICE_TICKS) {
-                    advise(&group, &given, &mut told);
+                    advise(&group, &dependencies, &mut told);
                 }
             }
             got = socket.recv_from(&mut buffer) => {
                 if let Ok((bytes, _)) = got {
-                    group.datagram(clock.now(), &buffer[..bytes], &mut out);
+                    group.on_datagram(clock.now(), &buffer[..bytes], &mut out);
                 }
             }
-            Ok(()) = given.phases.changed() => {
-                let phase = match *given.phases.borrow_and_update() {
-                    Phase::Starting => facts::Phase::Starting,
-                    Phase::Serving => facts::Phase::Serving,
-                    Phase::Drained => facts::Phase::Draining,
-                    Phase::Stopping | Phase::Closing | Phase::Refusing => facts::Phase::Stopping,
+            Ok(()) = dependencies.phases.changed() => {
+                let phase = match *dependencies.phases.borrow_and_update() {
+                    Phase::Starting => gossip_state::Phase::Starting,
+                    Phase::Serving => gossip_state::Phase::Serving,
+                    Phase::Drained => gossip_state::Phase::Draining,
+                    Phase::Stopping | Phase::Closing | Phase::Refusing => gossip_state::Phase::Stopping,
                 };
-                group.say(clock.now(), What::Phase(phase));
+                group.publish(clock.now(), GossipValue::Phase(phase));
             }
-            Ok(()) = given.doubts.changed() => {
-                let doubts = given.doubts.borrow_and_update().0.clone();
-                group.say(clock.now(), What::Doubts(doubts));
+            Ok(()) = dependencies.doubts.changed() => {
+                let doubts = dependencies.doubts.borrow_and_update().0.clone();
+                group.publish(clock.now(), GossipValue::Outliers(doubts));
             }
             Some(call) = calls.recv() => match call {
-                Call::View(reply) => drop(reply.send(view(&group, &given.name, clock.now()))),
-                Call::Leave(reply) => {
+                ClusterRequest::View(reply) => drop(reply.send(view(&group, &dependencies.name, clock.now()))),
+                ClusterRequest::Leave(reply) => {
                     group.leave(clock.now(), &mut out);
                     carry_out(&socket, out);
                     let _ = reply.send(());
@@ -177,75 +185,88 @@
 }
 
 /// Hands the core what others doubt, where that changes or still holds.
-fn advise(group: &Group, given: &Given, told: &mut Vec<String>) {
-    let listed = given.doubts.borrow().1;
-    let heeded = advice::heeded(&group.advice(), group.view().there(), listed);
+fn advise(group: &Membership, dependencies: &ClusterDependencies, told: &mut Vec<String>) {
+    let listed = dependencies.doubts.borrow().1;
+    let heeded = outlier_advice::confirmed_outliers(
+        &group.outlier_reports(),
+        group.view().live_count(),
+        listed,
+    );
     if !heeded.is_empty() {
-        let _ = given.core.try_send(Message::OutlierAdvice(heeded.clone()));
+        let _ = dependencies
+            .core
+            .try_send(Message::OutlierAdvice(heeded.clone()));
     }
     if heeded != *told {
-        tracing::info!(servers = heeded.join(", "), "peers doubt these data nodes");
+        tracing::info!(
+            servers = heeded.join(", "),
+            "outliers reported by the cluster"
+        );
         *told = heeded;
     }
 }
 
-fn carry_out(socket: &UdpSocket, out: Vec<Out>) {
+fn carry_out(socket: &UdpSocket, out: Vec<Output>) {
     for out in out {
         match out {
             // A datagram that finds no room is one that was lost, which the group bears.
-            Out::Send { to, bytes } => drop(socket.try_send_to(&bytes, to)),
-            Out::Member { id, name, state } => {
-                let peer = name.unwrap_or_else(|| format!("{:016x}", id.name.0));
+            Output::SendDatagram { to, bytes } => drop(socket.try_send_to(&bytes, to)),
+            Output::MemberChanged { id, name, state } => {
+                let member = name.unwrap_or_else(|| format!("{:016x}", id.name.0));
                 match state {
-                    State::Alive => tracing::info!(peer, address = %id.address, "peer is there"),
-                    State::Suspected => tracing::info!(peer, "peer is suspected"),
-                    State::Failed => tracing::warn!(peer, "peer has failed"),
-                    State::Left => tracing::info!(peer, "peer has left"),
+                    MemberState::Alive => {
+                        tracing::info!(member, address = %id.address, "member joined")
+                    }
+                    MemberState::Suspected => tracing::info!(member, "member suspected"),
+                    MemberState::Failed => tracing::warn!(member, "member failed"),
+                    MemberState::Left => tracing::info!(member, "member left"),
                 }
             }
-            Out::Replaced { earlier, later } => tracing::warn!(
-                earlier = %earlier.address, later = %later.address, name = format!("{:016x}", later.name.0),
-                "a later process took a name over"
+            Output::Replaced { earlier, later } => tracing::warn!(
+                previous = %earlier.address, current = %later.address, member = format!("{:016x}", later.name.0),
+                "member replaced by a newer process"
             ),
-            Out::Standing(standing) => tracing::info!(?standing, "peers: standing"),
-            Out::Returned => tracing::warn!("peers: came back under a later number"),
-            Out::Late(secs) => tracing::warn!(secs, "peers: this process did not run for a while"),
+            Output::QuorumChanged(quorum_view) => {
+                tracing::info!(?quorum_view, "quorum view changed")
+            }
+            Output::Rejoined => tracing::warn!("rejoined the cluster"),
+            Output::Paused(secs) => tracing::warn!(secs, "process was paused"),
         }
     }
 }
 
 /// The view for people and programs.
-fn view(group: &Group, name: &str, now: Time) -> String {
+fn view(group: &Membership, name: &str, now: Time) -> String {
     let view = group.view();
     let members: Vec<_> = view
         .members
         .iter()
         .map(|member| {
-            group.told_by(&member.id, |card, phase| {
+            group.gossip_of(&member.id, |card, phase| {
                 json!({
                     "name": card.map(|card| card.0), "room": card.map(|card| card.1), "offers": card.map(|card| card.2),
                     "state": member.state, "for_s": ((now - member.since) * 10.0).round() / 10.0, "phase": phase,
                     "address": member.id.address.to_string(), "generation": member.id.generation,
-                    "returns": member.id.returns, "incarnation": member.incarnation,
+                    "returns": member.id.rejoins, "incarnation": member.incarnation,
                 })
             })
         })
         .collect();
-    let allowed = |feature: &cairnroad_cluster::model::Feature| {
+    let allowed = |action: &ClusterAction| {
         (
-            format!("{feature:?}").to_lowercase(),
-            json!(may(view.standing, *feature)),
+            action.key().to_string(),
+            json!(is_allowed(view.quorum_view, *action)),
         )
     };
     let dropped =
-        |(cause, count): (cairnroad_cluster::Dropped, u64)| (cause.to_string(), json!(count));
+        |(cause, count): (cairnroad_cluster::DatagramError, u64)| (cause.to_string(), json!(count));
     json!({
-        "name": name, "address": view.own.address.to_string(), "generation": view.own.generation,
-        "returns": view.own.returns, "standing": view.standing, "epoch": view.epoch,
-        "digest": format!("{:016x}", view.digest), "doubt": view.doubt, "there": view.there(),
-        "agree": view.agree, "differ": view.differ, "replaced_by": view.replaced_by.map(|id| id.address.to_string()),
-        "may": FEATURES.iter().map(allowed).collect::<serde_json::Map<_, _>>(),
-        "doubted": group.advice(), "members": members,
+        "name": name, "address": view.local.address.to_string(), "generation": view.local.generation,
+        "returns": view.local.rejoins, "standing": view.quorum_view, "epoch": view.epoch,
+        "digest": format!("{:016x}", view.digest), "doubt": view.health_score, "there": view.live_count(),
+        "agree": view.agreeing, "differ": view.differing, "replaced_by": view.replaced_by.map(|id| id.address.to_string()),
+        "may": CLUSTER_ACTIONS.iter().map(allowed).collect::<serde_json::Map<_, _>>(),
+        "doubted": group.outlier_reports(), "members": members,
         "dropped": group.dropped().map(dropped).collect::<serde_json::Map<_, _>>(),
     })
     .to_string()
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -5,8 +5,8 @@
 use crate::discovery::endpoint_list::Page;
 use crate::messages::{EndpointListUpdate, Index, ServedConfiguration};
 use crate::observability::log;
-use cairnroad_cluster::facts::MOST_OFFERS;
-use cairnroad_cluster::names;
+use cairnroad_cluster::gossip_state::MAX_OFFERS;
+use cairnroad_cluster::member_names::{self, MemberNamesError};
 use cairnroad_contract::decide::Mode;
 use cairnroad_contract::drift::Interface;
 use cairnroad_endpoint_files::decide::USUAL_SHRINK;
@@ -616,34 +616,42 @@
         ));
     }
     let cluster = own.cluster.ok_or_else(|| missing("peers.cluster"))?;
-    if !names::is_name(&cluster) {
-        return Err(at(text, "peers.cluster", names::Fault::Name(cluster)));
+    if !member_names::is_valid_name(&cluster) {
+        return Err(at(
+            text,
+            "peers.cluster",
+            MemberNamesError::InvalidName(cluster),
+        ));
     }
-    let short = |key: &str, told: &String| match told.len() <= names::MOST_NAME {
+    let short = |key: &str, told: &String| match told.len() <= member_names::MAX_NAME_BYTES {
         true => Ok(()),
         false => Err(at(
             text,
             key,
-            format!("'{told}' is longer than {} bytes", names::MOST_NAME),
+            format!(
+                "'{told}' is longer than {} bytes",
+                member_names::MAX_NAME_BYTES
+            ),
         )),
     };
     short("peers.room", &own.room)?;
     own.offers
         .iter()
         .try_for_each(|offer| short("peers.offers", offer))?;
-    if own.offers.len() > MOST_OFFERS {
+    if own.offers.len() > MAX_OFFERS {
         return Err(at(
             text,
             "peers.offers",
-            format!("there are more than {MOST_OFFERS}"),
+            format!("there are more than {MAX_OFFERS}"),
         ));
     }
-    let fault = |fault: names::Fault| at(text, "peers.group", format!("{fault}: {}", fault.help()));
-    let group = names::read(&own.group).map_err(fault)?;
-    if !names::is_name(name) {
+    let fault =
+        |fault: MemberNamesError| at(text, "peers.group", format!("{fault}: {}", fault.help()));
+    let group = member_names::parse(&own.group).map_err(fault)?;
+    if !member_names::is_valid_name(name) {
         return Err(format!(
             "'name': '{name}' can't be a peer's: {}",
-            names::Fault::Name(String::new()).help()
+            MemberNamesError::InvalidName(String::new()).help()
         )
         .into());
     }
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -1,7 +1,8 @@
 //! `docs/ERRORS.md` is made from the errors' types; the test here fails when it is stale.
 
 use crate::cluster;
-use cairnroad_cluster::{names, Dropped};
+use cairnroad_cluster::member_names::MemberNamesError;
+use cairnroad_cluster::DatagramError;
 use cairnroad_discovery_watch::Fault as Watch;
 use cairnroad_settings::Fault as Settings;
 
@@ -86,52 +87,52 @@
 
 fn group() -> Vec<Row> {
     let all = vec![
-        names::Fault::Empty,
-        names::Fault::Name("a b".into()),
-        names::Fault::Range("n[3-1]".into()),
-        names::Fault::Twice("n2".into()),
-        names::Fault::TooMany,
+        MemberNamesError::Empty,
+        MemberNamesError::InvalidName("a b".into()),
+        MemberNamesError::InvalidRange("n[3-1]".into()),
+        MemberNamesError::DuplicateName("n2".into()),
+        MemberNamesError::TooManyNames,
     ];
-    let place = |fault: &names::Fault| match fault {
-        names::Fault::Empty => 0,
-        names::Fault::Name(_) => 1,
-        names::Fault::Range(_) => 2,
-        names::Fault::Twice(_) => 3,
-        names::Fault::TooMany => 4,
+    let place = |fault: &MemberNamesError| match fault {
+        MemberNamesError::Empty => 0,
+        MemberNamesError::InvalidName(_) => 1,
+        MemberNamesError::InvalidRange(_) => 2,
+        MemberNamesError::DuplicateName(_) => 3,
+        MemberNamesError::TooManyNames => 4,
     };
     assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
-    rows(all, names::Fault::help)
+    rows(all, MemberNamesError::help)
 }
 
 fn dropped() -> Vec<Row> {
     let all = vec![
-        Dropped::Garbage,
-        Dropped::Version,
-        Dropped::Cluster,
-        Dropped::Misdirected,
-        Dropped::Full,
+        DatagramError::Malformed,
+        DatagramError::ForeignVersion,
+        DatagramError::ForeignCluster,
+        DatagramError::Misdirected,
+        DatagramError::TooManyMembers,
     ];
-    let place = |fault: &Dropped| match fault {
-        Dropped::Garbage => 0,
-        Dropped::Version => 1,
-        Dropped::Cluster => 2,
-        Dropped::Misdirected => 3,
-        Dropped::Full => 4,
+    let place = |fault: &DatagramError| match fault {
+        DatagramError::Malformed => 0,
+        DatagramError::ForeignVersion => 1,
+        DatagramError::ForeignCluster => 2,
+        DatagramError::Misdirected => 3,
+        DatagramError::TooManyMembers => 4,
     };
     assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
-    rows(all, Dropped::help)
+    rows(all, DatagramError::help)
 }
 
 fn part() -> Vec<Row> {
-    let all = vec![cluster::Fault::Listen {
+    let all = vec![cluster::ClusterError::Listen {
         address: ([127, 0, 0, 1], 7400).into(),
         cause: io(),
     }];
-    let place = |fault: &cluster::Fault| match fault {
-        cluster::Fault::Listen { .. } => 0,
+    let place = |fault: &cluster::ClusterError| match fault {
+        cluster::ClusterError::Listen { .. } => 0,
     };
     assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
-    rows(all, cluster::Fault::help)
+    rows(all, cluster::ClusterError::help)
 }
 
 fn page() -> String {
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -259,7 +259,7 @@
             core.tell_peers(tell);
             let (name, seed) = (config.name.clone(), config.seed);
             let (clock, phases, core) = (clock.clone(), phases.clone(), to_core.clone());
-            let given = cluster::Given {
+            let given = cluster::ClusterDependencies {
                 name,
                 seed,
                 clock,
