--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -590,24 +590,6 @@
         self.update_status(out);
     }
 
-    /// When [`Membership::tick`] has something to do at the latest, should nothing come in.
-    pub fn next_due(&self) -> Time {
-        let timer = self
-            .timers
-            .first_key_value()
-            .map_or(Time(i64::MAX), |((at, _), _)| *at);
-        let challenge = self
-            .challenge
-            .as_ref()
-            .map_or(Time(i64::MAX), |challenge| challenge.next);
-        let due = timer
-            .min(challenge)
-            .min(self.next_seed_contact)
-            .min(self.next_anti_entropy)
-            .min(self.next_member_scan);
-        due + self.paused_for
-    }
-
     /// Tells the others something of this coordinator.
     pub fn publish(&mut self, now: Time, what: GossipValue) {
         if self.left {
@@ -702,11 +684,6 @@
             .zip(self.dropped.iter().copied())
     }
 
-    /// How many facts are known.
-    pub fn entry_count(&self) -> usize {
-        self.gossip.borrow().len()
-    }
-
     // ---- The clock ----------------------------------------------------------------------------------------
 
     fn set_clock(&mut self, now: Time) {
