--- a/crates/cluster/examples/simulate.rs
+++ b/crates/cluster/examples/simulate.rs
@@ -6,7 +6,7 @@
 #[path = "../tests/sim/mod.rs"]
 mod sim;
 
-use cairnroad_cluster::model::MemberState;
+use cairnroad_cluster::view::MemberState;
 use sim::{Fault, Sim};
 
 /// Seconds that are watched for failures that are none.
--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -1,75 +1,78 @@
-//! What a datagram is made of: a head that is the same for all, and one of a few kinds of message. All fit in one
-//! datagram that no network splits.
+//! The form of a datagram: a common header and one of a few messages. Each fits into one datagram that no network
+//! fragments.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 2 | `c`, `r` |
 //! | 1 | the version |
-//! | 4 | a checksum of all that follows (CRC-32, least byte first) |
-//! | 1 and so many | the length of the cluster's name, and the name |
-//! | rest | the message, in the form of the library `postcard` |
+//! | 4 | CRC-32 of all that follows, least byte first |
+//! | 1 and as many as it says | length of the cluster's name, and the name |
+//! | rest | a [`Message`] as `postcard` encodes it |
+//!
+//! The order of enum variants and of fields is that of the bytes.
 
-use crate::errors::DatagramError;
-use crate::gossip_state::GossipEntry;
-use crate::model::{MemberId, NameHash};
+use crate::datagram_error::DatagramError;
+use crate::gossip_entry::GossipEntry;
+use crate::gossip_state::Digests;
+use crate::identity::{MemberId, NameHash};
 use serde::{Deserialize, Serialize};
 
-/// The largest datagram.
+/// Largest datagram in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// The version of this form.
+/// Version of this form.
 pub const VERSION: u8 = 1;
-/// What the library's own messages may take.
+/// Largest message of the SWIM library in bytes.
 pub(crate) const MAX_SWIM_BYTES: usize = 1_200;
-/// The longest name of a cluster, in bytes.
+/// Longest name of a cluster in bytes.
 pub const MAX_CLUSTER_NAME_BYTES: usize = 64;
-/// Sums of facts that an exchange compares.
-pub(crate) const DIGEST_BUCKETS: usize = 32;
 
 const MAGIC: [u8; 2] = *b"cr";
-const HEADER_BYTES: usize = MAGIC.len() + 1 + 4;
+const VERSION_BYTES: usize = 1;
+const CHECKSUM_BYTES: usize = 4;
+const HEADER_BYTES: usize = MAGIC.len() + VERSION_BYTES + CHECKSUM_BYTES;
 
 /// A message between two coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// One of the library's: who is there. With the sender's view, so that both learn whether they agree.
+    /// A message of the SWIM library, with the sender's view so that both learn whether they agree.
     Swim {
-        /// The sender's epoch.
+        /// The epoch of the sender's view.
         epoch: u64,
-        /// The digest of its view.
+        /// The digest of the sender's view.
         digest: u64,
-        /// The sender's name.
+        /// The hash of the sender's name.
         from: NameHash,
-        /// The message.
+        /// The library's message.
         bytes: Vec<u8>,
     },
-    /// Sums of the facts that the sender knows, by their writers' names.
+    /// Anti-entropy: digests of the gossip entries that the sender knows.
     Digests {
         /// The sender.
         from: MemberId,
-        /// The sums.
-        digests: Box<[u64; DIGEST_BUCKETS]>,
-        /// An answer is not wanted.
+        /// One digest a bucket of writers.
+        digests: Box<Digests>,
+        /// Whether this answers a `Digests` message; a reply is not answered in turn.
         is_reply: bool,
     },
-    /// GossipState, whole.
+    /// Gossip entries that the receiver lacks.
     GossipEntries(Vec<GossipEntry>),
-    /// Whoever bears this name at this address: is it alive?
+    /// Asks whether the member of this name at this address is alive.
     IdentityQuery {
-        /// The one that asks.
+        /// The sender.
         from: MemberId,
-        /// The one that is meant.
+        /// The member asked about; [`NameHash::ANY`] for whoever receives the query.
         subject: MemberId,
     },
-    /// It is, or was when it was last heard of.
+    /// Answers [`Message::IdentityQuery`].
     IdentityReply {
-        /// The one that was meant.
+        /// The newest process known under the name that was asked about.
         subject: MemberId,
-        /// It says so itself.
+        /// Whether the subject itself answers, so that it is alive.
         from_subject: bool,
     },
 }
 
-/// A datagram of this cluster with this message; `None` where it would be too large.
+/// Encodes a message as a datagram of a cluster. `None` if it would be too large.
 pub fn encode(cluster: &str, message: &Message) -> Option<Vec<u8>> {
     let name = cluster.as_bytes();
     let mut body = Vec::with_capacity(MAX_DATAGRAM_BYTES);
@@ -87,34 +90,40 @@
     Some(bytes)
 }
 
-/// The message of a datagram of this cluster.
+/// Decodes a datagram of a cluster.
 pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Message, DatagramError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Malformed);
     }
+    let message = checked_message(cluster, bytes)?;
+    match postcard::take_from_bytes(message) {
+        Ok((message, [])) => Ok(message),
+        _ => Err(DatagramError::Malformed),
+    }
+}
+
+/// The bytes of the message, once header, checksum and cluster are checked.
+fn checked_message<'a>(cluster: &str, bytes: &'a [u8]) -> Result<&'a [u8], DatagramError> {
     let rest = bytes.strip_prefix(&MAGIC).ok_or(DatagramError::Malformed)?;
     let (&version, rest) = rest.split_first().ok_or(DatagramError::Malformed)?;
-    let (sum, body) = rest
-        .split_first_chunk::<4>()
+    let (checksum, body) = rest
+        .split_first_chunk::<CHECKSUM_BYTES>()
         .ok_or(DatagramError::Malformed)?;
-    // A foreign version may count its checksum otherwise.
+    // Checked before the checksum, which another version may compute differently.
     if version != VERSION {
         return Err(DatagramError::ForeignVersion);
     }
-    if crc32fast::hash(body) != u32::from_le_bytes(*sum) {
+    if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
         return Err(DatagramError::Malformed);
     }
-    let (&length, rest) = body.split_first().ok_or(DatagramError::Malformed)?;
-    let name = rest
-        .get(..usize::from(length))
+    let (&name_length, rest) = body.split_first().ok_or(DatagramError::Malformed)?;
+    let (name, message) = rest
+        .split_at_checked(usize::from(name_length))
         .ok_or(DatagramError::Malformed)?;
     if name != cluster.as_bytes() {
         return Err(DatagramError::ForeignCluster);
     }
-    match postcard::take_from_bytes(&rest[name.len()..]) {
-        Ok((message, [])) => Ok(message),
-        _ => Err(DatagramError::Malformed),
-    }
+    Ok(message)
 }
 
 #[cfg(test)]
--- a/crates/cluster/src/gossip_state/tests.rs
+++ b/crates/cluster/src/gossip_state/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_newest_life_and_version_win_in_any_order() {
+fn the_newest_generation_and_version_win_in_any_order() {
     let phases = [
         entry("a", 5, 1, GossipValue::Phase(Phase::Starting)),
         entry("a", 5, 2, GossipValue::Phase(Phase::Serving)),
@@ -35,15 +35,18 @@
             "{order:?}"
         );
         assert_eq!(state.phase(NameHash::of("a"), 5), None);
-        assert!(!state.merge(at(2.0), phases[1].clone()), "old news is none");
+        assert!(
+            !state.merge(at(2.0), phases[1].clone()),
+            "an old version is no news"
+        );
     }
 }
 
 #[test]
-fn what_an_earlier_life_said_is_void() {
+fn entries_of_an_earlier_generation_are_removed() {
     let mut state = GossipState::default();
     assert!(state.merge(at(1.0), entry("a", 5, 9, outliers(&["s-1"]))));
-    state.mark_presence(at(1.0), NameHash::of("a"), true);
+    state.mark_present(NameHash::of("a"));
     assert_eq!(state.outlier_reports(at(1.0), NameHash(0)).len(), 1);
     assert!(state.merge(
         at(1.0),
@@ -52,12 +55,12 @@
     assert!(state.outlier_reports(at(1.0), NameHash(0)).is_empty());
     assert!(
         !state.merge(at(1.0), entry("a", 5, 10, outliers(&["s-1"]))),
-        "an earlier life writes no more"
+        "an earlier generation writes no more"
     );
 }
 
 #[test]
-fn doubts_are_counted_while_fresh_of_those_who_are_there() {
+fn outlier_reports_of_live_members_count_while_fresh() {
     let mut state = GossipState::default();
     for (writer, ids) in [
         ("a", vec!["s-1", "s-2"]),
@@ -65,7 +68,10 @@
         ("c", vec!["s-1"]),
     ] {
         state.merge(at(1.0), entry(writer, 1, 1, outliers(&ids)));
-        state.mark_presence(at(1.0), NameHash::of(writer), writer != "c");
+        match writer {
+            "c" => state.mark_absent(at(1.0), NameHash::of(writer)),
+            _ => state.mark_present(NameHash::of(writer)),
+        }
     }
     assert_eq!(
         state.outlier_reports(at(2.0), NameHash(0)),
@@ -74,32 +80,36 @@
     assert_eq!(
         state.outlier_reports(at(2.0), NameHash::of("b"))["s-1"],
         1,
-        "one's own word is no advice"
+        "a coordinator's own report is no advice to itself"
     );
     assert!(state
         .outlier_reports(at(1.0 + OUTLIER_REPORT_TTL + 0.1), NameHash(0))
         .is_empty());
-    // The same word again, from one who heard it late, is no news.
+    // The same report again, from a member that received it late, is no news.
     assert!(!state.merge(at(20.0), entry("a", 1, 1, outliers(&["s-1", "s-2"]))));
 }
 
 #[test]
-fn facts_of_those_who_are_gone_are_forgotten() {
+fn entries_of_absent_writers_expire() {
     let mut state = GossipState::default();
     let phase = |writer| entry(writer, 1, 1, GossipValue::Phase(Phase::Serving));
     state.merge(at(1.0), phase("a"));
     state.merge(at(1.0), phase("b"));
-    state.mark_presence(at(1.0), NameHash::of("a"), true);
+    state.mark_present(NameHash::of("a"));
     state.remove_expired(at(60.0));
     assert_eq!(state.len(), 2);
     state.remove_expired(at(62.0));
-    assert_eq!(state.len(), 1, "a word of one who was never seen goes, too");
-    state.mark_presence(at(100.0), NameHash::of("a"), false);
+    assert_eq!(
+        state.len(),
+        1,
+        "entries of a writer that was never a member expire, too"
+    );
+    state.mark_absent(at(100.0), NameHash::of("a"));
     state.remove_expired(at(159.0));
     assert_eq!(state.phase(NameHash::of("a"), 1), Some(Phase::Serving));
     state.remove_expired(at(161.0));
     assert!(state.is_empty());
-    // That it left is kept for as long as old words that it is there may live, by one clock for all.
+    // A departure is kept for as long as stale gossip that the member is alive may live, by the writer's clock.
     let left = entry("a", 1, 2, GossipValue::Departure { at_ms: 100_000 });
     assert!(state.merge(at(200.0), left.clone()) && state.has_left(NameHash::of("a"), 1));
     state.remove_expired(at(3_699.0));
@@ -107,22 +117,24 @@
     state.remove_expired(at(3_701.0));
     assert!(
         state.is_empty() && !state.merge(at(3_701.0), left),
-        "not by one who expires it later either"
+        "a departure that has expired is not taken again"
     );
 }
 
 #[test]
-fn what_breaks_its_bounds_is_not_taken() {
+fn entries_beyond_their_limits_are_rejected() {
     let mut state = GossipState::default();
-    let description = |name: &str, room: &str, offers: usize| GossipValue::Description {
-        name: name.into(),
-        room: room.into(),
-        offers: vec!["x".into(); offers],
+    let description = |name: &str, room: &str, offers: usize| {
+        GossipValue::Description(MemberDescription {
+            name: name.into(),
+            room: room.into(),
+            offers: vec!["x".into(); offers],
+        })
     };
     let long = "x".repeat(65);
     assert!(
         !state.merge(at(1.0), entry("a", 1, 1, description("b", "r", 0))),
-        "another's name"
+        "a description under another's name"
     );
     assert!(!state.merge(at(1.0), entry("a", 1, 1, description("a", &long, 0))));
     assert!(!state.merge(
@@ -137,9 +149,9 @@
     assert!(state.merge(at(1.0), entry("a", 1, 1, description("a", "r", MAX_OFFERS))));
     assert_eq!(
         state.description(NameHash::of("a")).map(|description| (
-            description.0,
-            description.1,
-            description.2.len()
+            description.name.as_str(),
+            description.room.as_str(),
+            description.offers.len()
         )),
         Some(("a", "r", 8))
     );
@@ -156,14 +168,14 @@
 }
 
 #[test]
-fn sums_tell_where_two_differ_and_the_difference_makes_them_equal() {
+fn exchanging_entries_of_differing_digests_makes_two_states_equal() {
     let (mut one, mut other) = (GossipState::default(), GossipState::default());
     for number in 0..200 {
         let writer = format!("n{number}");
         let entry = entry(&writer, 1, 1, GossipValue::Phase(Phase::Serving));
         for state in [&mut one, &mut other] {
             state.merge(at(1.0), entry.clone());
-            state.mark_presence(at(1.0), NameHash::of(&writer), true);
+            state.mark_present(NameHash::of(&writer));
         }
     }
     assert!(one.entries_differing_from(&other.digests()).is_empty());
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,23 +1,27 @@
-//! Coordinators that know each other, decided free of I/O and clock.
+//! Membership and gossip among coordinators, decided without I/O and clock.
 //!
-//! [`Membership`] is one coordinator's part: it is told of datagrams and of the time, and says what to send and what has
-//! changed. Who is alive is found out by SWIM with suspicion and incarnations (the library `foca`); on top of it stand
-//! who is there and why somebody is not ([`model::Member`]), a coordinator's doubt of itself ([`doubt`]), small shared
-//! facts ([`facts`]), and the [`model::QuorumView`], which one table ([`model::may`]) turns into what may be done.
+//! [`Membership`] is one coordinator's part: it takes datagrams and the time, and returns datagrams to send and changes
+//! to report ([`Output`]). The SWIM library `foca` detects failures by probes, suspicion and incarnations. On top of it
+//! stand the state of each member ([`view`]), a coordinator's awareness of its own health ([`local_health`]), small
+//! shared entries ([`gossip_state`]) and the [`quorum::QuorumView`], which one table ([`quorum::is_allowed`]) turns into
+//! what a coordinator may do.
 //!
-//! A group's word is advice: a server is sent to only where the coordinator's own list names it.
+//! What other coordinators share is advice: requests are sent only to servers of the coordinator's own endpoint list.
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 pub mod datagram;
-mod errors;
+mod datagram_error;
+mod gossip_entry;
 pub mod gossip_state;
+pub mod identity;
 pub mod local_health;
 pub mod member_names;
 mod membership;
 mod message_filter;
-pub mod model;
 pub mod outlier_advice;
+pub mod quorum;
+pub mod view;
 
-pub use errors::DatagramError;
-pub use membership::{
-    Membership, MembershipConfig, Output, MAX_MEMBERS, PAUSE_THRESHOLD, TICK_INTERVAL,
-};
+pub use datagram_error::{DatagramError, DropCount};
+pub use membership::{MemberGossip, Membership, MembershipConfig, Output, TICK_INTERVAL};
+pub use view::MAX_MEMBERS;
--- a/crates/cluster/src/local_health.rs
+++ b/crates/cluster/src/local_health.rs
@@ -1,54 +1,57 @@
-//! A coordinator's doubt of itself (after Lifeguard: Dadgar, Phillips, Currey 2018). One that was stopped, starved or
-//! can't be heard sees others fail, though it is the one that failed: the more it doubts itself, the longer it waits
-//! before it says so.
-
-/// The most doubt.
-pub const MAX_SCORE: u32 = 8;
-/// By how much timers are stretched at most: one that is cut off alone has to find out in the end.
+//! A coordinator's awareness of its own health (after Lifeguard: Dadgar, Phillips, Currey 2018).
+//!
+//! A process that was paused, starved or can't be heard sees others fail though it is the one that failed. The less
+//! healthy it is, the longer it waits before it declares others failed.
+
+/// The worst score.
+const MAX_SCORE: u32 = 8;
+/// The most by which timeouts are multiplied: a member that is cut off alone has to find out in the end.
 const MAX_TIMEOUT_MULTIPLIER: u32 = 3;
-/// With so much doubt a coordinator does nothing for others: what it sees may be its own fault.
-pub const DEGRADED_SCORE: u32 = 4;
+/// From this score on a coordinator does nothing for others: what it sees may be its own fault.
+const DEGRADED_SCORE: u32 = 4;
 
-/// What tells for or against oneself.
+/// What counts for or against a coordinator's own health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HealthEvidence {
-    /// A probe of ours was answered.
+pub(crate) enum HealthEvidence {
+    /// One of its probes was answered.
     ProbeAnswered,
-    /// A probe of ours was not, and of those who were asked then nobody heard us.
+    /// One of its probes was not, and none of the members asked afterwards answered either.
     Unreachable,
-    /// Others suspected us, and we had to refute it.
+    /// Others suspected it, and it had to refute that.
     Suspected,
-    /// We did not run for a while.
+    /// Its process did not run for a while.
     Paused,
 }
 
-/// How much a coordinator doubts itself.
+/// How healthy a coordinator takes itself to be. The default is fully healthy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LocalHealth(u32);
+pub struct LocalHealth {
+    score: u32,
+}
 
 impl LocalHealth {
-    /// Takes in a sign.
-    pub fn record(&mut self, evidence: HealthEvidence) {
-        self.0 = match evidence {
-            HealthEvidence::ProbeAnswered => self.0.saturating_sub(1),
-            HealthEvidence::Suspected => (self.0 + 1).min(MAX_SCORE),
-            HealthEvidence::Unreachable | HealthEvidence::Paused => (self.0 + 2).min(MAX_SCORE),
+    /// Adjusts the score.
+    pub(crate) fn record(&mut self, evidence: HealthEvidence) {
+        self.score = match evidence {
+            HealthEvidence::ProbeAnswered => self.score.saturating_sub(1),
+            HealthEvidence::Suspected => (self.score + 1).min(MAX_SCORE),
+            HealthEvidence::Unreachable | HealthEvidence::Paused => (self.score + 2).min(MAX_SCORE),
         };
     }
 
-    /// How much it is.
+    /// The score: 0 is healthy, 8 the worst.
     pub fn score(self) -> u32 {
-        self.0
+        self.score
     }
 
-    /// By how much timers that lead to a verdict on others are stretched.
+    /// By how much timeouts that lead to declaring others failed are multiplied, 1 to 3.
     pub fn timeout_multiplier(self) -> u32 {
-        (self.0 + 1).min(MAX_TIMEOUT_MULTIPLIER)
+        (self.score + 1).min(MAX_TIMEOUT_MULTIPLIER)
     }
 
-    /// Whether it is too much to do anything for others.
+    /// Whether the coordinator is too unhealthy to do anything for others.
     pub fn is_degraded(self) -> bool {
-        self.0 >= DEGRADED_SCORE
+        self.score >= DEGRADED_SCORE
     }
 }
 
--- a/crates/cluster/src/local_health/tests.rs
+++ b/crates/cluster/src/local_health/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn doubt_comes_fast_and_goes_by_answers() {
+fn health_degrades_fast_and_recovers_by_answered_probes() {
     let mut health = LocalHealth::default();
     health.record(HealthEvidence::ProbeAnswered);
     assert_eq!((health.score(), health.timeout_multiplier()), (0, 1));
--- a/crates/cluster/src/member_names/tests.rs
+++ b/crates/cluster/src/member_names/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn names_and_ranges_are_read() {
+fn names_and_ranges_are_parsed() {
     assert_eq!(
         names(&["b", "a[1-3]x", "n[9-10]"]).unwrap(),
         ["a1x", "a2x", "a3x", "b", "n10", "n9"]
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told() {
+fn invalid_names_are_rejected_with_their_cause() {
     assert_eq!(names(&[]), Err(MemberNamesError::Empty));
     assert_eq!(
         names(&["a b"]),
--- a/crates/cluster/src/outlier_advice/tests.rs
+++ b/crates/cluster/src/outlier_advice/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn one_voice_and_a_chorus_against_all_are_not_heeded() {
-    let doubted = |counts: &[usize]| -> BTreeMap<String, usize> {
+fn single_reporters_and_reports_on_too_many_servers_are_ignored() {
+    let reports = |counts: &[usize]| -> BTreeMap<String, usize> {
         counts
             .iter()
             .enumerate()
@@ -10,17 +10,17 @@
             .collect()
     };
     assert_eq!(
-        confirmed_outliers(&doubted(&[1, 2, 3]), 12, 10),
+        confirmed_outliers(&reports(&[1, 2, 3]), 12, 10),
         ["s-1", "s-2"]
     );
     assert_eq!(
-        confirmed_outliers(&doubted(&[2, 14, 15, 16]), 300, 60),
+        confirmed_outliers(&reports(&[2, 14, 15, 16]), 300, 60),
         ["s-2", "s-3"],
         "a twentieth of 300"
     );
     assert!(
-        confirmed_outliers(&doubted(&[3; 4]), 12, 10).is_empty(),
+        confirmed_outliers(&reports(&[3; 4]), 12, 10).is_empty(),
         "four of ten"
     );
-    assert!(confirmed_outliers(&doubted(&[]), 12, 0).is_empty());
+    assert!(confirmed_outliers(&reports(&[]), 12, 0).is_empty());
 }
--- a/crates/cluster/tests/group.rs
+++ b/crates/cluster/tests/group.rs
@@ -2,7 +2,8 @@
 
 mod sim;
 
-use cairnroad_cluster::model::{is_allowed, ClusterAction, MemberState, QuorumView};
+use cairnroad_cluster::quorum::{is_allowed, ClusterAction, QuorumView};
+use cairnroad_cluster::view::MemberState;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sim::{Fault, Sim};
@@ -55,7 +56,7 @@
     for by in sim.alive() {
         let view = sim.groups[by].as_ref().unwrap().view();
         let state = |of: usize| {
-            let name = cairnroad_cluster::model::NameHash::of(&format!("n{of}"));
+            let name = cairnroad_cluster::identity::NameHash::of(&format!("n{of}"));
             view.members
                 .iter()
                 .find(|member| member.id.name == name)
--- a/crates/cluster/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -3,7 +3,9 @@
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use cairnroad_cluster::gossip_state::{GossipValue, Phase};
-use cairnroad_cluster::model::{MemberState, NameHash, QuorumView};
+use cairnroad_cluster::identity::NameHash;
+use cairnroad_cluster::quorum::QuorumView;
+use cairnroad_cluster::view::MemberState;
 use cairnroad_cluster::{Membership, MembershipConfig, Output, TICK_INTERVAL};
 use cairnroad_types::Time;
 use rand::rngs::StdRng;
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -6,7 +6,8 @@
 use crate::messages::{Message, Phase};
 use cairnroad_cluster::datagram::MAX_DATAGRAM_BYTES;
 use cairnroad_cluster::gossip_state::{self, GossipValue};
-use cairnroad_cluster::model::{is_allowed, ClusterAction, MemberState, CLUSTER_ACTIONS};
+use cairnroad_cluster::quorum::ClusterAction;
+use cairnroad_cluster::view::MemberState;
 use cairnroad_cluster::{outlier_advice, Membership, MembershipConfig, Output, TICK_INTERVAL};
 use cairnroad_types::Time;
 use serde_json::json;
@@ -242,32 +243,29 @@
         .members
         .iter()
         .map(|member| {
-            group.gossip_of(&member.id, |card, phase| {
-                json!({
-                    "name": card.map(|card| card.0), "room": card.map(|card| card.1), "offers": card.map(|card| card.2),
-                    "state": member.state, "for_s": ((now - member.since) * 10.0).round() / 10.0, "phase": phase,
-                    "address": member.id.address.to_string(), "generation": member.id.generation,
-                    "returns": member.id.rejoins, "incarnation": member.incarnation,
-                })
+            let gossip = group.gossip_of(&member.id);
+            let description = gossip.description.as_ref();
+            json!({
+                "name": description.map(|description| &description.name),
+                "room": description.map(|description| &description.room),
+                "offers": description.map(|description| &description.offers),
+                "state": member.state, "for_s": ((now - member.since) * 10.0).round() / 10.0, "phase": gossip.phase,
+                "address": member.id.address.to_string(), "generation": member.id.generation,
+                "returns": member.id.rejoins, "incarnation": member.incarnation,
             })
         })
         .collect();
-    let allowed = |action: &ClusterAction| {
-        (
-            action.key().to_string(),
-            json!(is_allowed(view.quorum_view, *action)),
-        )
-    };
+    let allowed = |action: &ClusterAction| (action.key().to_string(), json!(view.allows(*action)));
     let dropped =
-        |(cause, count): (cairnroad_cluster::DatagramError, u64)| (cause.to_string(), json!(count));
+        |drops: cairnroad_cluster::DropCount| (drops.cause.to_string(), json!(drops.count));
     json!({
         "name": name, "address": view.local.address.to_string(), "generation": view.local.generation,
         "returns": view.local.rejoins, "standing": view.quorum_view, "epoch": view.epoch,
         "digest": format!("{:016x}", view.digest), "doubt": view.health_score, "there": view.live_count(),
         "agree": view.agreeing, "differ": view.differing, "replaced_by": view.replaced_by.map(|id| id.address.to_string()),
-        "may": CLUSTER_ACTIONS.iter().map(allowed).collect::<serde_json::Map<_, _>>(),
+        "may": ClusterAction::ALL.iter().map(allowed).collect::<serde_json::Map<_, _>>(),
         "doubted": group.outlier_reports(), "members": members,
-        "dropped": group.dropped().map(dropped).collect::<serde_json::Map<_, _>>(),
+        "dropped": group.drop_counts().map(dropped).collect::<serde_json::Map<_, _>>(),
     })
     .to_string()
 }
