--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -1,37 +1,45 @@
-//! This coordinator's part in its group, on a socket of its own. All that is decided is decided in `cairnroad_cluster`;
-//! here are the datagrams, the time, the log, and the words that go to and from the core.
+//! This coordinator's part in its cluster: a task that owns the UDP socket.
+//!
+//! All decisions are made by [`Membership`]; the task gives it datagrams and the time, sends what it returns, logs
+//! changes, and exchanges outliers with the core.
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+mod page;
 
 use crate::clock::Clock;
 use crate::configuration;
 use crate::messages::{Message, Phase};
 use cairnroad_cluster::datagram::MAX_DATAGRAM_BYTES;
 use cairnroad_cluster::gossip_state::{self, GossipValue};
-use cairnroad_cluster::quorum::ClusterAction;
+use cairnroad_cluster::identity::MemberId;
 use cairnroad_cluster::view::MemberState;
 use cairnroad_cluster::{outlier_advice, Membership, MembershipConfig, Output, TICK_INTERVAL};
-use cairnroad_types::Time;
-use serde_json::json;
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::{Interval, MissedTickBehavior};
 
-/// Datagrams that are taken between two ticks. A flood must not take the whole core.
-const MOST_AT_ONCE: usize = 1_024;
-/// How often others' doubts are handed to the core, in ticks.
-const ADVICE_TICKS: u32 = 10;
-/// Calls for the view that may wait.
-const CALLS: usize = 16;
-/// How long the last words may take to leave this machine.
-const LAST_WORDS: Duration = Duration::from_millis(100);
+/// Most datagrams that are read in one tick: a flood must not occupy the core's thread.
+const MAX_DATAGRAMS_PER_TICK: usize = 1_024;
+/// How often outlier advice is passed to the core, in ticks.
+const ADVICE_INTERVAL_TICKS: u32 = 10;
+/// Capacity of the channel of requests to the task.
+const MAX_WAITING_REQUESTS: usize = 16;
+/// How long the announcement that this coordinator leaves may take to be sent.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why this coordinator can't take part.
+/// Why this coordinator can't join its cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    #[error("peers.listen: {address}: {cause}")]
+    /// The socket can't be bound.
+    #[error("peers.listen: {address}: {source}")]
     Listen {
+        /// The address of the setting `peers.listen`.
         address: SocketAddr,
-        cause: std::io::Error,
+        /// Why not.
+        source: std::io::Error,
     },
 }
 
@@ -46,59 +54,76 @@
     }
 }
 
-/// The way to the task that takes part.
+/// Sends requests to the cluster task.
 pub struct ClusterHandle {
-    calls: mpsc::Sender<ClusterRequest>,
+    requests: mpsc::Sender<ClusterRequest>,
 }
 
+/// A request to the cluster task, with the channel for its answer.
 enum ClusterRequest {
+    /// Render the page of `GET /v1/peers`.
     View(oneshot::Sender<String>),
+    /// Announce that this coordinator leaves, and end the task.
     Leave(oneshot::Sender<()>),
 }
 
 impl ClusterHandle {
-    /// What this coordinator sees, as JSON.
+    /// What this coordinator sees, as JSON. `None` if the task has ended or has too many requests waiting.
     pub async fn view(&self) -> Option<String> {
         let (reply, view) = oneshot::channel();
-        self.calls.try_send(ClusterRequest::View(reply)).ok()?;
+        self.requests.try_send(ClusterRequest::View(reply)).ok()?;
         view.await.ok()
     }
 
-    /// Leaves by its own word.
+    /// Announces to the other members that this coordinator leaves.
     pub async fn leave(&self) {
         let (reply, left) = oneshot::channel();
-        if self.calls.send(ClusterRequest::Leave(reply)).await.is_ok() {
-            let _ = tokio::time::timeout(LAST_WORDS, left).await;
+        if self
+            .requests
+            .send(ClusterRequest::Leave(reply))
+            .await
+            .is_ok()
+        {
+            // Unannounced, the others find this coordinator failed instead.
+            let _ = tokio::time::timeout(LEAVE_TIMEOUT, left).await;
         }
     }
 }
 
-/// What the task is dependencies beside its settings.
+/// What the cluster task needs of the program beside its settings.
 pub struct ClusterDependencies {
+    /// This coordinator's name.
     pub name: String,
+    /// Seeds the random generator.
     pub seed: u64,
+    /// The program's clock.
     pub clock: Clock,
+    /// The program's phase, published to the cluster.
     pub phases: watch::Receiver<Phase>,
-    /// The data nodes that this coordinator's own answers make it doubt, and how many its list names.
+    /// Ids of the data nodes that this coordinator's own requests show to be outliers, and how many its list names.
     pub doubts: watch::Receiver<(Vec<String>, usize)>,
+    /// The core, which receives outlier advice.
     pub core: mpsc::Sender<Message>,
 }
 
-/// Begins to take part.
+/// Binds the socket and spawns the cluster task on the current thread. The task ends with
+/// [`ClusterHandle::leave`].
 pub async fn start(
     settings: &configuration::Peers,
     dependencies: ClusterDependencies,
 ) -> Result<ClusterHandle, ClusterError> {
-    let fault = |cause| ClusterError::Listen {
+    let listen_error = |source| ClusterError::Listen {
         address: settings.listen,
-        cause,
+        source,
     };
-    let socket = UdpSocket::bind(settings.listen).await.map_err(fault)?;
-    let bound = socket.local_addr().map_err(fault)?;
+    let socket = UdpSocket::bind(settings.listen)
+        .await
+        .map_err(listen_error)?;
+    let bound = socket.local_addr().map_err(listen_error)?;
     let address = settings.advertise.unwrap_or(bound);
     tracing::info!(listen = %bound, %address, cluster = settings.cluster, "joining the cluster");
     let now = dependencies.clock.now();
-    let setup = MembershipConfig {
+    let config = MembershipConfig {
         cluster: settings.cluster.clone(),
         name: dependencies.name.clone(),
         room: settings.room.clone(),
@@ -109,163 +134,217 @@
         seeds: settings.seeds.clone(),
         seed: dependencies.seed,
     };
-    let (calls, called) = mpsc::channel(CALLS);
-    tokio::task::spawn_local(run(
+    let (sender, requests) = mpsc::channel(MAX_WAITING_REQUESTS);
+    let task = ClusterTask {
         socket,
-        Membership::new(setup, now),
-        called,
+        membership: Membership::new(config, now),
+        requests,
         dependencies,
-    ));
-    Ok(ClusterHandle { calls })
+        buffer: [0; MAX_DATAGRAM_BYTES + 1],
+        ticks: 0,
+        confirmed_outliers: Vec::new(),
+    };
+    tokio::task::spawn_local(task.run());
+    Ok(ClusterHandle { requests: sender })
 }
 
-async fn run(
+struct ClusterTask {
     socket: UdpSocket,
-    mut group: Membership,
-    mut calls: mpsc::Receiver<ClusterRequest>,
-    mut dependencies: ClusterDependencies,
-) {
-    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK_INTERVAL));
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
-    let mut told = Vec::new();
-    let mut ticked = 0u32;
-    let clock = dependencies.clock.clone();
-    // What it was before this task began is told, too.
-    dependencies.phases.mark_changed();
-    loop {
-        let mut out = Vec::new();
+    membership: Membership,
+    requests: mpsc::Receiver<ClusterRequest>,
+    dependencies: ClusterDependencies,
+    /// One byte longer than a datagram may be, so that a longer one is seen to be.
+    buffer: [u8; MAX_DATAGRAM_BYTES + 1],
+    ticks: u32,
+    /// The outlier advice that was logged last.
+    confirmed_outliers: Vec<String>,
+}
+
+/// What wakes the cluster task.
+enum Input {
+    Tick,
+    /// A datagram of this length is in the buffer.
+    Datagram(usize),
+    /// Nothing could be read from the socket.
+    ReceiveFailed,
+    PhaseChanged,
+    OutliersChanged,
+    Request(ClusterRequest),
+}
+
+/// Whether the task goes on.
+#[derive(PartialEq)]
+enum Progress {
+    Continue,
+    Finished,
+}
+
+impl ClusterTask {
+    async fn run(mut self) {
+        let mut interval = tokio::time::interval(Duration::from_secs_f64(TICK_INTERVAL));
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        // The phase that was reached before this task began is published, too.
+        self.dependencies.phases.mark_changed();
+        loop {
+            let input = self.next_input(&mut interval).await;
+            if self.handle(input) == Progress::Finished {
+                return;
+            }
+        }
+    }
+
+    async fn next_input(&mut self, interval: &mut Interval) -> Input {
         tokio::select! {
             biased;
-            _ = ticks.tick() => {
-                // What came during a stop is read before any of its time is judged.
-                for _ in 0..MOST_AT_ONCE {
-                    match socket.try_recv_from(&mut buffer) {
-                        Ok((bytes, _)) => group.on_datagram(clock.now(), &buffer[..bytes], &mut out),
-                        Err(cause) if cause.kind() == std::io::ErrorKind::WouldBlock => break,
-                        // A peer's port that nobody listens at tells so here; it says nothing of this socket.
-                        Err(_) => {}
-                    }
-                }
-                group.tick(clock.now(), &mut out);
-                ticked = ticked.wrapping_add(1);
-                if ticked.is_multiple_of(ADVICE_TICKS) {
-                    advise(&group, &dependencies, &mut told);
-                }
-            }
-            got = socket.recv_from(&mut buffer) => {
-                if let Ok((bytes, _)) = got {
-                    group.on_datagram(clock.now(), &buffer[..bytes], &mut out);
-                }
-            }
-            Ok(()) = dependencies.phases.changed() => {
-                let phase = match *dependencies.phases.borrow_and_update() {
-                    Phase::Starting => gossip_state::Phase::Starting,
-                    Phase::Serving => gossip_state::Phase::Serving,
-                    Phase::Drained => gossip_state::Phase::Draining,
-                    Phase::Stopping | Phase::Closing | Phase::Refusing => gossip_state::Phase::Stopping,
-                };
-                group.publish(clock.now(), GossipValue::Phase(phase));
+            _ = interval.tick() => Input::Tick,
+            received = self.socket.recv_from(&mut self.buffer) => match received {
+                Ok((length, _)) => Input::Datagram(length),
+                Err(_) => Input::ReceiveFailed,
+            },
+            Ok(()) = self.dependencies.phases.changed() => Input::PhaseChanged,
+            Ok(()) = self.dependencies.doubts.changed() => Input::OutliersChanged,
+            Some(request) = self.requests.recv() => Input::Request(request),
+        }
+    }
+
+    fn handle(&mut self, input: Input) -> Progress {
+        match input {
+            Input::Tick => self.tick(),
+            Input::Datagram(length) => self.handle_datagram(length),
+            Input::ReceiveFailed => {}
+            Input::PhaseChanged => self.publish_phase(),
+            Input::OutliersChanged => self.publish_outliers(),
+            Input::Request(ClusterRequest::View(reply)) => {
+                let now = self.dependencies.clock.now();
+                let page = page::render(&self.membership, &self.dependencies.name, now);
+                // An asker that has gone needs no answer.
+                let _ = reply.send(page);
             }
-            Ok(()) = dependencies.doubts.changed() => {
-                let doubts = dependencies.doubts.borrow_and_update().0.clone();
-                group.publish(clock.now(), GossipValue::Outliers(doubts));
+            Input::Request(ClusterRequest::Leave(reply)) => {
+                self.leave();
+                let _ = reply.send(());
+                return Progress::Finished;
             }
-            Some(call) = calls.recv() => match call {
-                ClusterRequest::View(reply) => drop(reply.send(view(&group, &dependencies.name, clock.now()))),
-                ClusterRequest::Leave(reply) => {
-                    group.leave(clock.now(), &mut out);
-                    carry_out(&socket, out);
-                    let _ = reply.send(());
-                    return;
+        }
+        Progress::Continue
+    }
+
+    fn tick(&mut self) {
+        let mut out = Vec::new();
+        self.read_waiting_datagrams(&mut out);
+        self.membership
+            .tick(self.dependencies.clock.now(), &mut out);
+        self.ticks = self.ticks.wrapping_add(1);
+        if self.ticks.is_multiple_of(ADVICE_INTERVAL_TICKS) {
+            self.pass_on_advice();
+        }
+        self.carry_out(out);
+    }
+
+    /// What arrived during a pause is read before the pause itself is judged.
+    fn read_waiting_datagrams(&mut self, out: &mut Vec<Output>) {
+        for _ in 0..MAX_DATAGRAMS_PER_TICK {
+            match self.socket.try_recv_from(&mut self.buffer) {
+                Ok((length, _)) => {
+                    let now = self.dependencies.clock.now();
+                    self.membership
+                        .on_datagram(now, &self.buffer[..length], out);
                 }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                // A peer's port that is closed is reported here; it says nothing of this socket.
+                Err(_) => {}
             }
         }
-        carry_out(&socket, out);
     }
-}
 
-/// Hands the core what others doubt, where that changes or still holds.
-fn advise(group: &Membership, dependencies: &ClusterDependencies, told: &mut Vec<String>) {
-    let listed = dependencies.doubts.borrow().1;
-    let heeded = outlier_advice::confirmed_outliers(
-        &group.outlier_reports(),
-        group.view().live_count(),
-        listed,
-    );
-    if !heeded.is_empty() {
-        let _ = dependencies
-            .core
-            .try_send(Message::OutlierAdvice(heeded.clone()));
+    fn handle_datagram(&mut self, length: usize) {
+        let mut out = Vec::new();
+        let now = self.dependencies.clock.now();
+        self.membership
+            .on_datagram(now, &self.buffer[..length], &mut out);
+        self.carry_out(out);
     }
-    if heeded != *told {
-        tracing::info!(
-            servers = heeded.join(", "),
-            "outliers reported by the cluster"
-        );
-        *told = heeded;
+
+    fn publish_phase(&mut self) {
+        let phase = gossip_phase(*self.dependencies.phases.borrow_and_update());
+        let now = self.dependencies.clock.now();
+        self.membership.publish(now, GossipValue::Phase(phase));
+    }
+
+    fn publish_outliers(&mut self) {
+        let servers = self.dependencies.doubts.borrow_and_update().0.clone();
+        let now = self.dependencies.clock.now();
+        self.membership.publish(now, GossipValue::Outliers(servers));
+    }
+
+    fn leave(&mut self) {
+        let mut out = Vec::new();
+        self.membership
+            .leave(self.dependencies.clock.now(), &mut out);
+        self.carry_out(out);
+    }
+
+    /// Passes on the outliers that enough members report, as long as there are any, and logs changes.
+    fn pass_on_advice(&mut self) {
+        let listed_servers = self.dependencies.doubts.borrow().1;
+        let reports = self.membership.outlier_reports();
+        let live_members = self.membership.view().live_count();
+        let confirmed = outlier_advice::confirmed_outliers(&reports, live_members, listed_servers);
+        if !confirmed.is_empty() {
+            // A core that is too busy gets the advice anew at the next interval.
+            let advice = Message::OutlierAdvice(confirmed.clone());
+            let _ = self.dependencies.core.try_send(advice);
+        }
+        if confirmed != self.confirmed_outliers {
+            tracing::info!(
+                servers = confirmed.join(", "),
+                "outliers reported by the cluster"
+            );
+            self.confirmed_outliers = confirmed;
+        }
     }
-}
 
-fn carry_out(socket: &UdpSocket, out: Vec<Output>) {
-    for out in out {
-        match out {
-            // A datagram that finds no room is one that was lost, which the group bears.
-            Output::SendDatagram { to, bytes } => drop(socket.try_send_to(&bytes, to)),
-            Output::MemberChanged { id, name, state } => {
-                let member = name.unwrap_or_else(|| format!("{:016x}", id.name.0));
-                match state {
-                    MemberState::Alive => {
-                        tracing::info!(member, address = %id.address, "member joined")
-                    }
-                    MemberState::Suspected => tracing::info!(member, "member suspected"),
-                    MemberState::Failed => tracing::warn!(member, "member failed"),
-                    MemberState::Left => tracing::info!(member, "member left"),
+    fn carry_out(&self, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::SendDatagram { to, bytes } => {
+                    // A datagram that can't be sent is one that was lost, which the protocol tolerates.
+                    let _ = self.socket.try_send_to(&bytes, to);
                 }
+                Output::MemberChanged { id, name, state } => log_member_change(&id, name, state),
+                Output::Replaced { earlier, later } => tracing::warn!(
+                    member = format!("{:016x}", later.name.0),
+                    previous = %earlier.address,
+                    current = %later.address,
+                    "member replaced by a newer process"
+                ),
+                Output::QuorumChanged(quorum_view) => {
+                    tracing::info!(?quorum_view, "quorum view changed");
+                }
+                Output::Rejoined => tracing::warn!("rejoined the cluster"),
+                Output::Paused(seconds) => tracing::warn!(seconds, "process was paused"),
             }
-            Output::Replaced { earlier, later } => tracing::warn!(
-                previous = %earlier.address, current = %later.address, member = format!("{:016x}", later.name.0),
-                "member replaced by a newer process"
-            ),
-            Output::QuorumChanged(quorum_view) => {
-                tracing::info!(?quorum_view, "quorum view changed")
-            }
-            Output::Rejoined => tracing::warn!("rejoined the cluster"),
-            Output::Paused(secs) => tracing::warn!(secs, "process was paused"),
         }
     }
 }
 
-/// The view for people and programs.
-fn view(group: &Membership, name: &str, now: Time) -> String {
-    let view = group.view();
-    let members: Vec<_> = view
-        .members
-        .iter()
-        .map(|member| {
-            let gossip = group.gossip_of(&member.id);
-            let description = gossip.description.as_ref();
-            json!({
-                "name": description.map(|description| &description.name),
-                "room": description.map(|description| &description.room),
-                "offers": description.map(|description| &description.offers),
-                "state": member.state, "for_s": ((now - member.since) * 10.0).round() / 10.0, "phase": gossip.phase,
-                "address": member.id.address.to_string(), "generation": member.id.generation,
-                "returns": member.id.rejoins, "incarnation": member.incarnation,
-            })
-        })
-        .collect();
-    let allowed = |action: &ClusterAction| (action.key().to_string(), json!(view.allows(*action)));
-    let dropped =
-        |drops: cairnroad_cluster::DropCount| (drops.cause.to_string(), json!(drops.count));
-    json!({
-        "name": name, "address": view.local.address.to_string(), "generation": view.local.generation,
-        "returns": view.local.rejoins, "standing": view.quorum_view, "epoch": view.epoch,
-        "digest": format!("{:016x}", view.digest), "doubt": view.health_score, "there": view.live_count(),
-        "agree": view.agreeing, "differ": view.differing, "replaced_by": view.replaced_by.map(|id| id.address.to_string()),
-        "may": ClusterAction::ALL.iter().map(allowed).collect::<serde_json::Map<_, _>>(),
-        "doubted": group.outlier_reports(), "members": members,
-        "dropped": group.drop_counts().map(dropped).collect::<serde_json::Map<_, _>>(),
-    })
-    .to_string()
+/// Logs a member's new state. A member whose name has not arrived yet is logged by its hash.
+fn log_member_change(id: &MemberId, name: Option<String>, state: MemberState) {
+    let member = name.unwrap_or_else(|| format!("{:016x}", id.name.0));
+    match state {
+        MemberState::Alive => tracing::info!(member, address = %id.address, "member alive"),
+        MemberState::Suspected => tracing::info!(member, "member suspected"),
+        MemberState::Failed => tracing::warn!(member, "member failed"),
+        MemberState::Left => tracing::info!(member, "member left"),
+    }
+}
+
+/// The phase that other members are told.
+fn gossip_phase(phase: Phase) -> gossip_state::Phase {
+    match phase {
+        Phase::Starting => gossip_state::Phase::Starting,
+        Phase::Serving => gossip_state::Phase::Serving,
+        Phase::Drained => gossip_state::Phase::Draining,
+        Phase::Stopping | Phase::Closing | Phase::Refusing => gossip_state::Phase::Stopping,
+    }
 }
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -126,7 +126,7 @@
 fn part() -> Vec<Row> {
     let all = vec![cluster::ClusterError::Listen {
         address: ([127, 0, 0, 1], 7400).into(),
-        cause: io(),
+        source: io(),
     }];
     let place = |fault: &cluster::ClusterError| match fault {
         cluster::ClusterError::Listen { .. } => 0,
