--- a/crates/cluster/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! Groups on a virtual clock and an emulated network, with faults from a seeded schedule. The decisions are those that
-//! ship.
+//! Clusters on a virtual clock and an emulated network, with faults at scheduled times. The decisions are those of the
+//! shipped [`Membership`].
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use cairnroad_cluster::gossip_state::{GossipValue, Phase};
@@ -14,26 +14,28 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// Datagrams that wait for a stopped process; further ones are lost, as in a socket's buffer.
-const BUFFER: usize = 200;
+/// Datagrams that wait for a paused process; further ones are lost, as in a socket's buffer.
+const MAX_WAITING_DATAGRAMS: usize = 200;
 
-/// What happens to the group at a moment.
+/// What happens to the cluster at a moment. Members are numbered from 0.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing passes between these and all others, in both directions.
-    Cut(Vec<usize>),
-    /// What these send is lost; what they are sent arrives.
+    /// No datagram passes between these members and all others, in both directions.
+    Partition(Vec<usize>),
+    /// What these members send is lost; what they are sent arrives.
     Mute(Vec<usize>),
-    /// All cuts are over.
+    /// All partitions and mutes end.
     Heal,
+    /// The process ends without a word.
     Kill(usize),
-    /// It starts anew under its name. Its clock is so many seconds off.
-    Restart(usize, f64),
-    /// It is stopped, as by SIGSTOP, for so many seconds.
-    Stop(usize, f64),
+    /// A new process starts under the member's name, its clock so many seconds off.
+    Restart { member: usize, clock_skew: f64 },
+    /// The process is stopped for so many seconds, as by SIGSTOP.
+    Pause { member: usize, seconds: f64 },
+    /// The process announces that it leaves, and ends.
     Leave(usize),
-    /// The share of datagrams that is lost, and that comes twice, from now on.
-    Loss(f64, f64),
+    /// From now on these shares of datagrams are lost, or delivered twice.
+    Loss { lost: f64, duplicated: f64 },
 }
 
 enum Event {
@@ -46,54 +48,75 @@
     Fault(Fault),
 }
 
-struct Entry(Time, u64, Event);
+/// An event at its time; among events of one time the order in which they were queued counts.
+struct QueuedEvent {
+    at: Time,
+    sequence: u64,
+    event: Event,
+}
 
-impl PartialEq for Entry {
-    fn eq(&self, other: &Entry) -> bool {
-        (self.0, self.1) == (other.0, other.1)
+impl PartialEq for QueuedEvent {
+    fn eq(&self, other: &QueuedEvent) -> bool {
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
-impl Eq for Entry {}
-impl PartialOrd for Entry {
-    fn partial_cmp(&self, other: &Entry) -> Option<std::cmp::Ordering> {
+impl Eq for QueuedEvent {}
+impl PartialOrd for QueuedEvent {
+    fn partial_cmp(&self, other: &QueuedEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Entry {
-    fn cmp(&self, other: &Entry) -> std::cmp::Ordering {
-        (self.0, self.1).cmp(&(other.0, other.1))
+impl Ord for QueuedEvent {
+    fn cmp(&self, other: &QueuedEvent) -> std::cmp::Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// A change that a member told of another.
+/// A change of a member's state, as another member reported it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct MemberChange {
+    /// Seconds since the start.
     pub at: f64,
-    pub by: usize,
-    pub of: usize,
+    pub observer: usize,
+    pub member: usize,
     pub state: MemberState,
 }
 
-pub struct Sim {
+/// A change of how much of the group a member sees.
+#[derive(Clone, Debug)]
+pub struct QuorumChange {
+    /// Seconds since the start.
+    pub at: f64,
+    pub member: usize,
+    pub quorum_view: QuorumView,
+}
+
+/// A process that is paused, and what its socket received since.
+struct PausedProcess {
+    until: Time,
+    waiting: VecDeque<Vec<u8>>,
+}
+
+/// A cluster whose members are numbered from 0.
+pub struct Simulation {
     pub size: usize,
-    pub groups: Vec<Option<Membership>>,
-    /// Who has left by its own word and was not started since.
+    pub memberships: Vec<Option<Membership>>,
+    /// Members that announced that they leave and were not started since.
     pub left: BTreeSet<usize>,
-    pub seen: Vec<Seen>,
-    pub quorum_views: Vec<(f64, usize, QuorumView)>,
-    pub bytes: Vec<u64>,
-    pub datagrams: u64,
+    pub changes: Vec<MemberChange>,
+    pub quorum_changes: Vec<QuorumChange>,
+    pub bytes_sent: Vec<u64>,
+    pub datagrams_sent: u64,
     start: Time,
     now: Time,
-    queue: BinaryHeap<Reverse<Entry>>,
-    number: u64,
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
+    last_sequence: u64,
     random: StdRng,
-    lives: Vec<u64>,
-    stopped: BTreeMap<usize, (Time, VecDeque<Vec<u8>>)>,
-    cuts: Vec<BTreeSet<usize>>,
+    paused: BTreeMap<usize, PausedProcess>,
+    partitions: Vec<BTreeSet<usize>>,
     muted: BTreeSet<usize>,
-    loss: f64,
-    twice: f64,
+    lost_share: f64,
+    duplicated_share: f64,
     names: BTreeMap<NameHash, usize>,
     seeds: usize,
 }
@@ -112,85 +135,87 @@
     }
 }
 
-impl Sim {
-    /// `size` members that start together, knowing the first few as seeds.
-    pub fn new(size: usize, seed: u64) -> Sim {
+impl Simulation {
+    /// `size` members that start together and know the first few as seeds.
+    pub fn new(size: usize, seed: u64) -> Simulation {
         let start = Time::from_secs(1_790_000_000.0);
-        let mut sim = Sim {
+        let mut sim = Simulation {
             size,
-            groups: (0..size).map(|_| None).collect(),
+            memberships: (0..size).map(|_| None).collect(),
             left: BTreeSet::new(),
-            seen: Vec::new(),
-            quorum_views: Vec::new(),
-            bytes: vec![0; size],
-            datagrams: 0,
+            changes: Vec::new(),
+            quorum_changes: Vec::new(),
+            bytes_sent: vec![0; size],
+            datagrams_sent: 0,
             start,
             now: start,
             queue: BinaryHeap::new(),
-            number: 0,
+            last_sequence: 0,
             random: StdRng::seed_from_u64(seed),
-            lives: vec![0; size],
-            stopped: BTreeMap::new(),
-            cuts: Vec::new(),
+            paused: BTreeMap::new(),
+            partitions: Vec::new(),
             muted: BTreeSet::new(),
-            loss: 0.0,
-            twice: 0.0,
+            lost_share: 0.0,
+            duplicated_share: 0.0,
             names: (0..size)
                 .map(|member| (NameHash::of(&format!("n{member}")), member))
                 .collect(),
             seeds: 3.min(size),
         };
         for member in 0..size {
-            sim.begin(member, 0.0);
+            sim.start_member(member, 0.0);
             let at = sim.now + sim.random.random::<f64>() * TICK_INTERVAL;
             sim.push(at, Event::Tick(member));
         }
         sim
     }
 
-    fn begin(&mut self, member: usize, skew: f64) {
-        self.lives[member] += 1;
+    fn start_member(&mut self, member: usize, clock_skew: f64) {
         let setup = MembershipConfig {
             cluster: "sim".into(),
             name: format!("n{member}"),
             room: "kita".into(),
             offers: Vec::new(),
             address: address(member),
-            generation: ((self.now + skew).secs() * 1e3) as u64,
+            generation: ((self.now + clock_skew).secs() * 1e3) as u64,
             group: (0..self.size).map(|member| format!("n{member}")).collect(),
             seeds: (0..self.seeds).map(address).collect(),
             seed: self.random.random(),
         };
         self.left.remove(&member);
-        let mut group = Membership::new(setup, self.now);
-        group.publish(self.now, GossipValue::Phase(Phase::Serving));
-        self.groups[member] = Some(group);
+        let mut membership = Membership::new(setup, self.now);
+        membership.publish(self.now, GossipValue::Phase(Phase::Serving));
+        self.memberships[member] = Some(membership);
     }
 
     fn push(&mut self, at: Time, event: Event) {
-        self.number += 1;
-        self.queue.push(Reverse(Entry(at, self.number, event)));
+        self.last_sequence += 1;
+        self.queue.push(Reverse(QueuedEvent {
+            at,
+            sequence: self.last_sequence,
+            event,
+        }));
     }
 
     /// Seconds since the start.
-    pub fn age(&self) -> f64 {
+    pub fn elapsed(&self) -> f64 {
         self.now - self.start
     }
 
-    /// Plans a fault, so many seconds after the start.
-    pub fn plan(&mut self, at: f64, fault: Fault) {
+    /// Schedules a fault, so many seconds after the start.
+    pub fn schedule_fault(&mut self, at: f64, fault: Fault) {
         self.push(self.start + at, Event::Fault(fault));
     }
 
-    /// Plays until so many seconds after the start.
-    pub fn play(&mut self, until: f64) {
+    /// Runs until so many seconds after the start.
+    pub fn run_until(&mut self, until: f64) {
         let end = self.start + until;
         while self
             .queue
             .peek()
-            .is_some_and(|Reverse(Entry(at, ..))| *at <= end)
+            .is_some_and(|Reverse(queued)| queued.at <= end)
         {
-            let Some(Reverse(Entry(at, _, event))) = self.queue.pop() else {
+            let Some(Reverse(QueuedEvent { at, event, .. })) = self.queue.pop() else {
                 break;
             };
             self.now = at;
@@ -201,144 +226,151 @@
                     let at = self.now + TICK_INTERVAL;
                     self.push(at, Event::Tick(member));
                 }
-                Event::Fault(fault) => self.strike(fault),
+                Event::Fault(fault) => self.inject(fault),
             }
         }
         self.now = end;
     }
 
     fn tick(&mut self, member: usize) {
-        let waiting = match self.stopped.get(&member) {
-            Some((until, _)) if *until > self.now => return,
-            Some(_) => self.stopped.remove(&member).map(|stopped| stopped.1),
-            None => None,
-        };
+        let is_paused = self
+            .paused
+            .get(&member)
+            .is_some_and(|paused| paused.until > self.now);
+        if is_paused {
+            return;
+        }
+        let waiting = self.paused.remove(&member).map(|paused| paused.waiting);
         let now = self.now;
-        let Some(group) = &mut self.groups[member] else {
+        let Some(membership) = &mut self.memberships[member] else {
             return;
         };
         let mut out = Vec::new();
         for bytes in waiting.into_iter().flatten() {
-            group.on_datagram(now, &bytes, &mut out);
+            membership.on_datagram(now, &bytes, &mut out);
         }
-        group.tick(now, &mut out);
+        membership.tick(now, &mut out);
         self.carry_out(member, out);
     }
 
     fn carry_out(&mut self, from: usize, out: Vec<Output>) {
         for out in out {
             match out {
-                Output::SendDatagram { to, bytes } => {
-                    self.bytes[from] += bytes.len() as u64;
-                    self.datagrams += 1;
-                    let copies = 1 + usize::from(self.random.random::<f64>() < self.twice);
-                    for _ in 0..copies {
-                        if self.random.random::<f64>() < self.loss {
-                            continue;
-                        }
-                        let at = self.now + (0.0002 + 0.003 * self.random.random::<f64>());
-                        self.push(
-                            at,
-                            Event::Datagram {
-                                from,
-                                to,
-                                bytes: bytes.clone(),
-                            },
-                        );
-                    }
-                }
+                Output::SendDatagram { to, bytes } => self.send(from, to, &bytes),
                 Output::MemberChanged { id, state, .. } => {
-                    let Some(&of) = self.names.get(&id.name) else {
+                    let Some(&member) = self.names.get(&id.name) else {
                         continue;
                     };
-                    self.seen.push(Seen {
-                        at: self.age(),
-                        by: from,
-                        of,
+                    self.changes.push(MemberChange {
+                        at: self.elapsed(),
+                        observer: from,
+                        member,
                         state,
                     });
                 }
-                Output::QuorumChanged(standing) => {
-                    self.quorum_views.push((self.age(), from, standing))
-                }
+                Output::QuorumChanged(quorum_view) => self.quorum_changes.push(QuorumChange {
+                    at: self.elapsed(),
+                    member: from,
+                    quorum_view,
+                }),
                 _ => {}
             }
         }
     }
 
+    /// Sends a datagram through the network, which may lose, delay or duplicate it.
+    fn send(&mut self, from: usize, to: SocketAddr, bytes: &[u8]) {
+        self.bytes_sent[from] += bytes.len() as u64;
+        self.datagrams_sent += 1;
+        let copies = 1 + usize::from(self.random.random::<f64>() < self.duplicated_share);
+        for _ in 0..copies {
+            if self.random.random::<f64>() < self.lost_share {
+                continue;
+            }
+            let at = self.now + (0.0002 + 0.003 * self.random.random::<f64>());
+            let bytes = bytes.to_vec();
+            self.push(at, Event::Datagram { from, to, bytes });
+        }
+    }
+
     fn deliver(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let to = member(to);
-        let cut = self
-            .cuts
+        let is_partitioned = self
+            .partitions
             .iter()
             .any(|side| side.contains(&from) != side.contains(&to));
-        if to >= self.size || cut || self.muted.contains(&from) {
+        if to >= self.size || is_partitioned || self.muted.contains(&from) {
             return;
         }
-        if let Some((_, waiting)) = self.stopped.get_mut(&to) {
-            if waiting.len() < BUFFER {
-                waiting.push_back(bytes);
+        if let Some(paused) = self.paused.get_mut(&to) {
+            if paused.waiting.len() < MAX_WAITING_DATAGRAMS {
+                paused.waiting.push_back(bytes);
             }
             return;
         }
-        let Some(group) = &mut self.groups[to] else {
+        let Some(membership) = &mut self.memberships[to] else {
             return;
         };
         let mut out = Vec::new();
-        group.on_datagram(self.now, &bytes, &mut out);
+        membership.on_datagram(self.now, &bytes, &mut out);
         self.carry_out(to, out);
     }
 
-    fn strike(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::Cut(side) => self.cuts.push(side.into_iter().collect()),
+            Fault::Partition(side) => self.partitions.push(side.into_iter().collect()),
             Fault::Mute(members) => self.muted.extend(members),
             Fault::Heal => {
-                self.cuts.clear();
+                self.partitions.clear();
                 self.muted.clear();
             }
             Fault::Kill(member) => {
-                self.groups[member] = None;
-                self.stopped.remove(&member);
+                self.memberships[member] = None;
+                self.paused.remove(&member);
             }
-            Fault::Restart(member, skew) => {
-                self.stopped.remove(&member);
-                self.begin(member, skew);
+            Fault::Restart { member, clock_skew } => {
+                self.paused.remove(&member);
+                self.start_member(member, clock_skew);
             }
-            Fault::Stop(member, secs) => {
-                if self.groups[member].is_some() {
-                    self.stopped
+            Fault::Pause { member, seconds } => {
+                if self.memberships[member].is_some() {
+                    let until = self.now + seconds;
+                    let waiting = VecDeque::new();
+                    self.paused
                         .entry(member)
-                        .or_insert((self.now + secs, VecDeque::new()));
+                        .or_insert(PausedProcess { until, waiting });
                 }
             }
             Fault::Leave(member) => {
                 let mut out = Vec::new();
-                if let Some(group) = &mut self.groups[member] {
-                    group.leave(self.now, &mut out);
+                if let Some(membership) = &mut self.memberships[member] {
+                    membership.leave(self.now, &mut out);
                     self.left.insert(member);
                 }
                 self.carry_out(member, out);
-                self.groups[member] = None;
-                self.stopped.remove(&member);
+                self.memberships[member] = None;
+                self.paused.remove(&member);
+            }
+            Fault::Loss { lost, duplicated } => {
+                self.lost_share = lost;
+                self.duplicated_share = duplicated;
             }
-            Fault::Loss(share, twice) => (self.loss, self.twice) = (share, twice),
         }
     }
 
-    /// Who is alive.
-    pub fn alive(&self) -> BTreeSet<usize> {
+    /// The members whose processes run.
+    pub fn running(&self) -> BTreeSet<usize> {
         (0..self.size)
-            .filter(|member| self.groups[*member].is_some())
+            .filter(|member| self.memberships[*member].is_some())
             .collect()
     }
 
-    /// Whom a member sees there, itself included.
-    pub fn sees(&self, by: usize) -> BTreeSet<usize> {
-        let Some(group) = &self.groups[by] else {
+    /// The members that one sees as live, itself included.
+    pub fn live_members_seen_by(&self, by: usize) -> BTreeSet<usize> {
+        let Some(membership) = &self.memberships[by] else {
             return BTreeSet::new();
         };
-        let view = group.view();
+        let view = membership.view();
         let there = view.members.iter().filter(|member| member.state.is_live());
         there
             .filter_map(|member| self.names.get(&member.id.name).copied())
@@ -347,28 +379,28 @@
     }
 
     pub fn quorum_view(&self, by: usize) -> Option<QuorumView> {
-        self.groups[by]
+        self.memberships[by]
             .as_ref()
-            .map(|group| group.view().quorum_view)
+            .map(|membership| membership.view().quorum_view)
     }
 
-    /// What is wrong in the views, if anything: each of those alive sees just those who are.
-    pub fn wrong(&self) -> Option<String> {
-        let alive = self.alive();
+    /// What is wrong in the views, if anything: each running member sees just the running ones as live.
+    pub fn inconsistency(&self) -> Option<String> {
+        let alive = self.running();
         let mut digests = BTreeSet::new();
         let mut left: BTreeMap<usize, BTreeSet<MemberState>> = BTreeMap::new();
         for &by in &alive {
-            let sees = self.sees(by);
+            let sees = self.live_members_seen_by(by);
             if sees != alive {
                 let missing: Vec<&usize> = alive.difference(&sees).collect();
                 let surplus: Vec<&usize> = sees.difference(&alive).collect();
                 return Some(format!(
                     "{by} misses {missing:?} and sees {surplus:?} at {:.1} s",
-                    self.age()
+                    self.elapsed()
                 ));
             }
-            if let Some(group) = &self.groups[by] {
-                let view = group.view();
+            if let Some(membership) = &self.memberships[by] {
+                let view = membership.view();
                 digests.insert(view.digest);
                 for member in &view.members {
                     let of = self.names[&member.id.name];
@@ -378,36 +410,36 @@
                 }
             }
         }
-        // The last word of one who left in the middle of a cut may be lost; all know it, or nobody does.
+        // The announcement of one that left in the middle of a partition may be lost; all know it, or none does.
         if let Some((of, states)) = left.iter().find(|(_, states)| states.len() > 1) {
             return Some(format!(
                 "{of}, who left, is taken for {states:?} at {:.1} s",
-                self.age()
+                self.elapsed()
             ));
         }
         (digests.len() > 1)
-            .then(|| format!("{} views differ at {:.1} s", digests.len(), self.age()))
+            .then(|| format!("{} views differ at {:.1} s", digests.len(), self.elapsed()))
     }
 
-    /// Plays on until all views are right, and says after how many seconds; `Err` with what is wrong at the end.
-    pub fn settle(&mut self, within: f64) -> Result<f64, String> {
-        let from = self.age();
+    /// Runs on until all views are consistent and returns after how many seconds; `Err` with what is wrong at the end.
+    pub fn run_until_consistent(&mut self, within: f64) -> Result<f64, String> {
+        let from = self.elapsed();
         loop {
-            let Some(wrong) = self.wrong() else {
-                return Ok(self.age() - from);
+            let Some(wrong) = self.inconsistency() else {
+                return Ok(self.elapsed() - from);
             };
-            if self.age() - from >= within {
+            if self.elapsed() - from >= within {
                 return Err(wrong);
             }
-            self.play(self.age() + 0.25);
+            self.run_until(self.elapsed() + 0.25);
         }
     }
 
-    /// Who was told to have failed, by whom, from a moment on.
-    pub fn failures(&self, from: f64) -> Vec<&Seen> {
-        self.seen
+    /// Reports that a member failed, from this time on.
+    pub fn failures(&self, from: f64) -> Vec<&MemberChange> {
+        self.changes
             .iter()
-            .filter(|seen| seen.at >= from && seen.state == MemberState::Failed)
+            .filter(|change| change.at >= from && change.state == MemberState::Failed)
             .collect()
     }
 }
