--- a/crates/testbed/src/chaos/process.rs
+++ b/crates/testbed/src/chaos/process.rs
@@ -1,121 +1,164 @@
 //! Coordinators as processes: started at port 0, stopped, resumed, killed, restarted and reloaded. Whatever was started
 //! ends with its owner, also when a run fails.
 
-use crate::fleet::write;
-use crate::load::{AIM, CLASSES, DEADLINES};
+use crate::coordinator_process::log_field;
+use crate::deployment::{write_atomically, DeploymentSpec};
+use crate::error::TestbedError;
 use serde_json::json;
+use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::TcpStream;
+use tokio::process::{Child, ChildStderr, Command};
 
-/// How long a start, and how long an end may take.
-const BEGINS: Duration = Duration::from_secs(20);
-const ENDS: Duration = Duration::from_secs(10);
+/// How long a start may take.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a graceful shutdown may take.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often a starting coordinator's health is asked for.
+const HEALTH_INTERVAL: Duration = Duration::from_millis(5);
 /// The system counts processor time in these.
-const TICKS_A_SECOND: f64 = 100.0;
-/// How long a call at the door may take.
-const CALL: Duration = Duration::from_millis(1_000);
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
+/// How long an admin request may take.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Log lines that name the admin address, of this program and of earlier ones.
+const ADMIN_LISTENING: [&str; 1] = ["operators' calls"];
+/// Log lines that name the cluster's address, of this program and of earlier ones.
+const CLUSTER_JOINED: [&str; 1] = ["takes part"];
 
 /// Why a process is not there.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
-    #[error("{path}: {cause}")]
+pub enum ProcessError {
+    /// The program can't be started.
+    #[error("{path}: {source}", path = path.display())]
     Spawn {
+        /// The program.
         path: PathBuf,
-        cause: std::io::Error,
+        /// What the system says.
+        source: std::io::Error,
     },
-    #[error("{0}")]
-    File(String),
-    #[error("coordinator {index} ended at its start:\n{said}")]
-    Ended { index: usize, said: String },
-    #[error("coordinator {index} was not ready in time:\n{said}")]
-    NotReady { index: usize, said: String },
-    #[error("coordinator {index} did not end {} s after it was told to", ENDS.as_secs())]
-    Lingers { index: usize },
+    /// It ended before it listened.
+    #[error("coordinator {index} ended at its start:\n{log}")]
+    EndedAtStart {
+        /// Its index.
+        index: usize,
+        /// Its log so far.
+        log: String,
+    },
+    /// It did not become ready.
+    #[error("coordinator {index} was not ready in time:\n{log}")]
+    NotReady {
+        /// Its index.
+        index: usize,
+        /// Its log so far.
+        log: String,
+    },
+    /// It did not end after SIGTERM.
+    #[error("coordinator {index} did not end {} s after it was told to", STOP_TIMEOUT.as_secs())]
+    DidNotStop {
+        /// Its index.
+        index: usize,
+    },
+    /// It did not end successfully after SIGTERM.
     #[error("coordinator {index} ended with {status}, told to stop")]
     Crashed {
+        /// Its index.
         index: usize,
+        /// How it ended.
         status: std::process::ExitStatus,
     },
 }
 
-/// What all coordinators of a run share.
-pub struct Plan {
+/// Starts the coordinators of a run.
+pub struct ProcessLauncher {
+    /// The program.
     pub program: PathBuf,
+    /// The folder that holds a folder for each coordinator.
     pub folder: PathBuf,
-    pub cells: u32,
-    pub shards: u32,
-    /// Lines of the project's own file, beside what each has of its own.
-    pub own: String,
+    /// What the deployment states.
+    pub deployment: DeploymentSpec,
+    /// Lines of the project's own settings, beside those that each coordinator has of its own.
+    pub project_settings: String,
 }
 
-/// Where a running coordinator is.
+/// Where a running coordinator listens.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct ProcessAddresses {
+    /// The platform's front.
     pub front: SocketAddr,
-    pub door: SocketAddr,
-    /// Where it takes datagrams, if it takes part in a group.
-    pub peers: Option<SocketAddr>,
+    /// The admin API.
+    pub admin: SocketAddr,
+    /// Where it takes datagrams, if it is a member of a cluster.
+    pub cluster: Option<SocketAddr>,
 }
 
-/// One coordinator.
+/// One running coordinator. It is killed when it is dropped.
 pub struct Process {
-    pub index: usize,
-    child: tokio::process::Child,
-    pub places: Places,
+    index: usize,
+    child: Child,
+    /// Where it listens.
+    pub addresses: ProcessAddresses,
+}
+
+/// What a process has used.
+#[derive(Clone, Copy, Debug)]
+pub struct ProcessUsage {
+    /// Seconds of processor time.
+    pub cpu_seconds: f64,
+    /// Resident memory in MB.
+    pub memory_mb: f64,
 }
 
-impl Plan {
-    fn folder(&self, index: usize) -> PathBuf {
+impl ProcessLauncher {
+    fn member_folder(&self, index: usize) -> PathBuf {
         self.folder.join(format!("n{index}"))
     }
 
-    /// Writes a coordinator's list of data nodes.
-    pub fn list(&self, index: usize, roster: &str) -> Result<(), Error> {
-        let folder = self.folder(index);
-        std::fs::create_dir_all(&folder).map_err(|cause| Error::Spawn {
-            path: folder.clone(),
-            cause,
-        })?;
-        write(&folder.join("servers.toml"), roster).map_err(Error::File)
+    /// Writes a coordinator's endpoint list.
+    ///
+    /// # Errors
+    ///
+    /// A file that can't be written.
+    pub fn write_endpoint_list(&self, index: usize, list: &str) -> Result<(), TestbedError> {
+        let folder = self.member_folder(index);
+        std::fs::create_dir_all(&folder).map_err(TestbedError::file(&folder))?;
+        write_atomically(&folder.join("servers.toml"), list)
     }
 
-    /// Writes its settings. `peers`: the lines of its part in a group.
-    pub fn settle(&self, index: usize, peers: &str) -> Result<(), Error> {
-        let class = |at: usize, effect: &str, worth: f64| {
-            json!({"name": CLASSES[at], "aimS": AIM, "deadlineS": DEADLINES[at], "effect": effect, "value": worth,
-                "lateShare": 0.3})
-        };
-        let settings = json!({
-            "classes": [class(0, "idempotent", 3.0), class(1, "at_most_once", 1.0)],
-            "groupSize": 1, "registryMode": "pushed", "tickS": 0.005,
-            "report": {"how": "piggyback", "names": ["queue", "latency_ms"]},
-            "extra": {"positions": self.cells, "span": 2, "shards": self.shards, "partsACall": 8,
-                "needByClass": [1.0, 1.0], "minShare": [0.8, 1.0], "partialEarns": [0.9, 0.9], "fetchParts": [0, 0]},
-            "caps": {"attemptsCap": 3, "cancel": true, "secondCopies": true, "probes": true, "retryAfter": false,
-                "maxRetryAfterS": 2.0, "openCap": 20_000, "dialTimeoutS": 0.25, "keepaliveS": 15.0,
-                "streamsPerConn": 32},
-            "safety": {"coldFrom": 0.25, "warmUpS": 10.0, "stopSendingWithinS": 0.25, "fallMultiple": 2.5,
-                "fallS": 1.0}});
-        let config = json!({"name": format!("n{index}"), "listen": "127.0.0.1:0", "admin": "127.0.0.1:0",
-            "seed": format!("{:x}", 0x8c1f_30d2_0000 + index), "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
-            "settings": settings});
-        let folder = self.folder(index);
-        write(&folder.join("config.json"), &config.to_string()).map_err(Error::File)?;
-        let own = format!(
-            "[membership]\nsource = \"files\"\npath = \"servers.toml\"\nstate = \".\"\n{}\n{peers}",
-            self.own
+    /// Writes a coordinator's settings. `cluster_settings`: the lines of its membership.
+    ///
+    /// # Errors
+    ///
+    /// A file that can't be written.
+    pub fn write_settings(&self, index: usize, cluster_settings: &str) -> Result<(), TestbedError> {
+        let config = json!({
+            "name": format!("n{index}"),
+            "listen": "127.0.0.1:0",
+            "admin": "127.0.0.1:0",
+            "seed": format!("{:x}", 0x8c1f_30d2_0000 + index),
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
+            "settings": self.deployment.settings(),
+        });
+        let folder = self.member_folder(index);
+        write_atomically(&folder.join("config.json"), &config.to_string())?;
+        let project_settings = format!(
+            "[membership]\nsource = \"files\"\npath = \"servers.toml\"\nstate = \".\"\n{}\n{cluster_settings}",
+            self.project_settings
         );
-        write(&folder.join("own.toml"), &own).map_err(Error::File)
+        write_atomically(&folder.join("own.toml"), &project_settings)
     }
 
-    /// Starts it and waits until it is ready.
-    pub async fn start(&self, index: usize, grouped: bool) -> Result<Process, Error> {
-        let folder = self.folder(index);
-        let mut child = tokio::process::Command::new(&self.program)
+    /// Starts a coordinator and waits until it is ready.
+    ///
+    /// # Errors
+    ///
+    /// A program that can't be started, ends at once or does not become ready.
+    pub async fn start(&self, index: usize, clustered: bool) -> Result<Process, ProcessError> {
+        let folder = self.member_folder(index);
+        let mut child = Command::new(&self.program)
             .env("NODE_CONFIG", folder.join("config.json"))
             .env("CAIRNROAD_FILE", folder.join("own.toml"))
             .env("TMPDIR", &folder)
@@ -123,119 +166,147 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|cause| Error::Spawn {
+            .map_err(|source| ProcessError::Spawn {
                 path: self.program.clone(),
-                cause,
+                source,
             })?;
-        let mut said = String::new();
-        let begun =
-            tokio::time::timeout(BEGINS, begin(&mut child, &folder, grouped, &mut said)).await;
-        let places = match begun {
-            Ok(Some(places)) => places,
-            Ok(None) => return Err(Error::Ended { index, said }),
-            Err(_) => return Err(Error::NotReady { index, said }),
-        };
-        let process = Process {
-            index,
-            child,
-            places,
+        let mut log = String::new();
+        let listening = read_addresses(&mut child, &folder, clustered, &mut log);
+        let addresses = match tokio::time::timeout(START_TIMEOUT, listening).await {
+            Ok(Some(addresses)) => addresses,
+            Ok(None) => return Err(ProcessError::EndedAtStart { index, log }),
+            Err(_) => return Err(ProcessError::NotReady { index, log }),
         };
         let ready = async {
-            while !matches!(get(places.front, "/_health").await, Some((200, _))) {
-                tokio::time::sleep(Duration::from_millis(5)).await;
+            while !is_healthy(addresses.front).await {
+                tokio::time::sleep(HEALTH_INTERVAL).await;
             }
         };
-        tokio::time::timeout(BEGINS, ready)
-            .await
-            .map_err(|_| Error::NotReady { index, said })?;
-        Ok(process)
+        match tokio::time::timeout(START_TIMEOUT, ready).await {
+            Ok(()) => Ok(Process {
+                index,
+                child,
+                addresses,
+            }),
+            Err(_) => Err(ProcessError::NotReady { index, log }),
+        }
     }
 }
 
-/// Reads the log until it says where the coordinator is; the rest goes to a file beside its settings.
-async fn begin(
-    child: &mut tokio::process::Child,
+/// Reads the log until it names all addresses; the rest goes to a file beside the settings. `None` if the log ends
+/// before.
+async fn read_addresses(
+    child: &mut Child,
     folder: &Path,
-    grouped: bool,
-    said: &mut String,
-) -> Option<Places> {
+    clustered: bool,
+    log: &mut String,
+) -> Option<ProcessAddresses> {
     let mut lines = BufReader::new(child.stderr.take()?).lines();
-    let (mut front, mut door, mut peers) = (None, None, None);
-    while front.is_none() || door.is_none() || (grouped && peers.is_none()) {
+    let mut front = None;
+    let mut admin = None;
+    let mut cluster = None;
+    while front.is_none() || admin.is_none() || (clustered && cluster.is_none()) {
         let line = lines.next_line().await.ok()??;
-        let field = |name: &str| {
-            let word = line.split(' ').find_map(|word| word.strip_prefix(name));
-            word.and_then(|word| word.trim_matches('"').parse::<SocketAddr>().ok())
-        };
+        let address = |field: &str| log_field(&line, field).and_then(|text| text.parse().ok());
+        let is_one_of = |events: &[&str]| events.iter().any(|event| line.contains(event));
         if line.contains("front=") {
-            front = field("address=");
-        } else if line.contains("operators' calls") {
-            door = field("address=");
-        } else if line.contains("takes part") {
-            peers = field("peers=");
+            front = address("address=");
+        } else if is_one_of(&ADMIN_LISTENING) {
+            admin = address("address=");
+        } else if is_one_of(&CLUSTER_JOINED) {
+            cluster = address("peers=");
         }
-        said.push_str(&line);
-        said.push('\n');
+        log.push_str(&line);
+        log.push('\n');
     }
-    let mut log = std::fs::File::options()
+    keep_log(lines, log, folder).ok()?;
+    Some(ProcessAddresses {
+        front: front?,
+        admin: admin?,
+        cluster,
+    })
+}
+
+/// Appends the log so far and all that follows to a file.
+fn keep_log(
+    mut lines: Lines<BufReader<ChildStderr>>,
+    log: &str,
+    folder: &Path,
+) -> std::io::Result<()> {
+    let mut file = std::fs::File::options()
         .create(true)
         .append(true)
-        .open(folder.join("log.txt"))
-        .ok()?;
-    let kept = said.clone();
+        .open(folder.join("log.txt"))?;
+    let so_far = log.to_string();
     tokio::task::spawn_local(async move {
-        use std::io::Write;
-        let _ = log.write_all(kept.as_bytes());
+        let _ = file.write_all(so_far.as_bytes());
         while let Ok(Some(line)) = lines.next_line().await {
-            let _ = writeln!(log, "{line}");
+            let _ = writeln!(file, "{line}");
         }
     });
-    Some(Places {
-        front: front?,
-        door: door?,
-        peers,
-    })
+    Ok(())
 }
 
-/// The status and body of a `GET`.
-async fn get(to: SocketAddr, path: &str) -> Option<(u16, String)> {
-    let call = async {
-        let mut stream = TcpStream::connect(to).await.ok()?;
+struct GetResponse {
+    status: u16,
+    body: String,
+}
+
+async fn get(address: SocketAddr, path: &str) -> Option<GetResponse> {
+    let request = async {
+        let mut stream = TcpStream::connect(address).await.ok()?;
         let head = format!("GET {path} HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n");
         stream.write_all(head.as_bytes()).await.ok()?;
         let mut text = String::new();
         stream.read_to_string(&mut text).await.ok()?;
         let status = text.split(' ').nth(1)?.parse().ok()?;
-        Some((status, text.split_once("\r\n\r\n")?.1.to_string()))
+        let (_, body) = text.split_once("\r\n\r\n")?;
+        Some(GetResponse {
+            status,
+            body: body.to_string(),
+        })
     };
-    tokio::time::timeout(CALL, call).await.ok().flatten()
+    tokio::time::timeout(REQUEST_TIMEOUT, request)
+        .await
+        .ok()
+        .flatten()
 }
 
-/// What a coordinator says of its group.
-pub async fn view(door: SocketAddr) -> Option<serde_json::Value> {
-    let (status, body) = get(door, "/v1/peers").await?;
-    (status == 200)
-        .then(|| serde_json::from_str(&body).ok())
-        .flatten()
+async fn is_healthy(front: SocketAddr) -> bool {
+    let response = get(front, "/_health").await;
+    response.is_some_and(|response| response.status == 200)
+}
+
+/// Returns what a coordinator says of its cluster, as the admin API's JSON; `None` if it doesn't answer.
+pub async fn fetch_membership_view(admin: SocketAddr) -> Option<serde_json::Value> {
+    let response = get(admin, "/v1/peers").await?;
+    if response.status != 200 {
+        return None;
+    }
+    serde_json::from_str(&response.body).ok()
 }
 
 impl Process {
-    /// Seconds of processor time that it used, and the memory that it holds, in MB; where the system tells.
-    pub fn usage(&self) -> Option<(f64, f64)> {
+    /// Returns what the process has used, where the system tells.
+    pub fn usage(&self) -> Option<ProcessUsage> {
         let folder = PathBuf::from(format!("/proc/{}", self.child.id()?));
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
         // Behind the name, which may hold anything, user and system time are the 12th and 13th words.
         let words: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-        let ticks = words.get(11)?.parse::<f64>().ok()? + words.get(12)?.parse::<f64>().ok()?;
+        let user_ticks: f64 = words.get(11)?.parse().ok()?;
+        let system_ticks: f64 = words.get(12)?.parse().ok()?;
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
         let resident = status
             .lines()
             .find_map(|line| line.strip_prefix("VmRSS:"))?;
         let kilobytes: f64 = resident.split_whitespace().next()?.parse().ok()?;
-        Some((ticks / TICKS_A_SECOND, kilobytes / 1024.0))
+        Some(ProcessUsage {
+            cpu_seconds: (user_ticks + system_ticks) / CLOCK_TICKS_PER_SECOND,
+            memory_mb: kilobytes / 1024.0,
+        })
     }
 
-    /// Sends it a signal by name.
+    /// Sends it a signal by name, such as `HUP`.
     pub fn signal(&self, name: &str) {
         if let Some(id) = self.child.id() {
             let _ = std::process::Command::new("kill")
@@ -250,14 +321,18 @@
         let _ = self.child.kill().await;
     }
 
-    /// Tells it to stop, and waits for its end.
-    pub async fn stop(mut self) -> Result<(), Error> {
+    /// Sends SIGTERM and waits for its end.
+    ///
+    /// # Errors
+    ///
+    /// A process that doesn't end in time, or not successfully.
+    pub async fn stop(mut self) -> Result<(), ProcessError> {
         self.signal("TERM");
         let index = self.index;
-        match tokio::time::timeout(ENDS, self.child.wait()).await {
+        match tokio::time::timeout(STOP_TIMEOUT, self.child.wait()).await {
             Ok(Ok(status)) if status.success() => Ok(()),
-            Ok(Ok(status)) => Err(Error::Crashed { index, status }),
-            _ => Err(Error::Lingers { index }),
+            Ok(Ok(status)) => Err(ProcessError::Crashed { index, status }),
+            _ => Err(ProcessError::DidNotStop { index }),
         }
     }
 }
--- a/crates/testbed/src/chaos/scenario/tests.rs
+++ b/crates/testbed/src/chaos/scenario/tests.rs
@@ -3,20 +3,21 @@
 const HEAD: &str = "seed = 1\ncoordinators = 3\nnodes = 4\nrate = 10.0\nspan = 20.0\n";
 
 #[test]
-fn a_scenario_is_read_in_the_order_of_time() {
+fn faults_are_sorted_by_time() {
     let text = format!(
         "{HEAD}[[fault]]\nat = 9.0\nkind = \"heal\"\n[[fault]]\nat = 3.0\nkind = \"cut\"\nmembers = [0]\nnodes = [3]\n"
     );
     let scenario = read("s", &text).unwrap();
-    let cut = Fault::Cut {
+    let cut = Fault::Partition {
         members: vec![0],
         nodes: vec![3],
     };
-    assert_eq!(scenario.faults, [(3.0, cut), (9.0, Fault::Heal)]);
+    let timed = |at, fault| TimedFault { at, fault };
+    assert_eq!(scenario.faults, [timed(3.0, cut), timed(9.0, Fault::Heal)]);
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_line_and_key() {
+fn errors_name_line_and_key() {
     let told = |more: &str| {
         read("s.toml", &format!("{HEAD}{more}"))
             .unwrap_err()
--- /dev/null
+++ b/crates/testbed/src/fleet/node_server.rs
@@ -0,0 +1,283 @@
+//! One emulated data node: its listener, its connections, and its model's clock.
+
+use super::{frames, search, Fleet, Wire};
+use crate::node_model::{Admission, NodeModel};
+use crate::run_log::{expected_value, parse_marker, PartArrival, QueryMarker};
+use rand_distr::Distribution;
+use serde::Deserialize;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, watch, Notify};
+use tokio::time::Instant;
+
+/// The largest frame or body that a node reads, in bytes.
+pub(super) const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+
+/// Bytes for one connection's writer.
+pub(super) type ReplySender = mpsc::UnboundedSender<Vec<u8>>;
+
+/// How a node behaves beside its work.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+pub enum NodeBehavior {
+    /// As it should.
+    #[serde(rename = "well")]
+    Healthy,
+    /// Its process is gone: connections are reset, new ones refused.
+    #[serde(rename = "dead")]
+    Dead,
+    /// It says nothing more, though it runs what it is sent.
+    #[serde(rename = "silent")]
+    Silent,
+    /// Each answer ends in the middle, and the connection with it.
+    #[serde(rename = "reset")]
+    ResetMidAnswer,
+    /// Each answer is noise.
+    #[serde(rename = "garbage")]
+    Garbage,
+    /// Everything is rejected.
+    #[serde(rename = "refuse")]
+    RejectAll,
+    /// Each value is another query's. No real node does so: it is for trying checkers.
+    #[serde(rename = "lies")]
+    WrongValues,
+}
+
+/// Where a part's answer goes.
+pub(super) enum ReplyTo {
+    /// An answer frame with this id.
+    Frame {
+        /// The connection's writer.
+        writer: ReplySender,
+        /// The id that the call gave the part.
+        id: String,
+    },
+    /// The response of a search.
+    Search {
+        /// The connection's writer.
+        writer: ReplySender,
+    },
+}
+
+/// A part that waits or runs.
+struct PendingPart {
+    reply_to: ReplyTo,
+    query: u64,
+    shard: u32,
+}
+
+/// What became of a part that arrived.
+pub(super) struct ReceivedPart {
+    /// The node's number for it.
+    pub(super) id: u64,
+    /// Whether it was rejected: its answer is due at once.
+    pub(super) rejected: bool,
+}
+
+/// One emulated data node.
+pub struct NodeServer {
+    /// Its place in the fleet.
+    pub index: usize,
+    /// Where it listens.
+    pub address: SocketAddr,
+    pub(super) model: RefCell<NodeModel>,
+    pub(super) behavior: Cell<NodeBehavior>,
+    /// Counts up when all its connections end.
+    connection_epoch: watch::Sender<u64>,
+    work_arrived: Notify,
+    pending: RefCell<HashMap<u64, PendingPart>>,
+    next_part_id: Cell<u64>,
+    accept_task: RefCell<Option<tokio::task::JoinHandle<()>>>,
+}
+
+impl NodeServer {
+    pub(super) fn new(index: usize, address: SocketAddr, model: NodeModel) -> NodeServer {
+        NodeServer {
+            index,
+            address,
+            model: RefCell::new(model),
+            behavior: Cell::new(NodeBehavior::Healthy),
+            connection_epoch: watch::channel(0).0,
+            work_arrived: Notify::new(),
+            pending: RefCell::default(),
+            next_part_id: Cell::new(0),
+            accept_task: RefCell::default(),
+        }
+    }
+
+    /// Ends the listener and all connections, and forgets all work.
+    pub(super) fn kill(&self) {
+        if let Some(task) = self.accept_task.take() {
+            task.abort();
+        }
+        self.end_connections();
+        self.pending.borrow_mut().clear();
+    }
+
+    /// Gives a part up, as a cancel asks for.
+    pub(super) fn cancel(&self, now: f64, part: u64) {
+        self.model.borrow_mut().cancel(now, part);
+        self.pending.borrow_mut().remove(&part);
+    }
+
+    fn end_connections(&self) {
+        self.connection_epoch.send_modify(|epoch| *epoch += 1);
+    }
+}
+
+impl Fleet {
+    /// Accepts connections of a node in a task of its own.
+    pub(super) fn listen(self: Rc<Self>, server: Rc<NodeServer>, listener: TcpListener) {
+        let accepting = server.clone();
+        let task = tokio::task::spawn_local(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                let _ = stream.set_nodelay(true);
+                tokio::task::spawn_local(
+                    self.clone().serve_until_killed(stream, accepting.clone()),
+                );
+            }
+        });
+        server.accept_task.replace(Some(task));
+    }
+
+    async fn serve_until_killed(self: Rc<Self>, stream: TcpStream, server: Rc<NodeServer>) {
+        let mut epoch = server.connection_epoch.subscribe();
+        tokio::select! {
+            _ = epoch.changed() => {}
+            _ = self.serve_connection(stream, &server) => {}
+        }
+    }
+
+    async fn serve_connection(
+        &self,
+        stream: TcpStream,
+        server: &Rc<NodeServer>,
+    ) -> std::io::Result<()> {
+        let (reader, mut writer) = stream.into_split();
+        let (replies, mut queued) = mpsc::unbounded_channel::<Vec<u8>>();
+        let write = async {
+            while let Some(bytes) = queued.recv().await {
+                if writer.write_all(&bytes).await.is_err() {
+                    break;
+                }
+            }
+        };
+        let mut reader = BufReader::new(reader);
+        let read = async {
+            match self.spec.wire {
+                Wire::Frames => self.serve_frames(&mut reader, server, &replies).await,
+                Wire::OpenSearch => self.serve_searches(&mut reader, server, &replies).await,
+            }
+        };
+        tokio::select! {
+            () = write => Ok(()),
+            end = read => end,
+        }
+    }
+
+    /// Runs a node's model on the real clock and answers what completes.
+    pub(super) async fn run_parts(self: Rc<Self>, server: Rc<NodeServer>) {
+        loop {
+            let next = server.model.borrow().next_completion();
+            let at = next.map(|at| self.started_at + Duration::from_secs_f64(at.max(0.0)));
+            tokio::select! {
+                () = tokio::time::sleep_until(at.unwrap_or_else(Instant::now)), if at.is_some() => {}
+                () = server.work_arrived.notified() => {}
+            }
+            let completed = server.model.borrow_mut().complete_until(self.now());
+            for part in completed {
+                let pending = server.pending.borrow_mut().remove(&part);
+                if let Some(pending) = pending {
+                    answer(&server, pending);
+                }
+            }
+        }
+    }
+
+    /// Takes in a part. `first_of_call`: it carries the work of its call.
+    pub(super) fn receive_part(
+        &self,
+        server: &NodeServer,
+        text: &str,
+        shard: u32,
+        first_of_call: bool,
+        reply_to: ReplyTo,
+    ) -> ReceivedPart {
+        let marker = parse_marker(text).unwrap_or(QueryMarker {
+            class: 0,
+            query: 0,
+            client_try: 0,
+        });
+        let now = self.now();
+        let id = server.next_part_id.get();
+        server.next_part_id.set(id + 1);
+        let distribution = self.work_distributions[marker.class.min(1)];
+        let work = distribution.sample(&mut *self.rng.borrow_mut());
+        let admission = match server.behavior.get() {
+            NodeBehavior::RejectAll => Admission::Rejected,
+            _ => server
+                .model
+                .borrow_mut()
+                .admit(now, id, work, first_of_call),
+        };
+        self.run_log.borrow_mut().arrivals.push(PartArrival {
+            arrived_at: now,
+            server: server.index,
+            marker,
+            shard,
+            may_have_run: admission != Admission::Rejected,
+        });
+        match admission {
+            Admission::Rejected => {}
+            Admission::Overloaded => {
+                self.run_log.borrow_mut().overloaded.push(server.index);
+                server.behavior.set(NodeBehavior::Silent);
+            }
+            Admission::Accepted => {
+                let pending = PendingPart {
+                    reply_to,
+                    query: marker.query,
+                    shard,
+                };
+                server.pending.borrow_mut().insert(id, pending);
+                server.work_arrived.notify_one();
+            }
+        }
+        ReceivedPart {
+            id,
+            rejected: admission == Admission::Rejected,
+        }
+    }
+}
+
+/// Sends the answer of a part that has run, as the node's behaviour has it.
+fn answer(server: &NodeServer, pending: PendingPart) {
+    let behavior = server.behavior.get();
+    // Another query's value, where the node gives wrong ones.
+    let query = match behavior {
+        NodeBehavior::WrongValues => pending.query + 1,
+        _ => pending.query,
+    };
+    let value = expected_value(query, pending.shard);
+    let report = server.model.borrow().load_report();
+    let (writer, mut bytes) = match pending.reply_to {
+        ReplyTo::Frame { writer, id } => (writer, frames::answer_frame(&id, &report, &value)),
+        ReplyTo::Search { writer } => (writer, search::hits_response(pending.shard, &value)),
+    };
+    match behavior {
+        NodeBehavior::Silent | NodeBehavior::Dead => return,
+        NodeBehavior::ResetMidAnswer => {
+            bytes.truncate(bytes.len() / 2);
+            let _ = writer.send(bytes);
+            server.end_connections();
+            return;
+        }
+        NodeBehavior::Garbage => bytes = vec![0xff; 64],
+        NodeBehavior::Healthy | NodeBehavior::RejectAll | NodeBehavior::WrongValues => {}
+    }
+    let _ = writer.send(bytes);
+}
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,19 +1,28 @@
-//! The laboratory. See `docs/LAB.md`.
+//! The testbed: emulated data nodes, load, experiments, and faults between processes. See `docs/TESTBED.md`.
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 mod chaos;
+mod coordinator_process;
 mod demo;
+mod deployment;
+mod error;
 mod experiment;
 mod fleet;
-mod ledger;
-mod load;
-mod model;
-mod report;
-mod stats;
+mod node_model;
+mod run_log;
+mod statistics;
+mod workload;
 
 use clap::{Parser, Subcommand};
+use error::TestbedError;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Exit code of a run that broke a rule.
+const EXIT_VIOLATIONS: u8 = 1;
+/// Exit code of a run that could not be played.
+const EXIT_NOT_PLAYED: u8 = 2;
+
 /// Emulated stock nodes, load, experiments.
 #[derive(Debug, Parser)]
 #[command(name = "cairnroad-testbed", version)]
@@ -58,34 +67,32 @@
 }
 
 fn main() -> ExitCode {
-    let runtime = match tokio::runtime::Builder::new_current_thread()
+    match run(Cli::parse().command) {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::from(EXIT_VIOLATIONS),
+        Err(error) => {
+            eprintln!("cairnroad-testbed: {error}");
+            ExitCode::from(EXIT_NOT_PLAYED)
+        }
+    }
+}
+
+/// Runs a command. Returns whether no rule was broken.
+fn run(command: Command) -> Result<bool, TestbedError> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-    {
-        Ok(runtime) => runtime,
-        Err(e) => {
-            eprintln!("cairnroad-testbed: {e}");
-            return ExitCode::from(2);
-        }
-    };
-    let local = tokio::task::LocalSet::new();
-    let done = match Cli::parse().command {
-        Command::Demo { seconds } => local.block_on(&runtime, demo::run(seconds)),
+        .map_err(TestbedError::Runtime)?;
+    let tasks = tokio::task::LocalSet::new();
+    match command {
+        Command::Demo { seconds } => tasks.block_on(&runtime, demo::run(seconds)),
         Command::Run { experiment, out } => {
-            local.block_on(&runtime, experiment::run(&experiment, &out))
+            tasks.block_on(&runtime, experiment::run(&experiment, &out))
         }
         Command::Chaos {
             scenario,
             keep,
             program,
-        } => local.block_on(&runtime, chaos::run(&scenario, keep.as_deref(), program)),
-    };
-    match done {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(1),
-        Err(text) => {
-            eprintln!("cairnroad-testbed: {text}");
-            ExitCode::from(2)
-        }
+        } => tasks.block_on(&runtime, chaos::run(&scenario, keep.as_deref(), program)),
     }
 }
--- a/crates/testbed/src/model/tests.rs
+++ b/crates/testbed/src/node_model/tests.rs
@@ -1,38 +1,38 @@
 use super::*;
 
-fn spec() -> Spec {
-    Spec {
+fn spec() -> NodeSpec {
+    NodeSpec {
         cores: 2,
         queue: 3,
         call_ms: 0.0,
-        ..Spec::default()
+        ..NodeSpec::default()
     }
 }
 
 /// Plays a node to its end; when each part was done.
-fn play(node: &mut Node) -> Vec<(u64, f64)> {
+fn play(node: &mut NodeModel) -> Vec<(u64, f64)> {
     let mut done = Vec::new();
-    while let Some(at) = node.next() {
-        done.extend(node.advance(at).into_iter().map(|part| (part, at)));
+    while let Some(at) = node.next_completion() {
+        done.extend(node.complete_until(at).into_iter().map(|part| (part, at)));
     }
     done
 }
 
 #[test]
 fn cores_run_side_by_side_and_the_rest_waits_in_order() {
-    let mut node = Node::new(spec(), -100.0);
-    let taken: Vec<Taken> = (0..6)
-        .map(|part| node.arrive(0.0, part, 0.1, false))
+    let mut node = NodeModel::new(spec(), -100.0);
+    let taken: Vec<Admission> = (0..6)
+        .map(|part| node.admit(0.0, part, 0.1, false))
         .collect();
     assert_eq!(
         taken,
         [
-            Taken::Yes,
-            Taken::Yes,
-            Taken::Yes,
-            Taken::Yes,
-            Taken::Yes,
-            Taken::Busy
+            Admission::Accepted,
+            Admission::Accepted,
+            Admission::Accepted,
+            Admission::Accepted,
+            Admission::Accepted,
+            Admission::Rejected
         ]
     );
     let done = play(&mut node);
@@ -47,16 +47,16 @@
 
 #[test]
 fn a_cold_node_warms_up_and_falls_over_when_too_much_comes() {
-    let mut node = Node::new(spec(), 0.0);
+    let mut node = NodeModel::new(spec(), 0.0);
     assert!((node.speed(0.0) - 0.23).abs() < 1e-9 && (node.speed(8.0) - 0.615).abs() < 1e-9);
     assert_eq!(node.speed(16.0), 1.0);
     // It can do 0.46 s of work a second; 2.5 times that is 1.15.
-    assert_eq!(node.arrive(0.0, 1, 1.1, false), Taken::Yes);
-    assert_eq!(node.arrive(0.1, 2, 0.2, false), Taken::Fell);
-    let mut warm = Node::new(spec(), -16.0);
+    assert_eq!(node.admit(0.0, 1, 1.1, false), Admission::Accepted);
+    assert_eq!(node.admit(0.1, 2, 0.2, false), Admission::Overloaded);
+    let mut warm = NodeModel::new(spec(), -16.0);
     assert_eq!(
-        warm.arrive(0.0, 1, 50.0, false),
-        Taken::Yes,
+        warm.admit(0.0, 1, 50.0, false),
+        Admission::Accepted,
         "a warm one only gets slow"
     );
 }
@@ -64,17 +64,17 @@
 #[test]
 fn a_cancel_takes_back_what_waits_and_stops_what_runs_where_that_is_so() {
     for stops in [false, true] {
-        let mut node = Node::new(
-            Spec {
+        let mut node = NodeModel::new(
+            NodeSpec {
                 cancel_stops: stops,
                 cores: 1,
                 ..spec()
             },
             -100.0,
         );
-        node.arrive(0.0, 1, 1.0, false);
-        node.arrive(0.0, 2, 1.0, false);
-        node.arrive(0.0, 3, 1.0, false);
+        node.admit(0.0, 1, 1.0, false);
+        node.admit(0.0, 2, 1.0, false);
+        node.admit(0.0, 3, 1.0, false);
         assert!(node.cancel(0.1, 2), "it waited: it never ran");
         assert!(!node.cancel(0.1, 1), "it had begun");
         let done = play(&mut node);
--- a/crates/testbed/src/load/tests.rs
+++ b/crates/testbed/src/workload/tests.rs
@@ -1,7 +1,13 @@
+use super::client::{play, run_client};
 use super::*;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::time::Instant;
 
-fn load(burst: Vec<Burst>) -> Load {
-    Load {
+fn workload(burst: Vec<Burst>) -> Workload {
+    Workload {
         rate: 100.0,
         span: 30.0,
         burst,
@@ -12,14 +18,14 @@
 
 #[test]
 fn arrivals_are_those_of_their_seed_at_their_rate() {
-    let one = arrivals(&load(Vec::new()), 12, 1);
-    assert_eq!(one, arrivals(&load(Vec::new()), 12, 1));
-    assert_ne!(one, arrivals(&load(Vec::new()), 12, 2));
+    let one = arrivals(&workload(Vec::new()), 12, 1);
+    assert_eq!(one, arrivals(&workload(Vec::new()), 12, 1));
+    assert_ne!(one, arrivals(&workload(Vec::new()), 12, 2));
     assert!((2_700..3_300).contains(&one.len()), "{}", one.len());
     let by_front = one.iter().filter(|due| due.query_front).count() as f64 / one.len() as f64;
     assert!((by_front - 0.3).abs() < 0.05, "{by_front}");
     let burst = arrivals(
-        &load(vec![Burst {
+        &workload(vec![Burst {
             at: 10.0,
             lasts: 10.0,
             times: 1.9,
@@ -29,7 +35,7 @@
     );
     let within = burst
         .iter()
-        .filter(|due| (10.0..20.0).contains(&due.at))
+        .filter(|due| (10.0..20.0).contains(&due.due_at))
         .count();
     assert!((1_700..2_100).contains(&within), "{within}");
 }
@@ -61,27 +67,29 @@
         });
         let start = Instant::now();
         let one = |listens: f64| {
-            let due = Due {
-                at: 0.0,
+            let due = QueryArrival {
+                due_at: 0.0,
                 query: 1,
                 class: 0,
                 shards: vec![0],
                 query_front: false,
             };
-            client(
-                due,
-                [to, to],
+            let options = ClientOptions {
+                fronts: Fronts::single(to),
                 start,
-                0,
-                Rc::default(),
-                Duration::from_secs_f64(listens),
-            )
+                retries: 0,
+                listen_after_deadline: Duration::from_secs_f64(listens),
+            };
+            run_client(due, options, IdleConnections::default())
         };
         tokio::join!(one(0.0), one(30.0))
     });
-    assert_eq!((ends.0.end, ends.0.wrong), (End::Silent, None));
-    assert_eq!(ends.1.end, End::Late);
-    assert!(ends.1.wrong.unwrap().contains("no server made"));
+    assert_eq!(
+        (ends.0.ending, ends.0.answer_fault),
+        (Ending::Unanswered, None)
+    );
+    assert_eq!(ends.1.ending, Ending::Late);
+    assert!(ends.1.answer_fault.unwrap().contains("no server made"));
 }
 
 /// A client that is held up still counts from when its query was due: a server that stops for a second shows in all
@@ -110,26 +118,25 @@
                 });
             }
         });
-        let due = |at: u64| Due {
-            at: at as f64 / 50.0,
+        let due = |at: u64| QueryArrival {
+            due_at: at as f64 / 50.0,
             query: at + 1,
             class: 1,
             shards: vec![0],
             query_front: false,
         };
         let ended = Rc::new(RefCell::new(Vec::new()));
-        play(
-            (0..50).map(due).collect(),
-            [to, to],
+        let options = ClientOptions {
+            fronts: Fronts::single(to),
             start,
-            0,
-            ended.clone(),
-        )
-        .await;
+            retries: 0,
+            listen_after_deadline: LISTEN_AFTER_DEADLINE,
+        };
+        play((0..50).map(due).collect(), options, ended.clone()).await;
         let took: Vec<f64> = ended
             .borrow()
             .iter()
-            .map(|one| one.took + one.due)
+            .map(|one| one.latency + one.due_at)
             .collect();
         took
     });
