--- a/crates/testbed/src/chaos/scenario.rs
+++ b/crates/testbed/src/chaos/scenario.rs
@@ -174,7 +174,9 @@
                 "name a scenario's file, such as crates/testbed/scenarios/twelve.toml"
             }
             ScenarioError::Form { .. } => "see docs/TESTBED.md for the keys of a scenario",
-            ScenarioError::Key { .. } => "see docs/TESTBED.md for the kinds of fault and their keys",
+            ScenarioError::Key { .. } => {
+                "see docs/TESTBED.md for the kinds of fault and their keys"
+            }
         }
     }
 }
