--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -157,8 +157,12 @@
                 Phase::Starting => {
                     AdminResponse::NotNow("not ready yet: the list of data nodes has not come")
                 }
-                Phase::Drained => AdminResponse::NotNow("drained: activate the coordinator first"),
-                Phase::Stopping | Phase::Closing | Phase::Refusing => {
+                Phase::DrainedByOperator => {
+                    AdminResponse::NotNow("drained: activate the coordinator first")
+                }
+                Phase::ShuttingDown
+                | Phase::IdleConnectionsClosing
+                | Phase::PartialRequestsRejected => {
                     AdminResponse::NotNow("the process was told to stop")
                 }
             };
--- a/crates/coordinator/src/backends/frames.rs
+++ b/crates/coordinator/src/backends/frames.rs
@@ -137,7 +137,7 @@
 
 /// How many milliseconds are left for a part.
 fn wait(job: &OutboundAttempt, now: Time) -> i64 {
-    (((job.until - now) * 1000.0) as i64).max(1)
+    (((job.deadline - now) * 1000.0) as i64).max(1)
 }
 
 /// Tells of a message as the description of frames has it: by its letter, its line's fields and what stands behind.
@@ -287,7 +287,7 @@
                     barred.extend(late.into_iter().map(|job| (job, Outcome::NotSent)));
                     if !jobs.is_empty() {
                         self.frame = call(&jobs, now);
-                        for job in jobs.iter().filter(|job| job.judge.is_some()) {
+                        for job in jobs.iter().filter(|job| job.contracts.is_some()) {
                             let text = job.text.as_str();
                             let line = || {
                                 format!(
@@ -300,7 +300,7 @@
                             };
                             told(
                                 end,
-                                &job.judge,
+                                &job.contracts,
                                 "Q",
                                 Direction::Request,
                                 text.as_bytes(),
@@ -369,7 +369,7 @@
             self.written = 0;
             for job in self.writing.drain(..) {
                 self.names.insert(job.attempt, id(&job));
-                self.out.insert(id(&job), (job.attempt, job.judge));
+                self.out.insert(id(&job), (job.attempt, job.contracts));
             }
         }
     }
@@ -494,7 +494,7 @@
                     if wire.spent {
                         end.spend();
                     }
-                    end.tell(ConnectionEvent::Heard).await;
+                    end.tell(ConnectionEvent::CancelledAttemptAnswered).await;
                     continue;
                 };
                 wire.names.remove(&attempt);
--- a/crates/coordinator/src/backends/opensearch.rs
+++ b/crates/coordinator/src/backends/opensearch.rs
@@ -25,7 +25,7 @@
             json!({"query": {"query_string": {"query": text.as_ref()}}}).to_string()
         }
     };
-    let wait = (((job.until - now) * 1000.0) as i64).max(1);
+    let wait = (((job.deadline - now) * 1000.0) as i64).max(1);
     let head = format!(
         "POST /{}/_search?preference=_shards:{}&allow_partial_search_results=false\
          &cancel_after_time_interval={wait}ms HTTP/1.1\r\nHost: {host}\r\nX-Opaque-Id: {}.{}\r\n\
@@ -198,7 +198,7 @@
                     Ok(Some((response, used))) => {
                         buffer.drain(..used);
                         let (mut outcome, mut value) = outcome(&response);
-                        if !end.contracts.exchange(&job.judge, &end.server, &request, &response, true) {
+                        if !end.contracts.exchange(&job.contracts, &end.server, &request, &response, true) {
                             (outcome, value) = (Outcome::Error, None);
                         }
                         // More than the answer came: the next search would be given it for its own.
@@ -248,5 +248,5 @@
         close: true,
     };
     end.contracts
-        .exchange(&job.judge, &end.server, request, &response, false);
+        .exchange(&job.contracts, &end.server, request, &response, false);
 }
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -153,8 +153,8 @@
                 let phase = match *given.phases.borrow_and_update() {
                     Phase::Starting => facts::Phase::Starting,
                     Phase::Serving => facts::Phase::Serving,
-                    Phase::Drained => facts::Phase::Draining,
-                    Phase::Stopping | Phase::Closing | Phase::Refusing => facts::Phase::Stopping,
+                    Phase::DrainedByOperator => facts::Phase::Draining,
+                    Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected => facts::Phase::Stopping,
                 };
                 group.say(clock.now(), What::Phase(phase));
             }
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -508,8 +508,8 @@
             .map(|(class, name)| Index {
                 name: name.clone(),
                 class,
-                first: 0,
-                last,
+                first_shard: 0,
+                last_shard: last,
             })
             .collect());
     }
@@ -543,8 +543,8 @@
         Ok(Index {
             name: own.name,
             class,
-            first,
-            last: end,
+            first_shard: first,
+            last_shard: end,
         })
     };
     own.into_iter().map(index).collect()
@@ -727,7 +727,7 @@
     pub fn effective(&self) -> serde_json::Value {
         let index = |index: &Index| {
             let class = self.offer.deployment.class_names.get(index.class);
-            json!({"name": index.name, "class": class, "shards": [index.first, index.last]})
+            json!({"name": index.name, "class": class, "shards": [index.first_shard, index.last_shard]})
         };
         let class = |(_, name, class): (usize, &str, &cairnroad_types::Class)| {
             json!({"name": name, "aim_s": class.latency_objective, "deadline_s": class.deadline, "least_share": class.minimum_share,
--- a/crates/coordinator/src/connections/pool.rs
+++ b/crates/coordinator/src/connections/pool.rs
@@ -457,7 +457,7 @@
                 link.hear(now);
                 None
             }
-            ConnectionEvent::Heard => {
+            ConnectionEvent::CancelledAttemptAnswered => {
                 link.hear(now);
                 None
             }
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -57,8 +57,8 @@
         class,
         shard: 0,
         text,
-        until,
-        judge: None,
+        deadline: until,
+        contracts: None,
     }
 }
 
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -110,8 +110,8 @@
     pub async fn ask(&mut self, requests: Vec<Request>) -> Result<Vec<Answer>, ()> {
         let advice = self.front.advice();
         let handed = requests.into_iter().map(|mut request| {
-            request.judge = self.judge.clone();
-            request.due = self.front.places.due(request.due);
+            request.contracts = self.judge.clone();
+            request.deadline = self.front.places.due(request.deadline);
             request_queue::hand_over(&self.front.core, request, advice)
         });
         let waiting: Vec<_> = handed.collect();
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -223,7 +223,10 @@
 fn stopping(phase: Phase) -> bool {
     matches!(
         phase,
-        Phase::Drained | Phase::Stopping | Phase::Closing | Phase::Refusing
+        Phase::DrainedByOperator
+            | Phase::ShuttingDown
+            | Phase::IdleConnectionsClosing
+            | Phase::PartialRequestsRejected
     )
 }
 
@@ -278,16 +281,16 @@
         // A connection that came late in the closing gets the time for its request to follow.
         let closing = async {
             let ends = phase
-                .wait_for(|phase| stopping(*phase) && *phase != Phase::Stopping)
+                .wait_for(|phase| stopping(*phase) && *phase != Phase::ShuttingDown)
                 .await;
-            if ends.is_ok_and(|phase| *phase == Phase::Drained) {
+            if ends.is_ok_and(|phase| *phase == Phase::DrainedByOperator) {
                 tokio::time::sleep(DRAINED_IDLE).await;
             }
             tokio::time::sleep(LAST_GRACE).await;
         };
         let ending = async {
             if last_phase
-                .wait_for(|phase| *phase == Phase::Refusing)
+                .wait_for(|phase| *phase == Phase::PartialRequestsRejected)
                 .await
                 .is_err()
             {
--- a/crates/coordinator/src/fronts/opensearch.rs
+++ b/crates/coordinator/src/fronts/opensearch.rs
@@ -204,16 +204,16 @@
     Request {
         name: front.fresh_name().into(),
         class: search.index.class,
-        due: arrived + search.limit.map_or(deadline, |limit| limit.min(deadline)),
-        repeat: false,
-        work: None,
+        deadline: arrived + search.limit.map_or(deadline, |limit| limit.min(deadline)),
+        client_retry: false,
+        expected_work: None,
         parts: search
             .shards
             .iter()
             .map(|&shard| PartSpec { shard, weight })
             .collect(),
         text: Text::Query(search.text.as_str().into()),
-        judge: None,
+        contracts: None,
     }
 }
 
@@ -413,7 +413,7 @@
 
 /// The shards that a search asks: its index's, or those that `preference=_shards:` names.
 fn shards(index: &Index, preference: Option<&str>) -> Result<Vec<u32>, Fault> {
-    let all = || (index.first..=index.last).collect();
+    let all = || (index.first_shard..=index.last_shard).collect();
     let Some(preference) = preference else {
         return Ok(all());
     };
@@ -432,7 +432,7 @@
             .trim()
             .parse()
             .map_err(|_| illegal(format!("preference: [{word}] is not a shard's number")))?;
-        if !(index.first..=index.last).contains(&shard) {
+        if !(index.first_shard..=index.last_shard).contains(&shard) {
             return Err(illegal(format!(
                 "preference: index [{}] has no shard [{shard}]",
                 index.name
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -99,12 +99,12 @@
     Ok(Request {
         name: name.into(),
         class,
-        due: arrived + (wait - ON_THE_WAY),
-        repeat: message.fields.get("X-Retry") == Some("1"),
-        work: costs.map(|micros| micros / 1e6),
+        deadline: arrived + (wait - ON_THE_WAY),
+        client_retry: message.fields.get("X-Retry") == Some("1"),
+        expected_work: costs.map(|micros| micros / 1e6),
         parts,
         text: Text::Plain(body.q.into()),
-        judge: None,
+        contracts: None,
     })
 }
 
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -313,9 +313,9 @@
     loop {
         let step = stop.step(clock.now(), places.seen());
         let next = match step {
-            ShutdownPhase::Serving => Phase::Stopping,
-            ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::Closing,
-            ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::Refusing,
+            ShutdownPhase::Serving => Phase::ShuttingDown,
+            ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::IdleConnectionsClosing,
+            ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::PartialRequestsRejected,
         };
         phase.send_if_modified(|phase| std::mem::replace(phase, next) != next);
         if step >= ShutdownPhase::Deaf {
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -45,14 +45,14 @@
     pub name: Arc<str>,
     pub class: usize,
     /// When its client stops waiting.
-    pub due: Time,
-    pub repeat: bool,
+    pub deadline: Time,
+    pub client_retry: bool,
     /// Expected work in seconds, if the client told.
-    pub work: Option<f64>,
+    pub expected_work: Option<f64>,
     pub parts: Vec<PartSpec>,
     pub text: Text,
     /// What its servers' answers are held against.
-    pub judge: ContractsInForce,
+    pub contracts: ContractsInForce,
 }
 
 /// What a server gave for a part, byte by byte as it came.
@@ -116,8 +116,8 @@
     pub class: Arc<str>,
     pub shard: u32,
     pub text: Text,
-    pub until: Time,
-    pub judge: ContractsInForce,
+    pub deadline: Time,
+    pub contracts: ContractsInForce,
 }
 
 impl OutboundAttempt {
@@ -168,7 +168,7 @@
 pub enum ConnectionEvent {
     Connected,
     /// An answer to a cancelled part.
-    Heard,
+    CancelledAttemptAnswered,
     AttemptEnded {
         attempt: Attempt,
         outcome: Outcome,
@@ -210,8 +210,8 @@
 pub struct Index {
     pub name: String,
     pub class: usize,
-    pub first: u32,
-    pub last: u32,
+    pub first_shard: u32,
+    pub last_shard: u32,
 }
 
 /// The state that `/_health` and the connections of a stopping program go by.
@@ -220,11 +220,11 @@
     Starting,
     Serving,
     /// Operators send clients away: all that comes is still answered.
-    Drained,
+    DrainedByOperator,
     /// Told to stop: all that comes is still answered.
-    Stopping,
+    ShuttingDown,
     /// Idle connections are closed.
-    Closing,
+    IdleConnectionsClosing,
     /// What has come in part is refused.
-    Refusing,
+    PartialRequestsRejected,
 }
--- a/crates/coordinator/src/pipeline/admission.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -15,7 +15,7 @@
     route: &mut RoutingStage,
     tally: &mut Metrics,
 ) {
-    tally.add(if ask.request.repeat {
+    tally.add(if ask.request.client_retry {
         Counter::Repeats
     } else {
         Counter::Queries
@@ -38,12 +38,12 @@
         });
         return;
     }
-    if ask.request.due <= now {
+    if ask.request.deadline <= now {
         let _ = ask.reply.send(Answer::Failed { late: true });
         return;
     }
-    let (class, due) = (ClassId(ask.request.class as u16), ask.request.due);
-    let (work, repeat) = (ask.request.work, ask.request.repeat);
+    let (class, due) = (ClassId(ask.request.class as u16), ask.request.deadline);
+    let (work, repeat) = (ask.request.expected_work, ask.request.client_retry);
     let (id, parts) = book.open(now, ask);
     route.push(Event::Query {
         id,
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -392,12 +392,12 @@
                 None => AdminResponse::Yes,
             },
             AdminRequest::Drain => self.turn_to(|phase| match phase {
-                Phase::Starting | Phase::Serving => Some(Phase::Drained),
+                Phase::Starting | Phase::Serving => Some(Phase::DrainedByOperator),
                 _ => None,
             }),
             // The next tick says whether it is ready.
             AdminRequest::Activate => {
-                self.turn_to(|phase| (phase == Phase::Drained).then_some(Phase::Starting))
+                self.turn_to(|phase| (phase == Phase::DrainedByOperator).then_some(Phase::Starting))
             }
         };
         tracing::info!(?call, ?verdict, "an operator's call");
@@ -416,7 +416,10 @@
 
     fn turn_to(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
         let current = *self.phase.borrow();
-        if matches!(current, Phase::Stopping | Phase::Closing | Phase::Refusing) {
+        if matches!(
+            current,
+            Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected
+        ) {
             return AdminResponse::NotNow("the process was told to stop");
         }
         if let Some(phase) = next(current) {
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -190,7 +190,7 @@
 
     /// Whether a request's time is all but over.
     pub fn is_late(&self, now: Time, open: &OpenRequest) -> bool {
-        open.request.due - now < self.late
+        open.request.deadline - now < self.late
     }
 
     /// Takes a request out of the table: whoever holds it gives the final answer, and nobody else can.
@@ -266,8 +266,8 @@
             class: self.classes.get(request.class)?.clone(),
             shard: request.parts.get(open.at)?.shard,
             text: request.text.clone(),
-            until,
-            judge: request.judge.clone(),
+            deadline: until,
+            contracts: request.contracts.clone(),
         })
     }
 }
--- a/crates/coordinator/src/pipeline/request_table/tests.rs
+++ b/crates/coordinator/src/pipeline/request_table/tests.rs
@@ -26,12 +26,12 @@
     let request = Request {
         name,
         class: 0,
-        due,
-        repeat: false,
-        work: None,
+        deadline: due,
+        client_retry: false,
+        expected_work: None,
         parts,
         text,
-        judge: None,
+        contracts: None,
     };
     ClientRequest { request, reply }
 }
--- a/crates/coordinator/src/pipeline/tests.rs
+++ b/crates/coordinator/src/pipeline/tests.rs
@@ -125,15 +125,15 @@
                     let request = Request {
                         name: "one".into(),
                         class: 0,
-                        due: core.clock.now() + 1.9,
-                        repeat: false,
-                        work: None,
+                        deadline: core.clock.now() + 1.9,
+                        client_retry: false,
+                        expected_work: None,
                         parts: vec![PartSpec {
                             shard: 0,
                             weight: 1.0,
                         }],
                         text: Text::Plain("t".into()),
-                        judge: None,
+                        contracts: None,
                     };
                     asks.try_send(ClientRequest { request, reply }).unwrap();
                     // The request is the first id, its part the second.
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -39,7 +39,7 @@
             .map(|index| Index {
                 name: index.name.clone(),
                 class: class_name(index.class),
-                shards: (index.first, index.last),
+                shards: (index.first_shard, index.last_shard),
             })
             .collect(),
         frames: config.backend == BackendKind::Frames,
