--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -169,7 +169,14 @@
         }
         let (reply, verdict) = oneshot::channel();
         let busy = AdminResponse::NotNow("the coordinator is too busy: call again");
-        if self.core.try_send(Message::Admin(call, reply)).is_err() {
+        if self
+            .core
+            .try_send(Message::Admin {
+                request: call,
+                reply,
+            })
+            .is_err()
+        {
             return busy;
         }
         match timeout(CARRIED_OUT, verdict).await {
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::configuration;
-use crate::messages::{Message, Phase};
+use crate::messages::{LocalOutliers, Message, Phase};
 use cairnroad_cluster::envelope::MOST_BYTES;
 use cairnroad_cluster::facts::{self, What};
 use cairnroad_cluster::model::{may, State, FEATURES};
@@ -79,7 +79,7 @@
     pub clock: Clock,
     pub phases: watch::Receiver<Phase>,
     /// The data nodes that this coordinator's own answers make it doubt, and how many its list names.
-    pub doubts: watch::Receiver<(Vec<String>, usize)>,
+    pub doubts: watch::Receiver<LocalOutliers>,
     pub core: mpsc::Sender<Message>,
 }
 
@@ -159,7 +159,7 @@
                 group.say(clock.now(), What::Phase(phase));
             }
             Ok(()) = given.doubts.changed() => {
-                let doubts = given.doubts.borrow_and_update().0.clone();
+                let doubts = given.doubts.borrow_and_update().endpoint_ids.clone();
                 group.say(clock.now(), What::Doubts(doubts));
             }
             Some(call) = calls.recv() => match call {
@@ -178,7 +178,7 @@
 
 /// Hands the core what others doubt, where that changes or still holds.
 fn advise(group: &Group, given: &Given, told: &mut Vec<String>) {
-    let listed = given.doubts.borrow().1;
+    let listed = given.doubts.borrow().endpoint_count;
     let heeded = advice::heeded(&group.advice(), group.view().there(), listed);
     if !heeded.is_empty() {
         let _ = given.core.try_send(Message::OutlierAdvice(heeded.clone()));
--- a/crates/coordinator/src/fronts/opensearch.rs
+++ b/crates/coordinator/src/fronts/opensearch.rs
@@ -548,7 +548,7 @@
         .filter_map(|part| part.value.as_ref().err().map(|reason| (part.shard, reason)))
         .map(|(shard, reason)| {
             json!({"shard": shard, "index": search.index.name,
-                "reason": {"type": "shard_failure_exception", "reason": reason}})
+                "reason": {"type": "shard_failure_exception", "reason": reason.to_string()}})
         })
         .collect();
     if !whole && !search.partial {
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -30,7 +30,7 @@
 use clock::Clock;
 use contract::Contracts;
 use fronts::exchange::{Front, Kind};
-use messages::{Message, Phase, ServedConfiguration};
+use messages::{LocalOutliers, Message, Phase, ServedConfiguration};
 use pipeline::Core;
 use signals::Signal;
 use std::cell::Cell;
@@ -145,10 +145,16 @@
 ) -> Result<Arc<ServedConfiguration>, String> {
     let (reply, taken) = oneshot::channel();
     let offer = Box::new(ServedConfiguration::clone(&fresh.offer));
-    core.send(Message::Reconfigure(offer, reply))
+    core.send(Message::Reconfigure {
+        configuration: offer,
+        reply,
+    })
+    .await
+    .map_err(|_| "the core ended")?;
+    let offer = taken
         .await
-        .map_err(|_| "the core ended")?;
-    let offer = taken.await.map_err(|_| "the core ended")??;
+        .map_err(|_| "the core ended")?
+        .map_err(|fault| fault.to_string())?;
     tell_classes(&offer);
     Ok(offer)
 }
@@ -255,7 +261,7 @@
     let peers = match &config.peers {
         None => None,
         Some(settings) => {
-            let (tell, doubts) = watch::channel((Vec::new(), 0));
+            let (tell, doubts) = watch::channel(LocalOutliers::default());
             core.tell_peers(tell);
             let (name, seed) = (config.name.clone(), config.seed);
             let (clock, phases, core) = (clock.clone(), phases.clone(), to_core.clone());
--- /dev/null
+++ b/crates/coordinator/src/messages/connection_event.rs
@@ -0,0 +1,38 @@
+//! What a connection's task reports to the core.
+
+use super::{Attempt, Value};
+use cairnroad_types::Outcome;
+
+/// An event of one connection.
+pub struct ConnectionReport {
+    /// The connection's number in the pool.
+    pub connection: u64,
+    /// What happened on it.
+    pub event: ConnectionEvent,
+}
+
+/// What can happen on a connection.
+pub enum ConnectionEvent {
+    /// The connection is established.
+    Connected,
+    /// The server answered a cancelled attempt: nothing is delivered, but the connection is alive.
+    CancelledAttemptAnswered,
+    /// An attempt ended.
+    AttemptEnded {
+        /// The attempt.
+        attempt: Attempt,
+        /// How it ended.
+        outcome: Outcome,
+        /// The server's value.
+        value: Option<Value>,
+    },
+    /// A health check ended.
+    HealthCheckEnded {
+        /// How it ended.
+        outcome: Outcome,
+        /// The values of the server's load report, in the configured order.
+        report: Vec<f64>,
+    },
+    /// The connection's task has ended; it reports nothing more.
+    Closed,
+}
--- /dev/null
+++ b/crates/coordinator/src/messages/core_message.rs
@@ -0,0 +1,51 @@
+//! Messages to the core from other tasks, and what the core publishes for the cluster.
+
+use super::{ConnectionReport, EndpointListUpdate, ServedConfiguration};
+use cairnroad_admin::request::{AdminRequest, AdminResponse};
+use cairnroad_types::Time;
+use std::sync::Arc;
+use thiserror::Error;
+use tokio::sync::oneshot;
+
+/// A message to the core. The core reads all that are queued at the start of each tick.
+pub enum Message {
+    /// Discovery has an update of the endpoint list.
+    Endpoints(EndpointListUpdate),
+    /// A connection reports an event.
+    Connection(ConnectionReport),
+    /// An operator's request.
+    Admin {
+        /// The request.
+        request: AdminRequest,
+        /// Receives the response once the request is carried out.
+        reply: oneshot::Sender<AdminResponse>,
+    },
+    /// The ids of endpoints that other coordinators consider outliers.
+    OutlierAdvice(Vec<String>),
+    /// The program shuts down: every open request needs its final answer by this time.
+    FinishBy(Time),
+    /// A reloaded configuration.
+    Reconfigure {
+        /// The configuration to apply.
+        configuration: Box<ServedConfiguration>,
+        /// Receives the configuration in force afterwards, or why it did not change.
+        reply: oneshot::Sender<Result<Arc<ServedConfiguration>, ReconfigurationError>>,
+    },
+}
+
+/// Why a reloaded configuration was not applied. The one in force stays in force, whole.
+#[derive(Debug, Error)]
+pub enum ReconfigurationError {
+    /// The class table has no room for the new classes while open requests hold the old ones.
+    #[error("{0}")]
+    Rejected(String),
+}
+
+/// The outliers that this coordinator found by its own attempts, published for gossip.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct LocalOutliers {
+    /// Ids of the outliers.
+    pub endpoint_ids: Vec<String>,
+    /// How many endpoints the list names in total.
+    pub endpoint_count: usize,
+}
--- /dev/null
+++ b/crates/coordinator/src/messages/mod.rs
@@ -0,0 +1,24 @@
+//! The types that the coordinator's subsystems exchange: requests and answers, attempts, connection events, messages to
+//! the core, endpoint lists, the serving phase and the served configuration.
+//!
+//! Plain data without I/O and without a dependency on any other module of the program, so that pipeline, connection
+//! pool, backends, fronts and discovery can each be read alone.
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+mod answer;
+mod attempt;
+mod connection_event;
+mod core_message;
+mod endpoint_list;
+mod request;
+mod served_configuration;
+mod serving_phase;
+
+pub use answer::{Answer, PartAnswer, PartFailure, Value};
+pub use attempt::{Attempt, AttemptResult, OutboundAttempt};
+pub use connection_event::{ConnectionEvent, ConnectionReport};
+pub use core_message::{LocalOutliers, Message, ReconfigurationError};
+pub use endpoint_list::{EndpointEntry, EndpointListUpdate};
+pub use request::{ClientRequest, ContractsInForce, PartSpec, Request, Text};
+pub use served_configuration::{Index, ServedConfiguration};
+pub use serving_phase::Phase;
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -18,8 +18,8 @@
 use crate::contract::Contracts;
 use crate::discovery::{self, Directory};
 use crate::messages::{
-    Attempt, AttemptResult, ClientRequest, EndpointEntry, EndpointListUpdate, Index, Message,
-    Phase, ServedConfiguration,
+    Attempt, AttemptResult, ClientRequest, EndpointEntry, EndpointListUpdate, Index, LocalOutliers,
+    Message, Phase, ReconfigurationError, ServedConfiguration,
 };
 use crate::observability::metrics::{Counter, Metrics};
 use crate::timer_wheel::{Timer, TimerWheel};
@@ -68,7 +68,7 @@
     /// Where bans are kept; `None` without a door for operators.
     shelf: Option<SuspensionStore>,
     /// Where peers are told what is doubted; `None` without peers.
-    peers: Option<watch::Sender<(Vec<String>, usize)>>,
+    peers: Option<watch::Sender<LocalOutliers>>,
 }
 
 impl Core {
@@ -152,13 +152,16 @@
                     Some(PoolEvent::NotUp) => self.tally.add(Counter::DialFaults),
                     None => {}
                 },
-                Message::Admin(call, reply) => {
-                    let _ = reply.send(self.operate(now, call));
+                Message::Admin { request, reply } => {
+                    let _ = reply.send(self.operate(now, request));
                 }
                 Message::OutlierAdvice(ids) => self.advised(&ids),
                 Message::FinishBy(moment) => self.route.end_by(moment),
-                Message::Reconfigure(fresh, reply) => {
-                    let _ = reply.send(self.retune(*fresh));
+                Message::Reconfigure {
+                    configuration,
+                    reply,
+                } => {
+                    let _ = reply.send(self.retune(*configuration));
                 }
             }
         }
@@ -310,10 +313,14 @@
     }
 
     /// Takes other settings: before anything else of this tick, and whole or not at all.
-    fn retune(&mut self, fresh: ServedConfiguration) -> Result<Arc<ServedConfiguration>, String> {
+    fn retune(
+        &mut self,
+        fresh: ServedConfiguration,
+    ) -> Result<Arc<ServedConfiguration>, ReconfigurationError> {
         let in_force = self.offer.borrow().clone();
         let held = |class: ClassId| self.book.holds(usize::from(class.0));
-        let retuned = reconfigure::retune(&in_force.deployment, &fresh.deployment, held)?;
+        let retuned = reconfigure::retune(&in_force.deployment, &fresh.deployment, held)
+            .map_err(ReconfigurationError::Rejected)?;
         let Reconfiguration {
             deployment,
             places,
@@ -347,7 +354,7 @@
     }
 
     /// From now on peers are told which data nodes this coordinator's own answers make it doubt.
-    pub fn tell_peers(&mut self, peers: watch::Sender<(Vec<String>, usize)>) {
+    pub fn tell_peers(&mut self, peers: watch::Sender<LocalOutliers>) {
         self.peers = Some(peers);
         self.wheel
             .insert(self.clock.now() + TELL_DOUBTS, Timer::TellDoubts);
@@ -359,8 +366,11 @@
         let ids: Vec<String> = self.directory.ids(&doubted).map(str::to_string).collect();
         let listed = self.directory.len();
         peers.send_if_modified(|told| {
-            let fresh = told.0 != ids || !ids.is_empty();
-            *told = (ids, listed);
+            let fresh = told.endpoint_ids != ids || !ids.is_empty();
+            *told = LocalOutliers {
+                endpoint_ids: ids,
+                endpoint_count: listed,
+            };
             fresh
         });
         self.wheel.insert(now + TELL_DOUBTS, Timer::TellDoubts);
@@ -416,10 +426,7 @@
 
     fn turn_to(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
         let current = *self.phase.borrow();
-        if matches!(
-            current,
-            Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected
-        ) {
+        if current.is_shutting_down() {
             return AdminResponse::NotNow("the process was told to stop");
         }
         if let Some(phase) = next(current) {
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -2,8 +2,8 @@
 
 use crate::configuration::Config;
 use crate::messages::{
-    Answer, Attempt, AttemptResult, ClientRequest, OutboundAttempt, PartAnswer, PartSpec, Request,
-    Value,
+    Answer, Attempt, AttemptResult, ClientRequest, OutboundAttempt, PartAnswer, PartFailure,
+    PartSpec, Request, Value,
 };
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Class, Idempotency, Outcome, RequestId, Time};
@@ -32,7 +32,7 @@
     request: Request,
     pub reply: oneshot::Sender<Answer>,
     parts: Vec<RequestId>,
-    values: BTreeMap<RequestId, Result<Value, &'static str>>,
+    values: BTreeMap<RequestId, Result<Value, PartFailure>>,
     /// Ends seen, of any kind.
     ends: u32,
 }
@@ -47,7 +47,7 @@
                 .values
                 .get(id)
                 .cloned()
-                .unwrap_or(Err("no answer in time")),
+                .unwrap_or(Err(PartFailure::TimedOut)),
         };
         parts.map(answer).collect()
     }
@@ -232,11 +232,11 @@
         open.ends += 1;
         let result = match (ended.outcome, &ended.value) {
             (Outcome::Ok, Some(value)) => Ok(value.clone()),
-            (Outcome::Rejected, _) => Err("turned away"),
-            (Outcome::ConnectFailed | Outcome::NotSent, _) => Err("no connection"),
-            (Outcome::Reset, _) => Err("the connection broke"),
-            (Outcome::Timeout, _) => Err("no answer in time"),
-            _ => Err("the server answered with an error"),
+            (Outcome::Rejected, _) => Err(PartFailure::Rejected),
+            (Outcome::ConnectFailed | Outcome::NotSent, _) => Err(PartFailure::NoConnection),
+            (Outcome::Reset, _) => Err(PartFailure::ConnectionLost),
+            (Outcome::Timeout, _) => Err(PartFailure::TimedOut),
+            _ => Err(PartFailure::ServerError),
         };
         let entry = open
             .values
