--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -53,7 +53,7 @@
     }
 
     /// Called by the core's every tick.
-    pub fn beat(&self) {
+    pub fn record_tick(&self) {
         let now = self.now();
         let last = self.0.beat.replace(now);
         if now - last > self.0.spans.0 {
--- a/crates/coordinator/src/clock/tests.rs
+++ b/crates/coordinator/src/clock/tests.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 #[test]
-fn what_is_read_after_a_stall_may_have_come_at_its_start() {
+fn arrival_after_a_stall_is_dated_to_its_start() {
     let clock = Clock::new(0.005);
-    clock.beat();
+    clock.record_tick();
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(60));
     assert!(clock.earliest_arrival() <= before, "no beat for 60 ms");
@@ -19,7 +19,7 @@
     // What is read right after the start may have come before it; that was long ago.
     clock.0.stall.set((Time(0), Time(0)));
     for _ in 0..2 {
-        clock.beat();
+        clock.record_tick();
         std::thread::sleep(Duration::from_millis(60));
         let before = clock.now();
         assert!(clock.earliest_arrival() >= before, "one tick is not over");
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -112,7 +112,7 @@
         let handed = requests.into_iter().map(|mut request| {
             request.contracts = self.judge.clone();
             request.deadline = self.front.places.due(request.deadline);
-            request_queue::hand_over(&self.front.core, request, advice)
+            request_queue::submit(&self.front.core, request, advice)
         });
         let waiting: Vec<_> = handed.collect();
         let answers = async {
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -193,7 +193,7 @@
     if !config.contracts.is_empty() {
         adopt(&contracts, &config).await?;
     }
-    let (asks, asked) = mpsc::channel(pipeline::request_queue::QUEUE);
+    let (asks, asked) = mpsc::channel(pipeline::request_queue::REQUEST_QUEUE_CAPACITY);
     let (to_core, messages) = mpsc::channel(MESSAGES);
     let (phase, phases) = watch::channel(Phase::Starting);
     let (deaf, deafs) = watch::channel(false);
@@ -262,7 +262,7 @@
         None => None,
         Some(settings) => {
             let (tell, doubts) = watch::channel(LocalOutliers::default());
-            core.tell_peers(tell);
+            core.publish_outliers_to(tell);
             let (name, seed) = (config.name.clone(), config.seed);
             let (clock, phases, core) = (clock.clone(), phases.clone(), to_core.clone());
             let given = cluster::Given {
--- a/crates/coordinator/src/observability/metrics.rs
+++ b/crates/coordinator/src/observability/metrics.rs
@@ -64,23 +64,23 @@
 /// Counts since the last line.
 pub struct Metrics {
     counts: [u32; NAMES.len()],
-    every: f64,
-    told: Time,
+    interval: f64,
+    last_line: Time,
 }
 
 impl Metrics {
-    /// A tally that has a line due every so many seconds; 0: never.
-    pub fn new(every: f64, now: Time) -> Self {
+    /// Counters that has a line due every so many seconds; 0: never.
+    pub fn new(interval: f64, now: Time) -> Self {
         Metrics {
             counts: [0; NAMES.len()],
-            every,
-            told: now,
+            interval,
+            last_line: now,
         }
     }
 
     /// Whether anybody will read the counts: what takes a look-up to count is not counted otherwise.
-    pub fn is_on(&self) -> bool {
-        self.every > 0.0
+    pub fn is_enabled(&self) -> bool {
+        self.interval > 0.0
     }
 
     pub fn add(&mut self, count: Counter) {
@@ -88,7 +88,7 @@
         *count = count.saturating_add(1);
     }
 
-    pub fn action(&mut self, action: &Action) {
+    pub fn record_action(&mut self, action: &Action) {
         match action {
             Action::Answer { complete: true, .. } => self.add(Counter::Served),
             Action::Answer {
@@ -103,7 +103,7 @@
         }
     }
 
-    pub fn outcome(&mut self, outcome: Outcome) {
+    pub fn record_outcome(&mut self, outcome: Outcome) {
         self.add(match outcome {
             Outcome::Ok => Counter::Ok,
             Outcome::Error => Counter::Errors,
@@ -121,10 +121,10 @@
         links: usize,
         beliefs: impl FnOnce() -> HealthSummary,
     ) -> Option<String> {
-        if !self.is_on() || now - self.told < self.every {
+        if !self.is_enabled() || now - self.last_line < self.interval {
             return None;
         }
-        self.told = now;
+        self.last_line = now;
         let counts = std::mem::replace(&mut self.counts, [0; NAMES.len()]);
         if counts.iter().all(|&count| count == 0) {
             return None;
--- a/crates/coordinator/src/pipeline/admission.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -1,51 +1,54 @@
 //! Admit: lets a request in, with ids of its own, or refuses it at once where the coordinator holds all it may.
 
-use super::{request_table::RequestTable, routing::RoutingStage};
+use super::{request_table::RequestTable, router_driver::RouterDriver};
 use crate::messages::{Answer, ClientRequest};
 use crate::observability::metrics::{Counter, Metrics};
 use cairnroad_types::{ClassId, Event, Time};
 
 /// Advice for a request that finds the coordinator full, as a share of its class's aim.
-const FULL_ADVICE: f64 = 0.5;
+const RETRY_AFTER_OBJECTIVES: f64 = 0.5;
 
 pub fn admit(
     now: Time,
-    ask: ClientRequest,
-    book: &mut RequestTable,
-    route: &mut RoutingStage,
-    tally: &mut Metrics,
+    client: ClientRequest,
+    requests: &mut RequestTable,
+    router: &mut RouterDriver,
+    metrics: &mut Metrics,
 ) {
-    tally.add(if ask.request.client_retry {
+    metrics.add(if client.request.client_retry {
         Counter::Repeats
     } else {
         Counter::Queries
     });
-    if ask.reply.is_closed() {
+    if client.reply.is_closed() {
         return; // its client left before it was taken in
     }
     // Servers tell parts apart by their request's name: two of one name could swap their values, also where the
     // first has just ended and a part of it that was given up is still to be answered.
-    if book.knows(&ask.request.name) {
-        let _ = ask.reply.send(Answer::DuplicateName);
+    if requests.is_recent_name(&client.request.name) {
+        let _ = client.reply.send(Answer::DuplicateName);
         return;
     }
-    if !book.has_room(ask.request.parts.len()) {
-        tally.add(Counter::Full);
-        let retry_after = FULL_ADVICE * route.aim(ask.request.class);
-        let _ = ask.reply.send(Answer::Rejected {
+    if !requests.has_capacity_for(client.request.parts.len()) {
+        metrics.add(Counter::Full);
+        let retry_after = RETRY_AFTER_OBJECTIVES * router.latency_objective(client.request.class);
+        let _ = client.reply.send(Answer::Rejected {
             retry_after,
             busy: true,
         });
         return;
     }
-    if ask.request.deadline <= now {
-        let _ = ask.reply.send(Answer::Failed { late: true });
+    if client.request.deadline <= now {
+        let _ = client.reply.send(Answer::Failed { late: true });
         return;
     }
-    let (class, due) = (ClassId(ask.request.class as u16), ask.request.deadline);
-    let (work, repeat) = (ask.request.expected_work, ask.request.client_retry);
-    let (id, parts) = book.open(now, ask);
-    route.push(Event::Query {
+    let (class, due) = (
+        ClassId(client.request.class as u16),
+        client.request.deadline,
+    );
+    let (work, repeat) = (client.request.expected_work, client.request.client_retry);
+    let (id, parts) = requests.open(now, client);
+    router.push(Event::Query {
         id,
         class,
         number: id.0,
@@ -54,7 +57,7 @@
         client_retry: repeat,
     });
     for (part, spec) in parts {
-        route.push(Event::Part {
+        router.push(Event::Part {
             id: part,
             number: id.0,
             shard: spec.shard,
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -1,4 +1,4 @@
-//! Send: carries the decisions' sends, cancels, probes and timers to the pool and the wheel. Sends of one tick
+//! Send: carries the decisions' sends, cancels, probes and timers to the pool and the timers. Sends of one tick
 //! to one server leave together.
 
 use super::request_table::RequestTable;
@@ -8,12 +8,12 @@
 use crate::timer_wheel::{Timer, TimerWheel};
 use cairnroad_types::{Action, Time};
 
-pub fn carry(
+pub fn dispatch(
     now: Time,
     action: &Action,
-    book: &mut RequestTable,
+    requests: &mut RequestTable,
     pool: &mut Pool,
-    wheel: &mut TimerWheel<Timer>,
+    timers: &mut TimerWheel<Timer>,
 ) {
     match *action {
         Action::Send {
@@ -21,8 +21,8 @@
             server,
             until,
         } => {
-            if let Some(job) = book.job(now, part, until) {
-                wheel.insert(until, Timer::Attempt(job.attempt));
+            if let Some(job) = requests.next_attempt(now, part, until) {
+                timers.insert(until, Timer::AttemptDeadline(job.attempt));
                 pool.stage(server, job);
             }
         }
@@ -34,7 +34,7 @@
             },
         ),
         Action::HealthCheck(server) => pool.probe(server),
-        Action::SetTimer(at) => wheel.insert(at, Timer::Wake),
+        Action::SetTimer(at) => timers.insert(at, Timer::RouterWakeUp),
         // The watch asks by itself; finals are the relay's.
         Action::SubscribeEndpoints
         | Action::Answer { .. }
@@ -44,16 +44,16 @@
 }
 
 /// Sends what is staged; returns attempts that could not be sent at all.
-pub fn flush(
+pub fn flush_calls(
     now: Time,
     pool: &mut Pool,
-    wheel: &mut TimerWheel<Timer>,
-    tally: &mut Metrics,
+    timers: &mut TimerWheel<Timer>,
+    metrics: &mut Metrics,
 ) -> Vec<AttemptResult> {
-    let (failed, dials) = pool.flush(now, tally);
+    let (failed, dials) = pool.flush(now, metrics);
     for (link, at) in dials {
-        tally.add(Counter::Dials);
-        wheel.insert(at, Timer::Dial(link));
+        metrics.add(Counter::Dials);
+        timers.insert(at, Timer::DialDeadline(link));
     }
     failed
 }
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -9,7 +9,7 @@
 pub mod request_queue;
 pub mod request_table;
 pub mod respond;
-pub mod routing;
+pub mod router_driver;
 
 use crate::admin_api::suspension_store::SuspensionStore;
 use crate::clock::Clock;
@@ -33,42 +33,42 @@
 use tokio::sync::{mpsc, watch};
 
 /// How long a fresh list is waited for before a cached one will do.
-const FRESH_LIST: f64 = 1.0;
+const FRESH_LIST_WAIT: f64 = 1.0;
 
 /// How often the bans that another process may have changed are looked at, in seconds: well within the grace of a
 /// quarter second after which a suspended server gets nothing new.
-const LOOK: f64 = 0.05;
+const SUSPENSION_POLL_INTERVAL: f64 = 0.05;
 
 /// How often peers are told what is doubted, in seconds.
-const TELL_DOUBTS: f64 = 1.0;
+const OUTLIER_PUBLICATION_INTERVAL: f64 = 1.0;
 /// What is doubted is told while the last sign of it is no older than so many times that. Where all heed one another
 /// nobody tries the server, so old signs must fade, or it would be doubted for good.
-const LATELY: f64 = 3.0;
+const RECENT_OUTLIER_INTERVALS: f64 = 3.0;
 
 /// All state of the core, in the hands of one task.
 pub struct Core {
     clock: Clock,
-    intake: request_queue::Intake,
-    route: routing::RoutingStage,
-    book: request_table::RequestTable,
+    request_queue: request_queue::RequestReceiver,
+    router: router_driver::RouterDriver,
+    requests: request_table::RequestTable,
     pool: Pool,
-    wheel: TimerWheel<Timer>,
+    timers: TimerWheel<Timer>,
     directory: Directory,
     contracts: Rc<Contracts>,
     messages: mpsc::Receiver<Message>,
     phase: Rc<watch::Sender<Phase>>,
     /// What the fronts offer.
-    offer: watch::Sender<Arc<ServedConfiguration>>,
+    served_configuration: watch::Sender<Arc<ServedConfiguration>>,
     started: Time,
     fresh_list: bool,
-    tally: Metrics,
-    warm_up: f64,
-    sweep: f64,
-    bans: Suspensions,
+    metrics: Metrics,
+    slow_start_duration: f64,
+    sweep_interval: f64,
+    suspensions: Suspensions,
     /// Where bans are kept; `None` without a door for operators.
-    shelf: Option<SuspensionStore>,
+    suspension_store: Option<SuspensionStore>,
     /// Where peers are told what is doubted; `None` without peers.
-    peers: Option<watch::Sender<LocalOutliers>>,
+    outlier_publisher: Option<watch::Sender<LocalOutliers>>,
 }
 
 impl Core {
@@ -82,35 +82,35 @@
         offer: watch::Sender<Arc<ServedConfiguration>>,
     ) -> Self {
         let now = clock.now();
-        let mut wheel = TimerWheel::new(now, config.offer.deployment.policy.tick);
+        let mut timers = TimerWheel::new(now, config.offer.deployment.policy.tick);
         let sweep = pool::sweep_every(&config.offer.deployment);
-        wheel.insert(now + sweep, Timer::Sweep);
+        timers.insert(now + sweep, Timer::ConnectionSweep);
         let mut core = Core {
             clock: clock.clone(),
-            intake: request_queue::Intake::new(asks),
-            route: routing::RoutingStage::new(config),
-            book: request_table::RequestTable::new(config),
+            request_queue: request_queue::RequestReceiver::new(asks),
+            router: router_driver::RouterDriver::new(config),
+            requests: request_table::RequestTable::new(config),
             pool: Pool::new(config, contracts.clone(), clock, messages.0),
-            wheel,
+            timers,
             directory: Directory::default(),
             contracts,
             messages: messages.1,
             phase,
-            offer,
+            served_configuration: offer,
             started: now,
             fresh_list: false,
-            tally: Metrics::new(f64::from(config.log.tally_s), now),
-            warm_up: config.offer.deployment.policy.slow_start_duration,
-            sweep,
-            bans: Suspensions::default(),
-            shelf: config
+            metrics: Metrics::new(f64::from(config.log.tally_s), now),
+            slow_start_duration: config.offer.deployment.policy.slow_start_duration,
+            sweep_interval: sweep,
+            suspensions: Suspensions::default(),
+            suspension_store: config
                 .admin
                 .map(|_| SuspensionStore::new(config.passing.as_deref(), &config.name)),
-            peers: None,
+            outlier_publisher: None,
         };
         // Before any list: what an earlier process was told must hold from the first send on.
-        core.look(now);
-        core.note_news(&config.known, true);
+        core.poll_suspensions(now);
+        core.on_endpoint_update(&config.known, true);
         core
     }
 
@@ -120,106 +120,115 @@
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.clock.beat();
+            self.clock.record_tick();
             // Lets the sockets be read first: after a stall, news and answers that lie there must be known
             // before any timer is judged or any send is made.
             for _ in 0..3 {
                 tokio::task::yield_now().await;
             }
-            self.turn();
+            self.tick();
         }
     }
 
     /// One tick: all that came is one call of the decisions.
-    fn turn(&mut self) {
+    fn tick(&mut self) {
         let now = self.clock.now();
         while let Ok(message) = self.messages.try_recv() {
             match message {
-                Message::Endpoints(news) => self.note_news(&news, false),
+                Message::Endpoints(news) => self.on_endpoint_update(&news, false),
                 Message::Connection(event) => match self.pool.note(now, event) {
-                    Some(PoolEvent::Attempt(ended)) => self.ended(ended),
+                    Some(PoolEvent::Attempt(ended)) => self.on_attempt_ended(ended),
                     Some(PoolEvent::Probe {
                         server,
                         outcome,
                         report,
                     }) => {
-                        self.route.push(Event::HealthCheckEnded {
+                        self.router.push(Event::HealthCheckEnded {
                             server,
                             outcome,
                             report,
                         });
                     }
-                    Some(PoolEvent::NotUp) => self.tally.add(Counter::DialFaults),
+                    Some(PoolEvent::NotUp) => self.metrics.add(Counter::DialFaults),
                     None => {}
                 },
                 Message::Admin { request, reply } => {
-                    let _ = reply.send(self.operate(now, request));
+                    let _ = reply.send(self.handle_admin_request(now, request));
                 }
-                Message::OutlierAdvice(ids) => self.advised(&ids),
-                Message::FinishBy(moment) => self.route.end_by(moment),
+                Message::OutlierAdvice(ids) => self.on_outlier_advice(&ids),
+                Message::FinishBy(moment) => self.router.finish_by(moment),
                 Message::Reconfigure {
                     configuration,
                     reply,
                 } => {
-                    let _ = reply.send(self.retune(*configuration));
+                    let _ = reply.send(self.reconfigure(*configuration));
                 }
             }
         }
-        for due in self.wheel.turn(now) {
+        for due in self.timers.advance(now) {
             match due {
-                Timer::Wake => self.route.push(Event::TimerFired),
-                Timer::Attempt(attempt) => {
+                Timer::RouterWakeUp => self.router.push(Event::TimerFired),
+                Timer::AttemptDeadline(attempt) => {
                     if self.pool.abandon(attempt) {
-                        self.ended(AttemptResult {
+                        self.on_attempt_ended(AttemptResult {
                             attempt,
                             outcome: Outcome::Timeout,
                             value: None,
                         });
                     }
                 }
-                Timer::Dial(link) => self.pool.dial_is_due(link),
-                Timer::Sweep => {
+                Timer::DialDeadline(link) => self.pool.dial_is_due(link),
+                Timer::ConnectionSweep => {
                     self.pool.sweep(now);
-                    self.wheel.insert(now + self.sweep, Timer::Sweep);
+                    self.timers
+                        .insert(now + self.sweep_interval, Timer::ConnectionSweep);
                 }
-                Timer::Look => self.look(now),
-                Timer::TellDoubts => self.tell_doubts(now),
+                Timer::SuspensionPoll => self.poll_suspensions(now),
+                Timer::OutlierPublication => self.publish_outliers(now),
             }
         }
-        for query in self.book.lost_clients() {
-            self.route.push(Event::ClientGone(query));
-            self.book.close(query);
+        for query in self.requests.requests_without_client() {
+            self.router.push(Event::ClientGone(query));
+            self.requests.close(query);
         }
-        for ask in self.intake.take() {
-            admission::admit(now, ask, &mut self.book, &mut self.route, &mut self.tally);
+        for client in self.request_queue.drain() {
+            admission::admit(
+                now,
+                client,
+                &mut self.requests,
+                &mut self.router,
+                &mut self.metrics,
+            );
         }
         // Sends that fail at once bring outcomes, which are the next call's events; three attempts a part
         // bound the rounds.
-        while self.route.has_events() {
-            for action in self.route.decide(now) {
-                self.tally.action(&action);
-                if respond::is_final(&action) {
-                    respond::relay(&action, now, &mut self.book, &mut self.tally);
+        while self.router.has_events() {
+            for action in self.router.decide(now) {
+                self.metrics.record_action(&action);
+                if respond::is_final_answer(&action) {
+                    respond::respond(&action, now, &mut self.requests, &mut self.metrics);
                 } else {
-                    self.count_send(now, &action);
-                    dispatch::carry(
+                    self.count_attempt(now, &action);
+                    dispatch::dispatch(
                         now,
                         &action,
-                        &mut self.book,
+                        &mut self.requests,
                         &mut self.pool,
-                        &mut self.wheel,
+                        &mut self.timers,
                     );
                 }
             }
-            for attempt in self.book.take_unwanted() {
+            for attempt in self.requests.take_orphaned_attempts() {
                 self.pool.unwant(attempt);
             }
-            for ended in dispatch::flush(now, &mut self.pool, &mut self.wheel, &mut self.tally) {
-                self.ended(ended);
+            for ended in
+                dispatch::flush_calls(now, &mut self.pool, &mut self.timers, &mut self.metrics)
+            {
+                self.on_attempt_ended(ended);
             }
         }
-        let (links, route) = (self.pool.links(), &self.route);
-        if let Some(line) = self.tally.line(now, links, || route.beliefs(now)) {
+        let (links, router) = (self.pool.links(), &self.router);
+        if let Some(line) = self.metrics.line(now, links, || router.health_summary(now)) {
             tracing::info!("tally {line}");
         }
         let current = *self.phase.borrow();
@@ -229,96 +238,105 @@
     }
 
     /// Counts a send by what it is: a further attempt, a copy, one to a server that may be cold.
-    fn count_send(&mut self, now: Time, action: &Action) {
+    fn count_attempt(&mut self, now: Time, action: &Action) {
         let Action::Send { part, server, .. } = *action else {
             return;
         };
-        if !self.tally.is_on() {
+        if !self.metrics.is_enabled() {
             return;
         }
-        let earlier = self.book.attempts(part);
+        let earlier = self.requests.attempt_count(part);
         if earlier > 0 {
-            self.tally.add(Counter::Further);
+            self.metrics.add(Counter::Further);
         }
         if (0..earlier).any(|number| self.pool.is_out(Attempt { part, number })) {
-            self.tally.add(Counter::Copies);
+            self.metrics.add(Counter::Copies);
         }
-        if self.pool.is_young(now, server, self.warm_up) {
-            self.tally.add(Counter::Cold);
+        if self.pool.is_young(now, server, self.slow_start_duration) {
+            self.metrics.add(Counter::Cold);
         }
     }
 
-    fn ended(&mut self, ended: AttemptResult) {
-        self.tally.outcome(ended.outcome);
+    fn on_attempt_ended(&mut self, ended: AttemptResult) {
+        self.metrics.record_outcome(ended.outcome);
         let Attempt { part, number } = ended.attempt;
-        self.book.note(&ended);
-        self.route.push(Event::AttemptEnded {
+        self.requests.record_result(&ended);
+        self.router.push(Event::AttemptEnded {
             id: part,
             attempt: number,
             outcome: ended.outcome,
         });
     }
 
-    fn note_news(&mut self, news: &EndpointListUpdate, cached: bool) {
+    fn on_endpoint_update(&mut self, news: &EndpointListUpdate, cached: bool) {
         self.contracts.note_list(&news.rows, news.complete);
         if !news.rows.is_empty() {
-            self.tally.add(if news.complete {
+            self.metrics.add(if news.complete {
                 Counter::Lists
             } else {
                 Counter::Changes
             });
         }
         let mut rows = self.directory.number(news);
-        if self.shelf.is_some() {
-            rows.iter().for_each(|(_, row)| self.bans.listed(&row.id));
+        if self.suspension_store.is_some() {
+            rows.iter()
+                .for_each(|(_, row)| self.suspensions.listed(&row.id));
         }
-        self.tell(&mut rows, news.complete, cached);
+        self.publish_endpoints(&mut rows, news.complete, cached);
         self.fresh_list |= !cached;
     }
 
     /// Tells pool and decisions what the list says, as operators' bans leave it.
-    fn tell(&mut self, rows: &mut [(ServerId, EndpointEntry)], complete: bool, cached: bool) {
+    fn publish_endpoints(
+        &mut self,
+        rows: &mut [(ServerId, EndpointEntry)],
+        complete: bool,
+        cached: bool,
+    ) {
         for (_, row) in &mut *rows {
-            (row.state, row.ready_at) = self.bans.overlay(&row.id, row.state, row.ready_at);
+            (row.state, row.ready_at) = self.suspensions.overlay(&row.id, row.state, row.ready_at);
         }
         self.pool.note_list(rows, complete);
-        self.route.push(Event::Endpoints(discovery::list_news(
+        self.router.push(Event::Endpoints(discovery::list_news(
             rows, complete, cached,
         )));
     }
 
     /// Looks at what another process of this coordinator may have changed.
-    fn look(&mut self, now: Time) {
-        let Some(shelf) = &mut self.shelf else { return };
-        for id in self.bans.expire(now, self.warm_up) {
-            shelf.drop(&id);
+    fn poll_suspensions(&mut self, now: Time) {
+        let Some(suspension_store) = &mut self.suspension_store else {
+            return;
+        };
+        for id in self.suspensions.expire(now, self.slow_start_duration) {
+            suspension_store.drop(&id);
         }
-        if let Some(kept) = shelf.look() {
-            let changed = self.bans.merge(&kept);
+        if let Some(kept) = suspension_store.look() {
+            let changed = self.suspensions.merge(&kept);
             if !changed.is_empty() {
                 tracing::info!(
                     servers = changed.join(", "),
                     "another process's bans are taken over"
                 );
-                self.tell_again(&changed);
+                self.republish_endpoints(&changed);
             }
         }
-        self.wheel.insert(now + LOOK, Timer::Look);
+        self.timers
+            .insert(now + SUSPENSION_POLL_INTERVAL, Timer::SuspensionPoll);
     }
 
     /// Says anew what the list says of these servers.
-    fn tell_again(&mut self, ids: &[String]) {
+    fn republish_endpoints(&mut self, ids: &[String]) {
         let mut rows: Vec<_> = ids.iter().filter_map(|id| self.directory.row(id)).collect();
-        self.tell(&mut rows, false, false);
+        self.publish_endpoints(&mut rows, false, false);
     }
 
     /// Takes other settings: before anything else of this tick, and whole or not at all.
-    fn retune(
+    fn reconfigure(
         &mut self,
         fresh: ServedConfiguration,
     ) -> Result<Arc<ServedConfiguration>, ReconfigurationError> {
-        let in_force = self.offer.borrow().clone();
-        let held = |class: ClassId| self.book.holds(usize::from(class.0));
+        let in_force = self.served_configuration.borrow().clone();
+        let held = |class: ClassId| self.requests.has_request_of_class(usize::from(class.0));
         let retuned = reconfigure::retune(&in_force.deployment, &fresh.deployment, held)
             .map_err(ReconfigurationError::Rejected)?;
         let Reconfiguration {
@@ -341,28 +359,34 @@
             })
         };
         let indices = fresh.indices.into_iter().filter_map(index).collect();
-        self.book.retune(&deployment);
+        self.requests.reconfigure(&deployment);
         self.pool.retune(&deployment);
-        self.route.retune(&deployment, &renewed, &places);
-        self.warm_up = deployment.policy.slow_start_duration;
+        self.router.reconfigure(&deployment, &renewed, &places);
+        self.slow_start_duration = deployment.policy.slow_start_duration;
         let offer = Arc::new(ServedConfiguration {
             deployment,
             indices,
         });
-        self.offer.send_replace(offer.clone());
+        self.served_configuration.send_replace(offer.clone());
         Ok(offer)
     }
 
     /// From now on peers are told which data nodes this coordinator's own answers make it doubt.
-    pub fn tell_peers(&mut self, peers: watch::Sender<LocalOutliers>) {
-        self.peers = Some(peers);
-        self.wheel
-            .insert(self.clock.now() + TELL_DOUBTS, Timer::TellDoubts);
+    pub fn publish_outliers_to(&mut self, peers: watch::Sender<LocalOutliers>) {
+        self.outlier_publisher = Some(peers);
+        self.timers.insert(
+            self.clock.now() + OUTLIER_PUBLICATION_INTERVAL,
+            Timer::OutlierPublication,
+        );
     }
 
-    fn tell_doubts(&mut self, now: Time) {
-        let Some(peers) = &self.peers else { return };
-        let doubted = self.route.doubted_lately(now, TELL_DOUBTS * LATELY);
+    fn publish_outliers(&mut self, now: Time) {
+        let Some(peers) = &self.outlier_publisher else {
+            return;
+        };
+        let doubted = self
+            .router
+            .recent_outliers(now, OUTLIER_PUBLICATION_INTERVAL * RECENT_OUTLIER_INTERVALS);
         let ids: Vec<String> = self.directory.ids(&doubted).map(str::to_string).collect();
         let listed = self.directory.len();
         peers.send_if_modified(|told| {
@@ -373,58 +397,67 @@
             };
             fresh
         });
-        self.wheel.insert(now + TELL_DOUBTS, Timer::TellDoubts);
+        self.timers.insert(
+            now + OUTLIER_PUBLICATION_INTERVAL,
+            Timer::OutlierPublication,
+        );
     }
 
     /// Peers doubt these data nodes. Only those that this coordinator's own list names are looked at.
-    fn advised(&mut self, ids: &[String]) {
+    fn on_outlier_advice(&mut self, ids: &[String]) {
         let known = ids
             .iter()
             .filter_map(|id| self.directory.row(id))
             .map(|(server, _)| server);
         let servers: Vec<ServerId> = known.collect();
         if !servers.is_empty() {
-            self.route.push(Event::OutlierAdvice(servers));
+            self.router.push(Event::OutlierAdvice(servers));
         }
     }
 
     /// Carries out an operator's call.
-    fn operate(&mut self, now: Time, call: AdminRequest) -> AdminResponse {
+    fn handle_admin_request(&mut self, now: Time, call: AdminRequest) -> AdminResponse {
         let verdict = match &call {
             // The door answers these by itself.
             AdminRequest::Ready | AdminRequest::Peers => AdminResponse::Yes,
-            AdminRequest::Suspend(id) if !self.bans.knows(id) => AdminResponse::Unknown,
-            AdminRequest::Suspend(id) if !self.bans.has_room(id) => AdminResponse::TooMany,
-            AdminRequest::Suspend(id) => self.put(id, self.bans.suspended(id, now)),
-            AdminRequest::Resume(id) if !self.bans.knows(id) => AdminResponse::Unknown,
-            AdminRequest::Resume(id) => match self.bans.resumed(id, now) {
-                Some(ban) => self.put(id, ban),
+            AdminRequest::Suspend(id) if !self.suspensions.knows(id) => AdminResponse::Unknown,
+            AdminRequest::Suspend(id) if !self.suspensions.has_room(id) => AdminResponse::TooMany,
+            AdminRequest::Suspend(id) => {
+                self.apply_suspension(id, self.suspensions.suspended(id, now))
+            }
+            AdminRequest::Resume(id) if !self.suspensions.knows(id) => AdminResponse::Unknown,
+            AdminRequest::Resume(id) => match self.suspensions.resumed(id, now) {
+                Some(ban) => self.apply_suspension(id, ban),
                 None => AdminResponse::Yes,
             },
-            AdminRequest::Drain => self.turn_to(|phase| match phase {
+            AdminRequest::Drain => self.change_phase(|phase| match phase {
                 Phase::Starting | Phase::Serving => Some(Phase::DrainedByOperator),
                 _ => None,
             }),
             // The next tick says whether it is ready.
-            AdminRequest::Activate => {
-                self.turn_to(|phase| (phase == Phase::DrainedByOperator).then_some(Phase::Starting))
-            }
+            AdminRequest::Activate => self.change_phase(|phase| {
+                (phase == Phase::DrainedByOperator).then_some(Phase::Starting)
+            }),
         };
         tracing::info!(?call, ?verdict, "an operator's call");
         verdict
     }
 
-    fn put(&mut self, id: &str, ban: cairnroad_admin::suspensions::Suspension) -> AdminResponse {
-        if self.bans.put(id, ban) {
-            if let Some(shelf) = &mut self.shelf {
-                shelf.keep(id, ban);
+    fn apply_suspension(
+        &mut self,
+        id: &str,
+        ban: cairnroad_admin::suspensions::Suspension,
+    ) -> AdminResponse {
+        if self.suspensions.put(id, ban) {
+            if let Some(suspension_store) = &mut self.suspension_store {
+                suspension_store.keep(id, ban);
             }
-            self.tell_again(&[id.to_string()]);
+            self.republish_endpoints(&[id.to_string()]);
         }
         AdminResponse::Yes
     }
 
-    fn turn_to(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
+    fn change_phase(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
         let current = *self.phase.borrow();
         if current.is_shutting_down() {
             return AdminResponse::NotNow("the process was told to stop");
@@ -437,7 +470,7 @@
 
     /// Ready once a server is known, from a fresh list or, if that doesn't come, from the cached one.
     fn is_ready(&self, now: Time) -> bool {
-        self.pool.any_ready() && (self.fresh_list || now - self.started > FRESH_LIST)
+        self.pool.any_ready() && (self.fresh_list || now - self.started > FRESH_LIST_WAIT)
     }
 }
 
--- a/crates/coordinator/src/pipeline/request_queue.rs
+++ b/crates/coordinator/src/pipeline/request_queue.rs
@@ -1,35 +1,36 @@
-//! Intake: the bounded queue between the fronts and the core.
+//! RequestReceiver: the bounded queue between the fronts and the core.
 
 use crate::messages::{Answer, ClientRequest, Request};
 use tokio::sync::{mpsc, oneshot};
 
 /// Requests that may wait for the core's next tick.
-pub const QUEUE: usize = 256;
+pub const REQUEST_QUEUE_CAPACITY: usize = 256;
 /// The core's end.
-pub struct Intake(mpsc::Receiver<ClientRequest>);
+pub struct RequestReceiver(mpsc::Receiver<ClientRequest>);
 
-impl Intake {
+impl RequestReceiver {
     pub fn new(asks: mpsc::Receiver<ClientRequest>) -> Self {
-        Intake(asks)
+        RequestReceiver(asks)
     }
 
     /// All that came since the last tick.
-    pub fn take(&mut self) -> Vec<ClientRequest> {
+    pub fn drain(&mut self) -> Vec<ClientRequest> {
         std::iter::from_fn(|| self.0.try_recv().ok()).collect()
     }
 }
 
 /// A front's end: hands a request over and returns where its answer will come. With the queue full, that is a
 /// refusal at once, with this advice in seconds.
-pub fn hand_over(
+pub fn submit(
     core: &mpsc::Sender<ClientRequest>,
     request: Request,
     advice: f64,
 ) -> oneshot::Receiver<Answer> {
     let (reply, answer) = oneshot::channel();
     if let Err(fault) = core.try_send(ClientRequest { request, reply }) {
-        let (mpsc::error::TrySendError::Full(ask) | mpsc::error::TrySendError::Closed(ask)) = fault;
-        let _ = ask.reply.send(Answer::Rejected {
+        let (mpsc::error::TrySendError::Full(client) | mpsc::error::TrySendError::Closed(client)) =
+            fault;
+        let _ = client.reply.send(Answer::Rejected {
             retry_after: advice,
             busy: true,
         });
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -14,13 +14,13 @@
 use tokio::sync::oneshot;
 
 /// How long before its end a request counts as late, in seconds, and in ticks if that is more: ends come some ticks early.
-const LATE: f64 = 0.05;
-const LATE_TICKS: f64 = 5.0;
+const LATE_MARGIN: f64 = 0.05;
+const LATE_MARGIN_TICKS: f64 = 5.0;
 /// How long a request's name is remembered, in seconds, and in longest deadlines if that is more: longer than it can be
 /// open, and long enough for a part that was given up to be answered after all. A name is fresh for each request, a
 /// retry included.
-const NAME_KEPT: f64 = 10.0;
-const NAME_KEPT_DEADLINES: f64 = 2.0;
+const NAME_RETENTION: f64 = 10.0;
+const NAME_RETENTION_DEADLINES: f64 = 2.0;
 /// No attempt at a part of a class with a window leaves later than this before the window ends, as a share of it and in
 /// ticks if that is more: it has a way to go. That holds for the first one, too, which may wait for its connection while
 /// a copy runs.
@@ -34,7 +34,7 @@
     parts: Vec<RequestId>,
     values: BTreeMap<RequestId, Result<Value, PartFailure>>,
     /// Ends seen, of any kind.
-    ends: u32,
+    ended_attempts: u32,
 }
 
 impl OpenRequest {
@@ -54,7 +54,7 @@
 
     /// Whether nothing of it came back: then it was refused for want of room.
     pub fn never_sent(&self) -> bool {
-        self.ends == 0
+        self.ended_attempts == 0
     }
 }
 
@@ -73,17 +73,17 @@
 /// All that is open.
 #[derive(Default)]
 pub struct RequestTable {
-    cap: usize,
+    capacity: usize,
     classes: Vec<Arc<str>>,
-    next: u64,
-    queries: BTreeMap<RequestId, OpenRequest>,
+    next_id: u64,
+    requests: BTreeMap<RequestId, OpenRequest>,
     parts: BTreeMap<RequestId, OpenPart>,
     /// Each class's window for further attempts, in seconds less the margin; `None` where it has none.
-    windows: Vec<Option<f64>>,
-    name_kept: f64,
-    late: f64,
+    retry_windows: Vec<Option<f64>>,
+    name_retention: f64,
+    late_margin: f64,
     /// Attempts of requests that ended, which nobody waits for any more.
-    unwanted: Vec<Attempt>,
+    orphaned: Vec<Attempt>,
     /// The names taken of late, and when each was.
     names: BTreeSet<Arc<str>>,
     taken: VecDeque<(Time, Arc<str>)>,
@@ -91,52 +91,52 @@
 
 impl RequestTable {
     pub fn new(config: &Config) -> Self {
-        let mut book = RequestTable {
-            next: 1,
+        let mut requests = RequestTable {
+            next_id: 1,
             ..RequestTable::default()
         };
-        book.retune(&config.offer.deployment);
-        book
+        requests.reconfigure(&config.offer.deployment);
+        requests
     }
 
     /// Takes other settings. A place whose class is gone keeps its last name for the requests that hold it.
-    pub fn retune(&mut self, deployment: &Deployment) {
-        self.cap = deployment.open_cap;
+    pub fn reconfigure(&mut self, deployment: &Deployment) {
+        self.capacity = deployment.open_cap;
         self.classes.resize(deployment.class_names.len(), "".into());
         let (policy, longest) = (&deployment.policy, deployment.longest_deadline());
-        self.name_kept = NAME_KEPT.max(NAME_KEPT_DEADLINES * longest);
-        self.late = LATE.max(LATE_TICKS * policy.tick);
+        self.name_retention = NAME_RETENTION.max(NAME_RETENTION_DEADLINES * longest);
+        self.late_margin = LATE_MARGIN.max(LATE_MARGIN_TICKS * policy.tick);
         let window = |class: &Class| {
             let margin =
                 (WINDOW_MARGIN * class.dedup_window).max(WINDOW_MARGIN_TICKS * policy.tick);
             (class.idempotency == Idempotency::IdempotentWithKey)
                 .then_some(class.dedup_window - margin)
         };
-        self.windows = policy.classes.iter().map(window).collect();
+        self.retry_windows = policy.classes.iter().map(window).collect();
         for (place, name, _) in deployment.offered() {
             self.classes[place] = name.into();
         }
     }
 
     /// Whether a request that is open holds a class's place.
-    pub fn holds(&self, class: usize) -> bool {
-        self.queries
+    pub fn has_request_of_class(&self, class: usize) -> bool {
+        self.requests
             .values()
             .any(|open| open.request.class == class)
     }
 
     /// Whether a query of so many parts fits under the cap on queries and parts held.
-    pub fn has_room(&self, parts: usize) -> bool {
-        self.queries.len() + self.parts.len() + 1 + parts <= self.cap
+    pub fn has_capacity_for(&self, parts: usize) -> bool {
+        self.requests.len() + self.parts.len() + 1 + parts <= self.capacity
     }
 
     /// Whether a request of this name is open or was of late.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn is_recent_name(&self, name: &str) -> bool {
         self.names.contains(name)
     }
 
     /// How many attempts an open part has had.
-    pub fn attempts(&self, part: RequestId) -> u8 {
+    pub fn attempt_count(&self, part: RequestId) -> u8 {
         self.parts.get(&part).map_or(0, |part| part.attempts)
     }
 
@@ -144,25 +144,25 @@
     pub fn open(
         &mut self,
         now: Time,
-        ask: ClientRequest,
+        client: ClientRequest,
     ) -> (RequestId, Vec<(RequestId, PartSpec)>) {
         while self
             .taken
             .front()
-            .is_some_and(|(at, _)| now - *at > self.name_kept)
+            .is_some_and(|(at, _)| now - *at > self.name_retention)
         {
             if let Some((_, name)) = self.taken.pop_front() {
                 self.names.remove(&name);
             }
         }
-        self.names.insert(ask.request.name.clone());
-        self.taken.push_back((now, ask.request.name.clone()));
-        let id = RequestId(self.next);
+        self.names.insert(client.request.name.clone());
+        self.taken.push_back((now, client.request.name.clone()));
+        let id = RequestId(self.next_id);
         let parts: Vec<_> = (id.0 + 1..)
             .map(RequestId)
-            .zip(ask.request.parts.iter().cloned())
+            .zip(client.request.parts.iter().cloned())
             .collect();
-        self.next += 1 + parts.len() as u64;
+        self.next_id += 1 + parts.len() as u64;
         for (at, (part, _)) in parts.iter().enumerate() {
             let first_sent = Time::default();
             self.parts.insert(
@@ -178,27 +178,27 @@
         }
         let ids = parts.iter().map(|(part, _)| *part).collect();
         let open = OpenRequest {
-            request: ask.request,
-            reply: ask.reply,
+            request: client.request,
+            reply: client.reply,
             parts: ids,
             values: BTreeMap::new(),
-            ends: 0,
+            ended_attempts: 0,
         };
-        self.queries.insert(id, open);
+        self.requests.insert(id, open);
         (id, parts)
     }
 
     /// Whether a request's time is all but over.
     pub fn is_late(&self, now: Time, open: &OpenRequest) -> bool {
-        open.request.deadline - now < self.late
+        open.request.deadline - now < self.late_margin
     }
 
     /// Takes a request out of the table: whoever holds it gives the final answer, and nobody else can.
     pub fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
-        let open = self.queries.remove(&id)?;
+        let open = self.requests.remove(&id)?;
         for part in &open.parts {
             let attempts = self.parts.remove(part).map_or(0, |part| part.attempts);
-            self.unwanted.extend((0..attempts).map(|number| Attempt {
+            self.orphaned.extend((0..attempts).map(|number| Attempt {
                 part: *part,
                 number,
             }));
@@ -207,13 +207,13 @@
     }
 
     /// The attempts of requests that ended since the last call. None that is still to be sent may leave.
-    pub fn take_unwanted(&mut self) -> Vec<Attempt> {
-        std::mem::take(&mut self.unwanted)
+    pub fn take_orphaned_attempts(&mut self) -> Vec<Attempt> {
+        std::mem::take(&mut self.orphaned)
     }
 
     /// The requests whose clients are gone.
-    pub fn lost_clients(&self) -> Vec<RequestId> {
-        self.queries
+    pub fn requests_without_client(&self) -> Vec<RequestId> {
+        self.requests
             .iter()
             .filter(|(_, open)| open.reply.is_closed())
             .map(|(&id, _)| id)
@@ -221,15 +221,15 @@
     }
 
     /// Notes how an attempt ended. The first value stands.
-    pub fn note(&mut self, ended: &AttemptResult) {
+    pub fn record_result(&mut self, ended: &AttemptResult) {
         let Some(part) = self.parts.get_mut(&ended.attempt.part) else {
             return;
         };
         part.never_ran += u8::from(ended.outcome.never_ran());
-        let Some(open) = self.queries.get_mut(&part.query) else {
+        let Some(open) = self.requests.get_mut(&part.query) else {
             return;
         };
-        open.ends += 1;
+        open.ended_attempts += 1;
         let result = match (ended.outcome, &ended.value) {
             (Outcome::Ok, Some(value)) => Ok(value.clone()),
             (Outcome::Rejected, _) => Err(PartFailure::Rejected),
@@ -248,13 +248,18 @@
     }
 
     /// The next attempt of an open part, as a backend sends it. Attempts are numbered as the decisions do.
-    pub fn job(&mut self, now: Time, part: RequestId, until: Time) -> Option<OutboundAttempt> {
+    pub fn next_attempt(
+        &mut self,
+        now: Time,
+        part: RequestId,
+        until: Time,
+    ) -> Option<OutboundAttempt> {
         let open = self.parts.get_mut(&part)?;
-        let request = &self.queries.get(&open.query)?.request;
+        let request = &self.requests.get(&open.query)?.request;
         if open.attempts == open.never_ran {
             open.first_sent = now;
         }
-        let window = self.windows.get(request.class).copied().flatten();
+        let window = self.retry_windows.get(request.class).copied().flatten();
         let send_by = window.map(|window| open.first_sent + window);
         let number = open.attempts;
         open.attempts += 1;
--- a/crates/coordinator/src/pipeline/respond.rs
+++ b/crates/coordinator/src/pipeline/respond.rs
@@ -6,17 +6,17 @@
 use cairnroad_types::{Action, Time};
 
 /// Advice where the decisions give none, in seconds.
-const ADVICE: f64 = 1.0;
+const DEFAULT_RETRY_AFTER: f64 = 1.0;
 
 /// Whether an action ends a query.
-pub fn is_final(action: &Action) -> bool {
+pub fn is_final_answer(action: &Action) -> bool {
     matches!(
         action,
         Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. }
     )
 }
 
-pub fn relay(action: &Action, now: Time, book: &mut RequestTable, tally: &mut Metrics) {
+pub fn respond(action: &Action, now: Time, requests: &mut RequestTable, metrics: &mut Metrics) {
     let id = match *action {
         Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
             query
@@ -24,7 +24,9 @@
         _ => return,
     };
     // An id that is no longer open was withdrawn in this very tick.
-    let Some(open) = book.close(id) else { return };
+    let Some(open) = requests.close(id) else {
+        return;
+    };
     let answer = match *action {
         Action::Answer {
             complete: whole, ..
@@ -34,15 +36,15 @@
         },
         Action::Reject { retry_after, .. } => {
             if open.never_sent() {
-                tally.add(Counter::Unsent);
+                metrics.add(Counter::Unsent);
             }
             Answer::Rejected {
-                retry_after: retry_after.unwrap_or(ADVICE),
+                retry_after: retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
                 busy: open.never_sent(),
             }
         }
         _ => Answer::Failed {
-            late: book.is_late(now, &open),
+            late: requests.is_late(now, &open),
         },
     };
     // A front that is gone has lost its client: nobody is left to tell.
--- a/crates/coordinator/src/pipeline/tests.rs
+++ b/crates/coordinator/src/pipeline/tests.rs
@@ -72,7 +72,7 @@
                 .filter(|_| !complete)
                 .chain(fresh)
                 .collect();
-            core.note_news(
+            core.on_endpoint_update(
                 &EndpointListUpdate {
                     revision: 1,
                     complete,
@@ -80,14 +80,14 @@
                 },
                 false,
             );
-            core.turn();
+            core.tick();
             core.pool.sweep(core.clock.now());
         }
         assert_eq!(
             (
                 core.directory.len(),
                 core.pool.size().0,
-                core.route.servers()
+                core.router.server_count()
             ),
             (4, 4, 4)
         );
@@ -113,7 +113,7 @@
                      messages,
                  }| {
                     let rows = (0..2).map(|at| row(at, 0, ServerState::Ready)).collect();
-                    core.note_news(
+                    core.on_endpoint_update(
                         &EndpointListUpdate {
                             revision: 1,
                             complete: true,
@@ -142,7 +142,7 @@
                         number,
                     };
                     if let Some(outcome) = ended {
-                        core.turn();
+                        core.tick();
                         assert!(core.pool.is_out(attempt(0)), "the first attempt");
                         let what = ConnectionEvent::AttemptEnded {
                             attempt: attempt(0),
@@ -159,7 +159,7 @@
                     if gone {
                         drop(answer);
                     }
-                    core.turn();
+                    core.tick();
                     let sent = core.pool.is_out(attempt(u8::from(further)));
                     assert_eq!(sent, !gone, "{ended:?}, gone: {gone}");
                 },
--- a/crates/coordinator/src/timer_wheel.rs
+++ b/crates/coordinator/src/timer_wheel.rs
@@ -10,24 +10,24 @@
 /// What a turn of the core's wheel brings.
 pub enum Timer {
     /// The decisions asked to be called.
-    Wake,
+    RouterWakeUp,
     /// An attempt's time is up.
-    Attempt(Attempt),
+    AttemptDeadline(Attempt),
     /// A connection should be up by now.
-    Dial(u64),
+    DialDeadline(u64),
     /// Idle connections are looked for.
-    Sweep,
+    ConnectionSweep,
     /// The kept bans are looked at.
-    Look,
+    SuspensionPoll,
     /// Peers are told what is doubted.
-    TellDoubts,
+    OutlierPublication,
 }
 
 /// Items by the tick in which they fall due.
 pub struct TimerWheel<T> {
-    tick: i64,
+    tick_micros: i64,
     /// The last tick that was turned to.
-    at: i64,
+    current_tick: i64,
     slots: Vec<Vec<(i64, T)>>,
 }
 
@@ -36,8 +36,8 @@
     pub fn new(now: Time, tick: f64) -> Self {
         let tick = ((tick * 1e6) as i64).max(1);
         TimerWheel {
-            tick,
-            at: now.0.div_euclid(tick),
+            tick_micros: tick,
+            current_tick: now.0.div_euclid(tick),
             slots: (0..SLOTS).map(|_| Vec::new()).collect(),
         }
     }
@@ -45,22 +45,22 @@
     /// Has `item` fire at the first turn at or after `at`, and not before the next tick.
     pub fn insert(&mut self, at: Time, item: T) {
         let due =
-            at.0.saturating_add(self.tick - 1)
-                .div_euclid(self.tick)
-                .max(self.at + 1);
+            at.0.saturating_add(self.tick_micros - 1)
+                .div_euclid(self.tick_micros)
+                .max(self.current_tick + 1);
         self.slots[due.rem_euclid(SLOTS) as usize].push((due, item));
     }
 
     /// Turns to `now` and returns what fell due, in order of its ticks.
-    pub fn turn(&mut self, now: Time) -> Vec<T> {
-        let to = now.0.div_euclid(self.tick);
+    pub fn advance(&mut self, now: Time) -> Vec<T> {
+        let to = now.0.div_euclid(self.tick_micros);
         let mut due = Vec::new();
         // After a long stall one round over all slots finds everything.
-        for at in (self.at + 1)..=to.min(self.at + SLOTS) {
+        for at in (self.current_tick + 1)..=to.min(self.current_tick + SLOTS) {
             let slot = &mut self.slots[at.rem_euclid(SLOTS) as usize];
             due.extend(slot.extract_if(.., |(tick, _)| *tick <= to));
         }
-        self.at = self.at.max(to);
+        self.current_tick = self.current_tick.max(to);
         due.sort_by_key(|&(tick, _)| tick);
         due.into_iter().map(|(_, item)| item).collect()
     }
--- a/crates/coordinator/src/timer_wheel/tests.rs
+++ b/crates/coordinator/src/timer_wheel/tests.rs
@@ -7,20 +7,20 @@
     for (secs, name) in [(0.012, 'b'), (0.001, 'a'), (20.0, 'z'), (5.12, 'r')] {
         wheel.insert(start + secs, name);
     }
-    assert_eq!(wheel.turn(start), vec![]);
-    assert_eq!(wheel.turn(start + 0.005), vec!['a']);
-    assert_eq!(wheel.turn(start + 0.0149), vec![]);
-    assert_eq!(wheel.turn(start + 0.015), vec!['b']);
+    assert_eq!(wheel.advance(start), vec![]);
+    assert_eq!(wheel.advance(start + 0.005), vec!['a']);
+    assert_eq!(wheel.advance(start + 0.0149), vec![]);
+    assert_eq!(wheel.advance(start + 0.015), vec!['b']);
     assert_eq!(
-        wheel.turn(start + 30.0),
+        wheel.advance(start + 30.0),
         vec!['r', 'z'],
         "a long stall fires all, once"
     );
     wheel.insert(start, 'p');
     assert_eq!(
-        wheel.turn(start + 30.0),
+        wheel.advance(start + 30.0),
         vec![],
         "the past fires in the next tick, not in this one"
     );
-    assert_eq!(wheel.turn(start + 30.005), vec!['p']);
+    assert_eq!(wheel.advance(start + 30.005), vec!['p']);
 }
