--- a/crates/coordinator/src/clock/tests.rs
+++ b/crates/coordinator/src/clock/tests.rs
@@ -17,7 +17,10 @@
 fn a_long_tick_is_no_stall() {
     let clock = Clock::new(30.0);
     // What is read right after the start may have come before it; that was long ago.
-    clock.0.stall.set((Time(0), Time(0)));
+    clock.0.last_stall.set(Stall {
+        start: Time(0),
+        end: Time(0),
+    });
     for _ in 0..2 {
         clock.record_tick();
         std::thread::sleep(Duration::from_millis(60));
