--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -31,7 +31,7 @@
 use contract::Contracts;
 use fronts::exchange::{Front, Kind};
 use messages::{LocalOutliers, Message, Phase, ServedConfiguration};
-use pipeline::Core;
+use pipeline::{Core, CoreChannels};
 use signals::Signal;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -253,10 +253,13 @@
         &config,
         contracts.clone(),
         clock.clone(),
-        asked,
-        (to_core.clone(), messages),
-        phase.clone(),
-        offer,
+        CoreChannels {
+            requests: asked,
+            messages,
+            message_sender: to_core.clone(),
+            phase: phase.clone(),
+            served_configuration: offer,
+        },
     );
     let peers = match &config.peers {
         None => None,
--- a/crates/coordinator/src/observability/metrics/tests.rs
+++ b/crates/coordinator/src/observability/metrics/tests.rs
@@ -1,31 +1,67 @@
+//! The metrics line, as the text log writes it.
+
 use super::*;
+use std::io;
+use std::sync::{Arc, Mutex};
+use tracing_subscriber::fmt::format::Format;
+
+/// A log that keeps its lines.
+#[derive(Clone, Default)]
+struct Lines(Arc<Mutex<Vec<u8>>>);
+
+impl io::Write for Lines {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.0.lock().unwrap().write(bytes)
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+/// What `snapshot` writes to a text log, less time and level.
+fn logged(snapshot: &MetricsSnapshot) -> String {
+    let lines = Lines::default();
+    let writer = lines.clone();
+    let format = Format::default().without_time().with_level(false);
+    let subscriber = tracing_subscriber::fmt()
+        .with_writer(move || writer.clone())
+        .event_format(format.with_target(false).with_ansi(false))
+        .finish();
+    tracing::subscriber::with_default(subscriber, || snapshot.log());
+    let bytes = lines.0.lock().unwrap().clone();
+    String::from_utf8(bytes).unwrap()
+}
 
 #[test]
-fn a_line_tells_what_was_counted_since_the_last_one() {
+fn a_line_holds_what_was_counted_since_the_last_one() {
     let start = Time::from_secs(10.0);
     let mut metrics = Metrics::new(5.0, start);
     metrics.add(Counter::Dials);
     metrics.record_outcome(Outcome::Reset);
     metrics.record_outcome(Outcome::Reset);
-    let beliefs = || HealthSummary {
+    let health = || HealthSummary {
         ready: 3,
         outliers: 1,
         ..HealthSummary::default()
     };
-    assert_eq!(metrics.line(start + 4.9, 2, beliefs), None, "not due");
-    let line = metrics.line(start + 5.0, 2, beliefs).unwrap();
-    assert_eq!(
-        line,
-        "dials=1 resets=2 links=2 ready=3 doubted=1 overdue=0 young=0 usual_ms=[]"
+    assert!(
+        metrics.take_due(start + 4.9, 2, health).is_none(),
+        "not due"
     );
+    let snapshot = metrics.take_due(start + 5.0, 2, health).unwrap();
     assert_eq!(
-        metrics.line(start + 20.0, 2, beliefs),
-        None,
+        logged(&snapshot),
+        "request_metrics dials=1 resets=2 connections=2 ready=3 outliers=1 overdue=0 warming_up=0 typical_latency_ms=[]\n"
+    );
+    assert!(
+        metrics.take_due(start + 20.0, 2, health).is_none(),
         "nothing was counted since"
     );
-    assert_eq!(
-        Metrics::new(0.0, start).line(start + 99.0, 0, beliefs),
-        None,
+    assert!(
+        Metrics::new(0.0, start)
+            .take_due(start + 99.0, 0, health)
+            .is_none(),
         "off"
     );
 }
--- a/crates/coordinator/src/pipeline/admission.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -1,13 +1,15 @@
-//! Admit: lets a request in, with ids of its own, or refuses it at once where the coordinator holds all it may.
+//! Admission: opens a request in the request table, or answers it at once where it can't be served.
 
-use super::{request_table::RequestTable, router_driver::RouterDriver};
-use crate::messages::{Answer, ClientRequest};
+use super::request_table::RequestTable;
+use super::router_driver::RouterDriver;
+use crate::messages::{Answer, ClientRequest, PartSpec};
 use crate::observability::metrics::{Counter, Metrics};
-use cairnroad_types::{ClassId, Event, Time};
+use cairnroad_types::{ClassId, Event, RequestId, Time};
 
-/// Advice for a request that finds the coordinator full, as a share of its class's aim.
+/// Retry-After of a request that finds the coordinator at its limit, in latency objectives of its class.
 const RETRY_AFTER_OBJECTIVES: f64 = 0.5;
 
+/// Admits a request, or sends its final answer at once.
 pub fn admit(
     now: Time,
     client: ClientRequest,
@@ -16,52 +18,70 @@
     metrics: &mut Metrics,
 ) {
     metrics.add(if client.request.client_retry {
-        Counter::Repeats
+        Counter::ClientRetries
     } else {
-        Counter::Queries
+        Counter::Requests
     });
     if client.reply.is_closed() {
-        return; // its client left before it was taken in
+        return; // The client left before its request was admitted.
     }
-    // Servers tell parts apart by their request's name: two of one name could swap their values, also where the
-    // first has just ended and a part of it that was given up is still to be answered.
-    if requests.is_recent_name(&client.request.name) {
-        let _ = client.reply.send(Answer::DuplicateName);
+    if let Some(answer) = immediate_answer(now, &client, requests, router, metrics) {
+        // A closed channel means that the client has left.
+        let _ = client.reply.send(answer);
         return;
     }
-    if !requests.has_capacity_for(client.request.parts.len()) {
-        metrics.add(Counter::Full);
-        let retry_after = RETRY_AFTER_OBJECTIVES * router.latency_objective(client.request.class);
-        let _ = client.reply.send(Answer::Rejected {
-            retry_after,
+    open(now, client, requests, router);
+}
+
+/// The final answer of a request that can't be admitted.
+fn immediate_answer(
+    now: Time,
+    client: &ClientRequest,
+    requests: &RequestTable,
+    router: &RouterDriver,
+    metrics: &mut Metrics,
+) -> Option<Answer> {
+    let request = &client.request;
+    // Servers tell parts apart by the request's name: two requests of one name could swap their values, also where the
+    // first has just ended and an abandoned part of it is still to be answered.
+    if requests.is_recent_name(&request.name) {
+        return Some(Answer::DuplicateName);
+    }
+    if !requests.has_capacity_for(request.parts.len()) {
+        metrics.add(Counter::OverCapacity);
+        return Some(Answer::Rejected {
+            retry_after: RETRY_AFTER_OBJECTIVES * router.latency_objective(request.class),
             busy: true,
         });
-        return;
-    }
-    if client.request.deadline <= now {
-        let _ = client.reply.send(Answer::Failed { late: true });
-        return;
     }
-    let (class, due) = (
-        ClassId(client.request.class as u16),
-        client.request.deadline,
-    );
-    let (work, repeat) = (client.request.expected_work, client.request.client_retry);
+    (request.deadline <= now).then_some(Answer::Failed { late: true })
+}
+
+/// Opens the request and queues its events for the router.
+fn open(now: Time, client: ClientRequest, requests: &mut RequestTable, router: &mut RouterDriver) {
+    let class = ClassId(client.request.class as u16);
+    let deadline = client.request.deadline;
+    let expected_work = client.request.expected_work;
+    let client_retry = client.request.client_retry;
     let (id, parts) = requests.open(now, client);
     router.push(Event::Query {
         id,
         class,
         number: id.0,
-        due,
-        work,
-        client_retry: repeat,
+        due: deadline,
+        work: expected_work,
+        client_retry,
     });
     for (part, spec) in parts {
-        router.push(Event::Part {
-            id: part,
-            number: id.0,
-            shard: spec.shard,
-            weight: spec.weight,
-        });
+        router.push(part_event(id, part, &spec));
+    }
+}
+
+fn part_event(request: RequestId, part: RequestId, spec: &PartSpec) -> Event {
+    Event::Part {
+        id: part,
+        number: request.0,
+        shard: spec.shard,
+        weight: spec.weight,
     }
 }
--- /dev/null
+++ b/crates/coordinator/src/pipeline/core.rs
@@ -0,0 +1,253 @@
+//! The core task: owns all state of the pipeline and ticks at a fixed interval.
+//!
+//! The child modules hold what the core does in the steps of a tick: [`incoming`] messages and timers, the
+//! [`endpoints`] as the router sees them, [`admin_requests`], [`reconfiguration`] and the exchange of
+//! [`outlier_advice`] with other coordinators.
+
+mod admin_requests;
+mod endpoints;
+mod incoming;
+mod outlier_advice;
+mod reconfiguration;
+
+use super::request_queue::RequestReceiver;
+use super::request_table::RequestTable;
+use super::router_driver::RouterDriver;
+use super::timer::Timer;
+use super::{admission, dispatch, respond};
+use crate::admin_api::suspension_store::SuspensionStore;
+use crate::clock::Clock;
+use crate::configuration::Config;
+use crate::connections::pool::{self, Pool};
+use crate::contract::Contracts;
+use crate::discovery::Directory;
+use crate::messages::{
+    Attempt, AttemptResult, ClientRequest, LocalOutliers, Message, Phase, ServedConfiguration,
+};
+use crate::observability::metrics::Metrics;
+use crate::timer_wheel::TimerWheel;
+use cairnroad_admin::suspensions::Suspensions;
+use cairnroad_types::{Action, Event, Seconds, Time};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+
+/// How long the core waits for a fresh endpoint list before the cached one suffices to serve, in seconds.
+const FRESH_LIST_WAIT: Seconds = 1.0;
+
+/// How often a tick lets the other tasks run before it begins, so that they read what lies in their sockets.
+const YIELDS_BEFORE_TICK: usize = 3;
+
+/// All state of the pipeline, owned by one task.
+pub struct Core {
+    clock: Clock,
+    request_queue: RequestReceiver,
+    messages: mpsc::Receiver<Message>,
+    phase: Rc<watch::Sender<Phase>>,
+    /// The configuration that the fronts serve by.
+    served_configuration: watch::Sender<Arc<ServedConfiguration>>,
+    /// Publishes own outliers for gossip; `None` outside a cluster.
+    outlier_publisher: Option<watch::Sender<LocalOutliers>>,
+    router: RouterDriver,
+    requests: RequestTable,
+    pool: Pool,
+    timers: TimerWheel<Timer>,
+    directory: Directory,
+    contracts: Rc<Contracts>,
+    suspensions: Suspensions,
+    /// Where suspensions are stored; `None` without an admin API.
+    suspension_store: Option<SuspensionStore>,
+    metrics: Metrics,
+    started: Time,
+    /// Whether discovery has delivered an endpoint list in this process.
+    fresh_list: bool,
+    slow_start_duration: Seconds,
+    sweep_interval: Seconds,
+}
+
+/// The core's ends of its channels.
+pub struct CoreChannels {
+    /// Requests from the fronts.
+    pub requests: mpsc::Receiver<ClientRequest>,
+    /// Messages from connections, discovery, the admin API, the cluster and the main task.
+    pub messages: mpsc::Receiver<Message>,
+    /// The sending end of `messages`, which the pool gives to its connections.
+    pub message_sender: mpsc::Sender<Message>,
+    /// The serving phase; shared with the admin API and the shutdown.
+    pub phase: Rc<watch::Sender<Phase>>,
+    /// The configuration in force, for the fronts.
+    pub served_configuration: watch::Sender<Arc<ServedConfiguration>>,
+}
+
+impl Core {
+    /// A core that knows the cached endpoint list and the stored suspensions.
+    pub fn new(
+        config: &Config,
+        contracts: Rc<Contracts>,
+        clock: Clock,
+        channels: CoreChannels,
+    ) -> Self {
+        let now = clock.now();
+        let deployment = &config.offer.deployment;
+        let sweep_interval = pool::sweep_every(deployment);
+        let mut timers = TimerWheel::new(now, deployment.policy.tick);
+        timers.insert(now + sweep_interval, Timer::ConnectionSweep);
+        let suspension_store = config
+            .admin
+            .map(|_| SuspensionStore::new(config.passing.as_deref(), &config.name));
+        let mut core = Core {
+            clock: clock.clone(),
+            request_queue: RequestReceiver::new(channels.requests),
+            messages: channels.messages,
+            phase: channels.phase,
+            served_configuration: channels.served_configuration,
+            outlier_publisher: None,
+            router: RouterDriver::new(config),
+            requests: RequestTable::new(config),
+            pool: Pool::new(config, contracts.clone(), clock, channels.message_sender),
+            timers,
+            directory: Directory::default(),
+            contracts,
+            suspensions: Suspensions::default(),
+            suspension_store,
+            metrics: Metrics::new(f64::from(config.log.tally_s), now),
+            started: now,
+            fresh_list: false,
+            slow_start_duration: deployment.policy.slow_start_duration,
+            sweep_interval,
+        };
+        // Before any list: suspensions that an earlier process took must hold from the first attempt on.
+        core.poll_suspensions(now);
+        core.on_endpoint_update(&config.known, true);
+        core
+    }
+
+    /// Ticks every `tick` seconds for as long as the program runs.
+    pub async fn run(mut self, tick: Seconds) {
+        let mut ticks = tokio::time::interval(Duration::from_secs_f64(tick));
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        loop {
+            ticks.tick().await;
+            self.clock.record_tick();
+            // After a stall, updates and answers that lie in the sockets must be known before any timer fires or any
+            // attempt is sent.
+            for _ in 0..YIELDS_BEFORE_TICK {
+                tokio::task::yield_now().await;
+            }
+            self.tick();
+        }
+    }
+
+    fn tick(&mut self) {
+        let now = self.clock.now();
+        self.process_messages(now);
+        self.fire_timers(now);
+        self.withdraw_requests_without_client();
+        self.admit_requests(now);
+        self.run_router(now);
+        self.log_metrics(now);
+        self.update_readiness(now);
+    }
+
+    /// Withdraws the requests whose clients have left, before anything more is sent for them.
+    fn withdraw_requests_without_client(&mut self) {
+        for request in self.requests.requests_without_client() {
+            self.router.push(Event::ClientGone(request));
+            self.requests.close(request);
+        }
+    }
+
+    fn admit_requests(&mut self, now: Time) {
+        for client in self.request_queue.drain() {
+            admission::admit(
+                now,
+                client,
+                &mut self.requests,
+                &mut self.router,
+                &mut self.metrics,
+            );
+        }
+    }
+
+    /// Calls the router until no event is left.
+    ///
+    /// Attempts that fail at once are events of the next round; the limit of attempts a part bounds the rounds.
+    fn run_router(&mut self, now: Time) {
+        while self.router.has_events() {
+            for action in self.router.decide(now) {
+                self.carry_out(now, &action);
+            }
+            for attempt in self.requests.take_orphaned_attempts() {
+                self.pool.unwant(attempt);
+            }
+            let failed =
+                dispatch::flush_calls(now, &mut self.pool, &mut self.timers, &mut self.metrics);
+            for result in failed {
+                self.on_attempt_ended(result);
+            }
+        }
+    }
+
+    fn carry_out(&mut self, now: Time, action: &Action) {
+        self.metrics.record_action(action);
+        if let Some(request) = respond::ended_request(action) {
+            respond::respond(request, action, now, &mut self.requests, &mut self.metrics);
+            return;
+        }
+        dispatch::count_attempt(
+            now,
+            action,
+            &self.requests,
+            &self.pool,
+            self.slow_start_duration,
+            &mut self.metrics,
+        );
+        dispatch::dispatch(
+            now,
+            action,
+            &mut self.requests,
+            &mut self.pool,
+            &mut self.timers,
+        );
+    }
+
+    /// Records an attempt's result and queues it for the router.
+    fn on_attempt_ended(&mut self, result: AttemptResult) {
+        self.metrics.record_outcome(result.outcome);
+        self.requests.record_result(&result);
+        let Attempt { part, number } = result.attempt;
+        self.router.push(Event::AttemptEnded {
+            id: part,
+            attempt: number,
+            outcome: result.outcome,
+        });
+    }
+
+    fn log_metrics(&mut self, now: Time) {
+        let connections = self.pool.links();
+        let router = &self.router;
+        let due = self
+            .metrics
+            .take_due(now, connections, || router.health_summary(now));
+        if let Some(snapshot) = due {
+            snapshot.log();
+        }
+    }
+
+    /// Starts to serve as soon as the core is ready.
+    fn update_readiness(&mut self, now: Time) {
+        let current = *self.phase.borrow();
+        if current == Phase::Starting && self.is_ready(now) {
+            self.phase.send_replace(Phase::Serving);
+        }
+    }
+
+    /// Ready once a server is known, from a fresh list or, if none arrives in time, from the cached one.
+    fn is_ready(&self, now: Time) -> bool {
+        self.pool.any_ready() && (self.fresh_list || now - self.started > FRESH_LIST_WAIT)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/coordinator/src/pipeline/core/admin_requests.rs
@@ -0,0 +1,83 @@
+//! Operators' requests that change the core: suspending and resuming data nodes, draining and activating the process.
+
+use super::Core;
+use crate::messages::Phase;
+use cairnroad_admin::request::{AdminRequest, AdminResponse};
+use cairnroad_admin::suspensions::Suspension;
+use cairnroad_types::Time;
+
+impl Core {
+    /// Carries out an operator's request.
+    pub(super) fn handle_admin_request(
+        &mut self,
+        now: Time,
+        request: AdminRequest,
+    ) -> AdminResponse {
+        let response = match &request {
+            // The admin API answers these by itself.
+            AdminRequest::Ready | AdminRequest::Peers => AdminResponse::Yes,
+            AdminRequest::Suspend(id) => self.suspend(now, id),
+            AdminRequest::Resume(id) => self.resume(now, id),
+            AdminRequest::Drain => self.drain(),
+            AdminRequest::Activate => self.activate(),
+        };
+        tracing::info!(?request, ?response, "admin request handled");
+        response
+    }
+
+    fn suspend(&mut self, now: Time, id: &str) -> AdminResponse {
+        if !self.suspensions.knows(id) {
+            return AdminResponse::Unknown;
+        }
+        if !self.suspensions.has_room(id) {
+            return AdminResponse::TooMany;
+        }
+        self.apply_suspension(id, self.suspensions.suspended(id, now));
+        AdminResponse::Yes
+    }
+
+    fn resume(&mut self, now: Time, id: &str) -> AdminResponse {
+        if !self.suspensions.knows(id) {
+            return AdminResponse::Unknown;
+        }
+        if let Some(suspension) = self.suspensions.resumed(id, now) {
+            self.apply_suspension(id, suspension);
+        }
+        AdminResponse::Yes
+    }
+
+    /// Puts a suspension, or its end, into force and stores it.
+    fn apply_suspension(&mut self, id: &str, suspension: Suspension) {
+        if !self.suspensions.put(id, suspension) {
+            return;
+        }
+        if let Some(store) = &mut self.suspension_store {
+            store.keep(id, suspension);
+        }
+        self.republish_endpoints(&[id.to_string()]);
+    }
+
+    fn drain(&self) -> AdminResponse {
+        self.change_phase(|phase| match phase {
+            Phase::Starting | Phase::Serving => Some(Phase::DrainedByOperator),
+            _ => None,
+        })
+    }
+
+    /// Ends a drain. The end of this tick checks whether the process is ready.
+    fn activate(&self) -> AdminResponse {
+        self.change_phase(|phase| (phase == Phase::DrainedByOperator).then_some(Phase::Starting))
+    }
+
+    /// Changes the phase to what `next` says, unless the process shuts down.
+    fn change_phase(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
+        let current = *self.phase.borrow();
+        if current.is_shutting_down() {
+            return AdminResponse::NotNow("the process was told to stop");
+        }
+        if let Some(phase) = next(current) {
+            self.phase.send_replace(phase);
+        }
+        AdminResponse::Yes
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/pipeline/core/endpoints.rs
@@ -0,0 +1,80 @@
+//! The endpoint list as pool and router see it: discovery's updates, overlaid with the operators' suspensions.
+
+use super::Core;
+use crate::discovery;
+use crate::messages::{EndpointEntry, EndpointListUpdate};
+use crate::observability::metrics::Counter;
+use crate::pipeline::timer::Timer;
+use cairnroad_types::{Event, Seconds, ServerId, Time};
+
+/// How often stored suspensions, which another process may have changed, are read, in seconds: well within the quarter
+/// of a second after which a suspended server may get nothing new.
+const SUSPENSION_POLL_INTERVAL: Seconds = 0.05;
+
+impl Core {
+    /// Applies an update of the endpoint list. `cached`: it was stored by an earlier process.
+    pub(super) fn on_endpoint_update(&mut self, update: &EndpointListUpdate, cached: bool) {
+        self.contracts.note_list(&update.rows, update.complete);
+        if !update.rows.is_empty() {
+            self.metrics.add(if update.complete {
+                Counter::EndpointSnapshots
+            } else {
+                Counter::EndpointDeltas
+            });
+        }
+        let mut entries = self.directory.number(update);
+        if self.suspension_store.is_some() {
+            for (_, entry) in &entries {
+                self.suspensions.listed(&entry.id);
+            }
+        }
+        self.publish_endpoints(&mut entries, update.complete, cached);
+        self.fresh_list |= !cached;
+    }
+
+    /// Overlays suspensions on the entries and passes them to pool and router.
+    fn publish_endpoints(
+        &mut self,
+        entries: &mut [(ServerId, EndpointEntry)],
+        complete: bool,
+        cached: bool,
+    ) {
+        for (_, entry) in &mut *entries {
+            (entry.state, entry.ready_at) =
+                self.suspensions
+                    .overlay(&entry.id, entry.state, entry.ready_at);
+        }
+        self.pool.note_list(entries, complete);
+        let update = discovery::list_news(entries, complete, cached);
+        self.router.push(Event::Endpoints(update));
+    }
+
+    /// Publishes the listed state of these servers again, after their suspensions changed.
+    pub(super) fn republish_endpoints(&mut self, ids: &[String]) {
+        let listed = ids.iter().filter_map(|id| self.directory.row(id));
+        let mut entries: Vec<_> = listed.collect();
+        self.publish_endpoints(&mut entries, false, false);
+    }
+
+    /// Expires suspensions that have ended and takes over those that another process of this coordinator changed.
+    pub(super) fn poll_suspensions(&mut self, now: Time) {
+        let Some(store) = &mut self.suspension_store else {
+            return;
+        };
+        for id in self.suspensions.expire(now, self.slow_start_duration) {
+            store.drop(&id);
+        }
+        if let Some(stored) = store.look() {
+            let changed = self.suspensions.merge(&stored);
+            if !changed.is_empty() {
+                tracing::info!(
+                    servers = changed.join(", "),
+                    "suspensions changed by another process"
+                );
+                self.republish_endpoints(&changed);
+            }
+        }
+        self.timers
+            .insert(now + SUSPENSION_POLL_INTERVAL, Timer::SuspensionPoll);
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/pipeline/core/incoming.rs
@@ -0,0 +1,88 @@
+//! The first steps of a tick: messages from other tasks, then timers.
+
+use super::Core;
+use crate::connections::pool::PoolEvent;
+use crate::messages::{Attempt, AttemptResult, ConnectionReport, Message};
+use crate::observability::metrics::Counter;
+use crate::pipeline::timer::Timer;
+use cairnroad_types::{Event, Outcome, Time};
+
+impl Core {
+    /// Processes all queued messages.
+    pub(super) fn process_messages(&mut self, now: Time) {
+        while let Ok(message) = self.messages.try_recv() {
+            self.process_message(now, message);
+        }
+    }
+
+    fn process_message(&mut self, now: Time, message: Message) {
+        match message {
+            Message::Endpoints(update) => self.on_endpoint_update(&update, false),
+            Message::Connection(report) => self.on_connection_report(now, report),
+            // A caller that stopped waiting for the reply closed the channel.
+            Message::Admin { request, reply } => {
+                let _ = reply.send(self.handle_admin_request(now, request));
+            }
+            Message::OutlierAdvice(ids) => self.on_outlier_advice(&ids),
+            Message::FinishBy(deadline) => self.router.finish_by(deadline),
+            Message::Reconfigure {
+                configuration,
+                reply,
+            } => {
+                let _ = reply.send(self.reconfigure(*configuration));
+            }
+        }
+    }
+
+    fn on_connection_report(&mut self, now: Time, report: ConnectionReport) {
+        match self.pool.note(now, report) {
+            Some(PoolEvent::Attempt(result)) => self.on_attempt_ended(result),
+            Some(PoolEvent::Probe {
+                server,
+                outcome,
+                report,
+            }) => self.router.push(Event::HealthCheckEnded {
+                server,
+                outcome,
+                report,
+            }),
+            Some(PoolEvent::NotUp) => self.metrics.add(Counter::DialFailures),
+            None => {}
+        }
+    }
+
+    /// Fires all timers that are due.
+    pub(super) fn fire_timers(&mut self, now: Time) {
+        for timer in self.timers.advance(now) {
+            self.fire_timer(now, timer);
+        }
+    }
+
+    fn fire_timer(&mut self, now: Time, timer: Timer) {
+        match timer {
+            Timer::RouterWakeUp => self.router.push(Event::TimerFired),
+            Timer::AttemptDeadline(attempt) => self.on_attempt_deadline(attempt),
+            Timer::DialDeadline(connection) => self.pool.dial_is_due(connection),
+            Timer::ConnectionSweep => self.sweep_connections(now),
+            Timer::SuspensionPoll => self.poll_suspensions(now),
+            Timer::OutlierPublication => self.publish_outliers(now),
+        }
+    }
+
+    /// Times an attempt out if it is still in flight.
+    fn on_attempt_deadline(&mut self, attempt: Attempt) {
+        if self.pool.abandon(attempt) {
+            self.on_attempt_ended(AttemptResult {
+                attempt,
+                outcome: Outcome::Timeout,
+                value: None,
+            });
+        }
+    }
+
+    fn sweep_connections(&mut self, now: Time) {
+        self.pool.sweep(now);
+        self.timers
+            .insert(now + self.sweep_interval, Timer::ConnectionSweep);
+    }
+}
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -1,13 +1,15 @@
-//! Send: carries the decisions' sends, cancels, probes and timers to the pool and the timers. Sends of one tick
-//! to one server leave together.
+//! Dispatch: passes the router's attempts, cancellations, health checks and timers to the pool and the timers. Attempts
+//! of one tick to one server leave together.
 
 use super::request_table::RequestTable;
+use super::timer::Timer;
 use crate::connections::pool::Pool;
 use crate::messages::{Attempt, AttemptResult};
 use crate::observability::metrics::{Counter, Metrics};
-use crate::timer_wheel::{Timer, TimerWheel};
+use crate::timer_wheel::TimerWheel;
 use cairnroad_types::{Action, Time};
 
+/// Carries out an action that is not a final answer. Attempts are staged until [`flush_calls`].
 pub fn dispatch(
     now: Time,
     action: &Action,
@@ -21,21 +23,18 @@
             server,
             until,
         } => {
-            if let Some(job) = requests.next_attempt(now, part, until) {
-                timers.insert(until, Timer::AttemptDeadline(job.attempt));
-                pool.stage(server, job);
+            if let Some(outbound) = requests.next_attempt(now, part, until) {
+                timers.insert(until, Timer::AttemptDeadline(outbound.attempt));
+                pool.stage(server, outbound);
             }
         }
-        Action::Cancel { part, attempt } => pool.cancel(
-            now,
-            Attempt {
-                part,
-                number: attempt,
-            },
-        ),
+        Action::Cancel { part, attempt } => {
+            let number = attempt;
+            pool.cancel(now, Attempt { part, number });
+        }
         Action::HealthCheck(server) => pool.probe(server),
         Action::SetTimer(at) => timers.insert(at, Timer::RouterWakeUp),
-        // The watch asks by itself; finals are the relay's.
+        // Discovery subscribes by itself; final answers are `respond`'s.
         Action::SubscribeEndpoints
         | Action::Answer { .. }
         | Action::Reject { .. }
@@ -43,7 +42,7 @@
     }
 }
 
-/// Sends what is staged; returns attempts that could not be sent at all.
+/// Sends the staged attempts, in calls of several parts. Returns the results of those that could not be sent at all.
 pub fn flush_calls(
     now: Time,
     pool: &mut Pool,
@@ -51,9 +50,38 @@
     metrics: &mut Metrics,
 ) -> Vec<AttemptResult> {
     let (failed, dials) = pool.flush(now, metrics);
-    for (link, at) in dials {
+    for (connection, deadline) in dials {
         metrics.add(Counter::Dials);
-        timers.insert(at, Timer::DialDeadline(link));
+        timers.insert(deadline, Timer::DialDeadline(connection));
     }
     failed
 }
+
+/// Counts an attempt by its kind, before it is dispatched: a further attempt of its part, a hedge, an attempt at a
+/// server in slow start. Skipped where no metrics are logged, for the lookups.
+pub fn count_attempt(
+    now: Time,
+    action: &Action,
+    requests: &RequestTable,
+    pool: &Pool,
+    slow_start_duration: f64,
+    metrics: &mut Metrics,
+) {
+    let Action::Send { part, server, .. } = *action else {
+        return;
+    };
+    if !metrics.is_enabled() {
+        return;
+    }
+    let earlier_attempts = requests.attempt_count(part);
+    if earlier_attempts > 0 {
+        metrics.add(Counter::FurtherAttempts);
+    }
+    let in_flight = |number| pool.is_out(Attempt { part, number });
+    if (0..earlier_attempts).any(in_flight) {
+        metrics.add(Counter::Hedges);
+    }
+    if pool.is_young(now, server, slow_start_duration) {
+        metrics.add(Counter::SlowStartAttempts);
+    }
+}
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -1,281 +1,227 @@
-//! Book: the table of open requests and their parts, and what has come in for each.
+//! The table of open requests: their parts, the attempts sent and the results received.
+
+mod open_request;
+mod recent_names;
 
 use crate::configuration::Config;
-use crate::messages::{
-    Answer, Attempt, AttemptResult, ClientRequest, OutboundAttempt, PartAnswer, PartFailure,
-    PartSpec, Request, Value,
-};
+use crate::messages::{Attempt, AttemptResult, ClientRequest, OutboundAttempt, PartSpec};
 use cairnroad_settings::Deployment;
-use cairnroad_types::{Class, Idempotency, Outcome, RequestId, Time};
+use cairnroad_types::{Class, Idempotency, RequestId, Seconds, Time};
+pub use open_request::OpenRequest;
+use recent_names::RecentNames;
 use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
-use tokio::sync::oneshot;
 
-/// How long before its end a request counts as late, in seconds, and in ticks if that is more: ends come some ticks early.
-const LATE_MARGIN: f64 = 0.05;
+/// A request that fails this close to its deadline counts as late, in seconds and in ticks, whichever is more: failures
+/// come some ticks before the deadline.
+const LATE_MARGIN: Seconds = 0.05;
 const LATE_MARGIN_TICKS: f64 = 5.0;
-/// How long a request's name is remembered, in seconds, and in longest deadlines if that is more: longer than it can be
-/// open, and long enough for a part that was given up to be answered after all. A name is fresh for each request, a
-/// retry included.
-const NAME_RETENTION: f64 = 10.0;
+/// How long a request's name is remembered, in seconds and in longest deadlines, whichever is more: longer than the
+/// request can be open, and long enough for an abandoned part to be answered after all. Clients use a new name for each
+/// request, also for a retry.
+const NAME_RETENTION: Seconds = 10.0;
 const NAME_RETENTION_DEADLINES: f64 = 2.0;
-/// No attempt at a part of a class with a window leaves later than this before the window ends, as a share of it and in
-/// ticks if that is more: it has a way to go. That holds for the first one, too, which may wait for its connection while
-/// a copy runs.
-const WINDOW_MARGIN: f64 = 0.02;
-const WINDOW_MARGIN_TICKS: f64 = 2.0;
-
-/// An open request.
-pub struct OpenRequest {
-    request: Request,
-    pub reply: oneshot::Sender<Answer>,
-    parts: Vec<RequestId>,
-    values: BTreeMap<RequestId, Result<Value, PartFailure>>,
-    /// Ends seen, of any kind.
-    ended_attempts: u32,
-}
-
-impl OpenRequest {
-    /// What came for each part, in the request's order.
-    pub fn answers(&self) -> Vec<PartAnswer> {
-        let parts = self.parts.iter().zip(&self.request.parts);
-        let answer = |(id, spec): (&RequestId, &PartSpec)| PartAnswer {
-            shard: spec.shard,
-            value: self
-                .values
-                .get(id)
-                .cloned()
-                .unwrap_or(Err(PartFailure::TimedOut)),
-        };
-        parts.map(answer).collect()
-    }
+/// No attempt at a part of a class with a deduplication window is sent later than this before the window ends, as a
+/// share of the window and in ticks, whichever is more: the attempt takes time to arrive. That holds for the first
+/// attempt as well, which may wait for its connection while a hedge runs.
+const RETRY_WINDOW_MARGIN: f64 = 0.02;
+const RETRY_WINDOW_MARGIN_TICKS: f64 = 2.0;
 
-    /// Whether nothing of it came back: then it was refused for want of room.
-    pub fn never_sent(&self) -> bool {
-        self.ended_attempts == 0
-    }
-}
-
-/// An open part.
+/// An open part of an open request.
 struct OpenPart {
-    query: RequestId,
-    /// Its place in its query.
-    at: usize,
+    request: RequestId,
+    /// The part's index in its request.
+    index: usize,
+    /// How many attempts were sent.
     attempts: u8,
-    /// How many of them are proven never to have run.
+    /// How many of them are known never to have run.
     never_ran: u8,
-    /// When the first one was sent that may have run or may yet.
-    first_sent: Time,
+    /// When the first attempt was sent that may have run or may still run.
+    first_sent: Option<Time>,
 }
 
-/// All that is open.
-#[derive(Default)]
+/// All open requests and their parts.
 pub struct RequestTable {
+    /// Limit on open requests and open parts together.
     capacity: usize,
-    classes: Vec<Arc<str>>,
-    next_id: u64,
     requests: BTreeMap<RequestId, OpenRequest>,
     parts: BTreeMap<RequestId, OpenPart>,
-    /// Each class's window for further attempts, in seconds less the margin; `None` where it has none.
-    retry_windows: Vec<Option<f64>>,
-    name_retention: f64,
-    late_margin: f64,
-    /// Attempts of requests that ended, which nobody waits for any more.
+    /// The id that the next request gets; its parts get the ids after it.
+    next_id: u64,
+    class_names: Vec<Arc<str>>,
+    /// For each class how long after a part's first attempt another may be sent, in seconds; `None`: no limit.
+    retry_windows: Vec<Option<Seconds>>,
+    late_margin: Seconds,
+    /// Attempts of closed requests that the pool has not been told of yet.
     orphaned: Vec<Attempt>,
-    /// The names taken of late, and when each was.
-    names: BTreeSet<Arc<str>>,
-    taken: VecDeque<(Time, Arc<str>)>,
+    recent_names: RecentNames,
 }
 
 impl RequestTable {
+    /// An empty table.
     pub fn new(config: &Config) -> Self {
-        let mut requests = RequestTable {
+        let mut table = RequestTable {
+            capacity: 0,
+            requests: BTreeMap::new(),
+            parts: BTreeMap::new(),
             next_id: 1,
-            ..RequestTable::default()
+            class_names: Vec::new(),
+            retry_windows: Vec::new(),
+            late_margin: LATE_MARGIN,
+            orphaned: Vec::new(),
+            recent_names: RecentNames::default(),
         };
-        requests.reconfigure(&config.offer.deployment);
-        requests
+        table.reconfigure(&config.offer.deployment);
+        table
     }
 
-    /// Takes other settings. A place whose class is gone keeps its last name for the requests that hold it.
+    /// Applies a reloaded deployment.
+    ///
+    /// The place of a removed class keeps the class's name for the requests that still use it.
     pub fn reconfigure(&mut self, deployment: &Deployment) {
+        let policy = &deployment.policy;
+        let retention = NAME_RETENTION_DEADLINES * deployment.longest_deadline();
+        self.recent_names.retention = NAME_RETENTION.max(retention);
         self.capacity = deployment.open_cap;
-        self.classes.resize(deployment.class_names.len(), "".into());
-        let (policy, longest) = (&deployment.policy, deployment.longest_deadline());
-        self.name_retention = NAME_RETENTION.max(NAME_RETENTION_DEADLINES * longest);
         self.late_margin = LATE_MARGIN.max(LATE_MARGIN_TICKS * policy.tick);
-        let window = |class: &Class| {
-            let margin =
-                (WINDOW_MARGIN * class.dedup_window).max(WINDOW_MARGIN_TICKS * policy.tick);
-            (class.idempotency == Idempotency::IdempotentWithKey)
-                .then_some(class.dedup_window - margin)
-        };
-        self.retry_windows = policy.classes.iter().map(window).collect();
+        let windows = policy.classes.iter();
+        self.retry_windows = windows
+            .map(|class| retry_window(class, policy.tick))
+            .collect();
+        self.class_names
+            .resize(deployment.class_names.len(), "".into());
         for (place, name, _) in deployment.offered() {
-            self.classes[place] = name.into();
+            self.class_names[place] = name.into();
         }
     }
 
-    /// Whether a request that is open holds a class's place.
+    /// Whether an open request uses a class's place.
     pub fn has_request_of_class(&self, class: usize) -> bool {
-        self.requests
-            .values()
-            .any(|open| open.request.class == class)
+        let mut open = self.requests.values();
+        open.any(|open| open.class() == class)
     }
 
-    /// Whether a query of so many parts fits under the cap on queries and parts held.
+    /// Whether a request of this many parts fits under the limit on open requests and parts.
     pub fn has_capacity_for(&self, parts: usize) -> bool {
         self.requests.len() + self.parts.len() + 1 + parts <= self.capacity
     }
 
-    /// Whether a request of this name is open or was of late.
+    /// Whether a request of this name is open or was recently.
     pub fn is_recent_name(&self, name: &str) -> bool {
-        self.names.contains(name)
+        self.recent_names.contains(name)
     }
 
-    /// How many attempts an open part has had.
+    /// How many attempts of an open part were sent.
     pub fn attempt_count(&self, part: RequestId) -> u8 {
         self.parts.get(&part).map_or(0, |part| part.attempts)
     }
 
-    /// Opens a request: its id, and its parts' ids.
+    /// Opens a request. Returns its id and its parts' ids.
     pub fn open(
         &mut self,
         now: Time,
         client: ClientRequest,
     ) -> (RequestId, Vec<(RequestId, PartSpec)>) {
-        while self
-            .taken
-            .front()
-            .is_some_and(|(at, _)| now - *at > self.name_retention)
-        {
-            if let Some((_, name)) = self.taken.pop_front() {
-                self.names.remove(&name);
-            }
-        }
-        self.names.insert(client.request.name.clone());
-        self.taken.push_back((now, client.request.name.clone()));
+        self.recent_names.insert(now, client.request.name.clone());
         let id = RequestId(self.next_id);
-        let parts: Vec<_> = (id.0 + 1..)
-            .map(RequestId)
-            .zip(client.request.parts.iter().cloned())
-            .collect();
+        let part_ids = (id.0 + 1..).map(RequestId);
+        let parts: Vec<_> = part_ids.zip(client.request.parts.iter().cloned()).collect();
         self.next_id += 1 + parts.len() as u64;
-        for (at, (part, _)) in parts.iter().enumerate() {
-            let first_sent = Time::default();
-            self.parts.insert(
-                *part,
-                OpenPart {
-                    query: id,
-                    at,
-                    attempts: 0,
-                    never_ran: 0,
-                    first_sent,
-                },
-            );
+        for (index, (part, _)) in parts.iter().enumerate() {
+            let open = OpenPart {
+                request: id,
+                index,
+                attempts: 0,
+                never_ran: 0,
+                first_sent: None,
+            };
+            self.parts.insert(*part, open);
         }
-        let ids = parts.iter().map(|(part, _)| *part).collect();
-        let open = OpenRequest {
-            request: client.request,
-            reply: client.reply,
-            parts: ids,
-            values: BTreeMap::new(),
-            ended_attempts: 0,
-        };
-        self.requests.insert(id, open);
+        let part_ids = parts.iter().map(|(part, _)| *part).collect();
+        self.requests.insert(id, OpenRequest::new(client, part_ids));
         (id, parts)
     }
 
-    /// Whether a request's time is all but over.
+    /// Whether a request's deadline has passed or is about to.
     pub fn is_late(&self, now: Time, open: &OpenRequest) -> bool {
-        open.request.deadline - now < self.late_margin
+        open.deadline() - now < self.late_margin
     }
 
-    /// Takes a request out of the table: whoever holds it gives the final answer, and nobody else can.
+    /// Removes a request from the table. Whoever receives it sends the final answer; nobody else can.
     pub fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(&id)?;
-        for part in &open.parts {
-            let attempts = self.parts.remove(part).map_or(0, |part| part.attempts);
-            self.orphaned.extend((0..attempts).map(|number| Attempt {
-                part: *part,
-                number,
-            }));
+        for &part in open.part_ids() {
+            let attempts = self.parts.remove(&part).map_or(0, |part| part.attempts);
+            let orphaned = (0..attempts).map(|number| Attempt { part, number });
+            self.orphaned.extend(orphaned);
         }
         Some(open)
     }
 
-    /// The attempts of requests that ended since the last call. None that is still to be sent may leave.
+    /// Takes the attempts of requests closed since the last call. Those that are still queued must not be sent.
     pub fn take_orphaned_attempts(&mut self) -> Vec<Attempt> {
         std::mem::take(&mut self.orphaned)
     }
 
-    /// The requests whose clients are gone.
+    /// The open requests whose clients have left.
     pub fn requests_without_client(&self) -> Vec<RequestId> {
-        self.requests
+        let left = self
+            .requests
             .iter()
-            .filter(|(_, open)| open.reply.is_closed())
-            .map(|(&id, _)| id)
-            .collect()
+            .filter(|(_, open)| open.reply.is_closed());
+        left.map(|(&id, _)| id).collect()
     }
 
-    /// Notes how an attempt ended. The first value stands.
-    pub fn record_result(&mut self, ended: &AttemptResult) {
-        let Some(part) = self.parts.get_mut(&ended.attempt.part) else {
-            return;
-        };
-        part.never_ran += u8::from(ended.outcome.never_ran());
-        let Some(open) = self.requests.get_mut(&part.query) else {
+    /// Records how an attempt ended. The first value of a part stands.
+    pub fn record_result(&mut self, result: &AttemptResult) {
+        let Some(part) = self.parts.get_mut(&result.attempt.part) else {
             return;
         };
-        open.ended_attempts += 1;
-        let result = match (ended.outcome, &ended.value) {
-            (Outcome::Ok, Some(value)) => Ok(value.clone()),
-            (Outcome::Rejected, _) => Err(PartFailure::Rejected),
-            (Outcome::ConnectFailed | Outcome::NotSent, _) => Err(PartFailure::NoConnection),
-            (Outcome::Reset, _) => Err(PartFailure::ConnectionLost),
-            (Outcome::Timeout, _) => Err(PartFailure::TimedOut),
-            _ => Err(PartFailure::ServerError),
-        };
-        let entry = open
-            .values
-            .entry(ended.attempt.part)
-            .or_insert_with(|| result.clone());
-        if entry.is_err() {
-            *entry = result;
+        part.never_ran += u8::from(result.outcome.never_ran());
+        if let Some(open) = self.requests.get_mut(&part.request) {
+            open.record_result(result);
         }
     }
 
-    /// The next attempt of an open part, as a backend sends it. Attempts are numbered as the decisions do.
+    /// The next attempt of an open part, to be waited for until `deadline`. Attempts are numbered as the router numbers
+    /// them.
     pub fn next_attempt(
         &mut self,
         now: Time,
         part: RequestId,
-        until: Time,
+        deadline: Time,
     ) -> Option<OutboundAttempt> {
-        let open = self.parts.get_mut(&part)?;
-        let request = &self.requests.get(&open.query)?.request;
-        if open.attempts == open.never_ran {
-            open.first_sent = now;
+        let open_part = self.parts.get_mut(&part)?;
+        let request = self.requests.get(&open_part.request)?.request();
+        if open_part.attempts == open_part.never_ran {
+            open_part.first_sent = Some(now);
         }
+        let first_sent = open_part.first_sent.unwrap_or(now);
         let window = self.retry_windows.get(request.class).copied().flatten();
-        let send_by = window.map(|window| open.first_sent + window);
-        let number = open.attempts;
-        open.attempts += 1;
+        let number = open_part.attempts;
+        open_part.attempts += 1;
         Some(OutboundAttempt {
-            attempt: Attempt { part, number },
             wanted: Rc::new(Cell::new(true)),
-            send_by,
+            send_by: window.map(|window| first_sent + window),
+            attempt: Attempt { part, number },
             name: request.name.clone(),
-            class: self.classes.get(request.class)?.clone(),
-            shard: request.parts.get(open.at)?.shard,
+            class: self.class_names.get(request.class)?.clone(),
+            shard: request.parts.get(open_part.index)?.shard,
             text: request.text.clone(),
-            deadline: until,
+            deadline,
             contracts: request.contracts.clone(),
         })
     }
 }
 
+/// How long after a part's first attempt another may be sent, in seconds; `None` where the class sets no window.
+fn retry_window(class: &Class, tick: Seconds) -> Option<Seconds> {
+    let share = RETRY_WINDOW_MARGIN * class.dedup_window;
+    let margin = share.max(RETRY_WINDOW_MARGIN_TICKS * tick);
+    (class.idempotency == Idempotency::IdempotentWithKey).then_some(class.dedup_window - margin)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/coordinator/src/pipeline/request_table/tests.rs
+++ b/crates/coordinator/src/pipeline/request_table/tests.rs
@@ -1,7 +1,9 @@
 //! The table of open requests, on a clock of the test's own.
 
 use super::*;
-use crate::messages::Text;
+use crate::messages::{Request, Text};
+use cairnroad_types::Outcome;
+use tokio::sync::oneshot;
 
 /// A table for a deployment whose classes all have this effect, window and deadline.
 fn table(effect: Idempotency, window: f64, deadline: f64) -> RequestTable {
--- a/crates/coordinator/src/pipeline/respond.rs
+++ b/crates/coordinator/src/pipeline/respond.rs
@@ -1,52 +1,63 @@
-//! Relay: words the decisions' final answers and gives each to its front, once.
+//! Builds final answers from the router's decisions and sends each to its front, exactly once.
 
-use super::request_table::RequestTable;
+use super::request_table::{OpenRequest, RequestTable};
 use crate::messages::Answer;
 use crate::observability::metrics::{Counter, Metrics};
-use cairnroad_types::{Action, Time};
+use cairnroad_types::{Action, RequestId, Seconds, Time};
 
-/// Advice where the decisions give none, in seconds.
-const DEFAULT_RETRY_AFTER: f64 = 1.0;
+/// Retry-After where the router states none, in seconds.
+const DEFAULT_RETRY_AFTER: Seconds = 1.0;
 
-/// Whether an action ends a query.
-pub fn is_final_answer(action: &Action) -> bool {
-    matches!(
-        action,
-        Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. }
-    )
-}
-
-pub fn respond(action: &Action, now: Time, requests: &mut RequestTable, metrics: &mut Metrics) {
-    let id = match *action {
+/// The request that an action ends; `None` where the action is not a final answer.
+pub fn ended_request(action: &Action) -> Option<RequestId> {
+    match *action {
         Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
-            query
+            Some(query)
         }
-        _ => return,
-    };
+        _ => None,
+    }
+}
+
+/// Closes the request that `action` ends and sends its final answer.
+pub fn respond(
+    id: RequestId,
+    action: &Action,
+    now: Time,
+    requests: &mut RequestTable,
+    metrics: &mut Metrics,
+) {
     // An id that is no longer open was withdrawn in this very tick.
     let Some(open) = requests.close(id) else {
         return;
     };
-    let answer = match *action {
-        Action::Answer {
-            complete: whole, ..
-        } => Answer::Served {
-            complete: whole,
+    let answer = final_answer(action, now, &open, requests, metrics);
+    // A front that dropped the other end has lost its client: nobody is left to answer.
+    let _ = open.reply.send(answer);
+}
+
+fn final_answer(
+    action: &Action,
+    now: Time,
+    open: &OpenRequest,
+    requests: &RequestTable,
+    metrics: &mut Metrics,
+) -> Answer {
+    match *action {
+        Action::Answer { complete, .. } => Answer::Served {
+            complete,
             parts: open.answers(),
         },
         Action::Reject { retry_after, .. } => {
-            if open.never_sent() {
-                metrics.add(Counter::Unsent);
+            if open.no_attempt_ended() {
+                metrics.add(Counter::RejectedUnsent);
             }
             Answer::Rejected {
                 retry_after: retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
-                busy: open.never_sent(),
+                busy: open.no_attempt_ended(),
             }
         }
         _ => Answer::Failed {
-            late: requests.is_late(now, &open),
+            late: requests.is_late(now, open),
         },
-    };
-    // A front that is gone has lost its client: nobody is left to tell.
-    let _ = open.reply.send(answer);
+    }
 }
--- a/crates/coordinator/src/pipeline/router_driver.rs
+++ b/crates/coordinator/src/pipeline/router_driver.rs
@@ -1,57 +1,59 @@
-//! Route: the decisions, called once with all events of a tick.
+//! Drives the request router: collects a tick's events and hands them over in one call.
 
 use crate::configuration::Config;
 use cairnroad_routing::RequestRouter;
 use cairnroad_settings::Deployment;
-use cairnroad_types::{Action, ClassId, Event, HealthSummary, ServerId, Time};
+use cairnroad_types::{Action, ClassId, Event, HealthSummary, Seconds, ServerId, Settings, Time};
 
+/// Latency objective of a class that the settings don't know, in seconds.
+const DEFAULT_LATENCY_OBJECTIVE: Seconds = 1.0;
+
+/// The router and the events that wait for its next call.
 pub struct RouterDriver {
     router: RequestRouter,
-    latency_objectives: Vec<f64>,
+    /// Each class's latency objective, in seconds.
+    latency_objectives: Vec<Seconds>,
+    /// Endpoint updates, which the router must see before all other events.
     endpoint_updates: Vec<Event>,
     events: Vec<Event>,
 }
 
 impl RouterDriver {
+    /// A driver of a new router with the configuration's settings and seed.
     pub fn new(config: &Config) -> Self {
-        let policy = config.offer.deployment.policy.clone();
-        let latency_objectives = policy
-            .classes
-            .iter()
-            .map(|class| class.latency_objective)
-            .collect();
+        let settings = config.offer.deployment.policy.clone();
         RouterDriver {
-            router: RequestRouter::new(policy, config.seed),
-            latency_objectives,
+            latency_objectives: latency_objectives(&settings),
+            router: RequestRouter::new(settings, config.seed),
             endpoint_updates: Vec::new(),
             events: Vec::new(),
         }
     }
 
-    /// Takes other settings, for all events from now on.
+    /// Applies a reloaded deployment to all events from now on.
+    ///
+    /// `renewed` are the places that hold another class than before, `offered` the places of the classes in force.
     pub fn reconfigure(
         &mut self,
         deployment: &Deployment,
         renewed: &[ClassId],
         offered: &[ClassId],
     ) {
-        self.latency_objectives = deployment
-            .policy
-            .classes
-            .iter()
-            .map(|class| class.latency_objective)
-            .collect();
+        self.latency_objectives = latency_objectives(&deployment.policy);
         self.router
             .retune(deployment.policy.clone(), renewed, offered);
     }
 
-    /// A class's aim in seconds.
-    pub fn latency_objective(&self, class: usize) -> f64 {
-        self.latency_objectives.get(class).copied().unwrap_or(1.0)
+    /// A class's latency objective, in seconds.
+    pub fn latency_objective(&self, class: usize) -> Seconds {
+        self.latency_objectives
+            .get(class)
+            .copied()
+            .unwrap_or(DEFAULT_LATENCY_OBJECTIVE)
     }
 
-    /// Notes an event for the next call. News of servers comes before all else: a send of this very tick must
-    /// not go to a server that the tick's news drains.
+    /// Queues an event for the next call. Endpoint updates come before all other events: an attempt of this very tick
+    /// must not go to a server that the tick's update drains.
     pub fn push(&mut self, event: Event) {
         match event {
             Event::Endpoints(_) => self.endpoint_updates.push(event),
@@ -59,32 +61,34 @@
         }
     }
 
-    /// What the decisions believe of the servers, for the log.
+    /// What the router knows of the servers' health, for the log.
     pub fn health_summary(&self, now: Time) -> HealthSummary {
         self.router.beliefs(now)
     }
 
-    /// The servers that own answers of the last `secs` seconds make doubtful.
-    pub fn recent_outliers(&self, now: Time, secs: f64) -> Vec<ServerId> {
-        self.router.doubted_lately(now, secs)
+    /// The servers that own attempts of the last `period` seconds show to be outliers.
+    pub fn recent_outliers(&self, now: Time, period: Seconds) -> Vec<ServerId> {
+        self.router.doubted_lately(now, period)
     }
 
-    /// No query that is open gets longer than up to this moment.
-    pub fn finish_by(&mut self, moment: Time) {
-        self.router.end_by(moment);
+    /// Limits the deadlines of all open requests to `deadline`.
+    pub fn finish_by(&mut self, deadline: Time) {
+        self.router.end_by(deadline);
         self.events.push(Event::TimerFired);
     }
 
-    /// How many servers the decisions know.
+    /// How many servers the router knows.
     #[cfg(test)]
     pub fn server_count(&self) -> usize {
         self.router.servers()
     }
 
+    /// Whether events wait for the next call.
     pub fn has_events(&self) -> bool {
         !self.endpoint_updates.is_empty() || !self.events.is_empty()
     }
 
+    /// Hands all queued events to the router and returns its actions.
     pub fn decide(&mut self, now: Time) -> Vec<Action> {
         let mut events = std::mem::take(&mut self.endpoint_updates);
         events.append(&mut self.events);
@@ -93,3 +97,8 @@
         actions
     }
 }
+
+fn latency_objectives(settings: &Settings) -> Vec<Seconds> {
+    let objective = settings.classes.iter().map(|class| class.latency_objective);
+    objective.collect()
+}
