--- a/crates/coordinator/src/timer_wheel/tests.rs
+++ b/crates/coordinator/src/timer_wheel/tests.rs
@@ -1,3 +1,5 @@
+//! The timer wheel, on a clock of the test's own.
+
 use super::*;
 
 #[test]
