--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::Clock;
 use crate::configuration;
-use crate::messages::{Message, Phase};
+use crate::messages::{LocalOutliers, Message, Phase};
 use cairnroad_cluster::datagram::MAX_DATAGRAM_BYTES;
 use cairnroad_cluster::gossip_state::{self, GossipValue};
 use cairnroad_cluster::identity::MemberId;
@@ -100,8 +100,8 @@
     pub clock: Clock,
     /// The program's phase, published to the cluster.
     pub phases: watch::Receiver<Phase>,
-    /// Ids of the data nodes that this coordinator's own requests show to be outliers, and how many its list names.
-    pub doubts: watch::Receiver<(Vec<String>, usize)>,
+    /// The data nodes that this coordinator's own requests show to be outliers, published to the cluster.
+    pub local_outliers: watch::Receiver<LocalOutliers>,
     /// The core, which receives outlier advice.
     pub core: mpsc::Sender<Message>,
 }
@@ -202,7 +202,7 @@
                 Err(_) => Input::ReceiveFailed,
             },
             Ok(()) = self.dependencies.phases.changed() => Input::PhaseChanged,
-            Ok(()) = self.dependencies.doubts.changed() => Input::OutliersChanged,
+            Ok(()) = self.dependencies.local_outliers.changed() => Input::OutliersChanged,
             Some(request) = self.requests.recv() => Input::Request(request),
         }
     }
@@ -272,7 +272,12 @@
     }
 
     fn publish_outliers(&mut self) {
-        let servers = self.dependencies.doubts.borrow_and_update().0.clone();
+        let servers = self
+            .dependencies
+            .local_outliers
+            .borrow_and_update()
+            .endpoint_ids
+            .clone();
         let now = self.dependencies.clock.now();
         self.membership.publish(now, GossipValue::Outliers(servers));
     }
@@ -286,7 +291,7 @@
 
     /// Passes on the outliers that enough members report, as long as there are any, and logs changes.
     fn pass_on_advice(&mut self) {
-        let listed_servers = self.dependencies.doubts.borrow().1;
+        let listed_servers = self.dependencies.local_outliers.borrow().endpoint_count;
         let reports = self.membership.outlier_reports();
         let live_members = self.membership.view().live_count();
         let confirmed = outlier_advice::confirmed_outliers(&reports, live_members, listed_servers);
@@ -344,7 +349,9 @@
     match phase {
         Phase::Starting => gossip_state::Phase::Starting,
         Phase::Serving => gossip_state::Phase::Serving,
-        Phase::Drained => gossip_state::Phase::Draining,
-        Phase::Stopping | Phase::Closing | Phase::Refusing => gossip_state::Phase::Stopping,
+        Phase::DrainedByOperator => gossip_state::Phase::Draining,
+        Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected => {
+            gossip_state::Phase::Stopping
+        }
     }
 }
