--- a/crates/coordinator/src/cluster/page.rs
+++ b/crates/coordinator/src/cluster/page.rs
@@ -70,3 +70,6 @@
         .map(|drops| (drops.cause.to_string(), json!(drops.count)))
         .collect()
 }
+
+#[cfg(test)]
+mod tests;
