--- a/crates/testbed/src/chaos/process.rs
+++ b/crates/testbed/src/chaos/process.rs
@@ -27,7 +27,7 @@
 /// Log lines that name the admin address, of this program and of earlier ones.
 const ADMIN_LISTENING: [&str; 1] = ["operators' calls"];
 /// Log lines that name the cluster's address, of this program and of earlier ones.
-const CLUSTER_JOINED: [&str; 1] = ["takes part"];
+const CLUSTER_JOINED: [&str; 2] = ["joining the cluster", "takes part"];
 
 /// Why a process is not there.
 #[derive(Debug, thiserror::Error)]
@@ -214,7 +214,7 @@
         } else if is_one_of(&ADMIN_LISTENING) {
             admin = address("address=");
         } else if is_one_of(&CLUSTER_JOINED) {
-            cluster = address("peers=");
+            cluster = address("listen=").or_else(|| address("peers="));
         }
         log.push_str(&line);
         log.push('\n');
