--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -98,11 +98,11 @@
             };
             (verdict.status(), allow, verdict.text())
         }
-        Ok(Some(Err(bad))) => (bad.status(), Vec::new(), bad.text()),
+        Ok(Some(Err(bad))) => (bad.status(), Vec::new(), bad.message()),
         Err(_) => (
-            http::Bad::TooSlow.status(),
+            http::MessageError::TooSlow.status(),
             Vec::new(),
-            http::Bad::TooSlow.text(),
+            http::MessageError::TooSlow.message(),
         ),
     };
     let key = if status < 300 { "answer" } else { "error" };
@@ -123,19 +123,19 @@
 async fn next(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-) -> Option<Result<http::Request, http::Bad>> {
+) -> Option<Result<http::Request, http::MessageError>> {
     loop {
-        match http::request(buffer) {
+        match http::parse_request(buffer) {
             Ok(Some((request, _))) => return Some(Ok(request)),
             Err(bad) => return Some(Err(bad)),
             Ok(None) => {}
         }
-        if http::awaits_continue(buffer) {
-            return Some(Err(http::Bad::Malformed("calls have no body")));
+        if http::expects_continue(buffer) {
+            return Some(Err(http::MessageError::Malformed("calls have no body")));
         }
         match stream.read_buf(buffer).await {
             Ok(0) if !buffer.is_empty() => {
-                return Some(Err(http::Bad::Malformed("the call is not whole")))
+                return Some(Err(http::MessageError::Malformed("the call is not whole")))
             }
             Ok(0) | Err(_) => return None,
             Ok(_) => {}
--- a/crates/coordinator/src/backends/frames.rs
+++ b/crates/coordinator/src/backends/frames.rs
@@ -19,16 +19,16 @@
 use winnow::Parser;
 
 /// The longest line of an answer, and the longest frame. A value is passed on in a body, which has a limit.
-const MOST_LINE: usize = 1024;
-const MOST_FRAME: u32 = (http::MOST_BODY + MOST_LINE) as u32;
+const MAX_ANSWER_LINE: usize = 1024;
+const MAX_FRAME: u32 = (http::MAX_BODY + MAX_ANSWER_LINE) as u32;
 /// How long a frame may take to come in whole once it has begun. Servers write theirs in one go; one that stands
 /// still for longer has a length that doesn't fit, and the part that it was for would wait for its time-out.
-const HALF_FRAME: Duration = Duration::from_millis(150);
+const PARTIAL_FRAME_TIMEOUT: Duration = Duration::from_millis(150);
 /// Cancelled parts of a connection that may still be answered. Far more than a connection carries at a time.
-const MOST_CANCELLED: usize = 512;
+const MAX_CANCELLED: usize = 512;
 
 /// Commands that may wait for the frames before them.
-const MOST_PENDING: usize = 64;
+const MAX_PENDING: usize = 64;
 
 /// A frame from a server.
 #[derive(Debug, PartialEq)]
@@ -41,14 +41,14 @@
         value: &'a [u8],
     },
     Ping,
-    Load(&'a [u8]),
-    Complaint(String),
+    LoadReport(&'a [u8]),
+    Error(String),
 }
 
 type Res<T> = Result<T, ErrMode<ContextError>>;
 
 /// The frame at the front of `input` and its length on the wire; `None`: not whole yet.
-pub fn parse(input: &[u8]) -> Result<Option<(Frame<'_>, usize)>, &'static str> {
+pub fn parse_frame(input: &[u8]) -> Result<Option<(Frame<'_>, usize)>, &'static str> {
     let mut rest = input;
     if rest.len() < 4 {
         return Ok(None);
@@ -56,12 +56,14 @@
     let length = be_u32::<_, ErrMode<ContextError>>
         .parse_next(&mut rest)
         .map_err(|_| "no length")?;
-    if length == 0 || length > MOST_FRAME {
+    if length == 0 || length > MAX_FRAME {
         return Err("a frame's length is out of bounds");
     }
     // What shows at its beginning that it can't be read isn't waited for.
     match rest {
-        [b'A', line @ ..] if line.len() > MOST_LINE && !line[..MOST_LINE].contains(&b'\n') => {
+        [b'A', line @ ..]
+            if line.len() > MAX_ANSWER_LINE && !line[..MAX_ANSWER_LINE].contains(&b'\n') =>
+        {
             return Err("an answer's line doesn't end")
         }
         [b'A' | b'P' | b'L' | b'E', ..] | [] => {}
@@ -75,8 +77,8 @@
     let frame = match letter {
         b'A' => answer(&mut body).map_err(|_| "an answer frame is malformed")?,
         b'P' => Frame::Ping,
-        b'L' => Frame::Load(body),
-        _ => Frame::Complaint(String::from_utf8_lossy(body).into_owned()),
+        b'L' => Frame::LoadReport(body),
+        _ => Frame::Error(String::from_utf8_lossy(body).into_owned()),
     };
     Ok(Some((frame, used)))
 }
@@ -103,7 +105,7 @@
 }
 
 /// A load report's values in the order of `names`; empty where there is none or one is missing.
-pub fn report(text: &str, names: &[String]) -> Vec<f64> {
+pub fn parse_load_report(text: &str, names: &[String]) -> Vec<f64> {
     let find = |name: &String| {
         let mut pairs = text.split(',').filter_map(|pair| pair.split_once('='));
         pairs
@@ -118,7 +120,7 @@
 }
 
 /// The `Q` frame of a call.
-pub fn call(jobs: &[OutboundAttempt], now: Time) -> Vec<u8> {
+pub fn encode_call(jobs: &[OutboundAttempt], now: Time) -> Vec<u8> {
     let mut body = vec![b'Q'];
     for job in jobs {
         let text = job.text.as_str();
@@ -126,24 +128,24 @@
             "{} {} d={} {}\n",
             id(job),
             job.shard,
-            wait(job, now),
+            remaining_ms(job, now),
             text.len()
         );
         body.extend_from_slice(line.as_bytes());
         body.extend_from_slice(text.as_bytes());
     }
-    framed(&body)
+    encode_frame(&body)
 }
 
 /// How many milliseconds are left for a part.
-fn wait(job: &OutboundAttempt, now: Time) -> i64 {
+fn remaining_ms(job: &OutboundAttempt, now: Time) -> i64 {
     (((job.until - now) * 1000.0) as i64).max(1)
 }
 
 /// Tells of a message as the description of frames has it: by its letter, its line's fields and what stands behind.
 /// Whether it may be used.
-fn told(
-    end: &ConnectionHandle,
+fn check_contract(
+    connection: &ConnectionHandle,
     judge: &ContractsInForce,
     word: &'static str,
     direction: Direction,
@@ -157,8 +159,14 @@
         direction,
         payload,
     };
-    end.contracts
-        .frame(judge, Interface::Servers, &end.server, part, line, head)
+    connection.contracts.frame(
+        judge,
+        Interface::Servers,
+        &connection.server,
+        part,
+        line,
+        head,
+    )
 }
 
 /// The fields of a call's part, of an answer, and of a frame without a line.
@@ -171,15 +179,15 @@
 fn answer_head(line: &str) -> Json {
     let words: Vec<&str> = line.splitn(4, ' ').collect();
     let report = words.get(3).copied().unwrap_or("-");
-    json!({"id": words.first(), "end": words.get(1), "score": words.get(2), "report": members(report)})
+    json!({"id": words.first(), "end": words.get(1), "score": words.get(2), "report": report_members(report)})
 }
 
-fn no_head(_: &str) -> Json {
+fn empty_head(_: &str) -> Json {
     json!({})
 }
 
 /// A load report as an object: numbers where they are some, else text; no members where there is none.
-fn members(report: &str) -> serde_json::Map<String, Json> {
+fn report_members(report: &str) -> serde_json::Map<String, Json> {
     let pair = |pair: &str| {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
         let number = value
@@ -201,7 +209,7 @@
     format!("{}.{}", job.name, job.shard)
 }
 
-fn framed(body: &[u8]) -> Vec<u8> {
+fn encode_frame(body: &[u8]) -> Vec<u8> {
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
     frame.extend_from_slice(body);
     frame
@@ -219,7 +227,7 @@
 
 /// A connection's own state.
 #[derive(Default)]
-struct Wire {
+struct WireState {
     /// What waits for the frames before it.
     pending: VecDeque<Command>,
     /// The frame being written, how much of it is, and its parts.
@@ -227,22 +235,22 @@
     written: usize,
     writing: Vec<OutboundAttempt>,
     /// Parts whose frame is written whole, by their ids on this wire.
-    out: BTreeMap<String, (Attempt, ContractsInForce)>,
-    names: BTreeMap<Attempt, String>,
+    in_flight: BTreeMap<String, (Attempt, ContractsInForce)>,
+    ids: BTreeMap<Attempt, String>,
     /// Ids of parts that were cancelled, the latest last: a late answer to one is no fault of the server.
     cancelled: VecDeque<String>,
     /// The id that was answered last: a second copy of that answer is told from one to a part never sent.
-    answered: String,
-    probes: u32,
+    last_answered: String,
+    health_checks: u32,
     /// Bytes came that belong to nothing: what comes next can't be trusted, so nothing new is written.
-    spent: bool,
+    poisoned: bool,
 }
 
-impl Wire {
+impl WireState {
     /// Whether more may wait here. With a server that reads nothing, commands pile up in their bounded queue
     /// instead, and the pool ends the connection.
     fn has_room(&self) -> bool {
-        self.pending.len() < MOST_PENDING
+        self.pending.len() < MAX_PENDING
     }
 
     /// A cancel takes back a part that waits here; otherwise it takes its turn.
@@ -262,31 +270,35 @@
     }
 
     /// Whether a call may not be written any more, as an outcome that says it never ran: its server drains or is
-    /// gone, or the connection is spent or stands in the middle of a frame, which may never end.
-    fn bar(&self, end: &ConnectionHandle, unread: bool) -> Option<Outcome> {
-        if end.barred() {
+    /// gone, or the connection is poisoned or stands in the middle of a frame, which may never end.
+    fn blocked(&self, connection: &ConnectionHandle, unread: bool) -> Option<Outcome> {
+        if connection.is_draining() {
             return Some(Outcome::ConnectFailed);
         }
-        (self.spent || unread).then_some(Outcome::NotSent)
+        (self.poisoned || unread).then_some(Outcome::NotSent)
     }
 
     /// The next frame, once the one before it is written. Parts that may not be written any more are returned.
-    fn load(&mut self, end: &ConnectionHandle, unread: bool) -> Vec<(OutboundAttempt, Outcome)> {
+    fn load_next_frame(
+        &mut self,
+        connection: &ConnectionHandle,
+        unread: bool,
+    ) -> Vec<(OutboundAttempt, Outcome)> {
         let mut barred = Vec::new();
         while self.frame.is_empty() {
             match self.pending.pop_front() {
                 None => break,
-                Some(Command::Call(jobs)) if self.bar(end, unread).is_some() => {
-                    let outcome = self.bar(end, unread).unwrap_or(Outcome::NotSent);
+                Some(Command::Call(jobs)) if self.blocked(connection, unread).is_some() => {
+                    let outcome = self.blocked(connection, unread).unwrap_or(Outcome::NotSent);
                     barred.extend(jobs.into_iter().map(|job| (job, outcome)));
                 }
                 Some(Command::Call(jobs)) => {
-                    let now = end.clock.now();
+                    let now = connection.clock.now();
                     let (jobs, late): (Vec<OutboundAttempt>, Vec<OutboundAttempt>) =
                         jobs.into_iter().partition(|job| job.may_be_sent(now));
                     barred.extend(late.into_iter().map(|job| (job, Outcome::NotSent)));
                     if !jobs.is_empty() {
-                        self.frame = call(&jobs, now);
+                        self.frame = encode_call(&jobs, now);
                         for job in jobs.iter().filter(|job| job.judge.is_some()) {
                             let text = job.text.as_str();
                             let line = || {
@@ -294,12 +306,12 @@
                                     "{} {} {} {}",
                                     id(job),
                                     job.shard,
-                                    wait(job, now),
+                                    remaining_ms(job, now),
                                     text.len()
                                 )
                             };
-                            told(
-                                end,
+                            check_contract(
+                                connection,
                                 &job.judge,
                                 "Q",
                                 Direction::Request,
@@ -312,49 +324,49 @@
                     }
                 }
                 Some(Command::Cancel(attempt)) => {
-                    if let Some(name) = self.names.remove(&attempt) {
-                        self.out.remove(&name);
-                        if self.cancelled.len() == MOST_CANCELLED {
+                    if let Some(name) = self.ids.remove(&attempt) {
+                        self.in_flight.remove(&name);
+                        if self.cancelled.len() == MAX_CANCELLED {
                             self.cancelled.pop_front();
                         }
                         self.cancelled.push_back(name.clone());
-                        told(
-                            end,
-                            &end.contracts.current(),
+                        check_contract(
+                            connection,
+                            &connection.contracts.current(),
                             "X",
                             Direction::Request,
                             b"",
                             || name.clone(),
                             |id| json!({"id": id}),
                         );
-                        self.frame = framed(format!("X{name}").as_bytes());
+                        self.frame = encode_frame(format!("X{name}").as_bytes());
                     }
                 }
-                Some(Command::Probe) => {
-                    self.probes += 1;
-                    told(
-                        end,
-                        &end.contracts.current(),
+                Some(Command::HealthCheck) => {
+                    self.health_checks += 1;
+                    check_contract(
+                        connection,
+                        &connection.contracts.current(),
                         "L?",
                         Direction::Request,
                         b"",
                         String::new,
-                        no_head,
+                        empty_head,
                     );
-                    self.frame = framed(b"L");
+                    self.frame = encode_frame(b"L");
                 }
             }
         }
         barred
     }
 
-    /// An answer that no part out waits for: late, a second copy, or spoilt. In the last case one of the parts that
-    /// are out was meant, and would wait for its time-out.
-    fn answer_to_nobody(&mut self, id: &str) -> Result<(), &'static str> {
+    /// An answer that no part out waits for: late, a second copy, or malformed. In the last case one of the parts
+    /// that are out was meant, and would wait for its time-out.
+    fn on_unmatched_answer(&mut self, id: &str) -> Result<(), &'static str> {
         if let Some(at) = self.cancelled.iter().position(|name| name == id) {
             self.cancelled.remove(at);
-        } else if self.answered == id {
-            self.spent = true;
+        } else if self.last_answered == id {
+            self.poisoned = true;
         } else {
             return Err("an answer's id is unknown");
         }
@@ -362,124 +374,126 @@
     }
 
     /// So many more bytes of the frame are written. From its last byte on its parts may run.
-    fn wrote(&mut self, bytes: usize) {
+    fn on_written(&mut self, bytes: usize) {
         self.written += bytes;
         if self.written == self.frame.len() {
             self.frame.clear();
             self.written = 0;
             for job in self.writing.drain(..) {
-                self.names.insert(job.attempt, id(&job));
-                self.out.insert(id(&job), (job.attempt, job.judge));
+                self.ids.insert(job.attempt, id(&job));
+                self.in_flight.insert(id(&job), (job.attempt, job.judge));
             }
         }
     }
 }
 
 /// A connection's life.
-pub async fn run(mut end: ConnectionHandle) {
-    let Some(stream) = end.dial().await else {
-        return end.close(Vec::new(), Outcome::ConnectFailed).await;
+pub async fn run(mut connection: ConnectionHandle) {
+    let Some(stream) = connection.dial().await else {
+        return connection.close(Vec::new(), Outcome::ConnectFailed).await;
     };
     let (mut reader, mut writer) = stream.into_split();
-    let mut wire = Wire::default();
+    let mut wire = WireState::default();
     let mut buffer = Vec::new();
-    let shared = end.shared.clone();
-    let mut half: Option<Instant> = None;
-    let mut spoilt = false;
+    let shared = connection.shared.clone();
+    let mut partial_deadline: Option<Instant> = None;
+    let mut malformed = false;
     loop {
         while wire.has_room() {
-            let Ok(command) = end.commands.try_recv() else {
+            let Ok(command) = connection.commands.try_recv() else {
                 break;
             };
             wire.queue(command);
         }
-        for (job, outcome) in wire.load(&end, !buffer.is_empty()) {
-            end.ended(job.attempt, outcome, None).await;
+        for (job, outcome) in wire.load_next_frame(&connection, !buffer.is_empty()) {
+            connection.report_attempt(job.attempt, outcome, None).await;
         }
         tokio::select! {
-            // What came is read before anything is written: it may show that the connection is spent.
+            // What came is read before anything is written: it may show that the connection is poisoned.
             biased;
-            () = shared.done() => break,
+            () = shared.closed() => break,
             read = reader.read_buf(&mut buffer) => match read {
                 Ok(0) | Err(_) => break,
-                Ok(_) => match take(&end, &mut wire, &mut buffer).await {
+                Ok(_) => match process_frames(&connection, &mut wire, &mut buffer).await {
                     Ok(used) => {
-                        half = half.filter(|_| used == 0).or_else(|| Some(Instant::now() + HALF_FRAME));
-                        half = half.filter(|_| !buffer.is_empty());
-                        end.set_spent(wire.spent || half.is_some());
+                        partial_deadline = partial_deadline.filter(|_| used == 0).or_else(|| Some(Instant::now() + PARTIAL_FRAME_TIMEOUT));
+                        partial_deadline = partial_deadline.filter(|_| !buffer.is_empty());
+                        connection.set_poisoned(wire.poisoned || partial_deadline.is_some());
                     }
                     Err(text) => {
-                        tracing::warn!(server = %end.address, cause = text, "connection closed");
-                        spoilt = true;
+                        tracing::warn!(server = %connection.address, cause = text, "connection closed");
+                        malformed = true;
                         break;
                     }
                 }
             },
-            () = tokio::time::sleep_until(half.unwrap_or_else(Instant::now)), if half.is_some() => {
-                tracing::warn!(server = %end.address, cause = "half a frame and no more", "connection closed");
-                spoilt = true;
+            () = tokio::time::sleep_until(partial_deadline.unwrap_or_else(Instant::now)), if partial_deadline.is_some() => {
+                tracing::warn!(server = %connection.address, cause = "half a frame and no more", "connection closed");
+                malformed = true;
                 break;
             }
             wrote = writer.write(&wire.frame[wire.written..]), if !wire.frame.is_empty() => match wrote {
-                Ok(bytes) if bytes > 0 => wire.wrote(bytes),
+                Ok(bytes) if bytes > 0 => wire.on_written(bytes),
                 _ => break,
             },
-            command = end.commands.recv(), if wire.has_room() => match command {
+            command = connection.commands.recv(), if wire.has_room() => match command {
                 Some(command) => wire.queue(command),
                 None => break,
             },
         }
     }
-    end.spend();
-    if !spoilt {
+    connection.poison();
+    if !malformed {
         // A write may fail before the answers are read that came before the break.
-        connection::look(reader.as_ref(), &mut buffer);
+        connection::read_available(reader.as_ref(), &mut buffer);
     }
     // What was read before the end still counts; the rest may have run. A connection that is closed for what came
-    // on it was not broken by the server, and a query whose answers came spoilt is not what breaks it.
-    if !spoilt {
-        let _ = take(&end, &mut wire, &mut buffer).await;
+    // on it was not broken by the server, and a query whose answers came malformed is not what breaks it.
+    if !malformed {
+        let _ = process_frames(&connection, &mut wire, &mut buffer).await;
     }
-    let (cut, unsent_as) = match spoilt {
+    let (cut, unsent_as) = match malformed {
         true => (Outcome::Error, Outcome::NotSent),
         false => (Outcome::Reset, Outcome::ConnectFailed),
     };
-    for (_, (attempt, _)) in std::mem::take(&mut wire.out) {
-        end.ended(attempt, cut, None).await;
+    for (_, (attempt, _)) in std::mem::take(&mut wire.in_flight) {
+        connection.report_attempt(attempt, cut, None).await;
     }
-    for _ in 0..wire.probes {
-        end.tell(ConnectionEvent::HealthCheckEnded {
-            outcome: Outcome::Reset,
-            report: Vec::new(),
-        })
-        .await;
+    for _ in 0..wire.health_checks {
+        connection
+            .notify(ConnectionEvent::HealthCheckEnded {
+                outcome: Outcome::Reset,
+                report: Vec::new(),
+            })
+            .await;
     }
     let mut unsent = wire.writing;
     for command in wire.pending {
         match command {
             Command::Call(jobs) => unsent.extend(jobs),
-            Command::Probe => {
-                end.tell(ConnectionEvent::HealthCheckEnded {
-                    outcome: Outcome::ConnectFailed,
-                    report: Vec::new(),
-                })
-                .await
+            Command::HealthCheck => {
+                connection
+                    .notify(ConnectionEvent::HealthCheckEnded {
+                        outcome: Outcome::ConnectFailed,
+                        report: Vec::new(),
+                    })
+                    .await
             }
             Command::Cancel(_) => {}
         }
     }
-    end.close(unsent, unsent_as).await;
+    connection.close(unsent, unsent_as).await;
 }
 
 /// Takes all whole frames off the buffer and tells what they mean; how many bytes that took. An error: what came
 /// can't be used, nor can what comes behind it.
-async fn take(
-    end: &ConnectionHandle,
-    wire: &mut Wire,
+async fn process_frames(
+    connection: &ConnectionHandle,
+    wire: &mut WireState,
     buffer: &mut Vec<u8>,
 ) -> Result<usize, String> {
     let mut used = 0;
-    while let Some((frame, length)) = parse(&buffer[used..])? {
+    while let Some((frame, length)) = parse_frame(&buffer[used..])? {
         used += length;
         match frame {
             Frame::Answer {
@@ -489,23 +503,23 @@
                 report,
                 value,
             } => {
-                let Some((attempt, judge)) = wire.out.remove(id) else {
-                    wire.answer_to_nobody(id)?;
-                    if wire.spent {
-                        end.spend();
+                let Some((attempt, judge)) = wire.in_flight.remove(id) else {
+                    wire.on_unmatched_answer(id)?;
+                    if wire.poisoned {
+                        connection.poison();
                     }
-                    end.tell(ConnectionEvent::Heard).await;
+                    connection.notify(ConnectionEvent::Heard).await;
                     continue;
                 };
-                wire.names.remove(&attempt);
-                wire.answered.replace_range(.., id);
+                wire.ids.remove(&attempt);
+                wire.last_answered.replace_range(.., id);
                 let outcome = outcome(word);
-                if outcome.is_none() || wire.out.is_empty() && buffer.len() > used {
-                    end.spend();
+                if outcome.is_none() || wire.in_flight.is_empty() && buffer.len() > used {
+                    connection.poison();
                 }
                 let line = || format!("{id} {word} {score} {}", String::from_utf8_lossy(report));
-                let usable = told(
-                    end,
+                let usable = check_contract(
+                    connection,
                     &judge,
                     "A",
                     Direction::Answer,
@@ -519,7 +533,8 @@
                     outcome.and(Some(Outcome::Error))
                 };
                 let value = (outcome == Some(Outcome::Ok)).then(|| Value::Plain(value.into()));
-                end.ended(attempt, outcome.unwrap_or(Outcome::Error), value)
+                connection
+                    .report_attempt(attempt, outcome.unwrap_or(Outcome::Error), value)
                     .await;
                 if outcome.is_none() {
                     return Err(format!(
@@ -528,45 +543,47 @@
                     ));
                 }
             }
-            Frame::Load(text) if wire.probes > 0 => {
-                wire.probes -= 1;
-                told(
-                    end,
-                    &end.contracts.current(),
+            Frame::LoadReport(text) if wire.health_checks > 0 => {
+                wire.health_checks -= 1;
+                check_contract(
+                    connection,
+                    &connection.contracts.current(),
                     "L",
                     Direction::Answer,
                     text,
                     String::new,
-                    no_head,
+                    empty_head,
                 );
                 let outcome = if text == b"err" {
                     Outcome::Error
                 } else {
                     Outcome::Ok
                 };
-                let report = report(&String::from_utf8_lossy(text), &end.report_names);
-                end.tell(ConnectionEvent::HealthCheckEnded { outcome, report })
+                let report =
+                    parse_load_report(&String::from_utf8_lossy(text), &connection.report_names);
+                connection
+                    .notify(ConnectionEvent::HealthCheckEnded { outcome, report })
                     .await;
             }
-            Frame::Ping | Frame::Load(_) => {
+            Frame::Ping | Frame::LoadReport(_) => {
                 return Err("a probe's answer that nobody asked for".into())
             }
-            Frame::Complaint(text) => {
-                told(
-                    end,
-                    &end.contracts.current(),
+            Frame::Error(text) => {
+                check_contract(
+                    connection,
+                    &connection.contracts.current(),
                     "E",
                     Direction::Answer,
                     text.as_bytes(),
                     String::new,
-                    no_head,
+                    empty_head,
                 );
                 return Err(format!("it could not use a frame: {text}"));
             }
         }
     }
     buffer.drain(..used);
-    if wire.spent && wire.out.is_empty() {
+    if wire.poisoned && wire.in_flight.is_empty() {
         return Err("an answer came twice".into());
     }
     Ok(used)
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -7,9 +7,9 @@
 use crate::connections::connection::ConnectionHandle;
 
 /// Starts a connection's task.
-pub fn spawn(kind: BackendKind, end: ConnectionHandle) {
+pub fn spawn(kind: BackendKind, connection: ConnectionHandle) {
     match kind {
-        BackendKind::Frames => tokio::task::spawn_local(frames::run(end)),
-        BackendKind::OpenSearch => tokio::task::spawn_local(opensearch::run(end)),
+        BackendKind::Frames => tokio::task::spawn_local(frames::run(connection)),
+        BackendKind::OpenSearch => tokio::task::spawn_local(opensearch::run(connection)),
     };
 }
--- a/crates/coordinator/src/backends/opensearch.rs
+++ b/crates/coordinator/src/backends/opensearch.rs
@@ -12,13 +12,13 @@
 use tokio::net::TcpStream;
 
 /// The largest answer that is read.
-const MOST_ANSWER: usize = 1024 * 1024;
+const MAX_ANSWER: usize = 1024 * 1024;
 
 /// How long an answer that has begun may bring nothing more. One that stands still has a length that doesn't fit.
-const STALL: Duration = Duration::from_secs(1);
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The request of a part.
-pub fn search(job: &OutboundAttempt, host: &str, now: Time) -> Vec<u8> {
+pub fn encode_search(job: &OutboundAttempt, host: &str, now: Time) -> Vec<u8> {
     let body = match &job.text {
         Text::Query(text) => text.to_string(),
         Text::Plain(text) => {
@@ -91,22 +91,22 @@
 }
 
 /// A connection's life.
-pub async fn run(mut end: ConnectionHandle) {
-    let Some(mut stream) = end.dial().await else {
-        return end.close(Vec::new(), Outcome::ConnectFailed).await;
+pub async fn run(mut connection: ConnectionHandle) {
+    let Some(mut stream) = connection.dial().await else {
+        return connection.close(Vec::new(), Outcome::ConnectFailed).await;
     };
-    let shared = end.shared.clone();
+    let shared = connection.shared.clone();
     let mut buffer = Vec::new();
     let mut unsent = Vec::new();
     let mut why = Outcome::ConnectFailed;
     loop {
         let command = tokio::select! {
-            () = shared.done() => break,
-            command = end.commands.recv() => command,
+            () = shared.closed() => break,
+            command = connection.commands.recv() => command,
             // Between requests a server has nothing to say: what comes is the connection's end.
             read = stream.read_buf(&mut buffer) => {
                 if matches!(read, Ok(bytes) if bytes > 0) {
-                    tracing::warn!(server = %end.address, cause = "bytes that nobody asked for", "connection closed");
+                    tracing::warn!(server = %connection.address, cause = "bytes that nobody asked for", "connection closed");
                     why = Outcome::NotSent;
                 }
                 break;
@@ -114,9 +114,11 @@
         };
         match command {
             None => break,
-            Some(Command::Call(jobs)) if end.barred() => {
+            Some(Command::Call(jobs)) if connection.is_draining() => {
                 for job in jobs {
-                    end.ended(job.attempt, Outcome::ConnectFailed, None).await;
+                    connection
+                        .report_attempt(job.attempt, Outcome::ConnectFailed, None)
+                        .await;
                 }
             }
             // The pool gives this backend calls of one part.
@@ -124,57 +126,60 @@
                 let mut jobs = jobs.into_iter();
                 let Some(job) = jobs.next() else { continue };
                 unsent.extend(jobs);
-                if !job.may_be_sent(end.clock.now()) {
-                    end.ended(job.attempt, Outcome::NotSent, None).await;
+                if !job.may_be_sent(connection.clock.now()) {
+                    connection
+                        .report_attempt(job.attempt, Outcome::NotSent, None)
+                        .await;
                     continue;
                 }
-                if !exchange(&mut end, &mut stream, &mut buffer, job).await {
+                if !exchange(&mut connection, &mut stream, &mut buffer, job).await {
                     break;
                 }
             }
             // The part was answered meanwhile.
             Some(Command::Cancel(_)) => {}
             // This API has no report of the platform's kind.
-            Some(Command::Probe) => {
-                end.tell(ConnectionEvent::HealthCheckEnded {
-                    outcome: Outcome::NotSent,
-                    report: Vec::new(),
-                })
-                .await;
+            Some(Command::HealthCheck) => {
+                connection
+                    .notify(ConnectionEvent::HealthCheckEnded {
+                        outcome: Outcome::NotSent,
+                        report: Vec::new(),
+                    })
+                    .await;
             }
         }
     }
-    end.spend();
-    end.close(unsent, why).await;
+    connection.poison();
+    connection.close(unsent, why).await;
 }
 
 /// One search. Whether the connection can take another.
 async fn exchange(
-    end: &mut ConnectionHandle,
+    connection: &mut ConnectionHandle,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
     job: OutboundAttempt,
 ) -> bool {
-    let host = end.address.to_string();
-    let request = search(&job, &host, end.clock.now());
+    let host = connection.address.to_string();
+    let request = encode_search(&job, &host, connection.clock.now());
     let mut written = 0;
-    let shared = end.shared.clone();
+    let shared = connection.shared.clone();
     let (mut reader, mut writer) = stream.split();
     loop {
         tokio::select! {
             // Cancels come first: a part that was given up while its connection came up must not be sent.
             biased;
             // The core is done with this part or with the connection: closing it tells the server.
-            () = shared.done() => break,
-            command = end.commands.recv() => match command {
+            () = shared.closed() => break,
+            command = connection.commands.recv() => match command {
                 Some(Command::Cancel(attempt)) if attempt == job.attempt => return false,
                 Some(Command::Cancel(_)) => {}
-                Some(Command::Probe) => {
-                    end.tell(ConnectionEvent::HealthCheckEnded { outcome: Outcome::NotSent, report: Vec::new() }).await;
+                Some(Command::HealthCheck) => {
+                    connection.notify(ConnectionEvent::HealthCheckEnded { outcome: Outcome::NotSent, report: Vec::new() }).await;
                 }
                 Some(Command::Call(jobs)) => {
                     for job in jobs {
-                        end.ended(job.attempt, Outcome::ConnectFailed, None).await;
+                        connection.report_attempt(job.attempt, Outcome::ConnectFailed, None).await;
                     }
                 }
                 None => break,
@@ -183,10 +188,10 @@
                 Ok(bytes) if bytes > 0 => written += bytes,
                 _ => break,
             },
-            () = tokio::time::sleep(STALL), if !buffer.is_empty() => {
+            () = tokio::time::sleep(STALL_TIMEOUT), if !buffer.is_empty() => {
                 tracing::warn!(server = host, class = %job.class, request = %job.name, cause = "half an answer and no more", "connection closed");
-                cut(end, &job, &request, buffer);
-                end.ended(job.attempt, Outcome::Error, None).await;
+                record_incomplete_answer(connection, &job, &request, buffer);
+                connection.report_attempt(job.attempt, Outcome::Error, None).await;
                 return false;
             }
             read = reader.read_buf(buffer), if written == request.len() => {
@@ -194,11 +199,11 @@
                 if read.is_err() {
                     break;
                 }
-                match http::response(buffer, ended, MOST_ANSWER) {
+                match http::parse_response(buffer, ended, MAX_ANSWER) {
                     Ok(Some((response, used))) => {
                         buffer.drain(..used);
                         let (mut outcome, mut value) = outcome(&response);
-                        if !end.contracts.exchange(&job.judge, &end.server, &request, &response, true) {
+                        if !connection.contracts.exchange(&job.judge, &connection.server, &request, &response, true) {
                             (outcome, value) = (Outcome::Error, None);
                         }
                         // More than the answer came: the next search would be given it for its own.
@@ -208,21 +213,21 @@
                         }
                         let usable = !response.close && !ended && !more;
                         if !usable {
-                            end.spend();
+                            connection.poison();
                         }
-                        end.ended(job.attempt, outcome, value).await;
+                        connection.report_attempt(job.attempt, outcome, value).await;
                         return usable;
                     }
                     Ok(None) if ended => {
                         if !buffer.is_empty() {
-                            cut(end, &job, &request, buffer);
+                            record_incomplete_answer(connection, &job, &request, buffer);
                         }
                         break;
                     }
                     Ok(None) => {}
                     Err(bad) => {
-                        tracing::warn!(server = host, class = %job.class, request = %job.name, cause = bad.text(), "connection closed");
-                        end.ended(job.attempt, Outcome::Error, None).await;
+                        tracing::warn!(server = host, class = %job.class, request = %job.name, cause = bad.message(), "connection closed");
+                        connection.report_attempt(job.attempt, Outcome::Error, None).await;
                         return false;
                     }
                 }
@@ -235,18 +240,24 @@
     } else {
         Outcome::Reset
     };
-    end.ended(job.attempt, outcome, None).await;
+    connection.report_attempt(job.attempt, outcome, None).await;
     false
 }
 
 /// Tells of an answer that began and did not come whole.
-fn cut(end: &ConnectionHandle, job: &OutboundAttempt, request: &[u8], buffer: &[u8]) {
+fn record_incomplete_answer(
+    connection: &ConnectionHandle,
+    job: &OutboundAttempt,
+    request: &[u8],
+    buffer: &[u8],
+) {
     let response = Response {
         status: 0,
         fields: http::Fields::default(),
         body: buffer.to_vec(),
         close: true,
     };
-    end.contracts
-        .exchange(&job.judge, &end.server, request, &response, false);
+    connection
+        .contracts
+        .exchange(&job.judge, &connection.server, request, &response, false);
 }
--- a/crates/coordinator/src/connections/connection.rs
+++ b/crates/coordinator/src/connections/connection.rs
@@ -15,32 +15,32 @@
 use tokio::sync::{mpsc, Notify};
 
 /// The most that one look at a socket takes.
-const MOST_LOOK: usize = 128 * 1024;
+const MAX_READ_AHEAD: usize = 128 * 1024;
 
 /// What the core asks of a connection.
 pub enum Command {
     /// Parts that make up one call.
     Call(Vec<OutboundAttempt>),
     Cancel(Attempt),
-    Probe,
+    HealthCheck,
 }
 
 /// What both ends of a connection see at once.
 #[derive(Default)]
 pub struct Shared {
     /// Nothing new may be written: its server drains or is gone.
-    pub barred: Cell<bool>,
+    pub draining: Cell<bool>,
     /// Nothing new should be queued: the connection is about to be closed for what came on it, or stands in the
     /// middle of an answer.
-    pub spent: Cell<bool>,
+    pub poisoned: Cell<bool>,
     /// The core is done with the connection.
-    pub ended: Notify,
+    pub close: Notify,
 }
 
 impl Shared {
     /// Resolves once the core is done with the connection.
-    pub async fn done(&self) {
-        self.ended.notified().await;
+    pub async fn closed(&self) {
+        self.close.notified().await;
     }
 }
 
@@ -61,20 +61,20 @@
 }
 
 impl ConnectionHandle {
-    pub fn barred(&self) -> bool {
-        self.shared.barred.get()
+    pub fn is_draining(&self) -> bool {
+        self.shared.draining.get()
     }
 
     /// Keeps the core from queuing more here, from now on and not only once it hears of the end.
-    pub fn spend(&self) {
-        self.set_spent(true);
+    pub fn poison(&self) {
+        self.set_poisoned(true);
     }
 
-    pub fn set_spent(&self, spent: bool) {
-        self.shared.spent.set(spent);
+    pub fn set_poisoned(&self, poisoned: bool) {
+        self.shared.poisoned.set(poisoned);
     }
 
-    pub async fn tell(&self, what: ConnectionEvent) {
+    pub async fn notify(&self, what: ConnectionEvent) {
         let _ = self
             .core
             .send(Message::Connection(ConnectionReport {
@@ -84,8 +84,8 @@
             .await;
     }
 
-    pub async fn ended(&self, attempt: Attempt, outcome: Outcome, value: Option<Value>) {
-        self.tell(ConnectionEvent::AttemptEnded {
+    pub async fn report_attempt(&self, attempt: Attempt, outcome: Outcome, value: Option<Value>) {
+        self.notify(ConnectionEvent::AttemptEnded {
             attempt,
             outcome,
             value,
@@ -97,11 +97,11 @@
     pub async fn dial(&self) -> Option<tokio::net::TcpStream> {
         tokio::select! {
             biased;
-            () = self.shared.done() => None,
+            () = self.shared.closed() => None,
             stream = tokio::net::TcpStream::connect(self.address) => {
                 let stream = stream.ok()?;
                 let _ = stream.set_nodelay(true);
-                self.tell(ConnectionEvent::Connected).await;
+                self.notify(ConnectionEvent::Connected).await;
                 Some(stream)
             }
         }
@@ -111,18 +111,18 @@
     /// the connection was closed from here, never sent, which says nothing of the server's health.
     pub async fn close(mut self, unsent: Vec<OutboundAttempt>, why: Outcome) {
         for job in unsent {
-            self.ended(job.attempt, why, None).await;
+            self.report_attempt(job.attempt, why, None).await;
         }
         self.commands.close();
         while let Ok(command) = self.commands.try_recv() {
             match command {
                 Command::Call(jobs) => {
                     for job in jobs {
-                        self.ended(job.attempt, why, None).await;
+                        self.report_attempt(job.attempt, why, None).await;
                     }
                 }
-                Command::Probe => {
-                    self.tell(ConnectionEvent::HealthCheckEnded {
+                Command::HealthCheck => {
+                    self.notify(ConnectionEvent::HealthCheckEnded {
                         outcome: Outcome::ConnectFailed,
                         report: Vec::new(),
                     })
@@ -131,16 +131,16 @@
                 Command::Cancel(_) => {}
             }
         }
-        self.tell(ConnectionEvent::Closed).await;
+        self.notify(ConnectionEvent::Closed).await;
     }
 }
 
 /// Reads what lies in the socket at this very moment, whatever the runtime has heard of it. Whether that was anything.
 /// Guards against a close that crosses what has just come: it would be lost, and the connection reset.
-pub fn look(stream: &tokio::net::TcpStream, buffer: &mut Vec<u8>) -> bool {
+pub fn read_available(stream: &tokio::net::TcpStream, buffer: &mut Vec<u8>) -> bool {
     let before = buffer.len();
     let mut chunk = [0; 4096];
-    while buffer.len() - before < MOST_LOOK {
+    while buffer.len() - before < MAX_READ_AHEAD {
         match (&*socket2::SockRef::from(stream)).read(&mut chunk) {
             Ok(bytes) if bytes > 0 => buffer.extend_from_slice(&chunk[..bytes]),
             _ => break,
--- a/crates/coordinator/src/connections/pool.rs
+++ b/crates/coordinator/src/connections/pool.rs
@@ -12,7 +12,7 @@
 };
 use crate::observability::metrics::{Counter, Metrics};
 use cairnroad_settings::Deployment;
-use cairnroad_types::{Outcome, ServerId, ServerState, Time};
+use cairnroad_types::{Outcome, Seconds, ServerId, ServerState, Time};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,30 +21,30 @@
 use tokio::sync::mpsc;
 
 /// Commands that may wait for a connection. One that lets them pile up has hung.
-const QUEUE: usize = 256;
+const COMMAND_QUEUE_LENGTH: usize = 256;
 /// A connection that owes an answer and has been silent for this share of the shortest aim gets nothing new: its
 /// machine may be gone, or the connection alone. A fresh one answers, or fails in the dial time-out, which proves
 /// that a part never ran; silence proves nothing. Many answers pass on a sound connection in that time.
-const SILENT_SHARE: f64 = 0.25;
+const SILENCE_SHARE: f64 = 0.25;
 /// Most connections to one server that may be silent: where a server is slow as a whole, more would not help it.
-const MOST_SILENT: usize = 3;
+const MAX_SILENT_PER_SERVER: usize = 3;
 /// Idle connections are closed after this share of the time after which their other side does so.
 const IDLE_SHARE: f64 = 0.7;
 /// How often idle connections are looked for, in seconds; and in shares of that time, if that is less: each must be found
 /// before its other side closes it.
-const SWEEP: f64 = 0.5;
+const MAX_SWEEP_INTERVAL: f64 = 0.5;
 const SWEEP_SHARE: f64 = 0.1;
 
 /// What a connection brought to the core's table.
 pub enum PoolEvent {
-    Attempt(AttemptResult),
-    Probe {
+    AttemptEnded(AttemptResult),
+    HealthCheckEnded {
         server: ServerId,
         outcome: Outcome,
         report: Vec<f64>,
     },
     /// A connection ended that was never up.
-    NotUp,
+    DialFailed,
 }
 
 /// The core's end of a connection.
@@ -53,48 +53,48 @@
     address: SocketAddr,
     commands: mpsc::Sender<Command>,
     shared: Rc<Shared>,
-    up: bool,
-    out: BTreeSet<Attempt>,
-    used: Time,
+    established: bool,
+    in_flight: BTreeSet<Attempt>,
+    last_used: Time,
     /// How long it owed answers and said nothing, up to when it last owed none; and from when on it owes one. A
     /// cancel ends a debt, yet proves nothing: only what is heard does.
-    unheard: f64,
-    owes_since: Option<Time>,
+    earlier_silence: f64,
+    awaiting_since: Option<Time>,
     /// It gets nothing new.
     retired: bool,
 }
 
 impl Connection {
-    fn owe(&mut self, now: Time) {
-        self.owes_since.get_or_insert(now);
+    fn expect_answer(&mut self, now: Time) {
+        self.awaiting_since.get_or_insert(now);
     }
 
     /// Something came from the server.
-    fn hear(&mut self, now: Time) {
-        self.unheard = 0.0;
-        self.owes_since = (!self.out.is_empty()).then_some(now);
+    fn heard(&mut self, now: Time) {
+        self.earlier_silence = 0.0;
+        self.awaiting_since = (!self.in_flight.is_empty()).then_some(now);
     }
 
     /// An attempt is not waited for any more.
-    fn let_off(&mut self, now: Time) {
-        if self.out.is_empty() {
-            self.unheard = self.silence(now);
-            self.owes_since = None;
+    fn release(&mut self, now: Time) {
+        if self.in_flight.is_empty() {
+            self.earlier_silence = self.silence(now);
+            self.awaiting_since = None;
         }
     }
 
     /// For how long it has owed answers and said nothing.
     fn silence(&self, now: Time) -> f64 {
-        self.unheard + self.owes_since.map_or(0.0, |at| now - at)
+        self.earlier_silence + self.awaiting_since.map_or(0.0, |at| now - at)
     }
 
-    fn end(&mut self) {
+    fn close(&mut self) {
         self.retired = true;
-        self.shared.ended.notify_one();
+        self.shared.close.notify_one();
     }
 }
 
-struct Node {
+struct Server {
     id: Arc<str>,
     address: SocketAddr,
     state: ServerState,
@@ -102,34 +102,34 @@
 }
 
 /// Silence, in seconds, after which a connection gets nothing new.
-fn silent(deployment: &Deployment) -> f64 {
-    deployment.shortest_aim() * SILENT_SHARE
+fn silence_limit(deployment: &Deployment) -> f64 {
+    deployment.shortest_aim() * SILENCE_SHARE
 }
 
 /// Seconds between two sweeps of a pool.
-pub fn sweep_every(deployment: &Deployment) -> f64 {
-    SWEEP.min(SWEEP_SHARE * deployment.keepalive)
+pub fn sweep_interval(deployment: &Deployment) -> f64 {
+    MAX_SWEEP_INTERVAL.min(SWEEP_SHARE * deployment.keepalive)
 }
 
 pub struct Pool {
     kind: BackendKind,
-    most_links: usize,
+    max_connections: usize,
     /// Parts that one connection may carry at a time, and parts of one call.
-    streams: usize,
-    batch: usize,
+    max_parts_per_connection: usize,
+    max_parts_per_call: usize,
     dial_timeout: f64,
-    idle: f64,
+    idle_timeout: Seconds,
     /// Silence, in seconds, after which a connection gets nothing new.
-    silent: f64,
+    silence_limit: Seconds,
     report_names: Arc<[String]>,
     contracts: Rc<Contracts>,
     clock: Clock,
     core: mpsc::Sender<Message>,
-    next: u64,
-    nodes: BTreeMap<ServerId, Node>,
-    links: BTreeMap<u64, Connection>,
+    next_id: u64,
+    servers: BTreeMap<ServerId, Server>,
+    connections: BTreeMap<u64, Connection>,
     /// On which connection each attempt is out, and whether it is still to be sent.
-    out: BTreeMap<Attempt, (u64, Rc<Cell<bool>>)>,
+    in_flight: BTreeMap<Attempt, (u64, Rc<Cell<bool>>)>,
     staged: BTreeMap<ServerId, Vec<OutboundAttempt>>,
 }
 
@@ -151,50 +151,50 @@
         };
         Pool {
             kind: config.backend,
-            most_links: config.limits.links,
-            streams,
-            batch,
+            max_connections: config.limits.links,
+            max_parts_per_connection: streams,
+            max_parts_per_call: batch,
             dial_timeout: deployment.dial_timeout,
-            idle: deployment.keepalive * IDLE_SHARE,
-            silent: silent(deployment),
+            idle_timeout: deployment.keepalive * IDLE_SHARE,
+            silence_limit: silence_limit(deployment),
             report_names: deployment.report_names.clone().into(),
             contracts,
             clock,
             core,
-            next: 0,
-            nodes: BTreeMap::new(),
-            links: BTreeMap::new(),
-            out: BTreeMap::new(),
+            next_id: 0,
+            servers: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             staged: BTreeMap::new(),
         }
     }
 
     /// Takes other settings.
-    pub fn retune(&mut self, deployment: &Deployment) {
-        self.silent = silent(deployment);
+    pub fn reconfigure(&mut self, deployment: &Deployment) {
+        self.silence_limit = silence_limit(deployment);
     }
 
-    pub fn any_ready(&self) -> bool {
-        self.nodes
+    pub fn any_server_ready(&self) -> bool {
+        self.servers
             .values()
-            .any(|node| node.state == ServerState::Ready)
+            .any(|server_entry| server_entry.state == ServerState::Ready)
     }
 
     /// Takes in the list. What is queued for a server that drains or is gone is not sent any more.
-    pub fn note_list(&mut self, rows: &[(ServerId, EndpointEntry)], complete: bool) {
+    pub fn on_endpoint_list(&mut self, rows: &[(ServerId, EndpointEntry)], complete: bool) {
         if complete && !rows.is_empty() {
             let listed: BTreeSet<ServerId> = rows.iter().map(|(server, _)| *server).collect();
-            for (server, node) in &mut self.nodes {
+            for (server, server_entry) in &mut self.servers {
                 if !listed.contains(server) {
-                    node.state = ServerState::Removed;
+                    server_entry.state = ServerState::Removed;
                 }
             }
         }
         for (server, row) in rows {
             let id = row.id.as_str().into();
-            self.nodes.insert(
+            self.servers.insert(
                 *server,
-                Node {
+                Server {
                     id,
                     address: row.address,
                     state: row.state,
@@ -202,18 +202,18 @@
                 },
             );
         }
-        for link in self.links.values_mut() {
-            let Some(node) = self.nodes.get(&link.server) else {
+        for connection in self.connections.values_mut() {
+            let Some(server_entry) = self.servers.get(&connection.server) else {
                 continue;
             };
-            let barred = node.state != ServerState::Ready;
-            link.shared.barred.set(barred);
-            if barred && !link.up {
+            let draining = server_entry.state != ServerState::Ready;
+            connection.shared.draining.set(draining);
+            if draining && !connection.established {
                 // A connection still being dialled may come up after the grace, with calls in its queue.
-                link.end();
+                connection.close();
             }
-            if link.address != node.address {
-                link.retired = true;
+            if connection.address != server_entry.address {
+                connection.retired = true;
             }
         }
     }
@@ -228,14 +228,14 @@
     pub fn flush(
         &mut self,
         now: Time,
-        tally: &mut Metrics,
+        metrics: &mut Metrics,
     ) -> (Vec<AttemptResult>, Vec<(u64, Time)>) {
         let (mut failed, mut dials) = (Vec::new(), Vec::new());
         for (server, mut jobs) in std::mem::take(&mut self.staged) {
             while !jobs.is_empty() {
-                let rest = jobs.split_off(jobs.len().min(self.batch));
+                let rest = jobs.split_off(jobs.len().min(self.max_parts_per_call));
                 let call = std::mem::replace(&mut jobs, rest);
-                let Some(id) = self.link_for(now, server, &call, &mut dials) else {
+                let Some(id) = self.select_connection(now, server, &call, &mut dials) else {
                     let ended = |job: OutboundAttempt| AttemptResult {
                         attempt: job.attempt,
                         outcome: Outcome::ConnectFailed,
@@ -244,63 +244,73 @@
                     failed.extend(call.into_iter().map(ended));
                     continue;
                 };
-                let Some(link) = self.links.get_mut(&id) else {
+                let Some(connection) = self.connections.get_mut(&id) else {
                     continue;
                 };
-                tally.add(Counter::Calls);
+                metrics.add(Counter::Calls);
                 for job in &call {
-                    link.out.insert(job.attempt);
-                    self.out.insert(job.attempt, (id, job.wanted.clone()));
+                    connection.in_flight.insert(job.attempt);
+                    self.in_flight.insert(job.attempt, (id, job.wanted.clone()));
                 }
-                link.used = now;
-                link.owe(now);
-                // `link_for` saw room in the queue.
-                let _ = link.commands.try_send(Command::Call(call));
+                connection.last_used = now;
+                connection.expect_answer(now);
+                // `select_connection` saw room in the queue.
+                let _ = connection.commands.try_send(Command::Call(call));
             }
         }
         (failed, dials)
     }
 
     /// The connection that a call takes: the one with the least out that has room, else a new one.
-    fn link_for(
+    fn select_connection(
         &mut self,
         now: Time,
         server: ServerId,
         call: &[OutboundAttempt],
         dials: &mut Vec<(u64, Time)>,
     ) -> Option<u64> {
-        let node = self
-            .nodes
+        let server_entry = self
+            .servers
             .get(&server)
-            .filter(|node| node.state == ServerState::Ready)?;
-        let (address, name) = (node.address, node.id.clone());
-        let silent = |link: &Connection| link.silence(now) > self.silent;
-        let to_server = self.links.values().filter(|link| link.server == server);
-        let too_many = to_server.filter(|link| silent(link)).count() >= MOST_SILENT;
-        let usable = self.links.iter().filter(|(_, link)| {
-            link.server == server
-                && !link.retired
-                && !link.shared.spent.get()
-                && (too_many || !silent(link))
-                && link.out.len() + call.len() <= self.streams
-                && link.commands.capacity() > 0
+            .filter(|server_entry| server_entry.state == ServerState::Ready)?;
+        let (address, name) = (server_entry.address, server_entry.id.clone());
+        let silent = |connection: &Connection| connection.silence(now) > self.silence_limit;
+        let to_server = self
+            .connections
+            .values()
+            .filter(|connection| connection.server == server);
+        let too_many =
+            to_server.filter(|connection| silent(connection)).count() >= MAX_SILENT_PER_SERVER;
+        let usable = self.connections.iter().filter(|(_, connection)| {
+            connection.server == server
+                && !connection.retired
+                && !connection.shared.poisoned.get()
+                && (too_many || !silent(connection))
+                && connection.in_flight.len() + call.len() <= self.max_parts_per_connection
+                && connection.commands.capacity() > 0
                 // Names tell parts apart on a connection: two attempts of one part never share one.
-                && !call.iter().any(|job| link.out.iter().any(|out| out.part == job.attempt.part))
+                && !call.iter().any(|job| connection.in_flight.iter().any(|out| out.part == job.attempt.part))
         });
         let best = usable
-            .min_by_key(|(_, link)| (silent(link), !link.up, link.out.len()))
+            .min_by_key(|(_, connection)| {
+                (
+                    silent(connection),
+                    !connection.established,
+                    connection.in_flight.len(),
+                )
+            })
             .map(|(&id, _)| id);
         if best.is_some() {
             return best;
         }
-        if self.links.len() >= self.most_links && !self.close_an_idle_one() {
-            tracing::warn!(server = %address, open = self.links.len(), "no connection is left for a server");
+        if self.connections.len() >= self.max_connections && !self.close_most_recent_idle() {
+            tracing::warn!(server = %address, open = self.connections.len(), "no connection is left for a server");
             return None;
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let shared = Rc::new(Shared::default());
-        let (commands, queue) = mpsc::channel(QUEUE);
+        let (commands, queue) = mpsc::channel(COMMAND_QUEUE_LENGTH);
         let end = ConnectionHandle {
             id,
             server: name,
@@ -313,19 +323,19 @@
             core: self.core.clone(),
         };
         backends::spawn(self.kind, end);
-        let link = Connection {
+        let connection = Connection {
             server,
             address,
             commands,
             shared,
-            up: false,
-            out: BTreeSet::new(),
-            used: now,
-            unheard: 0.0,
-            owes_since: None,
+            established: false,
+            in_flight: BTreeSet::new(),
+            last_used: now,
+            earlier_silence: 0.0,
+            awaiting_since: None,
             retired: false,
         };
-        self.links.insert(id, link);
+        self.connections.insert(id, connection);
         dials.push((id, now + self.dial_timeout));
         Some(id)
     }
@@ -333,14 +343,14 @@
     /// Makes room under the limit on connections: closes the idle one used last. Turns come back to that server
     /// last of all, while the one used longest ago is next; closing that one misses each time where a fleet has
     /// more servers than the table has room.
-    fn close_an_idle_one(&mut self) -> bool {
+    fn close_most_recent_idle(&mut self) -> bool {
         let idle = self
-            .links
+            .connections
             .values_mut()
-            .filter(|link| link.out.is_empty() && !link.retired);
-        match idle.max_by_key(|link| link.used) {
-            Some(link) => {
-                link.end();
+            .filter(|connection| connection.in_flight.is_empty() && !connection.retired);
+        match idle.max_by_key(|connection| connection.last_used) {
+            Some(connection) => {
+                connection.close();
                 true
             }
             None => false,
@@ -348,21 +358,21 @@
     }
 
     /// Whether an attempt is still waited for.
-    pub fn is_out(&self, attempt: Attempt) -> bool {
-        self.out.contains_key(&attempt)
+    pub fn is_in_flight(&self, attempt: Attempt) -> bool {
+        self.in_flight.contains_key(&attempt)
     }
 
     /// Whether a server started less than so many seconds ago.
-    pub fn is_young(&self, now: Time, server: ServerId, warm_up: f64) -> bool {
-        self.nodes
+    pub fn is_warming_up(&self, now: Time, server: ServerId, warm_up: f64) -> bool {
+        self.servers
             .get(&server)
-            .and_then(|node| node.ready_at)
+            .and_then(|server_entry| server_entry.ready_at)
             .is_some_and(|at| now - at < warm_up)
     }
 
     /// How many connections there are, up or being dialled.
-    pub fn links(&self) -> usize {
-        self.links.len()
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
     /// Stops waiting for an attempt and tells the server, or drops it where it is still staged.
@@ -370,36 +380,40 @@
         for jobs in self.staged.values_mut() {
             jobs.retain(|job| job.attempt != attempt);
         }
-        let Some((id, wanted)) = self.out.remove(&attempt) else {
+        let Some((id, wanted)) = self.in_flight.remove(&attempt) else {
             return;
         };
         wanted.set(false);
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        link.out.remove(&attempt);
-        link.used = now;
+        connection.in_flight.remove(&attempt);
+        connection.last_used = now;
         // A search is cancelled by closing its connection: nothing new may queue there behind the cancel.
-        link.retired |= self.kind == BackendKind::OpenSearch;
-        if link.commands.try_send(Command::Cancel(attempt)).is_err() {
-            link.end();
+        connection.retired |= self.kind == BackendKind::OpenSearch;
+        if connection
+            .commands
+            .try_send(Command::Cancel(attempt))
+            .is_err()
+        {
+            connection.close();
         }
-        link.let_off(now);
+        connection.release(now);
     }
 
     /// Nobody waits for an attempt any more: it isn't sent if that has not begun. Its server isn't told.
-    pub fn unwant(&mut self, attempt: Attempt) {
+    pub fn withdraw(&mut self, attempt: Attempt) {
         for jobs in self.staged.values_mut() {
             jobs.retain(|job| job.attempt != attempt);
         }
-        if let Some((_, wanted)) = self.out.get(&attempt) {
+        if let Some((_, wanted)) = self.in_flight.get(&attempt) {
             wanted.set(false);
         }
     }
 
     /// An attempt's time is up. Whether it was still out.
-    pub fn abandon(&mut self, attempt: Attempt) -> bool {
-        let out = self.out.contains_key(&attempt);
+    pub fn time_out(&mut self, attempt: Attempt) -> bool {
+        let out = self.in_flight.contains_key(&attempt);
         if out {
             self.cancel(self.clock.now(), attempt);
         }
@@ -408,57 +422,66 @@
 
     /// Asks a server for its load report, on a connection that is up. Without one it goes unasked: dialling for
     /// a hint would cost the server more than the hint tells.
-    pub fn probe(&mut self, server: ServerId) {
-        let mut links = self
-            .links
-            .values()
-            .filter(|link| link.server == server && link.up && !link.retired);
-        links.any(|link| link.commands.try_send(Command::Probe).is_ok());
+    pub fn request_health_check(&mut self, server: ServerId) {
+        let mut connections = self.connections.values().filter(|connection| {
+            connection.server == server && connection.established && !connection.retired
+        });
+        connections.any(|connection| connection.commands.try_send(Command::HealthCheck).is_ok());
     }
 
     /// A connection that is not up by now has failed.
-    pub fn dial_is_due(&mut self, link: u64) {
-        if let Some(link) = self.links.get_mut(&link).filter(|link| !link.up) {
-            link.end();
+    pub fn on_dial_deadline(&mut self, connection: u64) {
+        if let Some(connection) = self
+            .connections
+            .get_mut(&connection)
+            .filter(|connection| !connection.established)
+        {
+            connection.close();
         }
     }
 
     /// Closes connections that stand idle, before their other side does so without a word, and those that get
     /// nothing new; forgets servers that are gone once no connection to them is left.
     pub fn sweep(&mut self, now: Time) {
-        for link in self.links.values_mut() {
+        for connection in self.connections.values_mut() {
             let gone = self
-                .nodes
-                .get(&link.server)
-                .is_none_or(|node| node.state == ServerState::Removed);
-            let over = now - link.used > self.idle || link.silence(now) > self.silent;
-            let done = gone || link.retired || link.shared.spent.get() || over;
-            if link.up && link.out.is_empty() && done {
-                link.end();
+                .servers
+                .get(&connection.server)
+                .is_none_or(|server_entry| server_entry.state == ServerState::Removed);
+            let over = now - connection.last_used > self.idle_timeout
+                || connection.silence(now) > self.silence_limit;
+            let done = gone || connection.retired || connection.shared.poisoned.get() || over;
+            if connection.established && connection.in_flight.is_empty() && done {
+                connection.close();
             }
         }
-        let linked: BTreeSet<ServerId> = self.links.values().map(|link| link.server).collect();
-        self.nodes
-            .retain(|server, node| node.state != ServerState::Removed || linked.contains(server));
+        let linked: BTreeSet<ServerId> = self
+            .connections
+            .values()
+            .map(|connection| connection.server)
+            .collect();
+        self.servers.retain(|server, server_entry| {
+            server_entry.state != ServerState::Removed || linked.contains(server)
+        });
     }
 
     /// How many servers and connections are known.
     #[cfg(test)]
     pub fn size(&self) -> (usize, usize) {
-        (self.nodes.len(), self.links.len())
+        (self.servers.len(), self.connections.len())
     }
 
     /// Notes what a connection tells; returns what the decisions must hear.
-    pub fn note(&mut self, now: Time, event: ConnectionReport) -> Option<PoolEvent> {
-        let link = self.links.get_mut(&event.connection)?;
+    pub fn on_connection_event(&mut self, now: Time, event: ConnectionReport) -> Option<PoolEvent> {
+        let connection = self.connections.get_mut(&event.connection)?;
         match event.event {
             ConnectionEvent::Connected => {
-                link.up = true;
-                link.hear(now);
+                connection.established = true;
+                connection.heard(now);
                 None
             }
             ConnectionEvent::Heard => {
-                link.hear(now);
+                connection.heard(now);
                 None
             }
             ConnectionEvent::AttemptEnded {
@@ -466,29 +489,31 @@
                 outcome,
                 value,
             } => {
-                let known = link.out.remove(&attempt);
+                let known = connection.in_flight.remove(&attempt);
                 if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
-                    link.used = now;
-                    link.hear(now);
+                    connection.last_used = now;
+                    connection.heard(now);
                 }
                 if !known {
                     return None; // cancelled or timed out meanwhile
                 }
-                self.out.remove(&attempt);
-                Some(PoolEvent::Attempt(AttemptResult {
+                self.in_flight.remove(&attempt);
+                Some(PoolEvent::AttemptEnded(AttemptResult {
                     attempt,
                     outcome,
                     value,
                 }))
             }
-            ConnectionEvent::HealthCheckEnded { outcome, report } => Some(PoolEvent::Probe {
-                server: link.server,
-                outcome,
-                report,
-            }),
+            ConnectionEvent::HealthCheckEnded { outcome, report } => {
+                Some(PoolEvent::HealthCheckEnded {
+                    server: connection.server,
+                    outcome,
+                    report,
+                })
+            }
             ConnectionEvent::Closed => {
-                let link = self.links.remove(&event.connection)?;
-                (!link.up).then_some(PoolEvent::NotUp)
+                let connection = self.connections.remove(&event.connection)?;
+                (!connection.established).then_some(PoolEvent::DialFailed)
             }
         }
     }
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -19,7 +19,7 @@
         let config = crate::configuration::tests::sample();
         let contracts = Rc::new(Contracts::new(clock.clone(), Default::default()));
         let mut pool = Pool::new(&config, contracts, clock.clone(), to_core);
-        pool.note_list(
+        pool.on_endpoint_list(
             &list(listener.local_addr().unwrap(), ServerState::Ready),
             true,
         );
@@ -27,7 +27,7 @@
     });
 }
 
-fn tally() -> Metrics {
+fn metrics() -> Metrics {
     Metrics::new(0.0, Time(0))
 }
 
@@ -68,8 +68,8 @@
 fn room_is_made_by_the_idle_connection_used_last() {
     before_a_server(|listener, mut pool, _messages, _clock| async move {
         let address = listener.local_addr().unwrap();
-        let link = |server: u32, used: f64, busy: bool| {
-            let out = if busy {
+        let connection = |server: u32, used: f64, busy: bool| {
+            let in_flight = if busy {
                 BTreeSet::from([Attempt {
                     part: RequestId(9),
                     number: 0,
@@ -79,18 +79,18 @@
             };
             let (commands, _) = mpsc::channel(1);
             let shared = Rc::new(Shared::default());
-            let (unheard, owes_since, retired, up) = (0.0, None, false, true);
-            let used = Time::from_secs(used);
+            let (earlier_silence, awaiting_since, retired, established) = (0.0, None, false, true);
+            let last_used = Time::from_secs(used);
             Connection {
                 server: ServerId(server),
                 address,
                 commands,
                 shared,
-                up,
-                out,
-                used,
-                unheard,
-                owes_since,
+                established,
+                in_flight,
+                last_used,
+                earlier_silence,
+                awaiting_since,
                 retired,
             }
         };
@@ -103,14 +103,15 @@
         .into_iter()
         .enumerate()
         {
-            pool.links.insert(id as u64, link(server, used, busy));
+            pool.connections
+                .insert(id as u64, connection(server, used, busy));
         }
-        assert!(pool.close_an_idle_one());
+        assert!(pool.close_most_recent_idle());
         let closed: Vec<u32> = pool
-            .links
+            .connections
             .values()
-            .filter(|link| link.retired)
-            .map(|link| link.server.0)
+            .filter(|connection| connection.retired)
+            .map(|connection| connection.server.0)
             .collect();
         assert_eq!(closed, [1], "the idle one used last; a busy one stays");
     });
@@ -137,7 +138,7 @@
             };
             pool.stage(ServerId(0), job(attempt, &clock));
             assert_eq!(
-                pool.flush(start + sent, &mut tally()).1.len(),
+                pool.flush(start + sent, &mut metrics()).1.len(),
                 usize::from(dials),
                 "part {number}"
             );
@@ -146,7 +147,7 @@
                     panic!("no connection")
                 };
                 assert!(matches!(event.event, ConnectionEvent::Connected));
-                pool.note(start + sent, event);
+                pool.on_connection_event(start + sent, event);
             }
             pool.cancel(start + cancelled, attempt);
         }
@@ -171,14 +172,14 @@
                     &clock,
                 ),
             );
-            pool.flush(now, &mut tally()).1.len()
+            pool.flush(now, &mut metrics()).1.len()
         };
         assert_eq!(send(&mut pool, 1), 1);
         let (mut server, _) = listener.accept().await.unwrap();
         let Some(Message::Connection(up)) = messages.recv().await else {
             panic!("no connection")
         };
-        pool.note(now, up);
+        pool.on_connection_event(now, up);
         assert_eq!(send(&mut pool, 2), 0);
         server.read_exact(&mut [0; 30]).await.unwrap();
         server
@@ -198,9 +199,9 @@
             tokio::task::yield_now().await;
             number += 1;
         }
-        let link = pool.links.values().next().unwrap();
+        let connection = pool.connections.values().next().unwrap();
         assert!(
-            link.shared.spent.get() && link.silence(now) == 0.0,
+            connection.shared.poisoned.get() && connection.silence(now) == 0.0,
             "not for its silence"
         );
     });
@@ -216,13 +217,14 @@
             number: 0,
         };
         pool.stage(ServerId(0), job(attempt, &clock));
-        let (failed, dials) = pool.flush(clock.now(), &mut tally());
+        let (failed, dials) = pool.flush(clock.now(), &mut metrics());
         assert_eq!((failed.len(), dials.len()), (0, 1));
-        pool.note_list(&list(address, ServerState::Draining), false);
+        pool.on_endpoint_list(&list(address, ServerState::Draining), false);
         let Some(Message::Connection(event)) = messages.recv().await else {
             panic!("no outcome")
         };
-        let Some(PoolEvent::Attempt(ended)) = pool.note(clock.now(), event) else {
+        let Some(PoolEvent::AttemptEnded(ended)) = pool.on_connection_event(clock.now(), event)
+        else {
             panic!("no attempt")
         };
         assert_eq!(
@@ -244,7 +246,7 @@
         let Some(Message::Connection(event)) = messages.recv().await else {
             panic!("no message")
         };
-        if let Some(PoolEvent::Attempt(ended)) = pool.note(clock.now(), event) {
+        if let Some(PoolEvent::AttemptEnded(ended)) = pool.on_connection_event(clock.now(), event) {
             ends.push((ended.attempt.part.0, ended.outcome));
         }
     }
@@ -262,7 +264,7 @@
 fn send(pool: &mut Pool, clock: &Clock, parts: impl IntoIterator<Item = u64>) {
     for part in parts {
         pool.stage(ServerId(0), job(first(part), clock));
-        pool.flush(clock.now(), &mut tally());
+        pool.flush(clock.now(), &mut metrics());
     }
 }
 
@@ -292,9 +294,9 @@
 #[test]
 fn no_cancelled_call_that_waits_behind_a_dial_is_written() {
     before_a_server(|listener, mut pool, mut messages, clock| async move {
-        pool.streams = 400;
+        pool.max_parts_per_connection = 400;
         send(&mut pool, &clock, 0..120);
-        assert_eq!(pool.links(), 1);
+        assert_eq!(pool.connection_count(), 1);
         for part in 0..119 {
             pool.cancel(clock.now(), first(part));
         }
@@ -320,7 +322,7 @@
 fn an_unwanted_call_is_not_written_and_nobody_is_told() {
     before_a_server(|listener, mut pool, mut messages, clock| async move {
         send(&mut pool, &clock, [1, 2]);
-        pool.unwant(first(1));
+        pool.withdraw(first(1));
         let (mut server, _) = listener.accept().await.unwrap();
         assert!(frame(&mut server).await.starts_with("Qq2.0 "));
         assert_eq!(
@@ -328,7 +330,7 @@
             [(1, Outcome::NotSent)],
             "it never ran"
         );
-        assert!(pool.is_out(first(2)));
+        assert!(pool.is_in_flight(first(2)));
     });
 }
 
@@ -344,7 +346,7 @@
         let Some(Message::Connection(up)) = messages.recv().await else {
             panic!("no connection")
         };
-        pool.note(clock.now(), up);
+        pool.on_connection_event(clock.now(), up);
         tokio::task::yield_now().await;
         server.write_all(&answer("q1.0 ok 1 -", "v")).await.unwrap();
         reset(server);
@@ -426,7 +428,7 @@
             // More than the system takes in while nobody reads.
             large.text = Text::Plain("t".repeat(64 * 1024 * 1024).into());
             pool.stage(ServerId(0), large);
-            pool.flush(clock.now(), &mut tally());
+            pool.flush(clock.now(), &mut metrics());
             let (mut server, _) = listener.accept().await.unwrap();
             match whole {
                 true => drop(frame(&mut server).await),
@@ -459,7 +461,7 @@
     for keepalive in [0.2, 1.0, 1.6, 15.0, 60.0] {
         deployment.keepalive = keepalive;
         assert!(
-            IDLE_SHARE * keepalive + sweep_every(&deployment) <= 0.81 * keepalive,
+            IDLE_SHARE * keepalive + sweep_interval(&deployment) <= 0.81 * keepalive,
             "{keepalive}"
         );
     }
@@ -469,6 +471,6 @@
             .classes
             .iter_mut()
             .for_each(|class| class.latency_objective = aim);
-        assert_eq!(silent(&deployment), aim * SILENT_SHARE);
+        assert_eq!(silence_limit(&deployment), aim * SILENCE_SHARE);
     }
 }
--- a/crates/coordinator/src/contract.rs
+++ b/crates/coordinator/src/contract.rs
@@ -412,7 +412,7 @@
         if !self.sampled(interface) {
             return true;
         }
-        let Ok(Some((asked, _))) = http::request(request) else {
+        let Ok(Some((asked, _))) = http::parse_request(request) else {
             return true;
         };
         let answer = Some((
--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -241,8 +241,8 @@
     stream.write_all(call.as_bytes()).await?;
     loop {
         let read = stream.read_buf(buffer).await?;
-        match http::response(buffer, read == 0, MOST_LIST)
-            .map_err(|bad| Fault::Unreadable(bad.text()))?
+        match http::parse_response(buffer, read == 0, MOST_LIST)
+            .map_err(|bad| Fault::Unreadable(bad.message()))?
         {
             Some((response, used)) => {
                 buffer.drain(..used);
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -122,9 +122,9 @@
             Ok(Next::Rests) => return linger(front, &mut stream, &place, PARTING).await,
             Err(bad) => {
                 place.refuses();
-                let reply = match bad.passes() {
-                    true => later(front, bad.status(), bad.text()),
-                    false => refusal_of(front, bad.status(), bad.text()),
+                let reply = match bad.is_transient() {
+                    true => later(front, bad.status(), bad.message()),
+                    false => refusal_of(front, bad.status(), bad.message()),
                 };
                 let _ = write(&mut stream, reply, true).await;
                 place.answered(front.clock.now());
@@ -174,7 +174,11 @@
         let more = buffer.iter().any(|byte| !b"\r\n".contains(byte));
         ahead = ahead.filter(|_| more).or(more.then_some(begun));
         if !close && ahead.is_some_and(|since| since.elapsed() > AHEAD) {
-            let reply = later(front, http::Bad::Ahead.status(), http::Bad::Ahead.text());
+            let reply = later(
+                front,
+                http::MessageError::Pipelined.status(),
+                http::MessageError::Pipelined.message(),
+            );
             let _ = write(stream, reply, true).await;
             return linger(front, stream, &place, LINGER).await;
         }
@@ -245,20 +249,20 @@
     place: &ClientConnection,
     first: Option<Instant>,
     overrun: bool,
-) -> Result<Next, http::Bad> {
+) -> Result<Next, http::MessageError> {
     let (mut phase, mut last_phase) = (front.phase.clone(), front.phase.clone());
     let mut continued = false;
     let (mut begun, rest) = (None, Instant::now() + IDLE);
     loop {
-        if let Some((request, used)) = http::request(buffer)? {
+        if let Some((request, used)) = http::parse_request(buffer)? {
             place.asked(front.clock.now());
             buffer.drain(..used);
             return Ok(Next::Request(request));
         }
         if overrun {
-            return Err(http::Bad::Ahead);
+            return Err(http::MessageError::Pipelined);
         }
-        if !continued && http::awaits_continue(buffer) {
+        if !continued && http::expects_continue(buffer) {
             continued = true;
             if stream
                 .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -306,14 +310,14 @@
                 Ok(_) => continue,
             },
             () = closing, if idle => None,
-            () = ending, if !idle => Some(http::Bad::Ending),
-            () = tokio::time::sleep_until(end) => (!idle).then_some(http::Bad::TooSlow),
+            () = ending, if !idle => Some(http::MessageError::ShuttingDown),
+            () = tokio::time::sleep_until(end) => (!idle).then_some(http::MessageError::TooSlow),
             () = place.needed(), if idle => None,
         };
         // A request that is there already is served first; what comes from now on crosses the end.
-        let came = connection::look(stream, buffer);
+        let came = connection::read_available(stream, buffer);
         match bad {
-            Some(bad) if !came || http::request(buffer)?.is_none() => return Err(bad),
+            Some(bad) if !came || http::parse_request(buffer)?.is_none() => return Err(bad),
             None if !came => return Ok(Next::Rests),
             _ => {}
         }
--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -8,52 +8,54 @@
 use winnow::Parser;
 
 /// The longest head that is read.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD: usize = 16 * 1024;
 /// The most fields in a head.
-pub const MOST_FIELDS: usize = 100;
+pub const MAX_FIELDS: usize = 100;
 /// The largest body of a request, as the platform states it.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY: usize = 64 * 1024;
 /// The most bytes that a request may take, its chunks' framing included.
-const MOST_MESSAGE: usize = MOST_HEAD + 4 * MOST_BODY;
+const MAX_MESSAGE: usize = MAX_HEAD + 4 * MAX_BODY;
 
 /// Why a message can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum MessageError {
     Malformed(&'static str),
     HeadTooLarge,
     BodyTooLarge,
     /// It did not come in within its time.
     TooSlow,
     /// It had not come in when the program had to end.
-    Ending,
+    ShuttingDown,
     /// It was sent so far ahead of its answer that it was not kept.
-    Ahead,
+    Pipelined,
 }
 
-impl Bad {
+impl MessageError {
     /// The status that answers such a request.
     pub fn status(self) -> u16 {
         match self {
-            Bad::Malformed(_) => 400,
-            Bad::HeadTooLarge => 431,
-            Bad::BodyTooLarge => 413,
-            Bad::TooSlow => 408,
-            Bad::Ending => 503,
-            Bad::Ahead => 429,
+            MessageError::Malformed(_) => 400,
+            MessageError::HeadTooLarge => 431,
+            MessageError::BodyTooLarge => 413,
+            MessageError::TooSlow => 408,
+            MessageError::ShuttingDown => 503,
+            MessageError::Pipelined => 429,
         }
     }
     /// Whether the same request may be served once it comes again.
-    pub fn passes(self) -> bool {
-        matches!(self, Bad::Ending | Bad::Ahead)
+    pub fn is_transient(self) -> bool {
+        matches!(self, MessageError::ShuttingDown | MessageError::Pipelined)
     }
-    pub fn text(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
-            Bad::Malformed(text) => text,
-            Bad::HeadTooLarge => "the head is too large",
-            Bad::BodyTooLarge => "the body is too large",
-            Bad::TooSlow => "the request did not come in time",
-            Bad::Ahead => "one request at a time: the rest is refused",
-            Bad::Ending => "this process ends: send the request again on a new connection",
+            MessageError::Malformed(text) => text,
+            MessageError::HeadTooLarge => "the head is too large",
+            MessageError::BodyTooLarge => "the body is too large",
+            MessageError::TooSlow => "the request did not come in time",
+            MessageError::Pipelined => "one request at a time: the rest is refused",
+            MessageError::ShuttingDown => {
+                "this process ends: send the request again on a new connection"
+            }
         }
     }
 }
@@ -153,13 +155,13 @@
     Ok((name, value))
 }
 
-fn fields(input: &mut &[u8]) -> Result<Fields, Bad> {
+fn fields(input: &mut &[u8]) -> Result<Fields, MessageError> {
     let mut all = Vec::new();
     while !input.is_empty() {
-        if all.len() == MOST_FIELDS {
-            return Err(Bad::HeadTooLarge);
+        if all.len() == MAX_FIELDS {
+            return Err(MessageError::HeadTooLarge);
         }
-        all.push(field(input).map_err(|_| Bad::Malformed("a header field is malformed"))?);
+        all.push(field(input).map_err(|_| MessageError::Malformed("a header field is malformed"))?);
     }
     Ok(Fields(all))
 }
@@ -182,8 +184,8 @@
 }
 
 /// The head's length including its empty line, once that is there.
-fn head_end(input: &[u8]) -> Result<Option<usize>, Bad> {
-    let window = &input[..input.len().min(MOST_HEAD)];
+fn head_end(input: &[u8]) -> Result<Option<usize>, MessageError> {
+    let window = &input[..input.len().min(MAX_HEAD)];
     for (at, _) in window.iter().enumerate().filter(|(_, &b)| b == b'\n') {
         match &window[at + 1..] {
             [b'\n', ..] => return Ok(Some(at + 2)),
@@ -191,8 +193,8 @@
             _ => {}
         }
     }
-    if input.len() >= MOST_HEAD {
-        return Err(Bad::HeadTooLarge);
+    if input.len() >= MAX_HEAD {
+        return Err(MessageError::HeadTooLarge);
     }
     Ok(None)
 }
@@ -212,7 +214,7 @@
     None,
 }
 
-fn framing(fields: &Fields, most: usize) -> Result<Framing, Bad> {
+fn framing(fields: &Fields, most: usize) -> Result<Framing, MessageError> {
     let coded = fields.get("transfer-encoding").is_some();
     if coded {
         // Any other coding beside it would leave a body that nobody here can read.
@@ -223,7 +225,7 @@
             && codings.next().is_none();
         // Both framings at once are how requests are smuggled past another reader.
         if !only || fields.get("content-length").is_some() {
-            return Err(Bad::Malformed("the body's framing is unclear"));
+            return Err(MessageError::Malformed("the body's framing is unclear"));
         }
         return Ok(Framing::Chunked);
     }
@@ -235,11 +237,11 @@
         || length.is_empty()
         || !length.bytes().all(|b| b.is_ascii_digit())
     {
-        return Err(Bad::Malformed("content-length is malformed"));
+        return Err(MessageError::Malformed("content-length is malformed"));
     }
     match length.parse::<usize>() {
         Ok(length) if length <= most => Ok(Framing::Length(length)),
-        _ => Err(Bad::BodyTooLarge),
+        _ => Err(MessageError::BodyTooLarge),
     }
 }
 
@@ -252,8 +254,8 @@
 }
 
 /// A chunked body and its length on the wire, once it is whole.
-fn chunks(input: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, Bad> {
-    let bad = Bad::Malformed("a chunk is malformed");
+fn chunks(input: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, MessageError> {
+    let bad = MessageError::Malformed("a chunk is malformed");
     let (mut rest, mut body) = (input, Vec::new());
     loop {
         if !rest.contains(&b'\n') {
@@ -264,7 +266,7 @@
             break;
         }
         if size > most - body.len() {
-            return Err(Bad::BodyTooLarge);
+            return Err(MessageError::BodyTooLarge);
         }
         if rest.len() < size + 2 {
             return Ok(None);
@@ -284,24 +286,24 @@
 }
 
 /// Takes one request off the front of `input`; with it, how many bytes it took. `None`: not whole yet.
-pub fn request(input: &[u8]) -> Result<Option<(Request, usize)>, Bad> {
+pub fn parse_request(input: &[u8]) -> Result<Option<(Request, usize)>, MessageError> {
     let start = skip_empty_lines(input);
     let input = &input[start..];
     let Some(end) = head_end(input)? else {
         return Ok(None);
     };
     let mut head = &input[..end];
-    let (method, target, old) =
-        request_line(&mut head).map_err(|_| Bad::Malformed("the request line is malformed"))?;
+    let (method, target, old) = request_line(&mut head)
+        .map_err(|_| MessageError::Malformed("the request line is malformed"))?;
     let fields = fields(&mut strip_empty_line(head))?;
-    let (body, used) = match framing(&fields, MOST_BODY)? {
+    let (body, used) = match framing(&fields, MAX_BODY)? {
         Framing::None => (Vec::new(), 0),
         Framing::Length(length) if input.len() - end < length => return Ok(None),
         Framing::Length(length) => (input[end..end + length].to_vec(), length),
-        Framing::Chunked => match chunks(&input[end..], MOST_BODY)? {
+        Framing::Chunked => match chunks(&input[end..], MAX_BODY)? {
             Some(found) => found,
             // Chunks of a byte or two, or extensions without end, must not fill the buffer either.
-            None if input.len() > MOST_MESSAGE => return Err(Bad::BodyTooLarge),
+            None if input.len() > MAX_MESSAGE => return Err(MessageError::BodyTooLarge),
             None => return Ok(None),
         },
     };
@@ -320,7 +322,7 @@
 }
 
 /// Whether a head is there whose client waits for leave to send the body.
-pub fn awaits_continue(input: &[u8]) -> bool {
+pub fn expects_continue(input: &[u8]) -> bool {
     let input = &input[skip_empty_lines(input)..];
     let Ok(Some(end)) = head_end(input) else {
         return false;
@@ -331,21 +333,25 @@
         && fields(&mut strip_empty_line(head)).is_ok_and(|all| waits(&all))
 }
 
-/// Takes one response off the front of `input`, as [`request`] does. A response without framing lasts until
+/// Takes one response off the front of `input`, as [`parse_request`] does. A response without framing lasts until
 /// the connection's end, which `ended` tells.
-pub fn response(input: &[u8], ended: bool, most: usize) -> Result<Option<(Response, usize)>, Bad> {
+pub fn parse_response(
+    input: &[u8],
+    ended: bool,
+    most: usize,
+) -> Result<Option<(Response, usize)>, MessageError> {
     let Some(end) = head_end(input)? else {
         return Ok(None);
     };
     let mut head = &input[..end];
-    let (status, old) =
-        status_line(&mut head).map_err(|_| Bad::Malformed("the status line is malformed"))?;
+    let (status, old) = status_line(&mut head)
+        .map_err(|_| MessageError::Malformed("the status line is malformed"))?;
     let fields = fields(&mut strip_empty_line(head))?;
     let mut close =
         fields.lists("connection", "close") || (old && !fields.lists("connection", "keep-alive"));
     let (body, used) = match framing(&fields, most)? {
         Framing::None if status == 204 || status == 304 || status < 200 => (Vec::new(), 0),
-        Framing::None if input.len() - end > most => return Err(Bad::BodyTooLarge),
+        Framing::None if input.len() - end > most => return Err(MessageError::BodyTooLarge),
         Framing::None if !ended => return Ok(None),
         Framing::None => {
             close = true;
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -40,28 +40,31 @@
 #[test]
 fn cut_messages_wait_and_whole_ones_are_taken_off() {
     cut(REQUEST, |bytes| {
-        http::request(bytes).unwrap().map(|(_, used)| used)
+        http::parse_request(bytes).unwrap().map(|(_, used)| used)
     });
     cut(CHUNKED, |bytes| {
-        http::request(bytes).unwrap().map(|(_, used)| used)
+        http::parse_request(bytes).unwrap().map(|(_, used)| used)
     });
     cut(RESPONSE, |bytes| {
-        http::response(bytes, false, 99)
+        http::parse_response(bytes, false, 99)
             .unwrap()
             .map(|(_, used)| used)
     });
     cut(ANSWER, |bytes| {
-        frames::parse(bytes).unwrap().map(|(_, used)| used)
+        frames::parse_frame(bytes).unwrap().map(|(_, used)| used)
     });
     for message in [REQUEST, CHUNKED] {
-        assert_eq!(http::request(message).unwrap().unwrap().0.body, b"hello");
+        assert_eq!(
+            http::parse_request(message).unwrap().unwrap().0.body,
+            b"hello"
+        );
     }
-    let request = http::request(REQUEST).unwrap().unwrap().0;
+    let request = http::parse_request(REQUEST).unwrap().unwrap().0;
     assert_eq!(
         (request.fields.get("x-class"), request.target.as_str()),
         (Some("c d"), "/api?x=1")
     );
-    let (frame, _) = frames::parse(ANSWER).unwrap().unwrap();
+    let (frame, _) = frames::parse_frame(ANSWER).unwrap().unwrap();
     let wanted = frames::Frame::Answer {
         id: "q.3",
         end: "ok",
@@ -71,7 +74,7 @@
     };
     assert_eq!(frame, wanted);
     assert_eq!(
-        frames::report("queue=1,l=2", &["l".into(), "queue".into()]),
+        frames::parse_load_report("queue=1,l=2", &["l".into(), "queue".into()]),
         [2.0, 1.0]
     );
 }
@@ -79,7 +82,7 @@
 #[test]
 fn odd_framing_is_refused() {
     let status = |text: &str| {
-        http::request(text.as_bytes())
+        http::parse_request(text.as_bytes())
             .map(|_| ())
             .unwrap_err()
             .status()
@@ -124,13 +127,13 @@
 }
 
 fn parse_all(bytes: &[u8]) {
-    let _ = http::request(bytes);
-    if let Ok(Some((response, _))) = http::response(bytes, true, 64) {
+    let _ = http::parse_request(bytes);
+    if let Ok(Some((response, _))) = http::parse_response(bytes, true, 64) {
         let _ = opensearch::outcome(&response);
     }
-    let _ = frames::parse(bytes);
+    let _ = frames::parse_frame(bytes);
     let _ = serde_json::from_slice::<Page>(bytes).map(Page::news);
-    let _ = frames::report(&String::from_utf8_lossy(bytes), &["queue".into()]);
+    let _ = frames::parse_load_report(&String::from_utf8_lossy(bytes), &["queue".into()]);
 }
 
 fn garbage(bytes: Vec<u8>) -> bool {
@@ -164,7 +167,7 @@
             "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        let (response, _) = http::response(text.as_bytes(), false, 999)
+        let (response, _) = http::parse_response(text.as_bytes(), false, 999)
             .unwrap()
             .unwrap();
         opensearch::outcome(&response).0
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -33,7 +33,7 @@
                 number: attempt,
             },
         ),
-        Action::HealthCheck(server) => pool.probe(server),
+        Action::HealthCheck(server) => pool.request_health_check(server),
         Action::SetTimer(at) => wheel.insert(at, Timer::Wake),
         // The watch asks by itself; finals are the relay's.
         Action::SubscribeEndpoints
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -83,7 +83,7 @@
     ) -> Self {
         let now = clock.now();
         let mut wheel = TimerWheel::new(now, config.offer.deployment.policy.tick);
-        let sweep = pool::sweep_every(&config.offer.deployment);
+        let sweep = pool::sweep_interval(&config.offer.deployment);
         wheel.insert(now + sweep, Timer::Sweep);
         let mut core = Core {
             clock: clock.clone(),
@@ -136,9 +136,9 @@
         while let Ok(message) = self.messages.try_recv() {
             match message {
                 Message::Endpoints(news) => self.note_news(&news, false),
-                Message::Connection(event) => match self.pool.note(now, event) {
-                    Some(PoolEvent::Attempt(ended)) => self.ended(ended),
-                    Some(PoolEvent::Probe {
+                Message::Connection(event) => match self.pool.on_connection_event(now, event) {
+                    Some(PoolEvent::AttemptEnded(ended)) => self.ended(ended),
+                    Some(PoolEvent::HealthCheckEnded {
                         server,
                         outcome,
                         report,
@@ -149,7 +149,7 @@
                             report,
                         });
                     }
-                    Some(PoolEvent::NotUp) => self.tally.add(Counter::DialFaults),
+                    Some(PoolEvent::DialFailed) => self.tally.add(Counter::DialFaults),
                     None => {}
                 },
                 Message::Admin(call, reply) => {
@@ -166,7 +166,7 @@
             match due {
                 Timer::Wake => self.route.push(Event::TimerFired),
                 Timer::Attempt(attempt) => {
-                    if self.pool.abandon(attempt) {
+                    if self.pool.time_out(attempt) {
                         self.ended(AttemptResult {
                             attempt,
                             outcome: Outcome::Timeout,
@@ -174,7 +174,7 @@
                         });
                     }
                 }
-                Timer::Dial(link) => self.pool.dial_is_due(link),
+                Timer::Dial(link) => self.pool.on_dial_deadline(link),
                 Timer::Sweep => {
                     self.pool.sweep(now);
                     self.wheel.insert(now + self.sweep, Timer::Sweep);
@@ -209,13 +209,13 @@
                 }
             }
             for attempt in self.book.take_unwanted() {
-                self.pool.unwant(attempt);
+                self.pool.withdraw(attempt);
             }
             for ended in dispatch::flush(now, &mut self.pool, &mut self.wheel, &mut self.tally) {
                 self.ended(ended);
             }
         }
-        let (links, route) = (self.pool.links(), &self.route);
+        let (links, route) = (self.pool.connection_count(), &self.route);
         if let Some(line) = self.tally.line(now, links, || route.beliefs(now)) {
             tracing::info!("tally {line}");
         }
@@ -237,10 +237,10 @@
         if earlier > 0 {
             self.tally.add(Counter::Further);
         }
-        if (0..earlier).any(|number| self.pool.is_out(Attempt { part, number })) {
+        if (0..earlier).any(|number| self.pool.is_in_flight(Attempt { part, number })) {
             self.tally.add(Counter::Copies);
         }
-        if self.pool.is_young(now, server, self.warm_up) {
+        if self.pool.is_warming_up(now, server, self.warm_up) {
             self.tally.add(Counter::Cold);
         }
     }
@@ -278,7 +278,7 @@
         for (_, row) in &mut *rows {
             (row.state, row.ready_at) = self.bans.overlay(&row.id, row.state, row.ready_at);
         }
-        self.pool.note_list(rows, complete);
+        self.pool.on_endpoint_list(rows, complete);
         self.route.push(Event::Endpoints(discovery::list_news(
             rows, complete, cached,
         )));
@@ -335,7 +335,7 @@
         };
         let indices = fresh.indices.into_iter().filter_map(index).collect();
         self.book.retune(&deployment);
-        self.pool.retune(&deployment);
+        self.pool.reconfigure(&deployment);
         self.route.retune(&deployment, &renewed, &places);
         self.warm_up = deployment.policy.slow_start_duration;
         let offer = Arc::new(ServedConfiguration {
@@ -427,7 +427,7 @@
 
     /// Ready once a server is known, from a fresh list or, if that doesn't come, from the cached one.
     fn is_ready(&self, now: Time) -> bool {
-        self.pool.any_ready() && (self.fresh_list || now - self.started > FRESH_LIST)
+        self.pool.any_server_ready() && (self.fresh_list || now - self.started > FRESH_LIST)
     }
 }
 
--- a/crates/coordinator/src/pipeline/tests.rs
+++ b/crates/coordinator/src/pipeline/tests.rs
@@ -143,7 +143,7 @@
                     };
                     if let Some(outcome) = ended {
                         core.turn();
-                        assert!(core.pool.is_out(attempt(0)), "the first attempt");
+                        assert!(core.pool.is_in_flight(attempt(0)), "the first attempt");
                         let what = ConnectionEvent::AttemptEnded {
                             attempt: attempt(0),
                             outcome,
@@ -160,7 +160,7 @@
                         drop(answer);
                     }
                     core.turn();
-                    let sent = core.pool.is_out(attempt(u8::from(further)));
+                    let sent = core.pool.is_in_flight(attempt(u8::from(further)));
                     assert_eq!(sent, !gone, "{ended:?}, gone: {gone}");
                 },
             );
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -45,9 +45,9 @@
         frames: config.backend == BackendKind::Frames,
         report: deployment.report_names.clone(),
         limits: Limits {
-            body: http::MOST_BODY,
-            head: http::MOST_HEAD,
-            fields: http::MOST_FIELDS,
+            body: http::MAX_BODY,
+            head: http::MAX_HEAD,
+            fields: http::MAX_FIELDS,
             slow: fronts::SLOW.as_secs_f64(),
             window: opensearch::MOST_WINDOW,
             searches: opensearch::MOST_SEARCHES,
