--- /dev/null
+++ b/crates/coordinator/src/http/head.rs
@@ -0,0 +1,190 @@
+//! The head of a message: start lines, header fields and where the head ends.
+
+use super::error::MessageError;
+use super::{MAX_FIELDS, MAX_HEAD};
+use winnow::ascii::space0;
+use winnow::combinator::{opt, preceded, terminated};
+use winnow::error::{ContextError, ErrMode};
+use winnow::token::{literal, take_till, take_while};
+use winnow::Parser;
+
+/// The result of a grammar rule, which advances its input past what it matched.
+pub(super) type RuleResult<T> = Result<T, ErrMode<ContextError>>;
+
+/// The longest name of a method or field, in bytes.
+const MAX_TOKEN: usize = 64;
+
+/// The header fields of a message, in the order received. Names compare without regard to case.
+#[derive(Clone, Debug, Default)]
+pub struct Fields(Vec<(String, String)>);
+
+impl Fields {
+    /// Returns all names and values as they were received.
+    pub fn pairs(&self) -> &[(String, String)] {
+        &self.0
+    }
+
+    /// Returns the value of the first field of that name.
+    pub fn get(&self, name: &str) -> Option<&str> {
+        self.0
+            .iter()
+            .find(|(field, _)| field.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
+    }
+
+    /// Iterates over the values of all fields of that name.
+    pub(super) fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+        self.0
+            .iter()
+            .filter(move |(field, _)| field.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
+    }
+
+    /// Whether the comma-separated lists of that name contain `token`.
+    pub(super) fn lists(&self, name: &str, token: &str) -> bool {
+        self.all(name)
+            .flat_map(|value| value.split(','))
+            .any(|element| element.trim().eq_ignore_ascii_case(token))
+    }
+
+    /// Whether the sender closes the connection after this message: by `Connection: close`, or by HTTP/1.0's default.
+    pub(super) fn ask_for_close(&self, is_http_1_0: bool) -> bool {
+        self.lists("connection", "close")
+            || (is_http_1_0 && !self.lists("connection", "keep-alive"))
+    }
+}
+
+/// The first line of a request.
+pub(super) struct RequestLine {
+    pub(super) method: String,
+    pub(super) target: String,
+    pub(super) is_http_1_0: bool,
+}
+
+/// The first line of a response.
+pub(super) struct StatusLine {
+    pub(super) status: u16,
+    pub(super) is_http_1_0: bool,
+}
+
+/// Parses `METHOD SP target SP version`.
+pub(super) fn request_line(input: &mut &[u8]) -> RuleResult<RequestLine> {
+    let (method, _, target, _, is_http_1_0, ()) =
+        (token, literal(" "), word, literal(" "), version, line_end).parse_next(input)?;
+    Ok(RequestLine {
+        method,
+        target,
+        is_http_1_0,
+    })
+}
+
+/// Parses `version SP three digits`; the reason phrase is dropped.
+pub(super) fn status_line(input: &mut &[u8]) -> RuleResult<StatusLine> {
+    let is_http_1_0 = terminated(version, literal(" ")).parse_next(input)?;
+    let digits = take_while(3, |byte: u8| byte.is_ascii_digit()).parse_next(input)?;
+    let _reason = take_till(0.., is_line_break).parse_next(input)?;
+    line_end(input)?;
+    let status = digits
+        .iter()
+        .fold(0, |number, digit| number * 10 + u16::from(digit - b'0'));
+    Ok(StatusLine {
+        status,
+        is_http_1_0,
+    })
+}
+
+/// Parses all header fields up to the end of `input`, [`MAX_FIELDS`] at most.
+pub(super) fn fields(input: &mut &[u8]) -> Result<Fields, MessageError> {
+    let mut all = Vec::new();
+    while !input.is_empty() {
+        if all.len() == MAX_FIELDS {
+            return Err(MessageError::HeadTooLarge);
+        }
+        let parsed = field(input);
+        all.push(parsed.map_err(|_| MessageError::Malformed("a header field is malformed"))?);
+    }
+    Ok(Fields(all))
+}
+
+/// Parses a line break: LF, or CR LF.
+pub(super) fn line_end(input: &mut &[u8]) -> RuleResult<()> {
+    (opt(literal("\r")), literal("\n")).void().parse_next(input)
+}
+
+/// Whether a byte belongs to a line break.
+pub(super) fn is_line_break(byte: u8) -> bool {
+    byte == b'\r' || byte == b'\n'
+}
+
+/// Returns the length of the head including its empty line, once that has been received.
+pub(super) fn head_length(input: &[u8]) -> Result<Option<usize>, MessageError> {
+    let window = &input[..input.len().min(MAX_HEAD)];
+    let line_feeds = window.iter().enumerate().filter(|(_, &byte)| byte == b'\n');
+    for (at, _) in line_feeds {
+        match &window[at + 1..] {
+            [b'\n', ..] => return Ok(Some(at + 2)),
+            [b'\r', b'\n', ..] => return Ok(Some(at + 3)),
+            _ => {}
+        }
+    }
+    if input.len() >= MAX_HEAD {
+        return Err(MessageError::HeadTooLarge);
+    }
+    Ok(None)
+}
+
+/// Returns the head without the empty line that ends it.
+pub(super) fn strip_empty_line(head: &[u8]) -> &[u8] {
+    head.strip_suffix(b"\r\n")
+        .or(head.strip_suffix(b"\n"))
+        .unwrap_or(head)
+}
+
+/// Returns the length of the empty lines before a message, which a server should ignore (RFC 9112, section 2.2).
+pub(super) fn leading_empty_lines(input: &[u8]) -> usize {
+    input
+        .iter()
+        .take_while(|&&byte| is_line_break(byte))
+        .count()
+}
+
+fn field(input: &mut &[u8]) -> RuleResult<(String, String)> {
+    let name = terminated(token, literal(":")).parse_next(input)?;
+    let value = preceded(
+        space0,
+        take_till(0.., |byte: u8| is_line_break(byte) || byte == 0),
+    )
+    .map(|bytes: &[u8]| lossy_string(bytes.trim_ascii_end()))
+    .parse_next(input)?;
+    line_end(input)?;
+    Ok((name, value))
+}
+
+/// The name of a method or field.
+fn token(input: &mut &[u8]) -> RuleResult<String> {
+    let is_token = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
+    take_while(1..=MAX_TOKEN, is_token)
+        .map(lossy_string)
+        .parse_next(input)
+}
+
+/// Visible bytes up to a space or control character.
+fn word(input: &mut &[u8]) -> RuleResult<String> {
+    take_while(1.., |byte: u8| byte > b' ' && byte != 0x7f)
+        .map(lossy_string)
+        .parse_next(input)
+}
+
+/// `HTTP/1.0` or `HTTP/1.1`; returns whether it is the former.
+fn version(input: &mut &[u8]) -> RuleResult<bool> {
+    preceded(
+        literal("HTTP/1."),
+        take_while(1, |byte: u8| byte == b'0' || byte == b'1'),
+    )
+    .map(|digit: &[u8]| digit == b"0")
+    .parse_next(input)
+}
+
+fn lossy_string(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).into_owned()
+}
--- /dev/null
+++ b/crates/coordinator/src/http/request.rs
@@ -0,0 +1,69 @@
+//! Requests as clients and operators send them.
+
+use super::body::{chunked_body, framing, sized_body, Body, Framing};
+use super::error::MessageError;
+use super::head::{
+    fields, head_length, leading_empty_lines, request_line, strip_empty_line, Fields,
+};
+use super::{Parsed, MAX_BODY, MAX_MESSAGE};
+
+/// A request.
+#[derive(Clone, Debug)]
+pub struct Request {
+    /// The method as received; case matters.
+    pub method: String,
+    /// The path and query string as received.
+    pub target: String,
+    /// The header fields.
+    pub fields: Fields,
+    /// The body without its framing.
+    pub body: Vec<u8>,
+    /// The client wants the connection closed after the answer.
+    pub close: bool,
+}
+
+/// Parses the request at the front of `input`.
+pub fn parse_request(input: &[u8]) -> Parsed<Request> {
+    let start = leading_empty_lines(input);
+    let input = &input[start..];
+    let Some(head_length) = head_length(input)? else {
+        return Ok(None);
+    };
+    let (mut head, body_input) = input.split_at(head_length);
+    let line = request_line(&mut head)
+        .map_err(|_| MessageError::Malformed("the request line is malformed"))?;
+    let fields = fields(&mut strip_empty_line(head))?;
+    let body = match framing(&fields, MAX_BODY)? {
+        Framing::Unspecified => Some(Body::empty()),
+        Framing::Length(length) => sized_body(body_input, length),
+        Framing::Chunked => match chunked_body(body_input, MAX_BODY)? {
+            // Chunks of a byte or two, or endless extensions, must not fill the buffer either.
+            None if input.len() > MAX_MESSAGE => return Err(MessageError::BodyTooLarge),
+            found => found,
+        },
+    };
+    let Some(body) = body else {
+        return Ok(None);
+    };
+    let close = fields.ask_for_close(line.is_http_1_0);
+    let request = Request {
+        method: line.method,
+        target: line.target,
+        fields,
+        body: body.bytes,
+        close,
+    };
+    Ok(Some((request, start + head_length + body.wire_length)))
+}
+
+/// Whether a complete head is there whose client waits for `100 Continue` before it sends the body.
+pub fn expects_continue(input: &[u8]) -> bool {
+    let input = &input[leading_empty_lines(input)..];
+    let Ok(Some(head_length)) = head_length(input) else {
+        return false;
+    };
+    let mut head = &input[..head_length];
+    request_line(&mut head).is_ok()
+        && fields(&mut strip_empty_line(head))
+            .is_ok_and(|fields| fields.lists("expect", "100-continue"))
+}
