--- a/crates/coordinator/src/backends/frames.rs
+++ b/crates/coordinator/src/backends/frames.rs
@@ -1,6 +1,7 @@
 //! The platform's frames: length, letter, rest.
 
-use crate::connections::connection::{self, Command, ConnectionHandle};
+use crate::connections::handle::{Command, ConnectionHandle};
+use crate::connections::socket;
 use crate::contract::{Head, Part};
 use crate::http;
 use crate::messages::{Attempt, ConnectionEvent, ContractsInForce, OutboundAttempt, Value};
@@ -411,14 +412,14 @@
         tokio::select! {
             // What came is read before anything is written: it may show that the connection is poisoned.
             biased;
-            () = shared.closed() => break,
+            () = shared.close_requested() => break,
             read = reader.read_buf(&mut buffer) => match read {
                 Ok(0) | Err(_) => break,
                 Ok(_) => match process_frames(&connection, &mut wire, &mut buffer).await {
                     Ok(used) => {
                         partial_deadline = partial_deadline.filter(|_| used == 0).or_else(|| Some(Instant::now() + PARTIAL_FRAME_TIMEOUT));
                         partial_deadline = partial_deadline.filter(|_| !buffer.is_empty());
-                        connection.set_poisoned(wire.poisoned || partial_deadline.is_some());
+                        connection.shared.set_poisoned(wire.poisoned || partial_deadline.is_some());
                     }
                     Err(text) => {
                         tracing::warn!(server = %connection.address, cause = text, "connection closed");
@@ -445,7 +446,7 @@
     connection.poison();
     if !malformed {
         // A write may fail before the answers are read that came before the break.
-        connection::read_available(reader.as_ref(), &mut buffer);
+        socket::read_available(reader.as_ref(), &mut buffer);
     }
     // What was read before the end still counts; the rest may have run. A connection that is closed for what came
     // on it was not broken by the server, and a query whose answers came malformed is not what breaks it.
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -4,7 +4,7 @@
 pub mod opensearch;
 
 use crate::configuration::BackendKind;
-use crate::connections::connection::ConnectionHandle;
+use crate::connections::handle::ConnectionHandle;
 
 /// Starts a connection's task.
 pub fn spawn(kind: BackendKind, connection: ConnectionHandle) {
--- a/crates/coordinator/src/backends/opensearch.rs
+++ b/crates/coordinator/src/backends/opensearch.rs
@@ -1,6 +1,6 @@
 //! The query API as a server's wire: each part is a search of one shard, one request at a time on a connection.
 
-use crate::connections::connection::{Command, ConnectionHandle};
+use crate::connections::handle::{Command, ConnectionHandle};
 use crate::http::{self, Response};
 use crate::messages::{ConnectionEvent, OutboundAttempt, Text, Value};
 use cairnroad_types::{Outcome, Time};
@@ -101,7 +101,7 @@
     let mut why = Outcome::ConnectFailed;
     loop {
         let command = tokio::select! {
-            () = shared.closed() => break,
+            () = shared.close_requested() => break,
             command = connection.commands.recv() => command,
             // Between requests a server has nothing to say: what comes is the connection's end.
             read = stream.read_buf(&mut buffer) => {
@@ -170,7 +170,7 @@
             // Cancels come first: a part that was given up while its connection came up must not be sent.
             biased;
             // The core is done with this part or with the connection: closing it tells the server.
-            () = shared.closed() => break,
+            () = shared.close_requested() => break,
             command = connection.commands.recv() => match command {
                 Some(Command::Cancel(attempt)) if attempt == job.attempt => return false,
                 Some(Command::Cancel(_)) => {}
--- /dev/null
+++ b/crates/coordinator/src/connections/pool/selection.rs
@@ -0,0 +1,165 @@
+//! Which connection a call takes, and when a new one is dialled.
+
+use super::connection::Connection;
+use super::limits::{COMMAND_QUEUE_LENGTH, MAX_SILENT_PER_SERVER};
+use super::{AwaitedAttempt, Dial, Flushed, Pool};
+use crate::backends;
+use crate::connections::handle::{ConnectionHandle, SharedState};
+use crate::messages::{AttemptResult, ConnectionId, OutboundAttempt};
+use crate::observability::metrics::{Counter, Metrics};
+use cairnroad_types::{Outcome, ServerId, ServerState, Time};
+use std::rc::Rc;
+use tokio::sync::mpsc;
+
+impl Pool {
+    /// Sends the staged parts, call by call.
+    pub fn flush(&mut self, now: Time, metrics: &mut Metrics) -> Flushed {
+        let mut flushed = Flushed::default();
+        for (server, mut parts) in std::mem::take(&mut self.staged) {
+            while !parts.is_empty() {
+                let rest = parts.split_off(parts.len().min(self.limits.max_parts_per_call));
+                let call = std::mem::replace(&mut parts, rest);
+                match self.select_connection(now, server, &call, &mut flushed.dials) {
+                    Some(id) => self.send_call(now, id, call, metrics),
+                    None => flushed.unsent.extend(call.into_iter().map(connect_failed)),
+                }
+            }
+        }
+        flushed
+    }
+
+    fn send_call(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        call: Vec<OutboundAttempt>,
+        metrics: &mut Metrics,
+    ) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        metrics.add(Counter::Calls);
+        for part in &call {
+            let awaited = AwaitedAttempt {
+                connection: id,
+                wanted: part.wanted.clone(),
+            };
+            self.in_flight.insert(part.attempt, awaited);
+        }
+        connection.send_call(now, call);
+    }
+
+    /// Returns the connection that a call takes, dialling a new one if necessary; `None` if the server takes nothing
+    /// new or the limit on connections is reached.
+    fn select_connection(
+        &mut self,
+        now: Time,
+        server: ServerId,
+        call: &[OutboundAttempt],
+        dials: &mut Vec<Dial>,
+    ) -> Option<ConnectionId> {
+        let target = self.servers.get(&server)?;
+        if target.state != ServerState::Ready {
+            return None;
+        }
+        let address = target.address;
+        if let Some(id) = self.least_loaded(now, server, call) {
+            return Some(id);
+        }
+        let open = self.connections.len();
+        if open >= self.limits.max_connections && !self.close_most_recent_idle() {
+            tracing::warn!(server = %address, open, "connection limit reached");
+            return None;
+        }
+        self.open_connection(now, server, dials)
+    }
+
+    /// Returns the usable connection with the fewest parts in flight. One that is not silent is preferred, then one
+    /// that is established.
+    fn least_loaded(
+        &self,
+        now: Time,
+        server: ServerId,
+        call: &[OutboundAttempt],
+    ) -> Option<ConnectionId> {
+        let max_parts = self.limits.max_parts_per_connection;
+        let is_silent = |connection: &Connection| connection.silence(now) > self.limits.silence;
+        let to_server = || {
+            let all = self.connections.iter();
+            all.filter(|(_, connection)| connection.server == server)
+        };
+        let silent = to_server()
+            .filter(|(_, connection)| is_silent(connection))
+            .count();
+        let allow_silent = silent >= MAX_SILENT_PER_SERVER;
+        to_server()
+            .filter(|(_, connection)| connection.accepts_calls())
+            .filter(|(_, connection)| allow_silent || !is_silent(connection))
+            .filter(|(_, connection)| connection.has_room_for(call, max_parts))
+            .min_by_key(|(_, connection)| {
+                let in_flight = connection.in_flight.len();
+                (is_silent(connection), !connection.established, in_flight)
+            })
+            .map(|(&id, _)| id)
+    }
+
+    /// Starts the task of a new connection, which dials.
+    fn open_connection(
+        &mut self,
+        now: Time,
+        server: ServerId,
+        dials: &mut Vec<Dial>,
+    ) -> Option<ConnectionId> {
+        let target = self.servers.get(&server)?;
+        let address = target.address;
+        let id = self.next_id;
+        self.next_id = id.next();
+        let shared = Rc::new(SharedState::default());
+        let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+        let handle = ConnectionHandle {
+            id,
+            server: target.id.clone(),
+            address,
+            contracts: self.contracts.clone(),
+            commands: command_queue,
+            shared: shared.clone(),
+            clock: self.clock.clone(),
+            report_names: self.report_names.clone(),
+            core: self.core.clone(),
+        };
+        backends::spawn(self.backend, handle);
+        let connection = Connection::dialing(server, address, commands, shared, now);
+        self.connections.insert(id, connection);
+        dials.push(Dial {
+            connection: id,
+            deadline: now + self.limits.dial_timeout,
+        });
+        Some(id)
+    }
+
+    /// Makes room under the limit on connections by closing the idle one that was used most recently. Returns whether
+    /// there was one.
+    ///
+    /// Calls come back to that server last of all, while the connection used longest ago is the next one needed:
+    /// closing that one would miss each time where a fleet has more servers than the table has room.
+    pub(super) fn close_most_recent_idle(&mut self) -> bool {
+        let all = self.connections.values_mut();
+        let idle = all.filter(|connection| connection.is_idle() && !connection.retired);
+        match idle.max_by_key(|connection| connection.last_used) {
+            Some(connection) => {
+                connection.close();
+                true
+            }
+            None => false,
+        }
+    }
+}
+
+/// The result of a part that no connection takes: it never ran.
+fn connect_failed(part: OutboundAttempt) -> AttemptResult {
+    AttemptResult {
+        attempt: part.attempt,
+        outcome: Outcome::ConnectFailed,
+        value: None,
+    }
+}
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -1,7 +1,10 @@
 //! The pool before a data node that the test plays: what waits, what crosses, what never ran.
 
+use super::limits::{silence_limit, IDLE_SHARE, SILENCE_SHARE};
 use super::*;
+use crate::connections::handle::SharedState;
 use crate::messages::Text;
+use crate::observability::metrics::Metrics;
 use cairnroad_types::RequestId;
 
 /// Runs a test with a pool whose one server the test plays.
@@ -78,7 +81,7 @@
                 BTreeSet::new()
             };
             let (commands, _) = mpsc::channel(1);
-            let shared = Rc::new(Shared::default());
+            let shared = Rc::new(SharedState::default());
             let (earlier_silence, awaiting_since, retired, established) = (0.0, None, false, true);
             let last_used = Time::from_secs(used);
             Connection {
@@ -104,7 +107,7 @@
         .enumerate()
         {
             pool.connections
-                .insert(id as u64, connection(server, used, busy));
+                .insert(ConnectionId(id as u64), connection(server, used, busy));
         }
         assert!(pool.close_most_recent_idle());
         let closed: Vec<u32> = pool
@@ -138,7 +141,7 @@
             };
             pool.stage(ServerId(0), job(attempt, &clock));
             assert_eq!(
-                pool.flush(start + sent, &mut metrics()).1.len(),
+                pool.flush(start + sent, &mut metrics()).dials.len(),
                 usize::from(dials),
                 "part {number}"
             );
@@ -172,7 +175,7 @@
                     &clock,
                 ),
             );
-            pool.flush(now, &mut metrics()).1.len()
+            pool.flush(now, &mut metrics()).dials.len()
         };
         assert_eq!(send(&mut pool, 1), 1);
         let (mut server, _) = listener.accept().await.unwrap();
@@ -201,7 +204,7 @@
         }
         let connection = pool.connections.values().next().unwrap();
         assert!(
-            connection.shared.poisoned.get() && connection.silence(now) == 0.0,
+            connection.shared.is_poisoned() && connection.silence(now) == 0.0,
             "not for its silence"
         );
     });
@@ -217,8 +220,8 @@
             number: 0,
         };
         pool.stage(ServerId(0), job(attempt, &clock));
-        let (failed, dials) = pool.flush(clock.now(), &mut metrics());
-        assert_eq!((failed.len(), dials.len()), (0, 1));
+        let flushed = pool.flush(clock.now(), &mut metrics());
+        assert_eq!((flushed.unsent.len(), flushed.dials.len()), (0, 1));
         pool.on_endpoint_list(&list(address, ServerState::Draining), false);
         let Some(Message::Connection(event)) = messages.recv().await else {
             panic!("no outcome")
@@ -294,7 +297,7 @@
 #[test]
 fn no_cancelled_call_that_waits_behind_a_dial_is_written() {
     before_a_server(|listener, mut pool, mut messages, clock| async move {
-        pool.max_parts_per_connection = 400;
+        pool.limits.max_parts_per_connection = 400;
         send(&mut pool, &clock, 0..120);
         assert_eq!(pool.connection_count(), 1);
         for part in 0..119 {
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -6,7 +6,7 @@
 pub mod opensearch;
 pub mod platform;
 
-use crate::connections::connection;
+use crate::connections::socket;
 use crate::contract::Watched;
 use crate::http;
 use crate::messages::{ContractsInForce, Phase};
@@ -315,7 +315,7 @@
             () = place.needed(), if idle => None,
         };
         // A request that is there already is served first; what comes from now on crosses the end.
-        let came = connection::read_available(stream, buffer);
+        let came = socket::read_available(stream, buffer);
         match bad {
             Some(bad) if !came || http::parse_request(buffer)?.is_none() => return Err(bad),
             None if !came => return Ok(Next::Rests),
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -159,9 +159,20 @@
     pub ready_at: Option<Time>,
 }
 
+/// Names a connection to a server within this process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionId(pub u64);
+
+impl ConnectionId {
+    /// Returns the name of the connection opened after this one.
+    pub fn next(self) -> Self {
+        ConnectionId(self.0 + 1)
+    }
+}
+
 /// What a connection tells the core.
 pub struct ConnectionReport {
-    pub connection: u64,
+    pub connection: ConnectionId,
     pub event: ConnectionEvent,
 }
 
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -50,10 +50,10 @@
     wheel: &mut TimerWheel<Timer>,
     tally: &mut Metrics,
 ) -> Vec<AttemptResult> {
-    let (failed, dials) = pool.flush(now, tally);
-    for (link, at) in dials {
+    let flushed = pool.flush(now, tally);
+    for dial in flushed.dials {
         tally.add(Counter::Dials);
-        wheel.insert(at, Timer::Dial(link));
+        wheel.insert(dial.deadline, Timer::Dial(dial.connection));
     }
-    failed
+    flushed.unsent
 }
--- a/crates/coordinator/src/pipeline/tests.rs
+++ b/crates/coordinator/src/pipeline/tests.rs
@@ -1,7 +1,9 @@
 //! The core by its turns. No connection's task runs between them, so what comes in one tick is the test's choice.
 
 use super::*;
-use crate::messages::{Answer, ConnectionEvent, ConnectionReport, PartSpec, Request, Text};
+use crate::messages::{
+    Answer, ConnectionEvent, ConnectionId, ConnectionReport, PartSpec, Request, Text,
+};
 use cairnroad_types::{RequestId, ServerState};
 use tokio::sync::oneshot;
 
@@ -151,7 +153,7 @@
                         };
                         assert!(messages
                             .try_send(Message::Connection(ConnectionReport {
-                                connection: 0,
+                                connection: ConnectionId(0),
                                 event: what
                             }))
                             .is_ok());
--- a/crates/coordinator/src/timer_wheel.rs
+++ b/crates/coordinator/src/timer_wheel.rs
@@ -2,7 +2,7 @@
 //! fires in the first turn at or after the end of its tick. Nothing is taken back: whoever gets an item asks
 //! whether it still matters.
 
-use crate::messages::Attempt;
+use crate::messages::{Attempt, ConnectionId};
 use cairnroad_types::Time;
 
 const SLOTS: i64 = 1024;
@@ -14,7 +14,7 @@
     /// An attempt's time is up.
     Attempt(Attempt),
     /// A connection should be up by now.
-    Dial(u64),
+    Dial(ConnectionId),
     /// Idle connections are looked for.
     Sweep,
     /// The kept bans are looked at.
