--- /dev/null
+++ b/crates/coordinator/src/backends/frames/contracts.rs
@@ -0,0 +1,137 @@
+//! Checks frames against the description of this interface: each by its letter, its line's fields and its payload.
+
+use super::codec::{part_id, remaining_ms, Answer};
+use crate::connections::handle::ConnectionHandle;
+use crate::contract::{Head, Part};
+use crate::messages::{ContractsInForce, OutboundAttempt};
+use cairnroad_contract::drift::Interface;
+use cairnroad_contract::schema::Direction;
+use cairnroad_types::Time;
+use serde_json::{json, Map, Number, Value as Json};
+
+/// What the description calls a load report without values.
+const NO_REPORT: &str = "-";
+
+/// Checks a part of a call, where its request is held against a description.
+pub(super) fn check_call(handle: &ConnectionHandle, part: &OutboundAttempt, now: Time) {
+    if part.judge.is_none() {
+        return;
+    }
+    let text = part.text.as_str();
+    let line = || {
+        let id = part_id(part);
+        format!(
+            "{id} {} {} {}",
+            part.shard,
+            remaining_ms(part, now),
+            text.len()
+        )
+    };
+    let message = request("Q", text.as_bytes());
+    check(handle, &part.judge, message, line, call_fields);
+}
+
+/// Checks the cancel of a part.
+pub(super) fn check_cancel(handle: &ConnectionHandle, id: &str) {
+    let in_force = handle.contracts.current();
+    let line = || id.to_string();
+    check(handle, &in_force, request("X", b""), line, cancel_fields);
+}
+
+/// Checks a health check.
+pub(super) fn check_health_check(handle: &ConnectionHandle) {
+    let in_force = handle.contracts.current();
+    let message = request("L?", b"");
+    check(handle, &in_force, message, String::new, no_fields);
+}
+
+/// Checks an answer. Returns whether it may be used.
+pub(super) fn check_answer(
+    handle: &ConnectionHandle,
+    in_force: &ContractsInForce,
+    answer: &Answer<'_>,
+) -> bool {
+    let line = || {
+        let report = String::from_utf8_lossy(answer.report);
+        format!("{} {} {} {report}", answer.id, answer.end, answer.score)
+    };
+    let message = reply("A", answer.value);
+    check(handle, in_force, message, line, answer_fields)
+}
+
+/// Checks a load report.
+pub(super) fn check_load_report(handle: &ConnectionHandle, report: &[u8]) {
+    let in_force = handle.contracts.current();
+    let message = reply("L", report);
+    check(handle, &in_force, message, String::new, no_fields);
+}
+
+/// Checks a server's word that it could not use a frame.
+pub(super) fn check_error(handle: &ConnectionHandle, text: &str) {
+    let in_force = handle.contracts.current();
+    let message = reply("E", text.as_bytes());
+    check(handle, &in_force, message, String::new, no_fields);
+}
+
+/// Checks a message; `line` and `fields` are called only where it is looked at. Returns whether it may be used.
+fn check(
+    handle: &ConnectionHandle,
+    in_force: &ContractsInForce,
+    message: Part<'_>,
+    line: impl FnOnce() -> String,
+    fields: Head,
+) -> bool {
+    let (contracts, server) = (&handle.contracts, &handle.server);
+    contracts.frame(in_force, Interface::Servers, server, message, line, fields)
+}
+
+fn request<'p>(word: &'static str, payload: &'p [u8]) -> Part<'p> {
+    message(word, Direction::Request, payload)
+}
+
+fn reply<'p>(word: &'static str, payload: &'p [u8]) -> Part<'p> {
+    message(word, Direction::Answer, payload)
+}
+
+fn message<'p>(word: &'static str, direction: Direction, payload: &'p [u8]) -> Part<'p> {
+    Part {
+        channel: "frames",
+        word,
+        direction,
+        payload,
+    }
+}
+
+fn call_fields(line: &str) -> Json {
+    let words: Vec<&str> = line.split(' ').collect();
+    let number = |at: usize| words.get(at).and_then(|word| word.parse::<i64>().ok());
+    json!({"id": words.first(), "shard": number(1), "d": number(2), "length": number(3)})
+}
+
+fn answer_fields(line: &str) -> Json {
+    let words: Vec<&str> = line.splitn(4, ' ').collect();
+    let report = report_fields(words.get(3).copied().unwrap_or(NO_REPORT));
+    json!({"id": words.first(), "end": words.get(1), "score": words.get(2), "report": report})
+}
+
+fn cancel_fields(line: &str) -> Json {
+    json!({"id": line})
+}
+
+fn no_fields(_: &str) -> Json {
+    json!({})
+}
+
+/// Returns a load report as an object: numbers where values are numbers, else text; empty without a report.
+fn report_fields(report: &str) -> Map<String, Json> {
+    if report == NO_REPORT {
+        return Map::new();
+    }
+    let field = |pair: &str| {
+        let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
+        let number = value.parse::<f64>().ok().and_then(Number::from_f64);
+        let value = number.map_or_else(|| json!(value), Json::Number);
+        (name.to_string(), value)
+    };
+    report.split(',').map(field).collect()
+}
--- /dev/null
+++ b/crates/coordinator/src/backends/opensearch/search.rs
@@ -0,0 +1,85 @@
+//! A part as a search request, and a response as the part's outcome.
+
+use crate::http::Response;
+use crate::messages::{OutboundAttempt, Text, Value};
+use cairnroad_types::{Outcome, Time};
+use serde::Deserialize;
+use serde_json::json;
+use serde_json::value::RawValue;
+
+/// Encodes the request of a part.
+pub(super) fn encode_search(part: &OutboundAttempt, host: &str, now: Time) -> Vec<u8> {
+    let body = match &part.text {
+        Text::Query(text) => text.to_string(),
+        Text::Plain(text) => {
+            json!({"query": {"query_string": {"query": text.as_ref()}}}).to_string()
+        }
+    };
+    let remaining_ms = (((part.until - now) * 1000.0) as i64).max(1);
+    let head = format!(
+        "POST /{}/_search?preference=_shards:{}&allow_partial_search_results=false\
+         &cancel_after_time_interval={remaining_ms}ms HTTP/1.1\r\nHost: {host}\r\nX-Opaque-Id: {}.{}\r\n\
+         Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
+        part.class,
+        part.shard,
+        part.name,
+        part.shard,
+        body.len()
+    );
+    [head.as_bytes(), body.as_bytes()].concat()
+}
+
+/// The members of a response that decide its outcome.
+#[derive(Deserialize)]
+struct SearchResponse<'a> {
+    #[serde(default)]
+    timed_out: bool,
+    #[serde(rename = "_shards")]
+    shards: Option<Shards>,
+    #[serde(borrow)]
+    hits: Option<&'a RawValue>,
+    #[serde(borrow)]
+    error: Option<&'a RawValue>,
+}
+
+/// What a hits object must have to be merged with others.
+#[derive(Deserialize)]
+struct Hits {
+    #[serde(rename = "hits")]
+    _hits: Vec<serde::de::IgnoredAny>,
+}
+
+#[derive(Deserialize)]
+struct Shards {
+    #[serde(default)]
+    failed: u32,
+}
+
+/// Returns a response's outcome for its part, and the hits if it is `Ok`.
+///
+/// Only 429 is a server's word that the part never began; an error, by status or in the body of a 200, leaves open
+/// whether it ran.
+pub fn outcome(response: &Response) -> (Outcome, Option<Value>) {
+    match response.status {
+        200 => {}
+        429 => return (Outcome::Rejected, None),
+        _ => return (Outcome::Error, None),
+    }
+    match complete_hits(&response.body) {
+        Some(hits) => (Outcome::Ok, Some(Value::Hits(hits.into()))),
+        None => (Outcome::Error, None),
+    }
+}
+
+/// Returns the hits object of a search that covered its shard completely.
+fn complete_hits(body: &[u8]) -> Option<&str> {
+    let text = std::str::from_utf8(body).ok()?;
+    let response = serde_json::from_str::<SearchResponse>(text).ok()?;
+    let any_failed = response.shards.is_some_and(|shards| shards.failed > 0);
+    if response.timed_out || any_failed || response.error.is_some() {
+        return None;
+    }
+    let hits = response.hits?.get();
+    serde_json::from_str::<Hits>(hits).ok()?;
+    Some(hits)
+}
--- a/crates/coordinator/src/connections/handle.rs
+++ b/crates/coordinator/src/connections/handle.rs
@@ -161,8 +161,8 @@
         self.notify(ConnectionEvent::Closed).await;
     }
 
-    /// Reports that a command was not carried out; `reason` is the outcome of a call's parts.
-    pub async fn reject(&self, command: Command, reason: Outcome) {
+    /// Reports a command that was not carried out; `reason` is the outcome of a call's parts.
+    async fn reject(&self, command: Command, reason: Outcome) {
         match command {
             Command::Call(parts) => self.report_failed_parts(parts, reason).await,
             Command::HealthCheck => {
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -65,13 +65,13 @@
         (Some("c d"), "/api?x=1")
     );
     let (frame, _) = frames::parse_frame(ANSWER).unwrap().unwrap();
-    let wanted = frames::Frame::Answer {
+    let wanted = frames::Frame::Answer(frames::Answer {
         id: "q.3",
         end: "ok",
         score: "17",
         report: b"queue=1,l=2",
         value: b"\0v",
-    };
+    });
     assert_eq!(frame, wanted);
     assert_eq!(
         frames::parse_load_report("queue=1,l=2", &["l".into(), "queue".into()]),
