--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -1,4 +1,4 @@
-//! The pool before a data node that the test plays: what waits, what crosses, what never ran.
+//! The pool with a server played by the test: what waits, what crosses on the wire, and what never ran.
 
 use super::limits::{silence_limit, IDLE_SHARE, SILENCE_SHARE};
 use super::*;
@@ -7,8 +7,8 @@
 use crate::observability::metrics::Metrics;
 use cairnroad_types::RequestId;
 
-/// Runs a test with a pool whose one server the test plays.
-fn before_a_server<F: std::future::Future>(
+/// Runs a test with a pool of one server, whose listener the test holds.
+fn with_one_server<F: std::future::Future>(
     test: impl FnOnce(tokio::net::TcpListener, Pool, mpsc::Receiver<Message>, Clock) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -23,7 +23,7 @@
         let contracts = Rc::new(Contracts::new(clock.clone(), Default::default()));
         let mut pool = Pool::new(&config, contracts, clock.clone(), to_core);
         pool.on_endpoint_list(
-            &list(listener.local_addr().unwrap(), ServerState::Ready),
+            &endpoint_list(listener.local_addr().unwrap(), ServerState::Ready),
             true,
         );
         test(listener, pool, messages, clock).await;
@@ -34,8 +34,8 @@
     Metrics::new(0.0, Time(0))
 }
 
-fn list(address: SocketAddr, state: ServerState) -> Vec<(ServerId, EndpointEntry)> {
-    let row = EndpointEntry {
+fn endpoint_list(address: SocketAddr, state: ServerState) -> Vec<(ServerId, EndpointEntry)> {
+    let entry = EndpointEntry {
         id: "s".into(),
         address,
         cell: 0,
@@ -46,55 +46,48 @@
         generation: 0,
         ready_at: None,
     };
-    vec![(ServerId(0), row)]
+    vec![(ServerId(0), entry)]
 }
 
-fn job(attempt: Attempt, clock: &Clock) -> OutboundAttempt {
-    let (name, class) = (format!("q{}", attempt.part.0).into(), "c".into());
-    let (text, until) = (Text::Plain("t".into()), clock.now() + 9.0);
+fn outbound(attempt: Attempt, clock: &Clock) -> OutboundAttempt {
     OutboundAttempt {
         attempt,
         wanted: Rc::new(Cell::new(true)),
         send_by: None,
-        name,
-        class,
+        name: format!("q{}", attempt.part.0).into(),
+        class: "c".into(),
         shard: 0,
-        text,
-        until,
+        text: Text::Plain("t".into()),
+        until: clock.now() + 9.0,
         judge: None,
     }
 }
 
-/// Guards against a table smaller than the cycle of turns: closing the connection used longest ago closes the
-/// one whose turn is next.
+/// Guards against a fleet with more servers than connections: closing the connection used longest ago would close the
+/// one that is needed next.
 #[test]
-fn room_is_made_by_the_idle_connection_used_last() {
-    before_a_server(|listener, mut pool, _messages, _clock| async move {
+fn at_the_connection_limit_the_most_recently_used_idle_connection_closes() {
+    with_one_server(|listener, mut pool, _messages, _clock| async move {
         let address = listener.local_addr().unwrap();
         let connection = |server: u32, used: f64, busy: bool| {
             let in_flight = if busy {
-                BTreeSet::from([Attempt {
-                    part: RequestId(9),
-                    number: 0,
-                }])
+                BTreeSet::from([first(9)])
             } else {
                 BTreeSet::new()
             };
             let (commands, _) = mpsc::channel(1);
             let shared = Rc::new(SharedState::default());
-            let (earlier_silence, awaiting_since, retired, established) = (0.0, None, false, true);
-            let last_used = Time::from_secs(used);
             Connection {
                 server: ServerId(server),
                 address,
                 commands,
                 shared,
-                established,
+                established: true,
                 in_flight,
-                last_used,
-                earlier_silence,
-                awaiting_since,
-                retired,
+                last_used: Time::from_secs(used),
+                earlier_silence: 0.0,
+                awaiting_since: None,
+                retired: false,
             }
         };
         for (id, (server, used, busy)) in [
@@ -116,30 +109,31 @@
             .filter(|connection| connection.retired)
             .map(|connection| connection.server.0)
             .collect();
-        assert_eq!(closed, [1], "the idle one used last; a busy one stays");
+        assert_eq!(
+            closed,
+            [1],
+            "the idle one used most recently; a busy one stays"
+        );
     });
 }
 
-/// Guards against a connection that fell silent and stays in use because each part on it is cancelled before
-/// its silence has lasted.
+/// Guards against a silent connection that stays in use because each part on it is cancelled before the silence has
+/// reached its limit.
 #[test]
-fn a_cancel_does_not_excuse_a_connections_silence() {
-    before_a_server(|listener, mut pool, mut messages, clock| async move {
+fn a_cancel_does_not_reset_a_connections_silence() {
+    with_one_server(|listener, mut pool, mut messages, clock| async move {
         let _silent = listener;
         let start = clock.now();
-        // When each part is sent and cancelled, and whether it takes a new connection. The sample's aim is 1 s.
-        let mut turns = vec![
+        // When each part is sent and cancelled, and whether it dials. The sample's latency objective is 1 s.
+        let steps = [
             (0.0, 0.15, true),
             (5.0, 5.05, false),
             (6.0, 6.1, false),
             (7.0, 7.1, true),
         ];
-        for (number, (sent, cancelled, dials)) in turns.drain(..).enumerate() {
-            let attempt = Attempt {
-                part: RequestId(number as u64),
-                number: 0,
-            };
-            pool.stage(ServerId(0), job(attempt, &clock));
+        for (number, (sent, cancelled, dials)) in steps.into_iter().enumerate() {
+            let attempt = first(number as u64);
+            pool.stage(ServerId(0), outbound(attempt, &clock));
             assert_eq!(
                 pool.flush(start + sent, &mut metrics()).dials.len(),
                 usize::from(dials),
@@ -157,24 +151,14 @@
     });
 }
 
-/// Guards against calls on a connection whose server stopped in the middle of an answer: they would be lost with
-/// it, though they need never be written there.
+/// Guards against calls on a connection whose server stopped in the middle of an answer: they would be lost with it.
 #[test]
-fn a_connection_in_the_middle_of_an_answer_gets_nothing_new() {
+fn a_connection_with_a_partial_answer_gets_no_new_call() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    before_a_server(|listener, mut pool, mut messages, clock| async move {
+    with_one_server(|listener, mut pool, mut messages, clock| async move {
         let now = clock.now();
         let send = |pool: &mut Pool, number| {
-            pool.stage(
-                ServerId(0),
-                job(
-                    Attempt {
-                        part: RequestId(number),
-                        number: 0,
-                    },
-                    &clock,
-                ),
-            );
+            pool.stage(ServerId(0), outbound(first(number), &clock));
             pool.flush(now, &mut metrics()).dials.len()
         };
         assert_eq!(send(&mut pool, 1), 1);
@@ -189,16 +173,10 @@
             .write_all(b"\0\0\0\x20Aq1.0 ok 1 -\nhalf")
             .await
             .unwrap();
-        // No new connection is dialled as long as the old one is taken.
+        // No new connection is dialled while the old one is still chosen.
         let mut number = 3;
         while send(&mut pool, number) == 0 {
-            pool.cancel(
-                now,
-                Attempt {
-                    part: RequestId(number),
-                    number: 0,
-                },
-            );
+            pool.cancel(now, first(number));
             tokio::task::yield_now().await;
             number += 1;
         }
@@ -210,19 +188,16 @@
     });
 }
 
-/// Guards against a frame that waits behind a dial and leaves after the grace of its server's drain.
+/// Guards against a call that waits behind a dial and is written after the grace period of its server's drain.
 #[test]
 fn a_call_queued_behind_a_dial_is_not_sent_once_its_server_drains() {
-    before_a_server(|listener, mut pool, mut messages, clock| async move {
+    with_one_server(|listener, mut pool, mut messages, clock| async move {
         let address = listener.local_addr().unwrap();
-        let attempt = Attempt {
-            part: RequestId(2),
-            number: 0,
-        };
-        pool.stage(ServerId(0), job(attempt, &clock));
+        let attempt = first(2);
+        pool.stage(ServerId(0), outbound(attempt, &clock));
         let flushed = pool.flush(clock.now(), &mut metrics());
         assert_eq!((flushed.unsent.len(), flushed.dials.len()), (0, 1));
-        pool.on_endpoint_list(&list(address, ServerState::Draining), false);
+        pool.on_endpoint_list(&endpoint_list(address, ServerState::Draining), false);
         let Some(Message::Connection(event)) = messages.recv().await else {
             panic!("no outcome")
         };
@@ -237,7 +212,7 @@
     });
 }
 
-/// What comes of attempts, in the order in which it is told, until this many are.
+/// Receives events until this many attempts have ended. Returns their parts and outcomes in order.
 async fn ends(
     pool: &mut Pool,
     messages: &mut mpsc::Receiver<Message>,
@@ -256,6 +231,7 @@
     ends
 }
 
+/// The first attempt of a part.
 fn first(part: u64) -> Attempt {
     Attempt {
         part: RequestId(part),
@@ -263,15 +239,15 @@
     }
 }
 
-/// Stages these parts as calls of their own and sends them.
+/// Sends each of these parts as a call of its own.
 fn send(pool: &mut Pool, clock: &Clock, parts: impl IntoIterator<Item = u64>) {
     for part in parts {
-        pool.stage(ServerId(0), job(first(part), clock));
+        pool.stage(ServerId(0), outbound(first(part), clock));
         pool.flush(clock.now(), &mut metrics());
     }
 }
 
-/// The next frame that the data node reads.
+/// Reads the server's next frame, without its length.
 async fn frame(server: &mut tokio::net::TcpStream) -> String {
     use tokio::io::AsyncReadExt;
     let length = server.read_u32().await.unwrap() as usize;
@@ -280,23 +256,23 @@
     String::from_utf8(frame).unwrap()
 }
 
-/// An answer frame.
+/// Encodes an answer frame.
 fn answer(line: &str, value: &str) -> Vec<u8> {
     let body = format!("A{line}\n{value}");
     [&(body.len() as u32).to_be_bytes()[..], body.as_bytes()].concat()
 }
 
-/// Has the server's end of a connection reset it rather than close it.
+/// Resets a connection from the server's side.
 fn reset(server: tokio::net::TcpStream) {
     socket2::SockRef::from(&server)
         .set_linger(Some(std::time::Duration::ZERO))
         .unwrap();
 }
 
-/// Guards against calls whose cancel waits behind more calls than a connection takes in at once.
+/// Guards against cancels that wait behind more calls than a connection's task takes in at once.
 #[test]
 fn no_cancelled_call_that_waits_behind_a_dial_is_written() {
-    before_a_server(|listener, mut pool, mut messages, clock| async move {
+    with_one_server(|listener, mut pool, mut messages, clock| async move {
         pool.limits.max_parts_per_connection = 400;
         send(&mut pool, &clock, 0..120);
         assert_eq!(pool.connection_count(), 1);
@@ -306,7 +282,7 @@
         let (mut server, _) = listener.accept().await.unwrap();
         assert!(
             frame(&mut server).await.starts_with("Qq119.0 "),
-            "the only one that anybody waits for"
+            "the only one that is awaited"
         );
         use tokio::io::AsyncWriteExt;
         server
@@ -320,10 +296,10 @@
     });
 }
 
-/// Guards against a part of an ended request that leaves late though its deployment has no cancels.
+/// Guards against a part that is sent after its request has ended, where the deployment has no cancels.
 #[test]
-fn an_unwanted_call_is_not_written_and_nobody_is_told() {
-    before_a_server(|listener, mut pool, mut messages, clock| async move {
+fn a_withdrawn_attempt_is_not_written_and_its_server_is_not_notified() {
+    with_one_server(|listener, mut pool, mut messages, clock| async move {
         send(&mut pool, &clock, [1, 2]);
         pool.withdraw(first(1));
         let (mut server, _) = listener.accept().await.unwrap();
@@ -337,12 +313,12 @@
     });
 }
 
-/// Guards against an answer that came before the connection broke and is lost with it, since the break shows first where
-/// the next call is written.
+/// Guards against losing an answer that was received before the connection broke, when the next write is what shows the
+/// break.
 #[test]
-fn an_answer_that_lies_there_when_a_write_fails_still_counts() {
+fn an_answer_received_before_a_failed_write_still_counts() {
     use tokio::io::AsyncWriteExt;
-    before_a_server(|listener, mut pool, mut messages, clock| async move {
+    with_one_server(|listener, mut pool, mut messages, clock| async move {
         send(&mut pool, &clock, [1]);
         let (mut server, _) = listener.accept().await.unwrap();
         frame(&mut server).await;
@@ -353,7 +329,7 @@
         tokio::task::yield_now().await;
         server.write_all(&answer("q1.0 ok 1 -", "v")).await.unwrap();
         reset(server);
-        // All of it is on this machine before the connection's task looks at its socket again.
+        // Answer and reset have arrived before the connection's task polls its socket again.
         std::thread::sleep(std::time::Duration::from_millis(30));
         send(&mut pool, &clock, [2]);
         let ends = ends(&mut pool, &mut messages, &clock, 2).await;
@@ -366,11 +342,11 @@
     });
 }
 
-/// Guards against an answer that crosses its own cancel and is taken for another part's, or ends the connection.
+/// Guards against an answer that crosses its own cancel and is taken for another part's, or closes the connection.
 #[test]
-fn an_answer_that_crosses_its_cancel_harms_nobody() {
+fn an_answer_that_crosses_its_cancel_affects_no_other_part() {
     use tokio::io::AsyncWriteExt;
-    before_a_server(|listener, mut pool, mut messages, clock| async move {
+    with_one_server(|listener, mut pool, mut messages, clock| async move {
         send(&mut pool, &clock, [1, 2]);
         let (mut server, _) = listener.accept().await.unwrap();
         for _ in 0..2 {
@@ -387,23 +363,23 @@
         send(&mut pool, &clock, [3]);
         assert!(
             frame(&mut server).await.starts_with("Qq3.0 "),
-            "the connection is sound"
+            "the connection stays open"
         );
     });
 }
 
-/// Guards against parts that stay out, or are thought never to have run, where what came on their connection was spoilt.
+/// Guards against parts that stay in flight, or count as never run, after malformed bytes on their connection.
 #[test]
-fn spoilt_bytes_end_all_parts_that_are_out_on_their_connection() {
+fn malformed_bytes_fail_all_parts_in_flight_on_their_connection() {
     use tokio::io::AsyncWriteExt;
-    let spoilt: [&[u8]; 4] = [
+    let malformed: [&[u8]; 4] = [
         b"\0\0\0\x09Zwhatever",
         b"\xff\xff\xff\xff",
         b"\0\0\0\0",
         b"\0\0\0\x0cAq9.0 ok 1 -\n",
     ];
-    for bytes in spoilt {
-        before_a_server(|listener, mut pool, mut messages, clock| async move {
+    for bytes in malformed {
+        with_one_server(|listener, mut pool, mut messages, clock| async move {
             send(&mut pool, &clock, [1, 2]);
             let (mut server, _) = listener.accept().await.unwrap();
             for _ in 0..2 {
@@ -421,14 +397,14 @@
     }
 }
 
-/// Guards against taking a part for run that never was, and the other way round: a reset before the frame's last byte is
-/// written proves that it never ran, one after it proves nothing.
+/// Guards against confusing parts that never ran with parts that may have: a reset before the frame's last byte is written
+/// proves that its parts never ran, one after it proves nothing.
 #[test]
-fn a_reset_within_a_frame_and_one_after_it_are_told_apart() {
+fn a_reset_within_a_frame_is_distinguished_from_one_after_it() {
     for whole in [false, true] {
-        before_a_server(|listener, mut pool, mut messages, clock| async move {
-            let mut large = job(first(1), &clock);
-            // More than the system takes in while nobody reads.
+        with_one_server(|listener, mut pool, mut messages, clock| async move {
+            let mut large = outbound(first(1), &clock);
+            // More than the socket buffers hold.
             large.text = Text::Plain("t".repeat(64 * 1024 * 1024).into());
             pool.stage(ServerId(0), large);
             pool.flush(clock.now(), &mut metrics());
@@ -454,9 +430,9 @@
     }
 }
 
-/// Guards against sweeps and silences fitted to one deployment's keepalive and aims.
+/// Guards against limits that fit only one deployment's keepalive time and latency objectives.
 #[test]
-fn sweeps_and_silence_follow_from_the_settings() {
+fn sweep_interval_and_silence_limit_follow_from_the_settings() {
     let mut deployment = crate::configuration::tests::sample()
         .offer
         .deployment
@@ -468,12 +444,12 @@
             "{keepalive}"
         );
     }
-    for aim in [0.1, 1.0, 4.0] {
+    for objective in [0.1, 1.0, 4.0] {
         deployment
             .policy
             .classes
             .iter_mut()
-            .for_each(|class| class.latency_objective = aim);
-        assert_eq!(silence_limit(&deployment), aim * SILENCE_SHARE);
+            .for_each(|class| class.latency_objective = objective);
+        assert_eq!(silence_limit(&deployment), objective * SILENCE_SHARE);
     }
 }
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -1,4 +1,4 @@
-//! Random cuts of valid messages and random garbage against every parser, from fixed seeds.
+//! Every parser of the program against valid, cut, damaged and random messages, from fixed seeds.
 
 use crate::backends::{frames, opensearch};
 use crate::discovery::endpoint_list::Page;
@@ -20,12 +20,12 @@
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 const ANSWER: &[u8] = b"\0\0\0\x19Aq.3 ok 17 queue=1,l=2\n\0v";
 
-/// A message parses the same wherever it is cut, and no sooner than it is whole.
-fn cut(message: &[u8], parse: impl Fn(&[u8]) -> Option<usize>) {
+/// A message is incomplete wherever it is cut, and bytes behind it are left alone.
+fn assert_incomplete_when_cut(message: &[u8], parse: impl Fn(&[u8]) -> Option<usize>) {
     for at in 0..message.len() {
         assert!(
             parse(&message[..at]).is_none(),
-            "whole at {at} of {}",
+            "complete at {at} of {}",
             message.len()
         );
     }
@@ -38,19 +38,19 @@
 }
 
 #[test]
-fn cut_messages_wait_and_whole_ones_are_taken_off() {
-    cut(REQUEST, |bytes| {
+fn incomplete_messages_wait_and_complete_ones_are_consumed() {
+    assert_incomplete_when_cut(REQUEST, |bytes| {
         http::parse_request(bytes).unwrap().map(|(_, used)| used)
     });
-    cut(CHUNKED, |bytes| {
+    assert_incomplete_when_cut(CHUNKED, |bytes| {
         http::parse_request(bytes).unwrap().map(|(_, used)| used)
     });
-    cut(RESPONSE, |bytes| {
+    assert_incomplete_when_cut(RESPONSE, |bytes| {
         http::parse_response(bytes, false, 99)
             .unwrap()
             .map(|(_, used)| used)
     });
-    cut(ANSWER, |bytes| {
+    assert_incomplete_when_cut(ANSWER, |bytes| {
         frames::parse_frame(bytes).unwrap().map(|(_, used)| used)
     });
     for message in [REQUEST, CHUNKED] {
@@ -65,14 +65,14 @@
         (Some("c d"), "/api?x=1")
     );
     let (frame, _) = frames::parse_frame(ANSWER).unwrap().unwrap();
-    let wanted = frames::Frame::Answer(frames::Answer {
+    let expected = frames::Frame::Answer(frames::Answer {
         id: "q.3",
         end: "ok",
         score: "17",
         report: b"queue=1,l=2",
         value: b"\0v",
     });
-    assert_eq!(frame, wanted);
+    assert_eq!(frame, expected);
     assert_eq!(
         frames::parse_load_report("queue=1,l=2", &["l".into(), "queue".into()]),
         [2.0, 1.0]
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn odd_framing_is_refused() {
+fn ambiguous_or_oversized_framing_is_rejected() {
     let status = |text: &str| {
         http::parse_request(text.as_bytes())
             .map(|_| ())
@@ -136,12 +136,12 @@
     let _ = frames::parse_load_report(&String::from_utf8_lossy(bytes), &["queue".into()]);
 }
 
-fn garbage(bytes: Vec<u8>) -> bool {
+fn random_input(bytes: Vec<u8>) -> bool {
     parse_all(&bytes);
     true
 }
 
-fn damage(flips: Vec<(usize, u8)>, cut: usize) -> bool {
+fn damaged_input(flips: Vec<(usize, u8)>, cut: usize) -> bool {
     for message in [REQUEST, CHUNKED, RESPONSE, ANSWER] {
         let mut damaged = message.to_vec();
         for (at, byte) in &flips {
@@ -154,15 +154,15 @@
 }
 
 #[test]
-fn garbage_and_damage_never_panic_any_parser() {
-    check(1, garbage as fn(Vec<u8>) -> bool);
-    check(2, damage as fn(Vec<(usize, u8)>, usize) -> bool);
+fn random_and_damaged_input_panics_no_parser() {
+    check(1, random_input as fn(Vec<u8>) -> bool);
+    check(2, damaged_input as fn(Vec<(usize, u8)>, usize) -> bool);
 }
 
 #[test]
 fn only_a_429_proves_that_a_search_never_began() {
     use cairnroad_types::Outcome;
-    let told = |status: u16, body: &str| {
+    let outcome = |status: u16, body: &str| {
         let text = format!(
             "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -172,17 +172,23 @@
             .unwrap();
         opensearch::outcome(&response).0
     };
-    let whole = r#"{"timed_out":false,"_shards":{"failed":0},"hits":{"hits":[]}}"#;
-    assert_eq!(told(200, whole), Outcome::Ok);
-    assert_eq!(told(200, &whole.replace("false", "true")), Outcome::Error);
-    assert_eq!(told(200, &whole.replace(":0", ":1")), Outcome::Error);
+    let complete = r#"{"timed_out":false,"_shards":{"failed":0},"hits":{"hits":[]}}"#;
+    assert_eq!(outcome(200, complete), Outcome::Ok);
     assert_eq!(
-        told(200, &whole.replace("\"hits\":{", "\"error\":{},\"hits\":{")),
+        outcome(200, &complete.replace("false", "true")),
         Outcome::Error
     );
-    assert_eq!(told(200, &whole[..20]), Outcome::Error);
+    assert_eq!(outcome(200, &complete.replace(":0", ":1")), Outcome::Error);
     assert_eq!(
-        (told(429, "{}"), told(503, "{}"), told(404, "{}")),
+        outcome(
+            200,
+            &complete.replace("\"hits\":{", "\"error\":{},\"hits\":{")
+        ),
+        Outcome::Error
+    );
+    assert_eq!(outcome(200, &complete[..20]), Outcome::Error);
+    assert_eq!(
+        (outcome(429, "{}"), outcome(503, "{}"), outcome(404, "{}")),
         (Outcome::Rejected, Outcome::Error, Outcome::Error)
     );
 }
