--- a/crates/coordinator/src/backends/frames/answers.rs
+++ b/crates/coordinator/src/backends/frames/answers.rs
@@ -23,11 +23,11 @@
     ids: BTreeMap<Attempt, String>,
     /// Ids of cancelled parts, the latest last: a late answer to one is no fault of the server.
     cancelled: VecDeque<String>,
-    /// The id that was answered last: a duplicate of that answer is told from one to a part never sent.
+    /// The id that was answered last: a duplicate of that answer is distinguished from one to a part never sent.
     last_answered: String,
     /// Health checks that are written and not answered.
     pub(super) health_checks: u32,
-    /// An answer came twice: what follows can't be trusted, so nothing new is written.
+    /// A duplicate answer was received: what follows can't be trusted, so nothing new is written.
     poisoned: bool,
 }
 
--- a/crates/coordinator/src/backends/frames/codec.rs
+++ b/crates/coordinator/src/backends/frames/codec.rs
@@ -25,7 +25,7 @@
     Ping,
     /// `L`: the answer to a health check.
     LoadReport(&'a [u8]),
-    /// `E`: the server could not use a frame; its words.
+    /// `E`: the server could not use a frame; its explanation.
     Error(String),
 }
 
--- a/crates/coordinator/src/backends/frames/connection.rs
+++ b/crates/coordinator/src/backends/frames/connection.rs
@@ -36,7 +36,11 @@
         // answers came malformed is not what breaks it.
         Err(fault) => {
             connection.log(&fault);
-            connection.finish(Outcome::Error, Outcome::NotSent).await;
+            let outcomes = UnfinishedOutcomes {
+                in_flight: Outcome::Error,
+                unsent: Outcome::NotSent,
+            };
+            connection.finish(outcomes).await;
         }
     }
 }
@@ -48,6 +52,14 @@
     outcome: Outcome,
 }
 
+/// The outcomes of parts that are unfinished when a connection ends.
+struct UnfinishedOutcomes {
+    /// Of parts that are completely written and not answered.
+    in_flight: Outcome,
+    /// Of parts that are not completely written, which never ran.
+    unsent: Outcome,
+}
+
 /// A connection's state.
 struct FrameConnection {
     handle: ConnectionHandle,
@@ -155,7 +167,7 @@
     }
 
     /// Returns why no call may be written, as an outcome that says it never ran: the server is draining or removed, or
-    /// the connection is poisoned or stands in the middle of a frame, which may never end.
+    /// the connection is poisoned or in the middle of a frame, which may never end.
     fn write_block(&self) -> Option<Outcome> {
         if self.handle.is_draining() {
             return Some(Outcome::ConnectFailed);
@@ -300,23 +312,27 @@
         // A write may fail before the answers are read that were received before the break.
         socket::read_available(reader.as_ref(), &mut self.buffer);
         let _ = self.process_frames().await;
-        self.finish(Outcome::Reset, Outcome::ConnectFailed).await;
+        let outcomes = UnfinishedOutcomes {
+            in_flight: Outcome::Reset,
+            unsent: Outcome::ConnectFailed,
+        };
+        self.finish(outcomes).await;
     }
 
-    /// Reports what is unfinished: parts in flight as `in_flight`, parts that never ran as `unsent`.
-    async fn finish(mut self, in_flight: Outcome, unsent: Outcome) {
+    /// Reports everything that is unfinished, then the close.
+    async fn finish(mut self, outcomes: UnfinishedOutcomes) {
         for part in self.answers.take_all() {
             self.handle
-                .report_attempt(part.attempt, in_flight, None)
+                .report_attempt(part.attempt, outcomes.in_flight, None)
                 .await;
         }
         for _ in 0..self.answers.health_checks {
             self.handle.report_failed_health_check(Outcome::Reset).await;
         }
-        let (mut unsent_parts, pending) = self.outbound.into_unsent();
+        let (mut unsent, pending) = self.outbound.into_unsent();
         for command in pending {
             match command {
-                Command::Call(parts) => unsent_parts.extend(parts),
+                Command::Call(parts) => unsent.extend(parts),
                 Command::HealthCheck => {
                     self.handle
                         .report_failed_health_check(Outcome::ConnectFailed)
@@ -325,6 +341,6 @@
                 Command::Cancel(_) => {}
             }
         }
-        self.handle.close(unsent_parts, unsent).await;
+        self.handle.close(unsent, outcomes.unsent).await;
     }
 }
--- a/crates/coordinator/src/backends/frames/contracts.rs
+++ b/crates/coordinator/src/backends/frames/contracts.rs
@@ -66,7 +66,7 @@
     check(handle, &in_force, message, String::new, no_fields);
 }
 
-/// Checks a server's word that it could not use a frame.
+/// Checks a server's report that it could not use a frame.
 pub(super) fn check_error(handle: &ConnectionHandle, text: &str) {
     let in_force = handle.contracts.current();
     let message = reply("E", text.as_bytes());
--- a/crates/coordinator/src/backends/frames/fault.rs
+++ b/crates/coordinator/src/backends/frames/fault.rs
@@ -24,7 +24,7 @@
     PartialFrame,
     #[error("an answer's id is unknown")]
     UnknownId,
-    #[error("an answer came twice")]
+    #[error("a duplicate answer")]
     DuplicateAnswer,
     #[error("an answer's end is unknown: {}", .0.escape_default())]
     UnknownEnd(String),
--- a/crates/coordinator/src/backends/opensearch/search.rs
+++ b/crates/coordinator/src/backends/opensearch/search.rs
@@ -57,7 +57,7 @@
 
 /// Returns a response's outcome for its part, and the hits if it is `Ok`.
 ///
-/// Only 429 is a server's word that the part never began; an error, by status or in the body of a 200, leaves open
+/// Only 429 states that the part never began; an error, by status or in the body of a 200, leaves open
 /// whether it ran.
 pub fn outcome(response: &Response) -> (Outcome, Option<Value>) {
     match response.status {
--- a/crates/coordinator/src/connections/pool/connection.rs
+++ b/crates/coordinator/src/connections/pool/connection.rs
@@ -64,7 +64,7 @@
 
     /// Whether a call fits beside what is in flight, `max_parts` in all.
     pub(super) fn has_room_for(&self, call: &[OutboundAttempt], max_parts: usize) -> bool {
-        // Ids tell parts apart on a connection: two attempts of one part never share one.
+        // Ids distinguish parts on a connection, not attempts: two attempts of one part never share one.
         let shares_a_part = || {
             call.iter().any(|new| {
                 self.in_flight
--- a/crates/coordinator/src/connections/pool/mod.rs
+++ b/crates/coordinator/src/connections/pool/mod.rs
@@ -49,7 +49,7 @@
     pub deadline: Time,
 }
 
-/// What came of sending the staged parts.
+/// The result of sending the staged parts.
 #[derive(Default)]
 pub struct Flushed {
     /// Parts that no connection takes.
--- a/crates/coordinator/src/http/body.rs
+++ b/crates/coordinator/src/http/body.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns a body that stands on the wire as it is.
+    /// Returns a body that is on the wire without framing of its own.
     pub(super) fn verbatim(bytes: &[u8]) -> Self {
         Body {
             bytes: bytes.to_vec(),
--- a/crates/coordinator/src/http/error.rs
+++ b/crates/coordinator/src/http/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Why a message is not accepted. The text is what the other side is told.
+/// Why a message is not accepted. The text goes to the other side.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("{}", self.message())]
 pub enum MessageError {
@@ -38,7 +38,7 @@
         matches!(self, MessageError::ShuttingDown | MessageError::Pipelined)
     }
 
-    /// Returns the text that the other side is told, without allocating.
+    /// Returns the text that goes to the other side, without allocating.
     pub fn message(self) -> &'static str {
         match self {
             MessageError::Malformed(detail) => detail,
