--- a/crates/coordinator/src/backends/frames/answers.rs
+++ b/crates/coordinator/src/backends/frames/answers.rs
@@ -48,7 +48,7 @@
         self.ids.insert(part.attempt, id.clone());
         let awaited = AwaitedPart {
             attempt: part.attempt,
-            contracts: part.judge,
+            contracts: part.contracts,
         };
         self.in_flight.insert(id, awaited);
     }
--- a/crates/coordinator/src/backends/frames/codec.rs
+++ b/crates/coordinator/src/backends/frames/codec.rs
@@ -172,5 +172,5 @@
 
 /// Returns how many milliseconds a part has left, 1 at least.
 pub(super) fn remaining_ms(part: &OutboundAttempt, now: Time) -> i64 {
-    (((part.until - now) * 1000.0) as i64).max(1)
+    (((part.deadline - now) * 1000.0) as i64).max(1)
 }
--- a/crates/coordinator/src/backends/frames/connection.rs
+++ b/crates/coordinator/src/backends/frames/connection.rs
@@ -278,7 +278,9 @@
         if self.answers.is_poisoned() {
             self.handle.poison();
         }
-        self.handle.notify(ConnectionEvent::Heard).await;
+        self.handle
+            .notify(ConnectionEvent::CancelledAttemptAnswered)
+            .await;
         Ok(())
     }
 
--- a/crates/coordinator/src/backends/frames/contracts.rs
+++ b/crates/coordinator/src/backends/frames/contracts.rs
@@ -14,7 +14,7 @@
 
 /// Checks a part of a call, where its request is held against a description.
 pub(super) fn check_call(handle: &ConnectionHandle, part: &OutboundAttempt, now: Time) {
-    if part.judge.is_none() {
+    if part.contracts.is_none() {
         return;
     }
     let text = part.text.as_str();
@@ -28,7 +28,7 @@
         )
     };
     let message = request("Q", text.as_bytes());
-    check(handle, &part.judge, message, line, call_fields);
+    check(handle, &part.contracts, message, line, call_fields);
 }
 
 /// Checks the cancel of a part.
--- a/crates/coordinator/src/backends/opensearch/connection.rs
+++ b/crates/coordinator/src/backends/opensearch/connection.rs
@@ -234,7 +234,7 @@
         let (part, handle) = (&self.part, &self.handle);
         let contracts = &handle.contracts;
         contracts.exchange(
-            &part.judge,
+            &part.contracts,
             &handle.server,
             &self.request,
             response,
--- a/crates/coordinator/src/backends/opensearch/search.rs
+++ b/crates/coordinator/src/backends/opensearch/search.rs
@@ -15,7 +15,7 @@
             json!({"query": {"query_string": {"query": text.as_ref()}}}).to_string()
         }
     };
-    let remaining_ms = (((part.until - now) * 1000.0) as i64).max(1);
+    let remaining_ms = (((part.deadline - now) * 1000.0) as i64).max(1);
     let head = format!(
         "POST /{}/_search?preference=_shards:{}&allow_partial_search_results=false\
          &cancel_after_time_interval={remaining_ms}ms HTTP/1.1\r\nHost: {host}\r\nX-Opaque-Id: {}.{}\r\n\
--- a/crates/coordinator/src/connections/pool/mod.rs
+++ b/crates/coordinator/src/connections/pool/mod.rs
@@ -259,7 +259,7 @@
                 connection.heard(now);
                 None
             }
-            ConnectionEvent::Heard => {
+            ConnectionEvent::CancelledAttemptAnswered => {
                 connection.heard(now);
                 None
             }
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -58,8 +58,8 @@
         class: "c".into(),
         shard: 0,
         text: Text::Plain("t".into()),
-        until: clock.now() + 9.0,
-        judge: None,
+        deadline: clock.now() + 9.0,
+        contracts: None,
     }
 }
 
