--- a/crates/coordinator/src/pipeline/core/tests.rs
+++ b/crates/coordinator/src/pipeline/core/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::messages::{
-    Answer, ConnectionEvent, ConnectionReport, EndpointEntry, EndpointListUpdate, PartSpec,
-    Request, Text,
+    Answer, ConnectionEvent, ConnectionId, ConnectionReport, EndpointEntry, EndpointListUpdate,
+    PartSpec, Request, Text,
 };
 use cairnroad_types::{Outcome, RequestId, ServerState};
 use tokio::sync::oneshot;
@@ -151,9 +151,9 @@
                     .unwrap();
                 if let Some(outcome) = ended {
                     core.tick();
-                    assert!(core.pool.is_out(attempt(0)), "the first attempt");
+                    assert!(core.pool.is_in_flight(attempt(0)), "the first attempt");
                     let report = ConnectionReport {
-                        connection: 0,
+                        connection: ConnectionId(0),
                         event: ConnectionEvent::AttemptEnded {
                             attempt: attempt(0),
                             outcome,
@@ -167,7 +167,7 @@
                     drop(answer);
                 }
                 core.tick();
-                let sent = core.pool.is_out(attempt(u8::from(retried)));
+                let sent = core.pool.is_in_flight(attempt(u8::from(retried)));
                 assert_eq!(sent, !client_leaves, "{ended:?}, leaves: {client_leaves}");
             });
         }
