--- a/crates/coordinator/src/messages/connection_event.rs
+++ b/crates/coordinator/src/messages/connection_event.rs
@@ -3,10 +3,21 @@
 use super::{Attempt, Value};
 use cairnroad_types::Outcome;
 
+/// Identifies a connection to a server within this process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionId(pub u64);
+
+impl ConnectionId {
+    /// Returns the id of the connection opened after this one.
+    pub fn next(self) -> Self {
+        ConnectionId(self.0 + 1)
+    }
+}
+
 /// An event of one connection.
 pub struct ConnectionReport {
-    /// The connection's number in the pool.
-    pub connection: u64,
+    /// The connection.
+    pub connection: ConnectionId,
     /// What happened on it.
     pub event: ConnectionEvent,
 }
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -32,7 +32,7 @@
             let number = attempt;
             pool.cancel(now, Attempt { part, number });
         }
-        Action::HealthCheck(server) => pool.probe(server),
+        Action::HealthCheck(server) => pool.request_health_check(server),
         Action::SetTimer(at) => timers.insert(at, Timer::RouterWakeUp),
         // Discovery subscribes by itself; final answers are `respond`'s.
         Action::SubscribeEndpoints
@@ -49,12 +49,12 @@
     timers: &mut TimerWheel<Timer>,
     metrics: &mut Metrics,
 ) -> Vec<AttemptResult> {
-    let (failed, dials) = pool.flush(now, metrics);
-    for (connection, deadline) in dials {
+    let flushed = pool.flush(now, metrics);
+    for dial in flushed.dials {
         metrics.add(Counter::Dials);
-        timers.insert(deadline, Timer::DialDeadline(connection));
+        timers.insert(dial.deadline, Timer::DialDeadline(dial.connection));
     }
-    failed
+    flushed.unsent
 }
 
 /// Counts an attempt by its kind, before it is dispatched: a further attempt of its part, a hedge, an attempt at a
@@ -77,11 +77,11 @@
     if earlier_attempts > 0 {
         metrics.add(Counter::FurtherAttempts);
     }
-    let in_flight = |number| pool.is_out(Attempt { part, number });
+    let in_flight = |number| pool.is_in_flight(Attempt { part, number });
     if (0..earlier_attempts).any(in_flight) {
         metrics.add(Counter::Hedges);
     }
-    if pool.is_young(now, server, slow_start_duration) {
+    if pool.is_warming_up(now, server, slow_start_duration) {
         metrics.add(Counter::SlowStartAttempts);
     }
 }
--- a/crates/coordinator/src/pipeline/timer.rs
+++ b/crates/coordinator/src/pipeline/timer.rs
@@ -1,6 +1,6 @@
 //! The timers of the core.
 
-use crate::messages::Attempt;
+use crate::messages::{Attempt, ConnectionId};
 
 /// What a timer of the core stands for. Timers are not cancelled: the receiver checks whether one still matters.
 pub enum Timer {
@@ -9,7 +9,7 @@
     /// An attempt's deadline.
     AttemptDeadline(Attempt),
     /// By now the connection with this number should be established.
-    DialDeadline(u64),
+    DialDeadline(ConnectionId),
     /// Idle connections are closed.
     ConnectionSweep,
     /// Stored suspensions are read for changes of another process.
