--- a/crates/cluster/src/membership/config.rs
+++ b/crates/cluster/src/membership/config.rs
@@ -1,4 +1,4 @@
-//! What a coordinator is in its cluster, and what its membership reports.
+//! Configuration and outputs of a membership.
 
 use crate::identity::MemberId;
 use crate::quorum::QuorumView;
--- a/crates/cluster/src/membership/messages.rs
+++ b/crates/cluster/src/membership/messages.rs
@@ -8,7 +8,7 @@
 use crate::identity::NameHash;
 use std::net::SocketAddr;
 
-/// What a SWIM message tells of its sender's view.
+/// What a SWIM message says of its sender's view.
 struct PeerView {
     member: NameHash,
     epoch: u64,
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -12,7 +12,7 @@
 //! | `name_ownership` | two processes under one name |
 //! | `rejoin` | coming back after a pause or a verdict of the others |
 //! | `status` | this coordinator's health and quorum view |
-//! | `queries` | what is told: view, reports, counters |
+//! | `queries` | what is reported: view, outlier reports, counters |
 //! | `clock`, `timers`, `view_version` | values of their own |
 
 mod anti_entropy;
@@ -92,7 +92,7 @@
     /// All known members, this coordinator not included.
     members: BTreeMap<NameHash, Member>,
     version: ViewVersion,
-    /// The digest of each live member's view, as its last message told.
+    /// The digest of each live member's view, as in its last message.
     peer_digests: BTreeMap<NameHash, u64>,
     /// What this coordinator published, to be published again under a new identity.
     published: BTreeMap<EntryKind, GossipValue>,
--- a/crates/cluster/src/membership/queries.rs
+++ b/crates/cluster/src/membership/queries.rs
@@ -1,4 +1,4 @@
-//! What a membership tells its owner.
+//! What a membership reports to its owner.
 
 use super::Membership;
 use crate::datagram_error::DropCount;
--- a/crates/cluster/src/membership/view_version.rs
+++ b/crates/cluster/src/membership/view_version.rs
@@ -6,7 +6,7 @@
 pub(super) struct ViewVersion {
     epoch: u64,
     digest: u64,
-    /// The highest epoch that a live member told.
+    /// The highest epoch that a live member sent.
     highest_peer_epoch: u64,
 }
 
--- a/crates/cluster/src/message_filter.rs
+++ b/crates/cluster/src/message_filter.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Decides which members messages may name, and notes what the library does not tell.
+/// Decides which members messages may name, and notes what the library does not report.
 pub(crate) struct MessageFilter {
     /// This coordinator.
     pub(crate) local: MemberId,
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -344,7 +344,7 @@
     }
 }
 
-/// The phase that other members are told.
+/// The phase that is published to other members.
 fn gossip_phase(phase: Phase) -> gossip_state::Phase {
     match phase {
         Phase::Starting => gossip_state::Phase::Starting,
