--- /dev/null
+++ b/crates/flow-control/src/random.rs
@@ -0,0 +1,32 @@
+//! Seeded pseudo-random numbers.
+
+/// Increment of the generator's state: 2^64 divided by the golden ratio (Steele, Lea and Flood 2014).
+const STATE_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Bits of a random number that a float's significand can hold exactly.
+const SIGNIFICAND_BITS: u32 = 53;
+
+/// A splitmix64 generator, the router's only source of randomness: equal seeds give equal decisions.
+///
+/// Written out here because it is part of the recorded decisions: its digits must not change with a
+/// dependency's version.
+#[derive(Default)]
+pub struct Random {
+    state: u64,
+}
+
+impl Random {
+    /// Creates a generator that starts at `seed`.
+    pub fn new(seed: u64) -> Self {
+        Random { state: seed }
+    }
+
+    /// Returns the next number, from 0 to below 1.
+    pub fn next_unit(&mut self) -> f64 {
+        self.state = self.state.wrapping_add(STATE_INCREMENT);
+        let mut mixed = self.state;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^= mixed >> 31;
+        (mixed >> (u64::BITS - SIGNIFICAND_BITS)) as f64 / (1u64 << SIGNIFICAND_BITS) as f64
+    }
+}
--- a/crates/routing/src/policy/choose.rs
+++ b/crates/routing/src/policy/choose.rs
@@ -75,16 +75,17 @@
     /// same, the turns decide.
     fn weighed(&mut self, level: &[ServerId]) -> Option<ServerId> {
         let turn = |id| {
-            (
-                self.servers[id].weight,
-                self.servers[id].credit,
-                self.servers[id].turn,
-            )
+            let server = &self.servers[id];
+            Turn {
+                weight: server.weight,
+                credit: server.credit,
+                last_turn: server.turn,
+            }
         };
-        let mut turns: Vec<(f64, f64, i64)> = level.iter().map(turn).collect();
-        let best = owed(&mut turns)?;
-        for (id, (_, credit, _)) in level.iter().zip(turns) {
-            self.servers.get_mut(id)?.credit = credit;
+        let mut turns: Vec<Turn> = level.iter().map(turn).collect();
+        let best = weighted_round_robin(&mut turns)?;
+        for (id, turn) in level.iter().zip(turns) {
+            self.servers.get_mut(id)?.credit = turn.credit;
         }
         level.get(best).copied()
     }
--- a/crates/routing/src/policy/cold.rs
+++ b/crates/routing/src/policy/cold.rs
@@ -28,7 +28,8 @@
         let ramp = s.slow_start_share
             + (1.0 - s.slow_start_share) * (age - s.overload_window / 2.0).max(0.0)
                 / s.slow_start_duration;
-        let earned = COLD_MARGIN * s.overload_multiple * ramp * self.take.best * server.size;
+        let earned =
+            COLD_MARGIN * s.overload_multiple * ramp * self.throughput.best() * server.size;
         let (earlier, at) = server.earned;
         let most = (earned * s.overload_window * COLD_BURST).max(1.0);
         server.earned = ((earlier + earned * (now - at)).min(most), now);
@@ -37,7 +38,7 @@
 
     /// Notes once a tick what a warm server of size 1 answers this node a second.
     fn note_take(&mut self, now: Time) {
-        if !self.take.is_due(now) {
+        if !self.throughput.start_sample(now) {
             return;
         }
         let span = self.settings.slow_start_duration * TAKE_WARM_UPS;
@@ -52,7 +53,10 @@
             .servers
             .values_mut()
             .filter(warm)
-            .map(|s| (s.answers.count(now, span), s.size));
-        self.take.note(counts, seen);
+            .map(|s| ServerThroughput {
+                answers: s.answers.count(now, span),
+                size: s.size,
+            });
+        self.throughput.record(counts, seen);
     }
 }
--- a/crates/routing/src/policy/copies.rs
+++ b/crates/routing/src/policy/copies.rs
@@ -31,7 +31,12 @@
             && now < query.end_at
             && (part.tried.len() as u64)
                 < u64::from(self.settings.max_attempts.min(u32::from(u8::MAX)));
-        allowed && open && self.budget.left(now, self.settings.retry_budget, margin) >= 1.0
+        allowed
+            && open
+            && self
+                .retry_budget
+                .remaining(now, self.settings.retry_budget, margin)
+                >= 1.0
     }
 
     /// The design's copy: one for a part unanswered after the fixed delay, to a replica that is not overdue.
--- a/crates/routing/src/policy/doubt.rs
+++ b/crates/routing/src/policy/doubt.rs
@@ -52,10 +52,12 @@
         } else {
             server.hint
         };
-        if server.pace > DOUBT && !self.probing.armed && self.settings.health_check_value.is_some()
+        if server.pace > DOUBT
+            && !self.health_checks.scheduled
+            && self.settings.health_check_value.is_some()
         {
-            self.probing.armed = true;
-            self.agenda.insert(now, Due::Probe);
+            self.health_checks.scheduled = true;
+            self.timers.insert(now, Due::Probe);
         }
         let took = match outcome {
             Outcome::Ok => took,
@@ -66,7 +68,7 @@
         server.wait = (server.wait.0 + (took - server.wait.0) * PACE_GAIN, now);
     }
 
-    /// Zones are lost whole: a node with little traffic must not lose parts to each server of one to find it.
+    /// ZoneOutages are lost whole: a node with little traffic must not lose parts to each server of one to find it.
     /// Those of a dark zone are doubted until one of them is heard.
     pub(super) fn note_dark(&mut self, now: Time) {
         let sightings = self.ready().map(|(_, server)| {
@@ -80,13 +82,15 @@
             let waiting = oldest
                 .filter(|flight| now - flight.sent >= delay(flight))
                 .map(|flight| flight.sent);
-            Sighting {
+            ZoneObservation {
                 zone: server.zone,
-                answered: server.passed,
-                kept: server.kept.or(waiting),
+                last_answered_send: server.passed,
+                unanswered_since: server.kept.or(waiting),
             }
         });
-        let dark = self.zones.lost(now, &sightings.collect::<Vec<_>>());
+        let dark = self
+            .zone_outages
+            .detect_outage(now, &sightings.collect::<Vec<_>>());
         for server in self
             .servers
             .values_mut()
@@ -103,7 +107,7 @@
         };
         server.kept = None;
         let zone = server.zone;
-        let Some(dark_for) = self.zones.found(now, zone) else {
+        let Some(dark_for) = self.zone_outages.recovered(now, zone) else {
             return;
         };
         let restarted = dark_for > self.settings.slow_start_duration * DARK_START;
@@ -132,8 +136,8 @@
             .and_then(|at| report.get(at))
             .copied();
         server.hint = self
-            .probing
-            .hint(outcome, held, WORST_PACE)
+            .health_checks
+            .load_ratio(outcome, held, WORST_PACE)
             .unwrap_or(server.hint);
     }
 
@@ -152,7 +156,7 @@
     /// longest; of a doubted one, only probes count as news.
     pub(super) fn probe(&mut self, now: Time, actions: &mut Vec<Action>) {
         let doubts = self.ready().any(|(_, s)| self.doubted(now, s));
-        self.probing.armed = doubts;
+        self.health_checks.scheduled = doubts;
         if !doubts {
             return;
         }
@@ -165,14 +169,14 @@
         };
         let oldest = self.ready().map(|(id, s)| (heard(s), id)).min();
         let due = oldest.filter(|&(at, _)| now - at > self.shortest);
-        if let Some((_, id)) = due.filter(|_| self.probing.take()) {
+        if let Some((_, id)) = due.filter(|_| self.health_checks.try_spend()) {
             actions.push(Action::HealthCheck(id));
             if let Some(server) = self.servers.get_mut(&id) {
                 server.probed = now;
             }
         }
-        let gap = Probing::gap(self.shortest, self.chance.next());
-        self.agenda
+        let gap = HealthCheckSchedule::delay(self.shortest, self.random.next_unit());
+        self.timers
             .insert(now + gap.max(self.settings.tick), Due::Probe);
     }
 }
--- a/crates/routing/src/policy/end.rs
+++ b/crates/routing/src/policy/end.rs
@@ -134,8 +134,8 @@
         if self.numbers.get(&query.number) == Some(&id) {
             self.numbers.remove(&query.number);
         }
-        self.agenda.remove(query.aim_at, Due::Aim(id));
-        self.agenda.remove(query.end_at, Due::End(id));
+        self.timers.remove(query.aim_at, Due::Aim(id));
+        self.timers.remove(query.end_at, Due::End(id));
         self.drop_parts(now, query.parts, actions);
     }
 
--- a/crates/routing/src/policy/list.rs
+++ b/crates/routing/src/policy/list.rs
@@ -19,11 +19,11 @@
     pub(super) fn note_list(&mut self, now: Time, news: &EndpointUpdate) {
         let rows = match news {
             EndpointUpdate::Failed => {
-                let chance = self.chance.next();
+                let chance = self.random.next_unit();
                 let wait = self
-                    .asking
-                    .failed(self.settings.max_poll_interval.unwrap_or(0.0), chance);
-                self.agenda.insert(now + wait, Due::Ask);
+                    .poll_backoff
+                    .on_failure(self.settings.max_poll_interval.unwrap_or(0.0), chance);
+                self.timers.insert(now + wait, Due::Ask);
                 return;
             }
             EndpointUpdate::Snapshot(rows)
@@ -31,7 +31,7 @@
             | EndpointUpdate::Delta(rows) => rows,
         };
         if !matches!(news, EndpointUpdate::Cached(_)) {
-            self.asking.told();
+            self.poll_backoff.on_success();
         }
         if matches!(news, EndpointUpdate::Snapshot(_)) && !rows.is_empty() {
             let listed: BTreeSet<ServerId> = rows.iter().map(|row| row.server).collect();
@@ -43,8 +43,8 @@
         }
         for row in rows {
             let (turn, earned) = (
-                -((self.chance.next() * 1e6) as i64) - 1,
-                (self.chance.next(), now),
+                -((self.random.next_unit() * 1e6) as i64) - 1,
+                (self.random.next_unit(), now),
             );
             let server = self.servers.entry(row.server).or_insert_with(|| Server {
                 turn,
@@ -93,11 +93,11 @@
         let Some(must_ask) = self
             .settings
             .max_poll_interval
-            .filter(|_| !self.asking.subscribed)
+            .filter(|_| !self.poll_backoff.is_subscribed())
         else {
             return;
         };
         actions.push(Action::SubscribeEndpoints);
-        self.agenda.insert(now + must_ask / 2.0, Due::Ask);
+        self.timers.insert(now + must_ask / 2.0, Due::Ask);
     }
 }
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/policy/mod.rs
@@ -1,8 +1,11 @@
 //! All decisions of the aggregator: the turn of events. Its words stand in the package `words`.
 
-use cairnroad_flow_control::{owed, Agenda, Asking, Budget, Chance, Probing, Take, Window};
+use cairnroad_flow_control::{
+    weighted_round_robin, HealthCheckSchedule, PollBackoff, Random, RetryBudget, ServerThroughput,
+    SlidingWindow, ThroughputEstimate, TimerQueue, Turn,
+};
 use cairnroad_types::*;
-use cairnroad_zone_outage::{Sighting, Zones};
+use cairnroad_zone_outage::{ZoneObservation, ZoneOutages};
 use state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -44,7 +47,7 @@
 #[derive(Default)]
 pub struct RequestRouter {
     settings: Settings,
-    chance: Chance,
+    random: Random,
     born: Option<Time>,
     servers: BTreeMap<ServerId, Server>,
     /// The servers of each cell.
@@ -58,7 +61,7 @@
     flights: BTreeMap<(RequestId, u8), Flight>,
     /// The kinds of query that were suspects, and when last.
     suspects: BTreeMap<(usize, u64), Time>,
-    agenda: Agenda<Due>,
+    timers: TimerQueue<Due>,
     /// The shortest aim, and how far back "lately" goes, in seconds.
     shortest: f64,
     recent: f64,
@@ -66,22 +69,22 @@
     usual: Vec<f64>,
     noted: Vec<Time>,
     density: f64,
-    asked: Window,
-    parts_sent: Window,
-    copies: Window,
-    trials: Window,
-    budget: Budget,
-    take: Take,
-    probing: Probing,
-    zones: Zones,
-    asking: Asking,
+    asked: SlidingWindow,
+    parts_sent: SlidingWindow,
+    copies: SlidingWindow,
+    trials: SlidingWindow,
+    retry_budget: RetryBudget,
+    throughput: ThroughputEstimate,
+    health_checks: HealthCheckSchedule,
+    zone_outages: ZoneOutages,
+    poll_backoff: PollBackoff,
 }
 
 impl RequestRouter {
     /// A node that knows its settings and nothing else. `seed` is its only source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut node = RequestRouter {
-            chance: Chance(seed),
+            random: Random::new(seed),
             ..RequestRouter::default()
         };
         let all: Vec<ClassId> = (0..settings.classes.len() as u16).map(ClassId).collect();
@@ -95,7 +98,7 @@
         if self.born.is_none() {
             self.born = Some(now);
             if self.settings.max_poll_interval.is_some() {
-                self.agenda.insert(now, Due::Ask);
+                self.timers.insert(now, Due::Ask);
             }
         }
         let mut fresh = BTreeSet::new();
@@ -152,12 +155,12 @@
         for part in broken {
             self.retry(now, part, actions);
         }
-        while let Some((at, due)) = self.agenda.pop(now) {
+        while let Some((at, due)) = self.timers.pop_expired(now) {
             match due {
                 // A node back from a stall finds these overdue in one wave, and answers still unread.
                 Due::Hedge(_) if now - at > self.settings.tick * STALL_TICKS => {
-                    let spread = self.shortest * HEDGE_DELAY * self.chance.next();
-                    self.agenda
+                    let spread = self.shortest * HEDGE_DELAY * self.random.next_unit();
+                    self.timers
                         .insert(now + spread.max(self.settings.tick), due);
                 }
                 Due::Hedge(part) => self.hedge(now, part, actions),
@@ -167,7 +170,7 @@
                 Due::Probe => self.probe(now, actions),
             }
         }
-        actions.extend(self.agenda.wake(now).map(Action::SetTimer));
+        actions.extend(self.timers.next_wake(now).map(Action::SetTimer));
     }
 
     fn send(&mut self, now: Time, id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
@@ -190,13 +193,13 @@
         if part.first_sent.is_none() {
             part.first_sent = Some(now);
             self.parts_sent.push(now, self.recent * CALM_LATELY);
-            self.probing.earn(servers);
+            self.health_checks.add_credit(servers);
             if class.idempotency != Idempotency::AtMostOnce && self.settings.hedging {
-                self.agenda.insert(now + delay, Due::Hedge(id));
+                self.timers.insert(now + delay, Due::Hedge(id));
             }
         }
         if attempt > 0 {
-            self.budget.repeated(now, self.settings.retry_budget);
+            self.retry_budget.on_retry(now, self.settings.retry_budget);
         }
         self.turns += 1;
         server.turn = self.turns;
--- a/crates/routing/src/policy/note.rs
+++ b/crates/routing/src/policy/note.rs
@@ -21,7 +21,8 @@
         else {
             return;
         };
-        self.budget.took(now, self.settings.retry_budget);
+        self.retry_budget
+            .on_arrival(now, self.settings.retry_budget);
         let class = usize::from(class.0);
         let margin = self.settings.tick * END_TICKS;
         // A query of an unknown class is one that earns nothing: it ends at once, in `open_step`.
@@ -50,8 +51,8 @@
             kind: (class, 0),
             ..Query::default()
         };
-        self.agenda.insert(query.aim_at, Due::Aim(id));
-        self.agenda.insert(query.end_at, Due::End(id));
+        self.timers.insert(query.aim_at, Due::Aim(id));
+        self.timers.insert(query.end_at, Due::End(id));
         self.numbers.insert(number, id);
         self.queries.insert(id, query);
     }
@@ -90,7 +91,8 @@
         };
         self.parts.insert(id, part);
         self.asked.push(now, self.recent * CALM_LATELY);
-        self.budget.took(now, self.settings.retry_budget);
+        self.retry_budget
+            .on_arrival(now, self.settings.retry_budget);
         Some(query_id)
     }
 
--- a/crates/routing/src/policy/refuse.rs
+++ b/crates/routing/src/policy/refuse.rs
@@ -114,7 +114,7 @@
         let age = (self.noted[class] - now) / (self.recent * SLOW_MEMORY);
         let slowest = self.usual[class] * (1.0 + (calls.max(1) as f64).ln()) * age.min(0.0).exp();
         let share = slowest / left.max(1e-6);
-        self.chance.next()
+        self.random.next_unit()
             < ((share - SLOW_RANGE.0) / (SLOW_RANGE.1 - SLOW_RANGE.0)).min(SURE_REFUSAL)
     }
 
--- a/crates/routing/src/policy/retune.rs
+++ b/crates/routing/src/policy/retune.rs
@@ -46,9 +46,9 @@
             .iter_mut()
             .filter(|(_, query)| query.end_at > moment)
         {
-            self.agenda.remove(query.end_at, Due::End(id));
+            self.timers.remove(query.end_at, Due::End(id));
             query.end_at = moment;
-            self.agenda.insert(moment, Due::End(id));
+            self.timers.insert(moment, Due::End(id));
         }
     }
 }
--- a/crates/routing/src/policy/state.rs
+++ b/crates/routing/src/policy/state.rs
@@ -36,7 +36,7 @@
     /// Parts earned while cold, and until when these are counted.
     pub(super) earned: (f64, Time),
     /// Answers within the window for what servers take.
-    pub(super) answers: Window,
+    pub(super) answers: SlidingWindow,
 }
 
 pub(super) struct Flight {
--- a/crates/zone-outage/src/lib.rs
+++ b/crates/zone-outage/src/lib.rs
@@ -1,83 +1,102 @@
-//! Which zones are lost: a failure detector over what one node's own sends met. It decides nothing about servers.
+//! Detection of zones that are unreachable as a whole, from what one coordinator's own sends met.
 //!
-//! A node with little traffic meets each server every few seconds, and silence proves nothing at once. But zones are
-//! lost whole: a few servers of one zone that keep what was sent to them, while none of that zone answers anything
-//! newer and others elsewhere do, tell of all of it.
+//! A coordinator with little traffic sends to each server every few seconds, so the silence of one server
+//! proves nothing at once. But zones fail whole: if a few servers of one zone leave requests unanswered, while
+//! none of that zone answers anything newer and servers elsewhere do, the zone is unreachable. The package
+//! decides nothing about single servers.
 
-use cairnroad_types::Time;
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+use cairnroad_types::{Seconds, Time};
 use std::collections::BTreeMap;
 
-/// A zone is lost once so many of its servers are silent. One alone may be ill.
-const SILENT: usize = 2;
-/// And this share of them: among many servers two ill ones meet by chance.
-const SILENT_SHARE: f64 = 0.14;
+/// Silent servers that an outage takes at least: one alone may be faulty.
+const MIN_SILENT_SERVERS: usize = 2;
+/// Share of a zone's servers that must be silent: among many servers, two faulty ones meet by chance.
+const MIN_SILENT_SHARE: f64 = 0.14;
+/// The zone number of servers whose zone is unknown; nothing is concluded from them.
+const UNKNOWN_ZONE: u32 = 0;
 
 /// What is known of one server.
 #[derive(Clone, Copy, Debug)]
-pub struct Sighting {
-    /// Its zone; 0 where none is told, of which nothing follows.
+pub struct ZoneObservation {
+    /// The server's zone; 0 if it is unknown, in which case the server is ignored.
     pub zone: u32,
-    /// The latest send that it answered.
-    pub answered: Time,
-    /// The first send since it was last heard of that has had no answer in time, if there is one.
-    pub kept: Option<Time>,
+    /// When the latest request that it answered was sent.
+    pub last_answered_send: Time,
+    /// When the first request was sent that it left unanswered past its time since it was last heard from.
+    pub unanswered_since: Option<Time>,
 }
 
-/// What is added up for one zone.
+/// The observations of one zone, added up.
 #[derive(Default)]
-struct Zone {
-    size: usize,
-    answered: Time,
-    kept: Vec<Time>,
+struct ZoneSummary {
+    servers: usize,
+    last_answered_send: Time,
+    unanswered_sends: Vec<Time>,
+}
+
+impl ZoneSummary {
+    /// Whether enough servers are silent, counting only sends up to the latest one that was answered anywhere.
+    fn is_unreachable(&self, last_answered_anywhere: Time) -> bool {
+        let silent = self
+            .unanswered_sends
+            .iter()
+            .filter(|&&at| self.last_answered_send < at && at <= last_answered_anywhere)
+            .count();
+        silent >= MIN_SILENT_SERVERS && silent as f64 >= MIN_SILENT_SHARE * self.servers as f64
+    }
 }
 
-/// The lost zones, and when each was found lost.
+/// The zones that are unreachable, and when each outage was detected.
 #[derive(Default)]
-pub struct Zones(BTreeMap<u32, Time>);
+pub struct ZoneOutages {
+    detected_at: BTreeMap<u32, Time>,
+}
 
-impl Zones {
-    /// The zones that these sightings show to be lost, and that were not known to be.
-    pub fn lost(&mut self, now: Time, sightings: &[Sighting]) -> Vec<u32> {
-        let mut zones: BTreeMap<u32, Zone> = BTreeMap::new();
-        for sighting in sightings.iter().filter(|sighting| sighting.zone != 0) {
-            let zone = zones.entry(sighting.zone).or_default();
-            zone.size += 1;
-            zone.answered = zone.answered.max(sighting.answered);
-            zone.kept.extend(sighting.kept);
-        }
-        // What went out when nobody anywhere answered says nothing of this zone: the fault may be ours.
-        let anywhere = zones
+impl ZoneOutages {
+    /// Returns the zones that the observations show to be unreachable and that weren't known to be.
+    pub fn detect_outage(&mut self, now: Time, observations: &[ZoneObservation]) -> Vec<u32> {
+        let zones = summarize(observations);
+        // What was sent when no server anywhere answered proves nothing of a zone: the fault may be our own.
+        let last_answered_anywhere = zones
             .values()
-            .map(|zone| zone.answered)
+            .map(|zone| zone.last_answered_send)
             .max()
             .unwrap_or_default();
-        // A zone that left the list is no zone; its servers are gone.
-        self.0.retain(|zone, _| zones.contains_key(zone));
-        let silent = |zone: &Zone| {
-            let count = zone
-                .kept
-                .iter()
-                .filter(|&&at| zone.answered < at && at <= anywhere)
-                .count();
-            count >= SILENT && count as f64 >= SILENT_SHARE * zone.size as f64
-        };
-        let found: Vec<u32> = zones
+        // A zone without listed servers no longer exists.
+        self.detected_at.retain(|zone, _| zones.contains_key(zone));
+        let detected: Vec<u32> = zones
             .iter()
-            .filter(|(_, zone)| silent(zone))
+            .filter(|(_, summary)| summary.is_unreachable(last_answered_anywhere))
             .map(|(&zone, _)| zone)
+            .filter(|zone| !self.detected_at.contains_key(zone))
             .collect();
-        let fresh: Vec<u32> = found
-            .into_iter()
-            .filter(|zone| !self.0.contains_key(zone))
-            .collect();
-        self.0.extend(fresh.iter().map(|&zone| (zone, now)));
-        fresh
+        self.detected_at
+            .extend(detected.iter().map(|&zone| (zone, now)));
+        detected
+    }
+
+    /// Ends a zone's outage because one of its servers was heard from.
+    ///
+    /// Returns how long the outage lasted in seconds, `None` if the zone wasn't unreachable.
+    pub fn recovered(&mut self, now: Time, zone: u32) -> Option<Seconds> {
+        self.detected_at.remove(&zone).map(|since| now - since)
     }
+}
 
-    /// A server of this zone was heard: for how many seconds the zone was lost, if it was.
-    pub fn found(&mut self, now: Time, zone: u32) -> Option<f64> {
-        self.0.remove(&zone).map(|since| now - since)
+fn summarize(observations: &[ZoneObservation]) -> BTreeMap<u32, ZoneSummary> {
+    let mut zones: BTreeMap<u32, ZoneSummary> = BTreeMap::new();
+    for server in observations {
+        if server.zone == UNKNOWN_ZONE {
+            continue;
+        }
+        let zone = zones.entry(server.zone).or_default();
+        zone.servers += 1;
+        zone.last_answered_send = zone.last_answered_send.max(server.last_answered_send);
+        zone.unanswered_sends.extend(server.unanswered_since);
     }
+    zones
 }
 
 #[cfg(test)]
