--- a/crates/coordinator/src/pipeline/routing.rs
+++ b/crates/coordinator/src/pipeline/routing.rs
@@ -37,7 +37,7 @@
             .map(|class| class.latency_objective)
             .collect();
         self.aggregator
-            .retune(deployment.policy.clone(), renewed, offered);
+            .reconfigure(deployment.policy.clone(), renewed, offered);
     }
 
     /// A class's aim in seconds.
@@ -56,17 +56,17 @@
 
     /// What the decisions believe of the servers, for the log.
     pub fn beliefs(&self, now: Time) -> HealthSummary {
-        self.aggregator.beliefs(now)
+        self.aggregator.health_summary(now)
     }
 
     /// The servers that own answers of the last `secs` seconds make doubtful.
     pub fn doubted_lately(&self, now: Time, secs: f64) -> Vec<ServerId> {
-        self.aggregator.doubted_lately(now, secs)
+        self.aggregator.recent_outliers(now, secs)
     }
 
     /// No query that is open gets longer than up to this moment.
     pub fn end_by(&mut self, moment: Time) {
-        self.aggregator.end_by(moment);
+        self.aggregator.finish_by(moment);
         self.events.push(Event::TimerFired);
     }
 
--- a/crates/routing/src/policy/list.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,13 +1,13 @@
 //! What the list of servers says.
 
-use super::*;
+use crate::router::*;
 
 impl RequestRouter {
     /// Forgets the servers that are gone and have nothing out: on a long day they are replaced without end.
-    pub(super) fn forget_gone(&mut self) {
+    pub(crate) fn remove_unlisted_servers(&mut self) {
         let cells = &mut self.cells;
         self.servers.retain(|id, server| {
-            let known = server.state != ServerState::Removed || !server.out.is_empty();
+            let known = server.state != ServerState::Removed || !server.in_flight.is_empty();
             if !known {
                 cells.entry(server.cell).or_default().remove(id);
             }
@@ -16,14 +16,14 @@
     }
 
     /// A server missing from a whole list is gone; an empty list is no news.
-    pub(super) fn note_list(&mut self, now: Time, news: &EndpointUpdate) {
+    pub(crate) fn on_endpoints(&mut self, now: Time, news: &EndpointUpdate) {
         let rows = match news {
             EndpointUpdate::Failed => {
                 let chance = self.random.next_unit();
                 let wait = self
                     .poll_backoff
                     .on_failure(self.settings.max_poll_interval.unwrap_or(0.0), chance);
-                self.timers.insert(now + wait, Due::Ask);
+                self.timers.insert(now + wait, Timer::PollEndpoints);
                 return;
             }
             EndpointUpdate::Snapshot(rows)
@@ -47,14 +47,14 @@
                 (self.random.next_unit(), now),
             );
             let server = self.servers.entry(row.server).or_insert_with(|| Server {
-                turn,
-                pace: 1.0,
-                hint: 1.0,
-                judged: now,
+                last_turn: turn,
+                slowness_ratio: 1.0,
+                health_check_ratio: 1.0,
+                last_updated: now,
                 last_sent: now,
-                wait: (0.0, now),
+                smoothed_latency: (0.0, now),
                 ready_at: row.ready_at,
-                earned,
+                slow_start_credit: earned,
                 ..Server::default()
             });
             self.cells
@@ -66,7 +66,11 @@
                 .ready_at
                 .is_some_and(|at| server.ready_at.is_none_or(|old| at > old))
             {
-                (server.pace, server.hint, server.earned) = (1.0, 1.0, earned);
+                (
+                    server.slowness_ratio,
+                    server.health_check_ratio,
+                    server.slow_start_credit,
+                ) = (1.0, 1.0, earned);
             }
             (server.state, server.zone) = (row.state, row.zone);
             server.ready_at = row.ready_at;
@@ -89,7 +93,7 @@
     }
 
     /// Asks to be told of changes, and again if nothing at all comes back.
-    pub(super) fn ask(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub(crate) fn ask(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(must_ask) = self
             .settings
             .max_poll_interval
@@ -98,6 +102,7 @@
             return;
         };
         actions.push(Action::SubscribeEndpoints);
-        self.timers.insert(now + must_ask / 2.0, Due::Ask);
+        self.timers
+            .insert(now + must_ask / 2.0, Timer::PollEndpoints);
     }
 }
--- a/crates/routing/src/policy/note.rs
+++ b/crates/routing/src/events.rs
@@ -1,15 +1,15 @@
 //! What is noted of queries, parts and outcomes.
 
-use super::*;
+use crate::router::*;
 
 /// A reset within this share of the usual answer time may be of an idle connection gone stale. The part goes
 /// back there: on a fresh connection, or to a server that its own query felled.
-const AT_ONCE: f64 = 0.1;
+const STALE_CONNECTION_SHARE: f64 = 0.1;
 /// Answers for an aim leave this share of it before: the way to the client and a busy processor take time.
-const AIM_MARGIN: f64 = 0.03;
+const OBJECTIVE_MARGIN: f64 = 0.03;
 
 impl RequestRouter {
-    pub(super) fn note_query(&mut self, now: Time, event: &Event) {
+    pub(crate) fn on_query(&mut self, now: Time, event: &Event) {
         let &Event::Query {
             id,
             class,
@@ -24,7 +24,7 @@
         self.retry_budget
             .on_arrival(now, self.settings.retry_budget);
         let class = usize::from(class.0);
-        let margin = self.settings.tick * END_TICKS;
+        let margin = self.settings.tick * DEADLINE_MARGIN_TICKS;
         // A query of an unknown class is one that earns nothing: it ends at once, in `open_step`.
         let terms = self
             .settings
@@ -44,20 +44,20 @@
             class,
             number,
             asked_at,
-            aim_at: end_at.min(asked_at + (aim - margin.max(aim * AIM_MARGIN))),
-            end_at,
+            objective_at: end_at.min(asked_at + (aim - margin.max(aim * OBJECTIVE_MARGIN))),
+            finish_at: end_at,
             generation: self.generation,
             repeat,
-            kind: (class, 0),
+            fingerprint: (class, 0),
             ..Query::default()
         };
-        self.timers.insert(query.aim_at, Due::Aim(id));
-        self.timers.insert(query.end_at, Due::End(id));
-        self.numbers.insert(number, id);
+        self.timers.insert(query.objective_at, Timer::Objective(id));
+        self.timers.insert(query.finish_at, Timer::Deadline(id));
+        self.queries_by_number.insert(number, id);
         self.queries.insert(id, query);
     }
 
-    pub(super) fn note_part(&mut self, now: Time, event: &Event) -> Option<RequestId> {
+    pub(crate) fn on_part(&mut self, now: Time, event: &Event) -> Option<RequestId> {
         let &Event::Part {
             id,
             number,
@@ -67,14 +67,14 @@
         else {
             return None;
         };
-        let query_id = *self.numbers.get(&number)?;
+        let query_id = *self.queries_by_number.get(&number)?;
         let query = self.queries.get_mut(&query_id)?;
         if self.parts.contains_key(&id) {
             return None;
         }
         query.parts.push(id);
-        query.kind.1 = query
-            .kind
+        query.fingerprint.1 = query
+            .fingerprint
             .1
             .wrapping_add(u64::from(shard).wrapping_mul(u64::from(shard)) + 1);
         let weight = if weight.is_finite() {
@@ -90,61 +90,65 @@
             ..Part::default()
         };
         self.parts.insert(id, part);
-        self.asked.push(now, self.recent * CALM_LATELY);
+        self.part_arrivals
+            .push(now, self.recent_span * SPARSE_TRAFFIC_FACTOR);
         self.retry_budget
             .on_arrival(now, self.settings.retry_budget);
         Some(query_id)
     }
 
     /// Books an outcome with its server and its part; the query, if that still runs.
-    pub(super) fn note_outcome(
+    pub(crate) fn on_attempt_ended(
         &mut self,
         now: Time,
         id: RequestId,
         attempt: u8,
         outcome: Outcome,
     ) -> Option<RequestId> {
-        let flight = self.land(id, attempt)?;
+        let sent_attempt = self.finish_attempt(id, attempt)?;
         let visits = |part: &Part| {
             part.tried
                 .iter()
-                .filter(|&&server| server == flight.server)
+                .filter(|&&server| server == sent_attempt.server)
                 .count()
         };
         let went_back = self.parts.get(&id).is_some_and(|part| visits(part) > 1);
-        let at_once = now - flight.sent < self.usual[flight.class] * AT_ONCE;
+        let at_once = now - sent_attempt.sent_at
+            < self.typical_latency[sent_attempt.class] * STALE_CONNECTION_SHARE;
         let stale = outcome == Outcome::Reset && at_once && !went_back;
         if !stale {
-            self.judge(now, &flight, outcome);
+            self.record_outcome(now, &sent_attempt, outcome);
         }
         if matches!(
             outcome,
             Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Reset
         ) {
-            self.note_heard(now, flight.server);
+            self.on_server_heard(now, sent_attempt.server);
         }
         let part = self.parts.get_mut(&id)?;
         let query = self.queries.get_mut(&part.query)?;
-        part.out.retain(|&number| number != attempt);
+        part.in_flight.retain(|&number| number != attempt);
         if outcome == Outcome::Ok {
             (part.answered, query.answers) = (true, query.answers + 1);
         }
         part.may_have_run |= !outcome.never_ran();
-        part.back = stale.then_some(flight.server);
+        part.retry_on = stale.then_some(sent_attempt.server);
         if !stale && (outcome == Outcome::Reset || went_back && outcome == Outcome::ConnectFailed) {
             query.resets += 1;
-            if query.suspect() {
-                self.suspects.insert(query.kind, now);
+            if query.is_suspect() {
+                self.suspect_queries.insert(query.fingerprint, now);
             }
         }
         Some(part.query)
     }
 
-    pub(super) fn land(&mut self, id: RequestId, attempt: u8) -> Option<Flight> {
-        let flight = self.flights.remove(&(id, attempt))?;
-        if let Some(server) = self.servers.get_mut(&flight.server) {
-            server.out.remove(&(flight.overdue, id, attempt));
+    pub(crate) fn finish_attempt(&mut self, id: RequestId, attempt: u8) -> Option<Attempt> {
+        let sent_attempt = self.attempts.remove(&(id, attempt))?;
+        if let Some(server) = self.servers.get_mut(&sent_attempt.server) {
+            server
+                .in_flight
+                .remove(&(sent_attempt.overdue_at, id, attempt));
         }
-        Some(flight)
+        Some(sent_attempt)
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,11 +1,12 @@
 //! Sans-I/O decisions for a client library that reads many shards for one request.
 //!
-//! An [`RequestRouter`] is told what happened ([`Event`]) and says what to do ([`Action`]): which replica gets
+//! An [`RequestRouter`] is told what happened ([`Event`](cairnroad_types::Event)) and says what to do ([`Action`](cairnroad_types::Action)): which replica gets
 //! each part of a query, when a part gets its one hedge, when to cancel, retry, answer, refuse or fail. It
 //! keeps no clock, opens no socket and shares nothing; the caller does both and feeds the outcomes back.
 //!
 //! ```
-//! use cairnroad_routing::*;
+//! use cairnroad_routing::RequestRouter;
+//! use cairnroad_types::*;
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
@@ -44,7 +45,17 @@
 
 #![forbid(unsafe_code)]
 
-mod policy;
+mod completion;
+mod endpoints;
+mod events;
+mod health_summary;
+mod hedging;
+mod load_shedding;
+mod outlier_detection;
+mod reconfigure;
+mod replica_selection;
+mod router;
+mod slow_start;
+mod state;
 
-pub use cairnroad_types::*;
-pub use policy::RequestRouter;
+pub use router::RequestRouter;
--- a/crates/routing/src/policy/mod.rs
+++ b/crates/routing/src/router.rs
@@ -1,83 +1,71 @@
 //! All decisions of the aggregator: the turn of events. Its words stand in the package `words`.
 
-use cairnroad_flow_control::{
+pub(crate) use crate::state::*;
+pub(crate) use cairnroad_flow_control::{
     weighted_round_robin, HealthCheckSchedule, PollBackoff, Random, RetryBudget, ServerThroughput,
     SlidingWindow, ThroughputEstimate, TimerQueue, Turn,
 };
-use cairnroad_types::*;
-use cairnroad_zone_outage::{ZoneObservation, ZoneOutages};
-use state::*;
-use std::collections::{BTreeMap, BTreeSet};
-
-mod beliefs;
-mod choose;
-mod cold;
-mod copies;
-mod doubt;
-mod end;
-mod list;
-mod note;
-mod refuse;
-mod retune;
-mod state;
+pub(crate) use cairnroad_types::*;
+pub(crate) use cairnroad_zone_outage::{ZoneObservation, ZoneOutages};
+pub(crate) use std::collections::{BTreeMap, BTreeSet};
 
 /// A part's one copy goes out after this share of its class's aim. The design's default.
-const HEDGE_DELAY: f64 = 0.5;
+pub(crate) const HEDGE_DELAY_SHARE: f64 = 0.5;
 /// "Lately" for that share, in multiples of the longest aim: several queries' lives, yet soon forgotten.
-const RECENT_AIMS: f64 = 5.0;
+pub(crate) const RECENT_OBJECTIVES: f64 = 5.0;
 /// "Lately" is so many times longer where most of a query is in: the fleet isn't slow as a whole. A node with
 /// little traffic sends few parts in a few aims, and a lost zone is a third of one query.
-const CALM_LATELY: f64 = 10.0;
+pub(crate) const SPARSE_TRAFFIC_FACTOR: f64 = 10.0;
 /// The usual answer time before any answer was seen, as a share of the aim.
-const FIRST_GUESS: f64 = 0.125;
+pub(crate) const INITIAL_LATENCY_SHARE: f64 = 0.125;
 /// Ends come this many ticks before they are due, so that a late tick still meets them.
-const END_TICKS: f64 = 3.0;
+pub(crate) const DEADLINE_MARGIN_TICKS: f64 = 3.0;
 /// Pace, in usual answer times, above which a server is doubted.
-const DOUBT: f64 = 3.0;
+pub(crate) const OUTLIER_RATIO: f64 = 3.0;
 /// Over how many warm-up times the usual take of a warm server is counted.
-const TAKE_WARM_UPS: f64 = 0.5;
+pub(crate) const THROUGHPUT_SPAN_RAMPS: f64 = 0.5;
 /// Slack for shares of weights against their bars: half of the least weight that clients write.
-const WEIGHT_SLACK: f64 = 5e-7;
+pub(crate) const WEIGHT_SLACK: f64 = 5e-7;
 /// Weight of one answer in its class's usual answer time: the last thirty or so count.
-const USUAL_GAIN: f64 = 0.03;
+pub(crate) const TYPICAL_LATENCY_GAIN: f64 = 0.03;
 /// A copy's timer that is judged so many ticks late tells of a stall of this node, not of a slow server.
-const STALL_TICKS: f64 = 10.0;
+pub(crate) const STALL_TICKS: f64 = 10.0;
 
 /// Decides for one front node.
 #[derive(Default)]
 pub struct RequestRouter {
-    settings: Settings,
-    random: Random,
-    born: Option<Time>,
-    servers: BTreeMap<ServerId, Server>,
+    pub(crate) settings: Settings,
+    pub(crate) random: Random,
+    pub(crate) started_at: Option<Time>,
+    pub(crate) servers: BTreeMap<ServerId, Server>,
     /// The servers of each cell.
-    cells: BTreeMap<u32, BTreeSet<ServerId>>,
+    pub(crate) cells: BTreeMap<u32, BTreeSet<ServerId>>,
     /// The latest generation of the list.
-    generation: u64,
-    turns: i64,
-    queries: BTreeMap<RequestId, Query>,
-    numbers: BTreeMap<u64, RequestId>,
-    parts: BTreeMap<RequestId, Part>,
-    flights: BTreeMap<(RequestId, u8), Flight>,
+    pub(crate) generation: u64,
+    pub(crate) turn_count: i64,
+    pub(crate) queries: BTreeMap<RequestId, Query>,
+    pub(crate) queries_by_number: BTreeMap<u64, RequestId>,
+    pub(crate) parts: BTreeMap<RequestId, Part>,
+    pub(crate) attempts: BTreeMap<(RequestId, u8), Attempt>,
     /// The kinds of query that were suspects, and when last.
-    suspects: BTreeMap<(usize, u64), Time>,
-    timers: TimerQueue<Due>,
+    pub(crate) suspect_queries: BTreeMap<(usize, u64), Time>,
+    pub(crate) timers: TimerQueue<Timer>,
     /// The shortest aim, and how far back "lately" goes, in seconds.
-    shortest: f64,
-    recent: f64,
+    pub(crate) shortest_objective: f64,
+    pub(crate) recent_span: f64,
     /// Each class's usual answer time, and when it was last seen.
-    usual: Vec<f64>,
-    noted: Vec<Time>,
-    density: f64,
-    asked: SlidingWindow,
-    parts_sent: SlidingWindow,
-    copies: SlidingWindow,
-    trials: SlidingWindow,
-    retry_budget: RetryBudget,
-    throughput: ThroughputEstimate,
-    health_checks: HealthCheckSchedule,
-    zone_outages: ZoneOutages,
-    poll_backoff: PollBackoff,
+    pub(crate) typical_latency: Vec<f64>,
+    pub(crate) latency_updated: Vec<Time>,
+    pub(crate) mean_value_density: f64,
+    pub(crate) part_arrivals: SlidingWindow,
+    pub(crate) part_sends: SlidingWindow,
+    pub(crate) hedges: SlidingWindow,
+    pub(crate) trials: SlidingWindow,
+    pub(crate) retry_budget: RetryBudget,
+    pub(crate) throughput: ThroughputEstimate,
+    pub(crate) health_checks: HealthCheckSchedule,
+    pub(crate) zone_outages: ZoneOutages,
+    pub(crate) poll_backoff: PollBackoff,
 }
 
 impl RequestRouter {
@@ -88,17 +76,17 @@
             ..RequestRouter::default()
         };
         let all: Vec<ClassId> = (0..settings.classes.len() as u16).map(ClassId).collect();
-        node.retune(settings, &[], &all);
+        node.reconfigure(settings, &[], &all);
         node
     }
 
     /// Takes all events of one tick and appends what is to be done. All outcomes are noted before any
     /// timer is judged: a node back from a stall must not hedge parts whose answers came meanwhile.
     pub fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
-        if self.born.is_none() {
-            self.born = Some(now);
+        if self.started_at.is_none() {
+            self.started_at = Some(now);
             if self.settings.max_poll_interval.is_some() {
-                self.timers.insert(now, Due::Ask);
+                self.timers.insert(now, Timer::PollEndpoints);
             }
         }
         let mut fresh = BTreeSet::new();
@@ -106,18 +94,18 @@
         let (mut won, mut broken) = (Vec::new(), Vec::new());
         for event in events {
             match event {
-                Event::Endpoints(news) => self.note_list(now, news),
+                Event::Endpoints(news) => self.on_endpoints(now, news),
                 &Event::Query { id, .. } => {
-                    self.note_query(now, event);
+                    self.on_query(now, event);
                     fresh.insert(id);
                 }
-                Event::Part { .. } => fresh.extend(self.note_part(now, event)),
+                Event::Part { .. } => fresh.extend(self.on_part(now, event)),
                 &Event::AttemptEnded {
                     id,
                     attempt,
                     outcome,
                 } => {
-                    if let Some(query) = self.note_outcome(now, id, attempt, outcome) {
+                    if let Some(query) = self.on_attempt_ended(now, id, attempt, outcome) {
                         touched.insert(query);
                         match outcome {
                             Outcome::Ok => won.push(id),
@@ -129,28 +117,28 @@
                     server,
                     outcome,
                     report,
-                } => self.note_probe(*server, *outcome, report),
-                Event::OutlierAdvice(servers) => self.note_advice(now, servers),
-                Event::ClientGone(id) => self.forget(now, *id, actions),
+                } => self.on_health_check_ended(*server, *outcome, report),
+                Event::OutlierAdvice(servers) => self.on_outlier_advice(now, servers),
+                Event::ClientGone(id) => self.remove(now, *id, actions),
                 Event::TimerFired => {}
             }
         }
-        self.forget_gone();
+        self.remove_unlisted_servers();
         for part in won {
             let twins = self
                 .parts
                 .get_mut(&part)
-                .map(|p| std::mem::take(&mut p.out))
+                .map(|p| std::mem::take(&mut p.in_flight))
                 .unwrap_or_default();
             for attempt in twins {
                 self.cancel(now, part, attempt, actions);
             }
         }
         for &query in &touched {
-            self.settle(now, query, actions);
+            self.complete_if_ready(now, query, actions);
         }
         for query in fresh {
-            self.open_step(now, query, actions);
+            self.start_step(now, query, actions);
         }
         for part in broken {
             self.retry(now, part, actions);
@@ -158,22 +146,29 @@
         while let Some((at, due)) = self.timers.pop_expired(now) {
             match due {
                 // A node back from a stall finds these overdue in one wave, and answers still unread.
-                Due::Hedge(_) if now - at > self.settings.tick * STALL_TICKS => {
-                    let spread = self.shortest * HEDGE_DELAY * self.random.next_unit();
+                Timer::Hedge(_) if now - at > self.settings.tick * STALL_TICKS => {
+                    let spread =
+                        self.shortest_objective * HEDGE_DELAY_SHARE * self.random.next_unit();
                     self.timers
                         .insert(now + spread.max(self.settings.tick), due);
                 }
-                Due::Hedge(part) => self.hedge(now, part, actions),
-                Due::Aim(query) => self.aim_passed(now, query, actions),
-                Due::End(query) => self.give_up(now, query, actions),
-                Due::Ask => self.ask(now, actions),
-                Due::Probe => self.probe(now, actions),
+                Timer::Hedge(part) => self.hedge(now, part, actions),
+                Timer::Objective(query) => self.on_objective_passed(now, query, actions),
+                Timer::Deadline(query) => self.give_up(now, query, actions),
+                Timer::PollEndpoints => self.ask(now, actions),
+                Timer::HealthCheck => self.probe(now, actions),
             }
         }
         actions.extend(self.timers.next_wake(now).map(Action::SetTimer));
     }
 
-    fn send(&mut self, now: Time, id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
+    pub(crate) fn send(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        server_id: ServerId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(part) = self.parts.get_mut(&id) else {
             return;
         };
@@ -185,38 +180,39 @@
             return;
         };
         let class = &self.settings.classes[query.class];
-        let delay = class.latency_objective * HEDGE_DELAY;
-        let overdue = now + self.usual[query.class].min(delay);
+        let delay = class.latency_objective * HEDGE_DELAY_SHARE;
+        let overdue = now + self.typical_latency[query.class].min(delay);
         let attempt = part.tried.len() as u8;
-        part.out.push(attempt);
+        part.in_flight.push(attempt);
         part.tried.push(server_id);
         if part.first_sent.is_none() {
             part.first_sent = Some(now);
-            self.parts_sent.push(now, self.recent * CALM_LATELY);
+            self.part_sends
+                .push(now, self.recent_span * SPARSE_TRAFFIC_FACTOR);
             self.health_checks.add_credit(servers);
             if class.idempotency != Idempotency::AtMostOnce && self.settings.hedging {
-                self.timers.insert(now + delay, Due::Hedge(id));
+                self.timers.insert(now + delay, Timer::Hedge(id));
             }
         }
         if attempt > 0 {
             self.retry_budget.on_retry(now, self.settings.retry_budget);
         }
-        self.turns += 1;
-        server.turn = self.turns;
-        server.out.insert((overdue, id, attempt));
+        self.turn_count += 1;
+        server.last_turn = self.turn_count;
+        server.in_flight.insert((overdue, id, attempt));
         server.last_sent = now;
-        server.earned.0 -= 1.0;
-        let flight = Flight {
+        server.slow_start_credit.0 -= 1.0;
+        let sent_attempt = Attempt {
             server: server_id,
             class: query.class,
-            sent: now,
-            overdue,
+            sent_at: now,
+            overdue_at: overdue,
         };
-        self.flights.insert((id, attempt), flight);
+        self.attempts.insert((id, attempt), sent_attempt);
         actions.push(Action::Send {
             part: id,
             server: server_id,
-            until: query.end_at,
+            until: query.finish_at,
         });
     }
 }
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -2,7 +2,8 @@
 
 mod common;
 
-use cairnroad_routing::*;
+use cairnroad_routing::RequestRouter;
+use cairnroad_types::*;
 use common::class;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,7 +1,8 @@
 //! A hand-driven deployment: builds settings and events, and keeps what the aggregator did.
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
-use cairnroad_routing::*;
+use cairnroad_routing::RequestRouter;
+use cairnroad_types::*;
 
 pub fn class(effect: Idempotency) -> Class {
     Class {
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use cairnroad_routing::*;
+use cairnroad_types::*;
 use common::*;
 
 /// Cells of the deployment below; each holds every shard of its number modulo this, on two servers.
