--- /dev/null
+++ b/crates/routing/src/arrivals.rs
@@ -0,0 +1,98 @@
+//! Queries and parts that arrive.
+
+use crate::part::Part;
+use crate::query::{Query, QueryFingerprint};
+use crate::router::RequestRouter;
+use crate::timer::Timer;
+use cairnroad_types::{Event, RequestId, Time};
+
+/// Answers are due this share of the latency objective early: the way to the client and a busy processor
+/// take time.
+const OBJECTIVE_MARGIN: f64 = 0.03;
+
+impl RequestRouter {
+    /// Opens a query. One of a class that isn't configured is rejected when its step starts.
+    pub(crate) fn on_query(&mut self, now: Time, event: &Event) {
+        let &Event::Query {
+            id,
+            class,
+            number,
+            due,
+            work,
+            client_retry,
+        } = event
+        else {
+            return;
+        };
+        self.retry_budget
+            .on_arrival(now, self.settings.retry_budget);
+        let class = usize::from(class.0);
+        let margin = self.deadline_margin();
+        let (objective, deadline) = self
+            .settings
+            .classes
+            .get(class)
+            .map(|class| (class.latency_objective_for(work), class.deadline))
+            .unwrap_or_default();
+        let finish_at = due.min(now + deadline) + -margin;
+        // The time that a marked retry has left tells when its client first asked. The time left of an unmarked
+        // query says nothing: impatient clients come with little.
+        let asked_at = if client_retry {
+            now.min(due + -deadline)
+        } else {
+            now
+        };
+        let answer_within = objective - margin.max(objective * OBJECTIVE_MARGIN);
+        let query = Query {
+            class,
+            number,
+            asked_at,
+            objective_at: finish_at.min(asked_at + answer_within),
+            finish_at,
+            generation: self.list_generation,
+            client_retry,
+            fingerprint: QueryFingerprint { class, shards: 0 },
+            ..Query::default()
+        };
+        self.timers.insert(query.objective_at, Timer::Objective(id));
+        self.timers.insert(query.finish_at, Timer::Deadline(id));
+        self.queries_by_number.insert(number, id);
+        self.queries.insert(id, query);
+    }
+
+    /// Adds a part to its query and returns the query, `None` if that isn't open or the part is known.
+    pub(crate) fn on_part(&mut self, now: Time, event: &Event) -> Option<RequestId> {
+        let &Event::Part {
+            id,
+            number,
+            shard,
+            weight,
+        } = event
+        else {
+            return None;
+        };
+        let query_id = *self.queries_by_number.get(&number)?;
+        let query = self.queries.get_mut(&query_id)?;
+        if self.parts.contains_key(&id) {
+            return None;
+        }
+        query.parts.push(id);
+        query.fingerprint.add_shard(shard);
+        let part = Part {
+            query: query_id,
+            class: query.class,
+            shard,
+            weight: if weight.is_finite() {
+                weight.max(0.0)
+            } else {
+                0.0
+            },
+            ..Part::default()
+        };
+        self.parts.insert(id, part);
+        self.part_arrivals.push(now, self.long_recent_span());
+        self.retry_budget
+            .on_arrival(now, self.settings.retry_budget);
+        Some(query_id)
+    }
+}
--- a/crates/routing/src/completion.rs
+++ b/crates/routing/src/completion.rs
@@ -1,148 +1,189 @@
-//! How a query ends: whole, partial, refused or failed, once.
+//! How a query ends: with a complete or partial answer, rejected or failed, once.
 
-use crate::router::*;
+use crate::attempt::AttemptId;
+use crate::part::Part;
+use crate::query::Query;
+use crate::router::RequestRouter;
+use crate::timer::Timer;
+use crate::tuning::WEIGHT_TOLERANCE;
+use cairnroad_types::{Action, Idempotency, Outcome, RequestId, Seconds, Time};
 
-/// A query refused before its aim may come again after this share of what is left of it.
+/// A query rejected before its objective may come again after this share of the time left.
 const RETRY_AFTER_SHARE: f64 = 0.25;
 
+/// What of a query's current step is answered, as shares of the weights of its parts.
+struct CompletionShares {
+    /// Parts that are answered.
+    answered: f64,
+    /// Parts that are answered or may still be.
+    reachable: f64,
+}
+
 impl RequestRouter {
-    /// What is in, and what is in or may still come, as shares of what the parts' weights add up to.
-    pub(crate) fn completion_shares(&mut self, now: Time, id: RequestId) -> (f64, f64) {
-        let Some(parts) = self.queries.get(&id).map(|q| q.parts.clone()) else {
-            return (0.0, 0.0);
+    /// Adds up a query's parts; both shares are 0 if it isn't open.
+    fn completion_shares(&self, now: Time, id: RequestId) -> CompletionShares {
+        let Some(query) = self.queries.get(&id) else {
+            return CompletionShares {
+                answered: 0.0,
+                reachable: 0.0,
+            };
         };
-        let (mut done, mut possible, mut all) = (0.0, 0.0, f64::MIN_POSITIVE);
-        for id in parts {
+        let mut answered = 0.0;
+        let mut reachable = 0.0;
+        let mut total = f64::MIN_POSITIVE;
+        for &id in &query.parts {
             let Some(part) = self.parts.get(&id) else {
                 continue;
             };
-            let (answered, weight, sent) = (part.answered, part.weight, part.first_sent.is_some());
-            let live = answered || !part.in_flight.is_empty() || (sent && self.may_retry(now, id));
-            done += if answered { weight } else { 0.0 };
-            possible += if live { weight } else { 0.0 };
-            all += weight;
+            if part.answered {
+                answered += part.weight;
+            }
+            if self.may_be_answered(now, id, part) {
+                reachable += part.weight;
+            }
+            total += part.weight;
+        }
+        CompletionShares {
+            answered: answered / total + WEIGHT_TOLERANCE,
+            reachable: reachable / total + WEIGHT_TOLERANCE,
         }
-        (done / all + WEIGHT_SLACK, possible / all + WEIGHT_SLACK)
     }
 
-    /// Ends the step as soon as its parts decide it: whole, hopeless, or partial with nothing left to come.
+    fn may_be_answered(&self, now: Time, id: RequestId, part: &Part) -> bool {
+        part.answered
+            || !part.in_flight.is_empty()
+            || (part.first_sent.is_some() && self.may_retry(now, id))
+    }
+
+    /// Ends a query's step as soon as its parts decide it: complete, hopeless, or partial with nothing left to
+    /// come.
     pub(crate) fn complete_if_ready(
         &mut self,
         now: Time,
         id: RequestId,
         actions: &mut Vec<Action>,
     ) {
-        let (done, possible) = self.completion_shares(now, id);
         let Some(query) = self.queries.get(&id) else {
             return;
         };
+        let shares = self.completion_shares(now, id);
         let thresholds =
             self.settings.classes[query.class].completion_thresholds(query.second_step);
-        let whole = query.first_step_complete || !query.second_step;
-        if done >= thresholds.complete {
-            self.answer_query(now, id, whole, actions);
-        } else if possible < thresholds.minimum {
+        let nothing_pending = shares.reachable - shares.answered < WEIGHT_TOLERANCE;
+        if shares.answered >= thresholds.complete {
+            let complete = query.first_step_complete || !query.second_step;
+            self.answer_query(now, id, complete, actions);
+        } else if shares.reachable < thresholds.minimum {
             self.give_up(now, id, actions);
-        } else if possible < thresholds.complete
-            && done >= thresholds.minimum
-            && possible - done < WEIGHT_SLACK
+        } else if shares.reachable < thresholds.complete
+            && shares.answered >= thresholds.minimum
+            && nothing_pending
         {
             self.answer_query(now, id, false, actions);
         }
     }
 
+    /// Ends a query whose latency objective passed, unless a later answer would be worth more: with a partial
+    /// answer if that is worth as much, else not at all if late answers are worth nothing.
     pub(crate) fn on_objective_passed(
         &mut self,
         now: Time,
         id: RequestId,
         actions: &mut Vec<Action>,
     ) {
-        let (done, _) = self.completion_shares(now, id);
         let Some(query) = self.queries.get(&id) else {
             return;
         };
         let Some(class) = self.settings.classes.get(query.class) else {
             return;
         };
-        let thresholds = class.completion_thresholds(query.second_step);
-        if done >= thresholds.minimum
-            && class.partial_answer_share * done.min(class.complete_threshold)
-                / class.complete_threshold
-                >= class.late_answer_share
-        {
+        let answered = self.completion_shares(now, id).answered;
+        let minimum = class.completion_thresholds(query.second_step).minimum;
+        let partial_value = class.partial_answer_share * answered.min(class.complete_threshold)
+            / class.complete_threshold;
+        if answered >= minimum && partial_value >= class.late_answer_share {
             self.answer_query(now, id, false, actions);
         } else if class.late_answer_share <= 0.0 {
             self.give_up(now, id, actions);
         }
     }
 
-    pub(crate) fn answer_query(
+    /// Answers a query, or its first step if a second one follows.
+    fn answer_query(
         &mut self,
         now: Time,
         id: RequestId,
-        whole: bool,
+        complete: bool,
         actions: &mut Vec<Action>,
     ) {
         let Some(query) = self.queries.get_mut(&id) else {
             return;
         };
-        let step_follows =
-            !query.second_step && self.settings.classes[query.class].second_step_parts > 0;
+        let class = &self.settings.classes[query.class];
+        let step_follows = !query.second_step && class.second_step_parts > 0;
         actions.push(Action::Answer {
             query: id,
-            complete: whole,
+            complete,
         });
         if step_follows {
             query.second_step = true;
-            query.first_step_complete = whole;
+            query.first_step_complete = complete;
             let parts = std::mem::take(&mut query.parts);
-            self.drop_parts(now, parts, actions);
+            self.remove_parts(now, parts, actions);
         } else {
-            self.remove(now, id, actions);
+            self.remove_query(now, id, actions);
         }
     }
 
-    /// The final answer for a query that earns nothing more, given at once: a refusal with advice where
-    /// trying again is harmless, else a failure.
+    /// Gives a query that can no longer be answered in time its final answer at once: a rejection where trying
+    /// again is harmless, else a failure.
     pub(crate) fn give_up(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else {
             return;
         };
-        let may_run =
-            |part: &Part| part.may_have_run || part.answered || !part.in_flight.is_empty();
-        let ran = query.second_step
-            || query
-                .parts
-                .iter()
-                .any(|p| self.parts.get(p).is_some_and(may_run));
-        let effect = self
+        let idempotency = self
             .settings
             .classes
             .get(query.class)
-            .map_or(Idempotency::AtMostOnce, |c| c.idempotency);
-        let harmless = effect == Idempotency::Idempotent || !ran;
-        // While its aim stands a query may come again within it; after that, as late as clients heed.
-        let left = query.objective_at - now;
-        let within = if left > 0.0 {
-            left * RETRY_AFTER_SHARE
+            .map_or(Idempotency::AtMostOnce, |class| class.idempotency);
+        let harmless = idempotency == Idempotency::Idempotent || !self.may_have_had_effect(query);
+        actions.push(if harmless {
+            Action::Reject {
+                query: id,
+                retry_after: self.retry_after(now, query),
+            }
+        } else {
+            Action::Fail { query: id }
+        });
+        self.remove_query(now, id, actions);
+    }
+
+    /// Whether any server may have run, or may be running, a part of the query.
+    fn may_have_had_effect(&self, query: &Query) -> bool {
+        let may_have_run = |part: &Part| part.may_run() || part.answered;
+        query.second_step
+            || query
+                .parts
+                .iter()
+                .any(|part| self.parts.get(part).is_some_and(may_have_run))
+    }
+
+    /// How long the client should wait before it asks again, in seconds: within the objective while that
+    /// stands, after it as long as clients heed.
+    fn retry_after(&self, now: Time, query: &Query) -> Option<Seconds> {
+        let time_left = query.objective_at - now;
+        let limit = if time_left > 0.0 {
+            time_left * RETRY_AFTER_SHARE
         } else {
             f64::MAX
         };
-        let retry_after = self
-            .settings
+        self.settings
             .max_retry_after
-            .map(|longest| longest.min(within));
-        actions.push(match harmless {
-            true => Action::Reject {
-                query: id,
-                retry_after,
-            },
-            false => Action::Fail { query: id },
-        });
-        self.remove(now, id, actions);
+            .map(|longest| longest.min(limit))
     }
 
-    pub(crate) fn remove(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+    /// Removes a query with its timers and parts, and cancels what it has in flight.
+    pub(crate) fn remove_query(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.remove(&id) else {
             return;
         };
@@ -151,41 +192,33 @@
         }
         self.timers.remove(query.objective_at, Timer::Objective(id));
         self.timers.remove(query.finish_at, Timer::Deadline(id));
-        self.drop_parts(now, query.parts, actions);
+        self.remove_parts(now, query.parts, actions);
     }
 
-    /// Forgets parts and cancels what they still have out.
-    pub(crate) fn drop_parts(
-        &mut self,
-        now: Time,
-        parts: Vec<RequestId>,
-        actions: &mut Vec<Action>,
-    ) {
+    /// Removes parts and cancels what they have in flight.
+    fn remove_parts(&mut self, now: Time, parts: Vec<RequestId>, actions: &mut Vec<Action>) {
         for id in parts {
             let Some(part) = self.parts.remove(&id) else {
                 continue;
             };
-            for attempt in part.in_flight {
-                self.cancel(now, id, attempt, actions);
+            for number in part.in_flight {
+                self.cancel(now, AttemptId { part: id, number }, actions);
             }
         }
     }
 
-    pub(crate) fn cancel(
-        &mut self,
-        now: Time,
-        id: RequestId,
-        attempt: u8,
-        actions: &mut Vec<Action>,
-    ) {
-        if let Some(sent_attempt) = self
-            .settings
-            .cancellation
-            .then(|| self.finish_attempt(id, attempt))
-            .flatten()
-        {
-            self.record_outcome(now, &sent_attempt, Outcome::Cancelled);
-            actions.push(Action::Cancel { part: id, attempt });
+    /// Cancels an attempt in flight, if the deployment cancels at all; else its outcome is still awaited.
+    pub(crate) fn cancel(&mut self, now: Time, id: AttemptId, actions: &mut Vec<Action>) {
+        if !self.settings.cancellation {
+            return;
         }
+        let Some(attempt) = self.finish_attempt(id) else {
+            return;
+        };
+        self.record_outcome(now, &attempt, Outcome::Cancelled);
+        actions.push(Action::Cancel {
+            part: id.part,
+            attempt: id.number,
+        });
     }
 }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,108 +1,140 @@
-//! What the list of servers says.
+//! Updates of the endpoint list.
+//!
+//! A server whose state isn't [`ServerState::Ready`] gets no new part from here on: `candidates` in
+//! `replica_selection` skips it. What it has in flight is left to it.
 
-use crate::router::*;
+use crate::router::RequestRouter;
+use crate::server::{Server, SlowStartCredit};
+use crate::timer::Timer;
+use cairnroad_types::{Action, Endpoint, EndpointUpdate, ServerId, ServerState, Time};
+use std::collections::BTreeSet;
+
+/// The range over which the first turns of new servers are spread at random.
+const FIRST_TURN_RANGE: f64 = 1e6;
+/// Weight and size of a server for which the list gives no usable number.
+const DEFAULT_SCALE: f64 = 1.0;
 
 impl RequestRouter {
-    /// Forgets the servers that are gone and have nothing out: on a long day they are replaced without end.
-    pub(crate) fn remove_unlisted_servers(&mut self) {
-        let cells = &mut self.cells;
-        self.servers.retain(|id, server| {
-            let known = server.state != ServerState::Removed || !server.in_flight.is_empty();
-            if !known {
-                cells.entry(server.cell).or_default().remove(id);
+    /// Applies an update of the endpoint list, or the failure to get one.
+    ///
+    /// Servers missing from a snapshot are removed; an empty snapshot removes none.
+    pub(crate) fn on_endpoints(&mut self, now: Time, update: &EndpointUpdate) {
+        match update {
+            EndpointUpdate::Failed => self.on_poll_failed(now),
+            EndpointUpdate::Snapshot(endpoints) => {
+                self.poll_backoff.on_success();
+                self.mark_missing_removed(endpoints);
+                self.apply_endpoints(now, endpoints);
             }
-            known
-        });
+            EndpointUpdate::Delta(endpoints) => {
+                self.poll_backoff.on_success();
+                self.apply_endpoints(now, endpoints);
+            }
+            EndpointUpdate::Cached(endpoints) => self.apply_endpoints(now, endpoints),
+        }
+    }
+
+    /// Schedules the next poll after a failed one.
+    fn on_poll_failed(&mut self, now: Time) {
+        let random = self.random.next_unit();
+        let max_poll_interval = self.settings.max_poll_interval.unwrap_or(0.0);
+        let wait = self.poll_backoff.on_failure(max_poll_interval, random);
+        self.timers.insert(now + wait, Timer::PollEndpoints);
     }
 
-    /// A server missing from a whole list is gone; an empty list is no news.
-    pub(crate) fn on_endpoints(&mut self, now: Time, news: &EndpointUpdate) {
-        let rows = match news {
-            EndpointUpdate::Failed => {
-                let chance = self.random.next_unit();
-                let wait = self
-                    .poll_backoff
-                    .on_failure(self.settings.max_poll_interval.unwrap_or(0.0), chance);
-                self.timers.insert(now + wait, Timer::PollEndpoints);
-                return;
+    fn mark_missing_removed(&mut self, endpoints: &[Endpoint]) {
+        if endpoints.is_empty() {
+            return;
+        }
+        let listed: BTreeSet<ServerId> = endpoints.iter().map(|row| row.server).collect();
+        for (id, server) in &mut self.servers {
+            if !listed.contains(id) {
+                server.state = ServerState::Removed;
             }
-            EndpointUpdate::Snapshot(rows)
-            | EndpointUpdate::Cached(rows)
-            | EndpointUpdate::Delta(rows) => rows,
+        }
+    }
+
+    fn apply_endpoints(&mut self, now: Time, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            self.apply_endpoint(now, endpoint);
+        }
+    }
+
+    /// Adds a server or updates what the list says of it.
+    fn apply_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
+        let first_turn = -((self.random.next_unit() * FIRST_TURN_RANGE) as i64) - 1;
+        // Starts at random, so that coordinators with little traffic don't send their first parts in step.
+        let slow_start_credit = SlowStartCredit {
+            parts: self.random.next_unit(),
+            updated_at: now,
         };
-        if !matches!(news, EndpointUpdate::Cached(_)) {
-            self.poll_backoff.on_success();
+        let id = endpoint.server;
+        let server = self
+            .servers
+            .entry(id)
+            .or_insert_with(|| Server::new(now, endpoint, first_turn, slow_start_credit));
+        if let Some(cell) = self.servers_by_cell.get_mut(&server.cell) {
+            cell.remove(&id);
         }
-        if matches!(news, EndpointUpdate::Snapshot(_)) && !rows.is_empty() {
-            let listed: BTreeSet<ServerId> = rows.iter().map(|row| row.server).collect();
-            for (id, server) in &mut self.servers {
-                if !listed.contains(id) {
-                    server.state = ServerState::Removed;
-                }
-            }
+        self.servers_by_cell
+            .entry(endpoint.cell)
+            .or_default()
+            .insert(id);
+        if has_restarted(server, endpoint) {
+            server.slowness_ratio = 1.0;
+            server.health_check_ratio = 1.0;
+            server.slow_start_credit = slow_start_credit;
         }
-        for row in rows {
-            let (turn, earned) = (
-                -((self.random.next_unit() * 1e6) as i64) - 1,
-                (self.random.next_unit(), now),
-            );
-            let server = self.servers.entry(row.server).or_insert_with(|| Server {
-                last_turn: turn,
-                slowness_ratio: 1.0,
-                health_check_ratio: 1.0,
-                last_updated: now,
-                last_sent: now,
-                smoothed_latency: (0.0, now),
-                ready_at: row.ready_at,
-                slow_start_credit: earned,
-                ..Server::default()
-            });
-            self.cells
-                .entry(server.cell)
-                .or_default()
-                .remove(&row.server);
-            self.cells.entry(row.cell).or_default().insert(row.server);
-            if row
-                .ready_at
-                .is_some_and(|at| server.ready_at.is_none_or(|old| at > old))
-            {
-                (
-                    server.slowness_ratio,
-                    server.health_check_ratio,
-                    server.slow_start_credit,
-                ) = (1.0, 1.0, earned);
-            }
-            (server.state, server.zone) = (row.state, row.zone);
-            server.ready_at = row.ready_at;
-            if server.cell != row.cell || server.generation == 0 {
-                server.generation = row.generation;
-            }
-            server.cell = row.cell;
-            self.generation = self.generation.max(row.generation);
-            server.weight = if row.weight >= 0.0 && row.weight.is_finite() {
-                row.weight
-            } else {
-                1.0
-            };
-            server.size = if row.size > 0.0 && row.size.is_finite() {
-                row.size
-            } else {
-                1.0
-            };
+        if server.cell != endpoint.cell || server.generation == 0 {
+            server.generation = endpoint.generation;
         }
+        server.cell = endpoint.cell;
+        server.zone = endpoint.zone;
+        server.state = endpoint.state;
+        server.ready_at = endpoint.ready_at;
+        server.weight = scale_or_default(endpoint.weight, endpoint.weight >= 0.0);
+        server.size = scale_or_default(endpoint.size, endpoint.size > 0.0);
+        self.list_generation = self.list_generation.max(endpoint.generation);
     }
 
-    /// Asks to be told of changes, and again if nothing at all comes back.
-    pub(crate) fn ask(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let Some(must_ask) = self
-            .settings
-            .max_poll_interval
-            .filter(|_| !self.poll_backoff.is_subscribed())
-        else {
+    /// Drops removed servers with nothing in flight: over a long time servers are replaced without end.
+    pub(crate) fn remove_unlisted_servers(&mut self) {
+        let servers_by_cell = &mut self.servers_by_cell;
+        self.servers.retain(|id, server| {
+            let keep = server.state != ServerState::Removed || !server.in_flight.is_empty();
+            if !keep {
+                if let Some(cell) = servers_by_cell.get_mut(&server.cell) {
+                    cell.remove(id);
+                }
+            }
+            keep
+        });
+    }
+
+    /// Subscribes to the endpoint list, and again if no answer arrives within half the allowed interval.
+    pub(crate) fn poll_endpoints(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.poll_backoff.is_subscribed() {
+            return;
+        }
+        let Some(max_poll_interval) = self.settings.max_poll_interval else {
             return;
         };
         actions.push(Action::SubscribeEndpoints);
         self.timers
-            .insert(now + must_ask / 2.0, Timer::PollEndpoints);
+            .insert(now + max_poll_interval / 2.0, Timer::PollEndpoints);
+    }
+}
+
+/// Whether the list shows a later start of a known server.
+fn has_restarted(server: &Server, endpoint: &Endpoint) -> bool {
+    let later = |at: Time| server.ready_at.is_none_or(|known| at > known);
+    endpoint.ready_at.is_some_and(later)
+}
+
+fn scale_or_default(value: f64, in_range: bool) -> f64 {
+    if in_range && value.is_finite() {
+        value
+    } else {
+        DEFAULT_SCALE
     }
 }
--- a/crates/routing/src/health_summary.rs
+++ b/crates/routing/src/health_summary.rs
@@ -1,44 +1,42 @@
-//! What the decisions believe, told for the log. Nothing here decides.
+//! What the router knows of its servers, for logs and for other coordinators. Nothing is decided here.
 
 use crate::router::RequestRouter;
-use cairnroad_types::{HealthSummary, ServerId, Time};
+use crate::server::Server;
+use cairnroad_types::{HealthSummary, Seconds, ServerId, Time};
+
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
 impl RequestRouter {
-    /// How many servers are known.
+    /// How many servers are known, removed ones with attempts in flight included.
     pub fn servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// The servers that own answers of the last `secs` seconds make doubtful: what others may be told of.
-    pub fn recent_outliers(&self, now: Time, secs: f64) -> Vec<ServerId> {
-        let lately = |server: &crate::state::Server| {
-            server.slowness_ratio > crate::router::OUTLIER_RATIO
-                && now - server.last_updated <= secs
-        };
-        self.ready()
-            .filter(|(_, server)| lately(server))
+    /// Returns the outliers that own answers of the last `span` seconds show: the advice for other
+    /// coordinators. Health checks and received advice don't count, so that advice isn't passed on.
+    pub fn recent_outliers(&self, now: Time, span: Seconds) -> Vec<ServerId> {
+        self.ready_servers()
+            .filter(|(_, server)| server.answers_as_outlier() && now - server.last_updated <= span)
             .map(|(id, _)| id)
             .collect()
     }
 
-    /// What is believed of the servers now.
+    /// Counts the ready servers by their health, and returns the typical latencies of the classes.
     pub fn health_summary(&self, now: Time) -> HealthSummary {
+        let slow_start = self.settings.slow_start_duration;
+        let is_warming_up =
+            |server: &Server| server.ready_at.is_some_and(|at| now - at < slow_start);
         let mut summary = HealthSummary::default();
-        for (_, server) in self.ready() {
+        for (_, server) in self.ready_servers() {
             summary.ready += 1;
             summary.outliers += usize::from(self.is_outlier(now, server));
-            summary.overdue +=
-                usize::from(server.in_flight.first().is_some_and(|&(at, ..)| at <= now));
-            summary.warming_up += usize::from(
-                server
-                    .ready_at
-                    .is_some_and(|at| now - at < self.settings.slow_start_duration),
-            );
+            summary.overdue += usize::from(server.is_overdue(now));
+            summary.warming_up += usize::from(is_warming_up(server));
         }
         summary.typical_latency_ms = self
-            .typical_latency
+            .class_latency
             .iter()
-            .map(|usual| (usual * 1e3) as u32)
+            .map(|latency| (latency.typical * MILLISECONDS_PER_SECOND) as u32)
             .collect();
         summary
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,21 @@
-//! Sans-I/O decisions for a client library that reads many shards for one request.
+//! Routing decisions, without I/O, for a coordinator that reads many shards for one request.
 //!
-//! An [`RequestRouter`] is told what happened ([`Event`](cairnroad_types::Event)) and says what to do ([`Action`](cairnroad_types::Action)): which replica gets
-//! each part of a query, when a part gets its one hedge, when to cancel, retry, answer, refuse or fail. It
-//! keeps no clock, opens no socket and shares nothing; the caller does both and feeds the outcomes back.
+//! A [`RequestRouter`] is told what happened ([`Event`](cairnroad_types::Event)) and returns what to do
+//! ([`Action`](cairnroad_types::Action)): which replica gets each part of a query, when a part gets its one
+//! hedged request, when to cancel, retry, answer, reject or fail. It has no clock, opens no socket and shares
+//! nothing; the caller does both and feeds the outcomes back.
+//!
+//! | question | module |
+//! | --- | --- |
+//! | in which order are events handled? | `event_loop` |
+//! | is a query admitted? | `admission`, `load_shedding` |
+//! | which server gets a part? | `replica_selection`, `slow_start` |
+//! | when is a part sent again? | `hedging`, `retry` |
+//! | which servers are avoided? | `endpoints` (draining), `outlier_detection`, `health_checks`, `zone_recovery` |
+//! | how does a query end? | `completion` |
+//!
+//! State stands in `router`, `server`, `query`, `part` and `attempt`; constants that several decisions share
+//! in `tuning`.
 //!
 //! ```
 //! use cairnroad_routing::RequestRouter;
@@ -44,18 +57,31 @@
 //! ```
 
 #![forbid(unsafe_code)]
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
+mod admission;
+mod arrivals;
+mod attempt;
+mod attempt_outcome;
 mod completion;
+mod dispatch;
 mod endpoints;
-mod events;
+mod event_loop;
+mod health_checks;
 mod health_summary;
 mod hedging;
 mod load_shedding;
 mod outlier_detection;
+mod part;
+mod query;
 mod reconfigure;
 mod replica_selection;
+mod retry;
 mod router;
+mod server;
 mod slow_start;
-mod state;
+mod timer;
+mod tuning;
+mod zone_recovery;
 
 pub use router::RequestRouter;
--- a/crates/routing/src/load_shedding.rs
+++ b/crates/routing/src/load_shedding.rs
@@ -1,179 +1,144 @@
-//! What is turned away before anything of it is sent, and the sending of the rest.
+//! Load shedding: which queries are rejected because they would likely be answered too late.
 
-use crate::router::*;
+use crate::attempt::InFlight;
+use crate::replica_selection::Rank;
+use crate::router::RequestRouter;
+use crate::server::Server;
+use crate::tuning::{HEDGE_DELAY_SHARE, MIN_LATENCY, TYPICAL_LATENCY_GAIN};
+use cairnroad_types::{RequestId, Seconds, ServerId, Time};
 
-/// A query of middling worth is shed if its slowest part would likely take this share of its aim.
+/// A query of average value is shed if its slowest part would likely take this share of its latency objective.
 const SHED_SHARE: f64 = 0.5;
-/// The bounds of that share for queries of low and high worth for their work.
-const SHED_RANGE: (f64, f64) = (0.5, 0.9);
-/// Shares of its aim between which a query's slowest part, going by usual times, has it refused by chance.
-const MISS_RANGE: (f64, f64) = (1.0, 2.4);
-/// It fades from that over so many times "lately": a node asked little would refuse by a jam long over.
-const MISS_MEMORY: f64 = 5.0;
-/// The surest of such refusals: the rest of the queries tell when it is over.
+/// Lower bound of that share, for queries of low value for their work.
+const MIN_SHED_SHARE: f64 = 0.5;
+/// Upper bound of that share, for queries of high value for their work.
+const MAX_SHED_SHARE: f64 = 0.9;
+/// Floor for the mean value density, which is divided by.
+const MIN_VALUE_DENSITY: f64 = 1e-9;
+
+/// Share of the time left that a query's slowest part may take, going by typical latencies, before queries are
+/// shed at random.
+const RANDOM_SHED_FROM: f64 = 1.0;
+/// The share at which all queries would be shed, were it not for the limit below.
+const RANDOM_SHED_FULL: f64 = 2.4;
+/// Highest probability of shedding at random: the remaining queries show when the overload is over.
 const MAX_SHED_PROBABILITY: f64 = 0.9;
-/// Under this share of sound servers doubt proves little, and parts are sent all the same.
+/// Typical latencies fade over this many recent spans without an answer: a coordinator with little traffic
+/// would otherwise shed because of an overload long over.
+const LATENCY_MEMORY_SPANS: f64 = 5.0;
+
+/// Below this share of sound servers, outlier detection proves little, and parts are sent all the same.
 const PANIC_SHARE: f64 = 0.5;
 
 impl RequestRouter {
-    /// All parts of a step are sent at once; a query that can't be served, or not in time, is turned away
-    /// before any of its parts is sent.
-    pub(crate) fn start_step(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        self.detect_zone_outages(now);
-        let Some(query) = self.queries.get(&id) else {
-            return;
-        };
-        let unsent = |id: &RequestId| self.parts[id].first_sent.is_none();
-        let parts: Vec<RequestId> = query.parts.iter().copied().filter(unsent).collect();
-        if self.settings.classes.get(query.class).is_none() || query.parts.is_empty() {
-            return self.give_up(now, id, actions);
-        }
-        let (class, second_step) = (query.class, query.second_step);
-        let cells = self.settings.cells.max(1);
-        let calls = parts
+    /// Whether a part would likely be answered within `limit` seconds.
+    ///
+    /// That is so if the quickest sound replica would answer in time. With no sound replica it is so if one is
+    /// due for a trial part, would answer within the hedge delay, or if most servers are outliers, which proves
+    /// little. If not, the query's other parts would be wasted.
+    pub(crate) fn answers_in_time(&mut self, now: Time, id: RequestId, limit: Seconds) -> bool {
+        let shard = self.parts[&id].shard;
+        let class = self.parts[&id].class;
+        let candidates = self.candidates(now, shard);
+        let only_candidate = candidates.len() == 1;
+        let quickest_sound = candidates
             .iter()
-            .map(|id| self.parts[id].shard % cells)
-            .collect::<BTreeSet<u32>>()
-            .len();
-        let thresholds = self.settings.classes[class].completion_thresholds(second_step);
-        let aim_left = (query.asked_at + self.settings.classes[class].latency_objective) - now;
-        self.suspect_queries
-            .retain(|_, &mut at| now - at < self.recent_span);
-        let suspect = query.repeat && self.suspect_queries.contains_key(&query.fingerprint);
-        let late =
-            suspect || aim_left <= 0.0 && self.settings.classes[class].late_answer_share <= 0.0;
-        if late || (!second_step && self.misses_objective(now, class, calls, aim_left)) {
-            return self.give_up(now, id, actions);
+            .map(|id| &self.servers[id])
+            .filter(|server| only_candidate || !self.is_outlier(now, server))
+            .map(|server| self.expected_latency(now, server))
+            .reduce(f64::min);
+        if let Some(latency) = quickest_sound {
+            return latency <= limit;
         }
-        if !second_step {
-            let limit = self.shed_limit(class, parts.len());
-            let all: f64 = parts.iter().map(|part| self.parts[part].weight).sum();
-            let mut servable = WEIGHT_SLACK * all;
-            for part in &parts {
-                servable += if self.answers_in_time(now, *part, limit) {
-                    self.parts[part].weight
-                } else {
-                    0.0
-                };
-            }
-            if servable < thresholds.minimum * all {
-                return self.give_up(now, id, actions);
-            }
-        }
-        // A call costs a server work beside that of its parts: those of one query that have the same holders
-        // share one, and with it one turn. A trial stays a single part.
-        let mut calls: BTreeMap<u32, (ServerId, u32)> = BTreeMap::new();
-        for part in parts {
-            let cell = self.parts[&part]
-                .shard
-                .checked_rem(self.settings.cells)
-                .unwrap_or(0);
-            let open = calls.get(&cell).filter(|&&(_, room)| room > 0).copied();
-            let open = open.filter(|&(server, _)| self.slow_start_capacity(now, server));
-            let room = open
-                .map_or(self.settings.max_parts_per_call, |(_, room)| room)
-                .saturating_sub(1);
-            let chosen = open.or_else(|| {
-                self.select_replica(now, part)
-                    .map(|(_, server)| (server, room))
-            });
-            let Some((server, _)) = chosen else { continue };
-            let trial = self.is_outlier(now, &self.servers[&server]);
-            calls.insert(cell, (server, if trial { 0 } else { room }));
-            self.send(now, part, server, actions);
-        }
-        self.complete_if_ready(now, id, actions);
+        !candidates.is_empty()
+            && (self.outliers_answer_before_hedge(class, &candidates)
+                || self.any_due_for_trial(now, class, &candidates)
+                || self.most_servers_are_outliers(now))
     }
 
-    /// Whether the quickest sound replica would likely answer this part in time; with none sound, whether one
-    /// is due for a trial or would within the hedge delay. If not, the query's other parts would be wasted.
-    /// Where most servers are doubted that proves little, and it is sent.
-    pub(crate) fn answers_in_time(&mut self, now: Time, id: RequestId, limit: f64) -> bool {
-        let (shard, class) = (self.parts[&id].shard, self.parts[&id].class);
-        let candidates = self.candidates(now, shard);
-        let sound =
-            |id: &&ServerId| !self.is_outlier(now, &self.servers[id]) || candidates.len() == 1;
-        let waits = candidates
+    fn outliers_answer_before_hedge(&self, class: usize, candidates: &[ServerId]) -> bool {
+        let best_ratio = candidates
             .iter()
-            .filter(sound)
-            .map(|id| self.expected_latency(now, &self.servers[id]));
-        if let Some(wait) = waits.reduce(f64::min) {
-            return wait <= limit;
-        }
-        let may_try = self.may_try(now, class);
-        let pace = |id: &ServerId| {
-            self.servers[id]
-                .slowness_ratio
-                .max(self.servers[id].health_check_ratio)
-        };
-        let likely =
-            self.typical_latency[class] * candidates.iter().map(pace).fold(f64::MAX, f64::min);
-        let sound = || {
-            self.ready()
-                .filter(|(_, s)| !self.is_outlier(now, s))
-                .count() as f64
-        };
-        !candidates.is_empty()
-            && (likely <= self.settings.classes[class].latency_objective * HEDGE_DELAY_SHARE
-                || candidates
-                    .iter()
-                    .any(|&id| self.standing(now, id, may_try).0 == 0)
-                || sound() < PANIC_SHARE * self.ready().count() as f64)
+            .map(|id| &self.servers[id])
+            .map(|server| server.slowness_ratio.max(server.health_check_ratio))
+            .fold(f64::MAX, f64::min);
+        let hedge_delay = self.settings.classes[class].latency_objective * HEDGE_DELAY_SHARE;
+        self.class_latency[class].typical * best_ratio <= hedge_delay
     }
 
-    /// Load shedding by the fleet as a whole: a query of many calls waits for its slowest (parts of one wait
-    /// together). Refused by chance, the likelier the more of its aim that would take; so all nodes back off
-    /// alike, and none stops learning.
+    fn any_due_for_trial(&self, now: Time, class: usize, candidates: &[ServerId]) -> bool {
+        let trial_allowed = self.may_send_trial(now, class);
+        candidates
+            .iter()
+            .any(|&id| self.rank(now, id, trial_allowed).rank == Rank::InRotation)
+    }
+
+    fn most_servers_are_outliers(&self, now: Time) -> bool {
+        let sound = self
+            .ready_servers()
+            .filter(|(_, server)| !self.is_outlier(now, server))
+            .count();
+        (sound as f64) < PANIC_SHARE * self.ready_servers().count() as f64
+    }
+
+    /// Decides, at random, whether a query is shed because the fleet as a whole is too slow for it.
+    ///
+    /// A query of `calls` calls waits for its slowest one. It is shed the likelier, the more of the time left
+    /// until its objective that would take, so that all coordinators back off alike and none stops learning.
     pub(crate) fn misses_objective(
         &mut self,
         now: Time,
         class: usize,
         calls: usize,
-        left: f64,
+        time_left: Seconds,
     ) -> bool {
-        let age = (self.latency_updated[class] - now) / (self.recent_span * MISS_MEMORY);
-        let slowest =
-            self.typical_latency[class] * (1.0 + (calls.max(1) as f64).ln()) * age.min(0.0).exp();
-        let share = slowest / left.max(1e-6);
-        self.random.next_unit()
-            < ((share - MISS_RANGE.0) / (MISS_RANGE.1 - MISS_RANGE.0)).min(MAX_SHED_PROBABILITY)
+        let latency = self.class_latency[class];
+        let spans = (latency.updated_at - now) / (self.recent_span * LATENCY_MEMORY_SPANS);
+        // The expected maximum of exponentially distributed latencies grows with the logarithm of their count.
+        let slowest_factor = 1.0 + (calls.max(1) as f64).ln();
+        let slowest = latency.typical * slowest_factor * spans.min(0.0).exp();
+        let share = slowest / time_left.max(MIN_LATENCY);
+        let probability = (share - RANDOM_SHED_FROM) / (RANDOM_SHED_FULL - RANDOM_SHED_FROM);
+        self.random.next_unit() < probability.min(MAX_SHED_PROBABILITY)
     }
 
-    /// Load shedding: the longest wait for a part with which a query is still let in. Queries that are worth
-    /// more for their work are shed later.
-    pub(crate) fn shed_limit(&mut self, class: usize, parts: usize) -> f64 {
-        let (aim, worth) = (
-            self.settings.classes[class].latency_objective,
-            self.settings.classes[class].priority_weight,
-        );
-        let density = worth / (parts.max(1) as f64 * self.typical_latency[class].max(1e-6));
+    /// The longest expected latency of a part in seconds with which a query of this class is still admitted.
+    ///
+    /// Queries with a higher priority weight for their work are shed later. Both steps of a class that has a
+    /// second one share the latency objective.
+    pub(crate) fn max_expected_latency(&mut self, class: usize, parts: usize) -> Seconds {
+        let terms = &self.settings.classes[class];
+        let work = parts.max(1) as f64 * self.class_latency[class].typical.max(MIN_LATENCY);
+        let value_density = terms.priority_weight / work;
         let gain = if self.mean_value_density > 0.0 {
             TYPICAL_LATENCY_GAIN
         } else {
             1.0
         };
-        self.mean_value_density += (density - self.mean_value_density) * gain;
-        let share = SHED_SHARE * (density / self.mean_value_density.max(1e-9)).sqrt();
-        let waits = if self.settings.classes[class].second_step_parts > 0 {
+        self.mean_value_density += (value_density - self.mean_value_density) * gain;
+        let relative_value = value_density / self.mean_value_density.max(MIN_VALUE_DENSITY);
+        let share = (SHED_SHARE * relative_value.sqrt()).clamp(MIN_SHED_SHARE, MAX_SHED_SHARE);
+        let steps = if terms.second_step_parts > 0 {
             2.0
         } else {
             1.0
-        }; // both on one clock
-        share.clamp(SHED_RANGE.0, SHED_RANGE.1) * aim / waits
+        };
+        share * terms.latency_objective / steps
     }
 
-    /// How long a part sent now would likely take there. What was noted shrinks as time drains the queue,
-    /// which lets work back in once a jam may have gone.
-    pub(crate) fn expected_latency(&self, now: Time, server: &Server) -> f64 {
-        let waiting = server
+    /// How long a part sent to a server now would likely take, in seconds.
+    ///
+    /// What was observed shrinks as time drains the server's queue, which lets work back in once an overload may
+    /// be over. Attempts that later ones overtook say nothing of the queue.
+    pub(crate) fn expected_latency(&self, now: Time, server: &Server) -> Seconds {
+        let longest_wait = server
             .in_flight
             .iter()
-            .filter_map(|&(_, id, attempt)| self.attempts.get(&(id, attempt)));
-        let waiting =
-            waiting.filter(|sent_attempt| sent_attempt.sent_at > server.last_answered_send);
-        let oldest = waiting
-            .map(|sent_attempt| now - sent_attempt.sent_at)
+            .filter_map(|&InFlight { attempt, .. }| self.attempts.get(&attempt))
+            .filter(|attempt| attempt.sent_at > server.last_answered_send)
+            .map(|attempt| now - attempt.sent_at)
             .fold(0.0, f64::max);
-        oldest.max(server.smoothed_latency.0 - (now - server.smoothed_latency.1))
+        let latency = server.smoothed_latency;
+        longest_wait.max(latency.seconds - (now - latency.updated_at))
     }
 }
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -1,136 +1,210 @@
-//! Which replica gets a part: turns, weights, standings, trials.
+//! Which replica gets a part: rotation, weights, ranks and trial parts.
 
-use crate::router::*;
+use crate::router::RequestRouter;
+use crate::server::Server;
+use crate::tuning::OUTLIER_RATIO;
+use cairnroad_flow_control::{weighted_round_robin, Turn};
+use cairnroad_types::{Class, Idempotency, RequestId, Seconds, ServerId, ServerState, Time};
 
-/// A doubted server gets one trial part in this share of the shortest aim, times its pace over `DOUBT`.
-const TRIAL_GAP: f64 = 0.4;
-/// Trial parts stay under this share of the parts lately asked of this node, sent or not: a rescue for each
-/// is within the tenth of copies, and many nodes with little traffic don't wear a bad server down or out.
-const TRIAL_SHARE: f64 = 0.04;
+/// Shortest gap between trial parts of an outlier at the threshold, as a share of the shortest latency
+/// objective. The gap grows with the slowness ratio.
+const TRIAL_GAP_SHARE: f64 = 0.4;
+/// Trial parts stay under this share of the parts that arrived within the long recent span, sent or not. A
+/// hedged request for each fits into the hedge budget, and many coordinators with little traffic together
+/// don't overload an outlier.
+const TRIAL_BUDGET_SHARE: f64 = 0.04;
+
+/// How well a replica suits a part. Lower ranks are preferred.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Rank {
+    /// Takes its turn; for an outlier, a trial part.
+    InRotation,
+    /// Has an overdue attempt.
+    Overdue,
+    /// Is an outlier.
+    Outlier,
+    /// Is listed with weight 0.
+    Weightless,
+    /// Was sent this part before.
+    AlreadyTried,
+}
+
+/// A replica that may be sent the part. Ordered by preference: the rank, then the fewest attempts in flight
+/// (counted only past the first rank), then the longest wait for a turn.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Candidate {
+    pub(crate) rank: Rank,
+    in_flight: usize,
+    last_turn: i64,
+    pub(crate) server: ServerId,
+}
 
 impl RequestRouter {
-    /// Servers that may be sent a part of this shard now: those of the cells from its own on, as far as the
-    /// reach goes, around the ring.
+    /// Returns the servers that may be sent a part of this shard now: those of the cells from its own on, as
+    /// many as hold each shard, around the ring. Only ready ones, which keeps draining and removed servers out,
+    /// and in slow start only those with capacity.
     pub(crate) fn candidates(&mut self, now: Time, shard: u32) -> Vec<ServerId> {
-        let Some(first) = shard.checked_rem(self.settings.cells) else {
+        let Some(first_cell) = shard.checked_rem(self.settings.cells) else {
             return Vec::new();
         };
-        let end = first.saturating_add(self.settings.cells_per_shard);
-        let around = self
-            .settings
-            .cells_per_shard
-            .saturating_sub(self.settings.cells - first)
-            .min(first);
+        let cells_per_shard = self.settings.cells_per_shard;
+        let end = first_cell.saturating_add(cells_per_shard);
+        let cells_to_ring_end = self.settings.cells - first_cell;
+        let wrapped = cells_per_shard
+            .saturating_sub(cells_to_ring_end)
+            .min(first_cell);
         let cells = self
-            .cells
-            .range(first..end)
-            .chain(self.cells.range(..around));
+            .servers_by_cell
+            .range(first_cell..end)
+            .chain(self.servers_by_cell.range(..wrapped));
         let mut ids: Vec<ServerId> = cells.flat_map(|(_, ids)| ids.iter().copied()).collect();
         ids.retain(|&id| {
-            self.servers[&id].state == ServerState::Ready && self.slow_start_capacity(now, id)
+            self.servers[&id].state == ServerState::Ready && self.has_slow_start_capacity(now, id)
         });
         ids
     }
 
-    /// The replica whose turn it is, and its standing: of those that hold the part's shard and are not
-    /// overdue, the one that waited longest. Where all are overdue or doubted, the one with the fewest parts
-    /// out, and last of all one that this part has been to.
-    pub(crate) fn select_replica(&mut self, now: Time, id: RequestId) -> Option<(u8, ServerId)> {
+    /// Selects the replica that a part is sent to, `None` if no server may be sent it.
+    ///
+    /// Of the replicas in rotation it is the one that waited longest, or the one that is owed most by its
+    /// weight. Where there are none, it is the one with the fewest attempts in flight, and last of all one that
+    /// this part has been sent to.
+    pub(crate) fn select_replica(&mut self, now: Time, id: RequestId) -> Option<Candidate> {
         let part = self.parts.get_mut(&id)?;
-        let (shard, class, back) = (part.shard, part.class, part.retry_on.take());
-        let may_try = self.may_try(now, class);
-        let mut candidates = self.candidates(now, shard);
-        // Never a mix of lists: what came with a later one is not for this query.
-        let generation = self
-            .queries
-            .get(&self.parts[&id].query)
-            .map_or(0, |query| query.generation);
-        candidates.retain(|server| self.servers[server].generation <= generation);
-        if let Some(server) = back.filter(|server| candidates.contains(server)) {
-            return Some((0, server));
+        let shard = part.shard;
+        let class = part.class;
+        let query = part.query;
+        let retry_on = part.retry_on.take();
+        let trial_allowed = self.may_send_trial(now, class);
+        let mut servers = self.candidates(now, shard);
+        // A query never mixes lists: servers of a later generation are not for it.
+        let generation = self.queries.get(&query).map_or(0, |query| query.generation);
+        servers.retain(|server| self.servers[server].generation <= generation);
+        if let Some(server) = retry_on.filter(|server| servers.contains(server)) {
+            return Some(Candidate {
+                rank: Rank::InRotation,
+                in_flight: 0,
+                last_turn: 0,
+                server,
+            });
         }
-        let tried = &self.parts[&id].tried;
-        let keys = candidates
+        let candidates: Vec<Candidate> = servers
             .into_iter()
-            .map(|server| match self.standing(now, server, may_try) {
-                (_, out, turn) if tried.contains(&server) => (4, out, turn, server),
-                (_, out, turn) if self.servers[&server].weight <= 0.0 => (3, out, turn, server),
-                (rank, out, turn) => (rank, out, turn, server),
-            });
-        let keys: Vec<_> = keys.collect();
-        let &(rank, _, _, mut server) = keys.iter().min()?;
-        if rank == 0 {
-            let level: Vec<ServerId> = keys
-                .iter()
-                .filter(|key| key.0 == 0)
-                .map(|key| key.3)
-                .collect();
-            server = self.select_by_weight(&level).unwrap_or(server);
+            .map(|server| self.candidate(now, id, server, trial_allowed))
+            .collect();
+        let mut selected = *candidates.iter().min()?;
+        if selected.rank == Rank::InRotation {
+            selected.server = self
+                .select_by_weight(&candidates)
+                .unwrap_or(selected.server);
+            if self.is_outlier(now, &self.servers[&selected.server]) {
+                self.trials.push(now, self.long_recent_span());
+            }
         }
-        if rank == 0 && self.is_outlier(now, &self.servers[&server]) {
-            self.trials
-                .push(now, self.recent_span * SPARSE_TRAFFIC_FACTOR);
+        Some(selected)
+    }
+
+    /// Rates a server for a part.
+    fn candidate(
+        &self,
+        now: Time,
+        part: RequestId,
+        server: ServerId,
+        trial_allowed: bool,
+    ) -> Candidate {
+        let mut candidate = self.rank(now, server, trial_allowed);
+        if self.parts[&part].tried.contains(&server) {
+            candidate.rank = Rank::AlreadyTried;
+        } else if self.servers[&server].weight <= 0.0 {
+            candidate.rank = Rank::Weightless;
         }
-        Some((rank, server))
+        candidate
     }
 
-    /// Of replicas whose turn it may be, the one that is owed most by their weights. `None`: all weigh the
-    /// same, the turns decide.
-    fn select_by_weight(&mut self, level: &[ServerId]) -> Option<ServerId> {
-        let turn = |id| {
-            let server = &self.servers[id];
-            Turn {
-                weight: server.weight,
-                credit: server.round_robin_credit,
-                last_turn: server.last_turn,
+    /// Rates a server by its health alone.
+    pub(crate) fn rank(&self, now: Time, id: ServerId, trial_allowed: bool) -> Candidate {
+        let server = &self.servers[&id];
+        let rank = if self.is_outlier(now, server) {
+            if trial_allowed && self.is_due_for_trial(now, server) {
+                Rank::InRotation
+            } else {
+                Rank::Outlier
             }
+        } else if server.is_overdue(now) {
+            Rank::Overdue
+        } else {
+            Rank::InRotation
         };
-        let mut turns: Vec<Turn> = level.iter().map(turn).collect();
-        let best = weighted_round_robin(&mut turns)?;
-        for (id, turn) in level.iter().zip(turns) {
-            self.servers.get_mut(id)?.round_robin_credit = turn.credit;
+        let in_flight = match rank {
+            Rank::InRotation => 0,
+            _ => server.in_flight.len(),
+        };
+        Candidate {
+            rank,
+            in_flight,
+            last_turn: server.last_turn,
+            server: id,
         }
-        level.get(best).copied()
     }
 
-    /// Whether there is room for a trial part of this class.
-    pub(crate) fn may_try(&mut self, now: Time, class: usize) -> bool {
-        let span = self.recent_span * SPARSE_TRAFFIC_FACTOR; // in less, a node asked little sends too few parts for one
-        let safe = |class: &Class| class.idempotency == Idempotency::Idempotent;
-        (safe(&self.settings.classes[class]) || !self.settings.classes.iter().any(safe))
-            && self.trials.count(now, self.shortest_objective * TRIAL_GAP) < 1.0 // saved up, but not one query's burden
-            && self.trials.count(now, span) + 1.0 <= TRIAL_SHARE * self.part_arrivals.count(now, span)
+    /// Whether an outlier may get a trial part: nothing is in flight to it, no recent health check speaks
+    /// against it, and its last part was long enough ago.
+    fn is_due_for_trial(&self, now: Time, server: &Server) -> bool {
+        let gap = self.trial_gap() * server.slowness_ratio / OUTLIER_RATIO;
+        now - server.last_sent > gap
+            && server.in_flight.is_empty()
+            && !server.failed_recent_health_check(now, self.recent_span)
+    }
+
+    /// Picks among the candidates in rotation by their weights; `None` if all weigh the same.
+    fn select_by_weight(&mut self, candidates: &[Candidate]) -> Option<ServerId> {
+        let in_rotation: Vec<ServerId> = candidates
+            .iter()
+            .filter(|candidate| candidate.rank == Rank::InRotation)
+            .map(|candidate| candidate.server)
+            .collect();
+        let mut turns: Vec<Turn> = in_rotation.iter().map(|&id| self.turn(id)).collect();
+        let selected = weighted_round_robin(&mut turns)?;
+        for (id, turn) in in_rotation.iter().zip(turns) {
+            self.servers.get_mut(id)?.round_robin_credit = turn.credit;
+        }
+        in_rotation.get(selected).copied()
     }
 
-    /// 0: takes its turn. 1: overdue. 2: doubted. (`choose` adds 3: weightless, 4: tried.) And the parts out.
-    pub(crate) fn standing(&self, now: Time, id: ServerId, may_try: bool) -> (u8, usize, i64) {
+    fn turn(&self, id: ServerId) -> Turn {
         let server = &self.servers[&id];
-        if self.is_outlier(now, server) {
-            let hinted = server.health_check_ratio > OUTLIER_RATIO
-                && now - server.last_health_check < self.recent_span;
-            let rested = now - server.last_sent
-                > self.shortest_objective * TRIAL_GAP * server.slowness_ratio / OUTLIER_RATIO;
-            if may_try && rested && server.in_flight.is_empty() && !hinted {
-                return (0, 0, server.last_turn);
-            }
-            return (2, server.in_flight.len(), server.last_turn);
+        Turn {
+            weight: server.weight,
+            credit: server.round_robin_credit,
+            last_turn: server.last_turn,
         }
-        let overdue = server
-            .in_flight
-            .first()
-            .is_some_and(|&(overdue, ..)| overdue <= now);
-        (
-            u8::from(overdue),
-            if overdue { server.in_flight.len() } else { 0 },
-            server.last_turn,
-        )
     }
 
-    /// The servers that the list calls ready.
-    pub(crate) fn ready(&self) -> impl Iterator<Item = (ServerId, &Server)> {
+    /// Whether the budget allows a trial part of this class.
+    ///
+    /// Trial parts are of idempotent queries, where there are such classes. They are saved up over the long
+    /// recent span, as a coordinator with little traffic sends too few parts for one in less, but not more than
+    /// one is sent at a time, so that no query bears several.
+    pub(crate) fn may_send_trial(&self, now: Time, class: usize) -> bool {
+        let idempotent = |class: &Class| class.idempotency == Idempotency::Idempotent;
+        let classes = &self.settings.classes;
+        let class_allowed = idempotent(&classes[class]) || !classes.iter().any(idempotent);
+        let span = self.long_recent_span();
+        class_allowed
+            && self.trials.count(now, self.trial_gap()) < 1.0
+            && self.trials.count(now, span) + 1.0
+                <= TRIAL_BUDGET_SHARE * self.part_arrivals.count(now, span)
+    }
+
+    fn trial_gap(&self) -> Seconds {
+        self.shortest_objective * TRIAL_GAP_SHARE
+    }
+
+    /// The servers that the endpoint list calls ready.
+    pub(crate) fn ready_servers(&self) -> impl Iterator<Item = (ServerId, &Server)> {
         self.servers
             .iter()
-            .filter(|(_, s)| s.state == ServerState::Ready)
-            .map(|(&id, s)| (id, s))
+            .filter(|(_, server)| server.state == ServerState::Ready)
+            .map(|(&id, server)| (id, server))
     }
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,62 +1,73 @@
 //! What a server that has just started may be sent.
 
-use crate::router::*;
+use crate::router::RequestRouter;
+use crate::server::Server;
+use cairnroad_flow_control::ServerThroughput;
+use cairnroad_types::{Seconds, ServerId, ServerState, Settings, Time};
 
-/// Share of a cold server's stated limit that the nodes together may use; the rest is for chance.
+/// Share of the stated limit of a server in slow start that the coordinators together may use; the rest is
+/// for chance.
 const CAPACITY_MARGIN: f64 = 0.75;
-/// What a cold server earned is kept for this share of the window in which its limit is counted: parts of one
-/// query come together, and what is earned between two queries would be lost.
+/// Credit is saved up for this share of the window in which the limit is counted: parts of one query come
+/// together, and credit that is earned between two queries would be lost.
 const BURST_SHARE: f64 = 0.1;
 
 impl RequestRouter {
-    /// The cold guard. A server that has just started earns parts at the stated multiple of its guaranteed
-    /// capacity, taken to be what warm servers answer this node, its share of what they do for all. Fractions
-    /// are carried over and begin at chance, so that sparse nodes send theirs, and not in step.
-    pub(crate) fn slow_start_capacity(&mut self, now: Time, id: ServerId) -> bool {
+    /// Whether a server may be sent a part now as far as its slow start is concerned.
+    ///
+    /// A server in slow start earns parts at the stated multiple of its guaranteed capacity. That is taken to be
+    /// what warm servers answer this coordinator, its share of what they do for all. Fractions are carried over
+    /// and begin at random, so that coordinators with little traffic send theirs, and not in step.
+    pub(crate) fn has_slow_start_capacity(&mut self, now: Time, id: ServerId) -> bool {
         self.sample_throughput(now);
-        let s = &self.settings;
+        let settings = &self.settings;
         let Some(server) = self.servers.get_mut(&id) else {
             return false;
         };
-        let Some(age) = server
-            .ready_at
-            .map(|at| (now - at).max(0.0))
-            .filter(|&age| age < s.slow_start_duration)
-        else {
+        let Some(age) = server.slow_start_age(now, settings.slow_start_duration) else {
             return true;
         };
-        let ramp = s.slow_start_share
-            + (1.0 - s.slow_start_share) * (age - s.overload_window / 2.0).max(0.0)
-                / s.slow_start_duration;
-        let earned =
-            CAPACITY_MARGIN * s.overload_multiple * ramp * self.throughput.best() * server.size;
-        let (earlier, at) = server.slow_start_credit;
-        let most = (earned * s.overload_window * BURST_SHARE).max(1.0);
-        server.slow_start_credit = ((earlier + earned * (now - at)).min(most), now);
-        server.slow_start_credit.0 >= 1.0
+        let rate = CAPACITY_MARGIN
+            * settings.overload_multiple
+            * ramp(settings, age)
+            * self.throughput.best()
+            * server.size;
+        let limit = (rate * settings.overload_window * BURST_SHARE).max(1.0);
+        server.slow_start_credit.accrue(now, rate, limit);
+        server.slow_start_credit.parts >= 1.0
     }
 
-    /// Notes once a tick what a warm server of size 1 answers this node a second.
+    /// Samples, once a moment, what a warm server of size 1 answers this coordinator a second.
     fn sample_throughput(&mut self, now: Time) {
         if !self.throughput.start_sample(now) {
             return;
         }
-        let span = self.settings.slow_start_duration * THROUGHPUT_SPAN_RAMPS;
-        let seen = span
-            .min(self.started_at.map_or(0.0, |at| now - at))
-            .max(self.settings.overload_window);
-        let warm_up = self.settings.slow_start_duration;
-        let warm = |s: &&mut Server| {
-            s.state == ServerState::Ready && s.ready_at.is_none_or(|at| now - at >= warm_up)
-        };
-        let counts = self
+        let span = self.throughput_span();
+        let uptime = self.started_at.map_or(0.0, |at| now - at);
+        let observed = span.min(uptime).max(self.settings.overload_window);
+        let slow_start = self.settings.slow_start_duration;
+        let samples = self
             .servers
-            .values_mut()
-            .filter(warm)
-            .map(|s| ServerThroughput {
-                answers: s.answers.count(now, span),
-                size: s.size,
+            .values()
+            .filter(|server| is_warm(now, server, slow_start))
+            .map(|server| ServerThroughput {
+                answers: server.recent_answers.count(now, span),
+                size: server.size,
             });
-        self.throughput.record(counts, seen);
+        self.throughput.record(samples, observed);
     }
 }
+
+/// The share of its full rate that a server of this age has reached, from `slow_start_share` up to 1.
+///
+/// Half of the window in which the limit is counted is taken off the age, as the limit is that of the window's
+/// begin.
+fn ramp(settings: &Settings, age: Seconds) -> f64 {
+    let counted_age = (age - settings.overload_window / 2.0).max(0.0);
+    let share = settings.slow_start_share;
+    share + (1.0 - share) * counted_age / settings.slow_start_duration
+}
+
+fn is_warm(now: Time, server: &Server, slow_start: Seconds) -> bool {
+    server.state == ServerState::Ready && server.ready_at.is_none_or(|at| now - at >= slow_start)
+}
