--- a/crates/flow-control/src/health_check_schedule.rs
+++ b/crates/flow-control/src/health_check_schedule.rs
@@ -1,4 +1,4 @@
-//! When servers are probed, and what a probe's answer says of a server.
+//! When health checks are sent, and what the answer to one says of a server.
 
 use cairnroad_types::{Outcome, Seconds};
 
@@ -61,11 +61,11 @@
         in_flight: Option<f64>,
         worst: f64,
     ) -> Option<f64> {
-        match (outcome, in_flight.filter(|held| held.is_finite())) {
-            (Outcome::Ok, Some(held)) => {
-                let direction = (held - self.typical_in_flight).signum();
+        match (outcome, in_flight.filter(|count| count.is_finite())) {
+            (Outcome::Ok, Some(count)) => {
+                let direction = (count - self.typical_in_flight).signum();
                 self.typical_in_flight *= (TYPICAL_GAIN * direction).exp();
-                Some((held.max(0.0) + 1.0) / (self.typical_in_flight + 1.0))
+                Some((count.max(0.0) + 1.0) / (self.typical_in_flight + 1.0))
             }
             (Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset, _) => Some(worst),
             _ => None,
--- a/crates/flow-control/src/poll_backoff.rs
+++ b/crates/flow-control/src/poll_backoff.rs
@@ -1,4 +1,4 @@
-//! When to ask for the endpoint list again.
+//! When to poll for the endpoint list again.
 
 use cairnroad_types::Seconds;
 
--- a/crates/routing/src/timer.rs
+++ b/crates/routing/src/timer.rs
@@ -11,7 +11,7 @@
     Deadline(RequestId),
     /// The part may get its hedged request.
     Hedge(RequestId),
-    /// The endpoint list is to be asked for.
+    /// The endpoint list is to be polled for.
     PollEndpoints,
     /// A health check is due.
     HealthCheck,
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! A hand-driven deployment: builds settings and events, and keeps what the aggregator did.
+//! A deployment that a test drives by hand: builds settings and events, and keeps the clock.
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use cairnroad_routing::RequestRouter;
 use cairnroad_types::*;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 1.0,
         objective_per_work: 0.0,
         deadline: 3.0,
         priority_weight: 1.0,
         late_answer_share: 0.0,
-        idempotency: effect,
+        idempotency,
         dedup_window: 1.0,
         complete_threshold: 1.0,
         minimum_share: 1.0,
@@ -44,7 +44,12 @@
     }
 }
 
-pub fn listed(id: u32, state: ServerState, ready_at: Option<Time>) -> Endpoint {
+/// Settings with one idempotent class.
+pub fn idempotent_settings() -> Settings {
+    settings(vec![class(Idempotency::Idempotent)])
+}
+
+pub fn endpoint(id: u32, state: ServerState, ready_at: Option<Time>) -> Endpoint {
     Endpoint {
         server: ServerId(id),
         cell: id % 3,
@@ -57,7 +62,7 @@
     }
 }
 
-pub fn done(part: u64, attempt: u8, outcome: Outcome) -> Event {
+pub fn attempt_ended(part: u64, attempt: u8, outcome: Outcome) -> Event {
     Event::AttemptEnded {
         id: RequestId(part),
         attempt,
@@ -65,49 +70,49 @@
     }
 }
 
-pub struct Rig {
-    pub aggregator: RequestRouter,
+pub struct Harness {
+    pub router: RequestRouter,
     pub now: Time,
     next: u64,
 }
 
-impl Rig {
-    /// A node that was told of three warm servers, 0 to 2.
-    pub fn new(settings: Settings) -> Rig {
-        Rig::seeded(settings, 1)
+impl Harness {
+    /// A router that knows three warm servers, 0 to 2.
+    pub fn new(settings: Settings) -> Harness {
+        Harness::seeded(settings, 1)
     }
 
     /// The same with this seed.
-    pub fn seeded(settings: Settings, seed: u64) -> Rig {
-        let mut rig = Rig {
-            aggregator: RequestRouter::new(settings, seed),
+    pub fn seeded(settings: Settings, seed: u64) -> Harness {
+        let mut harness = Harness {
+            router: RequestRouter::new(settings, seed),
             now: Time::from_secs(50.0),
             next: 1,
         };
         let rows = (0..3)
-            .map(|id| listed(id, ServerState::Ready, None))
+            .map(|id| endpoint(id, ServerState::Ready, None))
             .collect();
-        rig.play(&[Event::Endpoints(EndpointUpdate::Snapshot(rows))]);
-        rig
+        harness.handle(&[Event::Endpoints(EndpointUpdate::Snapshot(rows))]);
+        harness
     }
 
-    pub fn play(&mut self, events: &[Event]) -> Vec<Action> {
+    pub fn handle(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.aggregator.handle(self.now, events, &mut actions);
+        self.router.handle(self.now, events, &mut actions);
         actions
     }
 
-    pub fn after(&mut self, secs: f64, events: &[Event]) -> Vec<Action> {
+    pub fn handle_after(&mut self, secs: f64, events: &[Event]) -> Vec<Action> {
         self.now = self.now + secs;
-        self.play(events)
+        self.handle(events)
     }
 
-    /// The events of a new query with equal parts at these shards, and the ids: the query's, the parts'.
+    /// The events of a new query with equal parts at these shards, and the identifiers of the query and its parts.
     pub fn query(&mut self, class: u16, shards: &[u32]) -> (Vec<Event>, u64, Vec<u64>) {
         self.weighted(class, shards, 1.0 / shards.len() as f64)
     }
 
-    /// The same, each part with this weight, as whoever wrote it rounded it.
+    /// The same, each part with this weight.
     pub fn weighted(
         &mut self,
         class: u16,
@@ -140,8 +145,8 @@
         (events, id, parts)
     }
 
-    /// Asks and answers so many one-part queries, each after 50 ms, so that the node has a recent past.
-    pub fn warm(&mut self, count: usize) {
+    /// Has so many one-part queries answered, each after 50 ms, so that the router has recent figures.
+    pub fn serve_quick(&mut self, count: usize) {
         self.serve(count, 0.05);
     }
 
@@ -149,13 +154,13 @@
     pub fn serve(&mut self, count: usize, took: f64) {
         for _ in 0..count {
             let (events, _, parts) = self.query(0, &[0]);
-            self.play(&events);
-            self.after(took, &[done(parts[0], 0, Outcome::Ok)]);
+            self.handle(&events);
+            self.handle_after(took, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
         }
     }
 }
 
-/// The sends among the actions: part and server.
+/// The part and server of each send among the actions.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
     let sends = actions.iter().filter_map(|action| match action {
         Action::Send { part, server, .. } => Some((part.0, server.0)),
@@ -164,8 +169,8 @@
     sends.collect()
 }
 
-/// Whether the actions hold a final answer for the query.
-pub fn ended(actions: &[Action], id: u64) -> bool {
+/// Whether the actions contain a final answer for the query.
+pub fn is_finished(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|action| match action {
         Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
             query.0 == id
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/invariants.rs
@@ -1,10 +1,10 @@
-//! Long random event streams in varied deployments; all six rules are checked from outside the module.
+//! Long random event streams in varied deployments; the rules of the protocol are checked from outside the router.
 
 mod common;
 
 use cairnroad_routing::RequestRouter;
 use cairnroad_types::*;
-use common::{class, listed, settings};
+use common::{class, endpoint, settings};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Dice(u64);
@@ -29,7 +29,7 @@
     weight: f64,
     step: u8,
     answered: bool,
-    first_risky: Option<Time>,
+    first_sent: Option<Time>,
     attempts: Vec<(u32, Option<Outcome>)>,
 }
 
@@ -38,10 +38,10 @@
     number: u64,
     due: Time,
     step: u8,
-    first_whole: bool,
+    first_step_complete: bool,
 }
 
-/// The world outside the module: it draws what happens and checks each action against the rules.
+/// The surroundings of a router: draws what happens and checks each action against the rules.
 struct World {
     dice: Dice,
     settings: Settings,
@@ -49,11 +49,11 @@
     queries: BTreeMap<u64, QueryView>,
     parts: BTreeMap<u64, PartView>,
     out: Vec<(Time, u64, u8, Outcome)>,
-    told_off: BTreeSet<u32>,
-    cold: BTreeMap<u32, (Time, Vec<Time>)>,
+    not_ready: BTreeSet<u32>,
+    slow_starting: BTreeMap<u32, (Time, Vec<Time>)>,
     sent: BTreeMap<u32, Vec<Time>>,
-    taken: Vec<Time>,
-    further: Vec<Time>,
+    arrivals: Vec<Time>,
+    retries: Vec<Time>,
     wake: BTreeSet<Time>,
     answers: u64,
     next: u64,
@@ -70,8 +70,8 @@
                 until,
             } => {
                 assert!(
-                    !self.told_off.contains(&server),
-                    "drain rule: sent to {server}"
+                    !self.not_ready.contains(&server),
+                    "sent to server {server}, which is draining or removed"
                 );
                 let view = self.parts.get_mut(&id).expect("a send for an unknown part");
                 let query = self
@@ -91,12 +91,12 @@
                     Idempotency::IdempotentWithKey => {
                         assert!(
                             !ran || view
-                                .first_risky
+                                .first_sent
                                 .is_none_or(|at| now - at < class.dedup_window),
                             "window"
                         )
                     }
-                    Idempotency::AtMostOnce => assert!(!ran, "an unsafe part may run twice"),
+                    Idempotency::AtMostOnce => assert!(!ran, "an at-most-once part may run twice"),
                 }
                 let again = !view.attempts.is_empty();
                 if again {
@@ -107,10 +107,10 @@
                             .iter()
                             .all(|(s, o)| o.is_some() || *s != server));
                     }
-                    self.further.push(now);
+                    self.retries.push(now);
                 }
                 assert!(view.attempts.len() < self.settings.max_attempts as usize);
-                view.first_risky.get_or_insert(now);
+                view.first_sent.get_or_insert(now);
                 let attempt = view.attempts.len() as u8;
                 view.attempts.push((server, None));
                 if let Some(budget) = self.settings.retry_budget.filter(|_| again) {
@@ -118,16 +118,16 @@
                         list.iter().filter(|&&at| now - at <= budget.window).count() as f64
                     };
                     let allowed =
-                        budget.always_allowed + budget.share_of_arrivals * recent(&self.taken);
+                        budget.always_allowed + budget.share_of_arrivals * recent(&self.arrivals);
                     assert!(
-                        recent(&self.further) <= allowed + 1e-9,
+                        recent(&self.retries) <= allowed + 1e-9,
                         "budget: {} of {allowed} at {}",
-                        recent(&self.further),
+                        recent(&self.retries),
                         now.secs()
                     );
                 }
                 self.sent.entry(server).or_default().push(now);
-                if let Some((_, sends)) = self.cold.get_mut(&server) {
+                if let Some((_, sends)) = self.slow_starting.get_mut(&server) {
                     sends.push(now);
                 }
                 let (outcome, late) = match self.dice.below(20) {
@@ -160,13 +160,13 @@
             }
             Action::Answer {
                 query: RequestId(id),
-                complete: whole,
+                complete,
             } => {
                 let query = self
                     .queries
                     .get(&id)
                     .expect("an answer for a finished query");
-                assert!(now <= query.due, "lost");
+                assert!(now <= query.due, "answered past its deadline");
                 let class = &self.settings.classes[query.class];
                 let mine = self
                     .parts
@@ -183,21 +183,21 @@
                 } else {
                     class.complete_threshold
                 };
-                let floor = if second && class.minimum_share >= class.complete_threshold {
+                let minimum = if second && class.minimum_share >= class.complete_threshold {
                     1.0
                 } else {
                     class.minimum_share
                 };
-                assert!(weight + 1e-4 >= floor, "less than the floor");
+                assert!(weight + 1e-4 >= minimum, "less than the minimum share");
                 assert!(
-                    !whole || weight + 1e-4 >= need && (!second || query.first_whole),
-                    "not whole"
+                    !complete || weight + 1e-4 >= need && (!second || query.first_step_complete),
+                    "not complete"
                 );
                 self.answers += 1;
                 if class.second_step_parts > 0 && !second {
                     let parts = class.second_step_parts.min(count);
                     let query = self.queries.get_mut(&id).unwrap();
-                    (query.step, query.first_whole) = (2, whole);
+                    (query.step, query.first_step_complete) = (2, complete);
                     let number = query.number;
                     self.add_parts(id, number, 2, u64::from(parts));
                 } else {
@@ -211,8 +211,8 @@
                 let query = self
                     .queries
                     .remove(&id)
-                    .expect("a refusal of a finished query");
-                assert!(now <= query.due, "lost");
+                    .expect("a rejection of a finished query");
+                assert!(now <= query.due, "answered past its deadline");
                 if self.settings.classes[query.class].idempotency == Idempotency::AtMostOnce {
                     let mut attempts = self
                         .parts
@@ -227,7 +227,7 @@
                     };
                     assert!(
                         attempts.all(|(_, o)| proved(o)),
-                        "an unsafe query was refused"
+                        "an at-most-once query that may have run was rejected"
                     );
                 }
             }
@@ -238,7 +238,7 @@
                     .queries
                     .remove(&id)
                     .expect("a failure of a finished query");
-                assert!(now <= query.due, "lost");
+                assert!(now <= query.due, "answered past its deadline");
             }
             Action::SetTimer(at) => {
                 self.wake.insert(at);
@@ -257,11 +257,11 @@
                 weight,
                 step,
                 answered: false,
-                first_risky: None,
+                first_sent: None,
                 attempts: Vec::new(),
             };
             self.parts.insert(id, view);
-            self.taken.push(self.now);
+            self.arrivals.push(self.now);
             self.events.push(Event::Part {
                 id: RequestId(id),
                 number,
@@ -285,10 +285,10 @@
                 number,
                 due,
                 step: 1,
-                first_whole: false,
+                first_step_complete: false,
             },
         );
-        self.taken.push(self.now);
+        self.arrivals.push(self.now);
         let id_typed = RequestId(id);
         self.events.push(Event::Query {
             id: id_typed,
@@ -330,24 +330,24 @@
         }
     }
 
-    fn news(&mut self) {
+    fn update_endpoints(&mut self) {
         let server = self.dice.below(8) as u32;
         let row = match self.dice.below(5) {
-            0 => listed(server, ServerState::Draining, None),
-            1 => listed(server, ServerState::Removed, None),
-            2 => listed(server, ServerState::Ready, Some(self.now)),
-            _ => listed(
+            0 => endpoint(server, ServerState::Draining, None),
+            1 => endpoint(server, ServerState::Removed, None),
+            2 => endpoint(server, ServerState::Ready, Some(self.now)),
+            _ => endpoint(
                 server,
                 ServerState::Ready,
-                self.cold.get(&server).map(|c| c.0),
+                self.slow_starting.get(&server).map(|c| c.0),
             ),
         };
         match row.state {
-            ServerState::Ready => self.told_off.remove(&server),
-            _ => self.told_off.insert(server),
+            ServerState::Ready => self.not_ready.remove(&server),
+            _ => self.not_ready.insert(server),
         };
         if let Some(at) = row.ready_at.filter(|&at| at == self.now) {
-            self.cold.insert(server, (at, Vec::new()));
+            self.slow_starting.insert(server, (at, Vec::new()));
         }
         self.events
             .push(Event::Endpoints(EndpointUpdate::Delta(vec![row])));
@@ -383,8 +383,8 @@
         });
     }
 
-    /// Withdraws a query that is still open, now and then.
-    fn withdraw(&mut self) {
+    /// Has the client of an open query go away, now and then.
+    fn disconnect_client(&mut self) {
         if let Some(&id) = self
             .queries
             .keys()
@@ -397,7 +397,7 @@
     }
 }
 
-/// Plays one drawn deployment; returns how many answers and further attempts it saw.
+/// Plays one drawn deployment; returns how many answers, and retries with hedged requests, it saw.
 fn play(seed: u64) -> (u64, usize) {
     let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut classes = vec![
@@ -431,26 +431,26 @@
         queries: BTreeMap::new(),
         parts: BTreeMap::new(),
         out: Vec::new(),
-        told_off: BTreeSet::new(),
-        cold: BTreeMap::new(),
+        not_ready: BTreeSet::new(),
+        slow_starting: BTreeMap::new(),
         sent: BTreeMap::new(),
-        taken: Vec::new(),
-        further: Vec::new(),
+        arrivals: Vec::new(),
+        retries: Vec::new(),
         wake: BTreeSet::new(),
         answers: 0,
         next: 0,
         events: Vec::new(),
     };
-    let mut aggregator = RequestRouter::new(drawn, seed);
+    let mut router = RequestRouter::new(drawn, seed);
     let rows = (0..8)
-        .map(|id| listed(id, ServerState::Ready, None))
+        .map(|id| endpoint(id, ServerState::Ready, None))
         .collect();
     world
         .events
         .push(Event::Endpoints(EndpointUpdate::Cached(rows)));
     for _ in 0..6000 {
         world.now = world.now + 0.005;
-        // The node stalls now and then; the wire's time-outs go on meanwhile.
+        // The coordinator stalls now and then; time-outs go on meanwhile.
         if world.dice.chance(0.002) {
             world.now = world.now + 0.01;
         }
@@ -459,12 +459,12 @@
             world.arrive();
         }
         if world.dice.chance(0.01) {
-            world.news();
+            world.update_endpoints();
         }
         if world.dice.chance(0.05) {
             world.noise();
         }
-        world.withdraw();
+        world.disconnect_client();
         let now = world.now;
         if world.wake.first().is_some_and(|&at| at <= now) {
             world.wake.retain(|&at| at > now);
@@ -475,7 +475,7 @@
         }
         let events = std::mem::take(&mut world.events);
         let mut actions = Vec::new();
-        aggregator.handle(world.now, &events, &mut actions);
+        router.handle(world.now, &events, &mut actions);
         for action in actions {
             world.check(action);
         }
@@ -486,7 +486,7 @@
             world.queries.contains_key(&p.query) || world.out.iter().any(|o| o.1 == *id)
         });
     }
-    // Fail-back: in no window may a server that just started get the stated multiple of what it can do. What a
+    // Slow start: in no window may a server that just started get the stated multiple of what it can do. What a
     // warm one can do is not less than the most that any server took in such a window.
     let most = |sends: &Vec<Time>| {
         let within = |(at, &from): (usize, &Time)| {
@@ -498,7 +498,7 @@
         sends.iter().enumerate().map(within).max().unwrap_or(0)
     };
     let warm = world.sent.values().map(most).max().unwrap_or(0) as f64;
-    for (start, sends) in world.cold.values() {
+    for (start, sends) in world.slow_starting.values() {
         for (at, &from) in sends.iter().enumerate() {
             let age = from - *start;
             let ramp = (0.2 + 0.8 * (age + 1.0) / 10.0).min(1.0);
@@ -508,24 +508,24 @@
                 .count() as f64;
             assert!(
                 age > 8.0 || count <= 2.0 * ramp * warm,
-                "fail-back: {count} at age {age}"
+                "slow start: {count} at age {age}"
             );
         }
     }
-    (world.answers, world.further.len())
+    (world.answers, world.retries.len())
 }
 
 #[test]
-fn random_streams_keep_all_six_rules() {
-    let (mut answers, mut further) = (0, 0);
+fn random_streams_keep_all_rules() {
+    let (mut answers, mut retries) = (0, 0);
     for seed in 1..=24 {
         let (a, f) = play(seed);
         answers += a;
-        further += f;
+        retries += f;
     }
     assert!(
-        answers > 3000 && further > 500,
-        "the streams were too tame: {answers} answers, {further} further"
+        answers > 3000 && retries > 500,
+        "the streams were too tame: {answers} answers, {retries} retries"
     );
 }
 
@@ -544,12 +544,12 @@
             odd.slow_start_duration,
             odd.overload_window,
         ) = (cells, u32::MAX, 0.0, f64::NAN);
-        let mut aggregator = RequestRouter::new(odd, 0);
+        let mut router = RequestRouter::new(odd, 0);
         let mut actions = Vec::new();
         let row = Endpoint {
             cell: u32::MAX,
             size: f64::NAN,
-            ..listed(9, ServerState::Ready, Some(Time(i64::MAX)))
+            ..endpoint(9, ServerState::Ready, Some(Time(i64::MAX)))
         };
         let events = [
             Event::Endpoints(EndpointUpdate::Snapshot(vec![row])),
@@ -588,8 +588,8 @@
             },
             Event::ClientGone(RequestId(77)),
         ];
-        aggregator.handle(Time(0), &events, &mut actions);
-        aggregator.handle(Time(i64::MAX), &[Event::TimerFired], &mut actions);
+        router.handle(Time(0), &events, &mut actions);
+        router.handle(Time(i64::MAX), &[Event::TimerFired], &mut actions);
         let ends = actions.iter().filter(|a| {
             matches!(
                 a,
@@ -601,13 +601,13 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_is_answered_all_the_same() {
-    let mut aggregator = RequestRouter::new(settings(vec![class(Idempotency::Idempotent)]), 3);
+fn queries_finish_though_the_clock_goes_back() {
+    let mut router = RequestRouter::new(settings(vec![class(Idempotency::Idempotent)]), 3);
     let rows = (0..3)
-        .map(|id| listed(id, ServerState::Ready, None))
+        .map(|id| endpoint(id, ServerState::Ready, None))
         .collect();
     let mut actions = Vec::new();
-    aggregator.handle(
+    router.handle(
         Time::from_secs(100.0),
         &[Event::Endpoints(EndpointUpdate::Snapshot(rows))],
         &mut actions,
@@ -637,8 +637,8 @@
             },
         ];
         actions.clear();
-        aggregator.handle(Time::from_secs(at), &events, &mut actions);
-        aggregator.handle(
+        router.handle(Time::from_secs(at), &events, &mut actions);
+        router.handle(
             Time::from_secs(at) + 0.1,
             &[Event::AttemptEnded {
                 id: part,
@@ -647,6 +647,6 @@
             }],
             &mut actions,
         );
-        assert!(common::ended(&actions, id.0), "at {at}: {actions:?}");
+        assert!(common::is_finished(&actions, id.0), "at {at}: {actions:?}");
     }
 }
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/slow_start_fleet.rs
@@ -1,4 +1,4 @@
-//! Many coordinators and one server that starts: what they send it in sum, each knowing only its own part.
+//! Many coordinators and one server in slow start: what they send it together, each knowing only its own traffic.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::class;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Cells, one server in each; a shard is held by two in a row.
+/// Cells, one server in each; a shard is on two in a row.
 const CELLS: u32 = 12;
 /// What the fleet has to do: parts a second that all are asked for, for each server; and what a warm server could do.
 #[derive(Clone, Copy)]
@@ -21,7 +21,7 @@
     rate: 150.0,
     capacity: 270.0,
 };
-/// The same with few: a cold server may get no more than two or three in a window at first.
+/// The same with few: a server in slow start may get no more than two or three in a window at first.
 const LITTLE: Load = Load {
     rate: 5.0,
     capacity: 9.0,
@@ -44,16 +44,16 @@
     }
 }
 
-fn row(id: u32, ready_at: Option<Time>) -> Endpoint {
+fn endpoint_in_own_cell(id: u32, ready_at: Option<Time>) -> Endpoint {
     Endpoint {
         cell: id,
-        ..common::listed(id, ServerState::Ready, ready_at)
+        ..common::endpoint(id, ServerState::Ready, ready_at)
     }
 }
 
-/// One coordinator and the parts that it has out.
-struct One {
-    decisions: RequestRouter,
+/// One coordinator and its attempts in flight.
+struct Coordinator {
+    router: RequestRouter,
     events: Vec<Event>,
     wake: Option<Time>,
     servers: BTreeMap<(u64, u8), u32>,
@@ -91,20 +91,22 @@
     }
 }
 
-/// So many coordinators share the traffic; server 0 leaves at 8 s and is back, started anew, at 12 s. The list tells
+/// So many coordinators share the traffic; server 0 leaves at 8 s and is back after a restart at 12 s. The list tells
 /// coordinator `number` of the start after so many seconds.
-fn play(load: Load, seed: u64, coordinators: u32, told_after: impl Fn(usize) -> f64) -> Sent {
+fn play(load: Load, seed: u64, coordinators: u32, learns_after: impl Fn(usize) -> f64) -> Sent {
     let start = Time::from_secs(1000.0);
     let back = start + 12.0;
-    let list: Vec<Endpoint> = (0..CELLS).map(|id| row(id, None)).collect();
-    let one = |number: u32| One {
-        decisions: RequestRouter::new(settings(coordinators), u64::from(number) + 1000 * seed + 1),
+    let list: Vec<Endpoint> = (0..CELLS)
+        .map(|id| endpoint_in_own_cell(id, None))
+        .collect();
+    let one = |number: u32| Coordinator {
+        router: RequestRouter::new(settings(coordinators), u64::from(number) + 1000 * seed + 1),
         events: vec![Event::Endpoints(EndpointUpdate::Snapshot(list.clone()))],
         wake: None,
         servers: BTreeMap::new(),
         attempts: BTreeMap::new(),
     };
-    let mut fleet: Vec<One> = (0..coordinators).map(one).collect();
+    let mut fleet: Vec<Coordinator> = (0..coordinators).map(one).collect();
     let mut random = 7 + seed;
     let mut chance = || {
         random = random
@@ -118,21 +120,19 @@
     for tick in 0..(20.0 / TICK) as u32 {
         let (age, now) = (f64::from(tick) * TICK, start + f64::from(tick) * TICK);
         for (number, one) in fleet.iter_mut().enumerate() {
-            let told = |at: f64| (age - at).abs() < TICK / 2.0;
-            if told(8.0) {
+            let is_now = |at: f64| (age - at).abs() < TICK / 2.0;
+            if is_now(8.0) {
                 let gone = Endpoint {
                     state: ServerState::Removed,
-                    ..row(0, None)
+                    ..endpoint_in_own_cell(0, None)
                 };
                 one.events
                     .push(Event::Endpoints(EndpointUpdate::Delta(vec![gone])));
             }
-            if told(12.0 + (told_after(number) / TICK).round() * TICK) {
-                one.events
-                    .push(Event::Endpoints(EndpointUpdate::Delta(vec![row(
-                        0,
-                        Some(back),
-                    )])));
+            if is_now(12.0 + (learns_after(number) / TICK).round() * TICK) {
+                one.events.push(Event::Endpoints(EndpointUpdate::Delta(vec![
+                    endpoint_in_own_cell(0, Some(back)),
+                ])));
             }
         }
         while answers.front().is_some_and(|answer| answer.0 <= now) {
@@ -177,7 +177,7 @@
                 continue;
             }
             let mut actions = Vec::new();
-            one.decisions
+            one.router
                 .handle(now, &std::mem::take(&mut one.events), &mut actions);
             one.wake = one.wake.filter(|_| !woken);
             for action in actions {
@@ -202,9 +202,9 @@
     Sent(load, sent)
 }
 
-/// Guards against a start that each coordinator alone treats with care and all together run over.
+/// Guards against a limit that each coordinator keeps alone and all together exceed.
 #[test]
-fn what_all_send_a_server_that_starts_keeps_to_its_limit() {
+fn coordinators_together_keep_to_the_limit_of_a_server_in_slow_start() {
     for coordinators in [3, 30, 300] {
         let sent = play(MUCH, 0, coordinators, |_| 0.1);
         let worst = sent.worst(&settings(coordinators));
@@ -214,17 +214,17 @@
         );
         assert!(
             sent.share(4.0) > 0.15,
-            "{coordinators} coordinators: it starves, {:.2}",
+            "{coordinators} coordinators: it is starved, {:.2}",
             sent.share(4.0)
         );
     }
 }
 
-/// Guards against a coordinator that hears late of a start and then sends what it would have earned since.
+/// Guards against a coordinator that learns late of a start and then spends the credit of the time since.
 #[test]
-fn those_who_hear_late_of_a_start_do_not_make_up_for_it() {
+fn coordinators_that_learn_late_of_a_start_do_not_make_up_for_it() {
     for coordinators in [3, 300] {
-        // Of four, one hears 3 s late; all its share is on top of what the others send then.
+        // One of four learns 3 s late; all its share is on top of what the others send then.
         let late = |number: usize| number % 4 == 1;
         let sent = play(
             MUCH,
@@ -242,7 +242,7 @@
                 .filter(|&&(age, number)| late(number) && age > from && age <= to)
                 .count() as f64
         };
-        assert_eq!(within(0.0, 2.9), 0.0, "nothing before they hear of it");
+        assert_eq!(within(0.0, 2.9), 0.0, "nothing before they learn of it");
         let (first, second) = (within(2.99, 3.49), within(3.49, 3.99));
         let burst = 3.0 * second.max(f64::from(coordinators) / 4.0).sqrt() + 3.0;
         assert!(
@@ -252,10 +252,10 @@
     }
 }
 
-/// Guards against a credit of one part that each coordinator begins with or saves up: where a cold server may get few in a
-/// window, all of them together would be more than that, the more coordinators there are.
+/// Guards against a credit of one part that each coordinator begins with or saves up: where a server in slow start may get
+/// few parts in a window, the credits of all would exceed that, the more coordinators there are.
 #[test]
-fn where_little_is_allowed_the_sum_keeps_to_it_whatever_the_fleet() {
+fn a_small_slow_start_limit_holds_whatever_the_number_of_coordinators() {
     for coordinators in [3, 30, 300] {
         let worst: Vec<f64> = (1..=12)
             .map(|seed| play(LITTLE, seed, coordinators, |_| 0.1).worst(&settings(coordinators)))
