--- a/crates/flow-control/src/random.rs
+++ b/crates/flow-control/src/random.rs
@@ -30,3 +30,6 @@
         (mixed >> (u64::BITS - SIGNIFICAND_BITS)) as f64 / (1u64 << SIGNIFICAND_BITS) as f64
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/routing/src/arrivals.rs
+++ b/crates/routing/src/arrivals.rs
@@ -4,7 +4,7 @@
 use crate::query::{Query, QueryFingerprint};
 use crate::router::RequestRouter;
 use crate::timer::Timer;
-use cairnroad_types::{Event, RequestId, Time};
+use cairnroad_types::{Event, RequestId, Seconds, Time};
 
 /// Answers are due this share of the latency objective early: the way to the client and a busy processor
 /// take time.
@@ -35,13 +35,7 @@
             .map(|class| (class.latency_objective_for(work), class.deadline))
             .unwrap_or_default();
         let finish_at = due.min(now + deadline) + -margin;
-        // The time that a marked retry has left tells when its client first asked. The time left of an unmarked
-        // query says nothing: impatient clients come with little.
-        let asked_at = if client_retry {
-            now.min(due + -deadline)
-        } else {
-            now
-        };
+        let asked_at = first_asked_at(now, due, deadline, client_retry);
         let answer_within = objective - margin.max(objective * OBJECTIVE_MARGIN);
         let query = Query {
             class,
@@ -96,3 +90,15 @@
         Some(query_id)
     }
 }
+
+/// When the client of a query first asked.
+///
+/// The time that a marked retry has left tells it. The time left of an unmarked query says nothing: impatient
+/// clients come with little.
+fn first_asked_at(now: Time, due: Time, deadline: Seconds, client_retry: bool) -> Time {
+    if client_retry {
+        now.min(due + -deadline)
+    } else {
+        now
+    }
+}
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! Sending a part to a server.
 
-use crate::attempt::{Attempt, AttemptId, InFlight};
+use crate::attempt::{Attempt, AttemptId};
 use crate::router::RequestRouter;
 use crate::timer::Timer;
 use crate::tuning::HEDGE_DELAY_SHARE;
@@ -27,31 +27,20 @@
         let class = query.class;
         let hedge_delay = self.settings.classes[class].latency_objective * HEDGE_DELAY_SHARE;
         let overdue_at = now + self.class_latency[class].typical.min(hedge_delay);
-        let attempt = AttemptId {
+        let is_first_send = part.first_sent.is_none();
+        let id = AttemptId {
             part: part_id,
-            number: part.tried.len() as u8,
+            number: part.start_attempt(now, server_id),
         };
-        let is_first_send = part.first_sent.is_none();
-        part.in_flight.push(attempt.number);
-        part.tried.push(server_id);
-        part.first_sent.get_or_insert(now);
-        self.turn_count += 1;
-        server.last_turn = self.turn_count;
-        server.last_sent = now;
-        server.slow_start_credit.parts -= 1.0;
-        server.in_flight.insert(InFlight {
+        let attempt = Attempt {
+            server: server_id,
+            class,
+            sent_at: now,
             overdue_at,
-            attempt,
-        });
-        self.attempts.insert(
-            attempt,
-            Attempt {
-                server: server_id,
-                class,
-                sent_at: now,
-                overdue_at,
-            },
-        );
+        };
+        self.turn_count += 1;
+        server.on_send(now, self.turn_count, attempt.as_in_flight(id));
+        self.attempts.insert(id, attempt);
         actions.push(Action::Send {
             part: part_id,
             server: server_id,
@@ -60,7 +49,7 @@
         if is_first_send {
             self.on_first_send(now, part_id, class, hedge_delay);
         }
-        if attempt.number > 0 {
+        if id.number > 0 {
             self.retry_budget.on_retry(now, self.settings.retry_budget);
         }
     }
--- a/crates/routing/src/part.rs
+++ b/crates/routing/src/part.rs
@@ -24,6 +24,15 @@
 }
 
 impl Part {
+    /// Notes an attempt on a server and returns the attempt's number.
+    pub(crate) fn start_attempt(&mut self, now: Time, server: ServerId) -> u8 {
+        let number = self.tried.len() as u8;
+        self.in_flight.push(number);
+        self.tried.push(server);
+        self.first_sent.get_or_insert(now);
+        number
+    }
+
     /// Whether no attempt is in flight and none answered.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight.is_empty() && !self.answered
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -133,6 +133,14 @@
         (age < duration).then_some(age)
     }
 
+    /// Notes an attempt that is sent to it, as its turn number `turn`.
+    pub(crate) fn on_send(&mut self, now: Time, turn: i64, attempt: InFlight) {
+        self.last_turn = turn;
+        self.last_sent = now;
+        self.slow_start_credit.parts -= 1.0;
+        self.in_flight.insert(attempt);
+    }
+
     /// Adds a sample to the slowness ratio. What was known fades with the time since the last sample.
     pub(crate) fn update_slowness(
         &mut self,
