--- a/crates/routing/src/load_shedding.rs
+++ b/crates/routing/src/load_shedding.rs
@@ -1,7 +1,6 @@
 //! Load shedding: which queries are rejected because they would likely be answered too late.
 
 use crate::attempt::InFlight;
-use crate::replica_selection::Rank;
 use crate::router::RequestRouter;
 use crate::server::Server;
 use crate::tuning::{HEDGE_DELAY_SHARE, MIN_LATENCY, TYPICAL_LATENCY_GAIN};
@@ -70,7 +69,7 @@
         let trial_allowed = self.may_send_trial(now, class);
         candidates
             .iter()
-            .any(|&id| self.rank(now, id, trial_allowed).rank == Rank::InRotation)
+            .any(|&id| self.is_in_rotation(now, id, trial_allowed))
     }
 
     fn most_servers_are_outliers(&self, now: Time) -> bool {
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -32,10 +32,16 @@
 /// A replica that may be sent the part. Ordered by preference: the rank, then the fewest attempts in flight
 /// (counted only past the first rank), then the longest wait for a turn.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Candidate {
-    pub(crate) rank: Rank,
+struct Candidate {
+    rank: Rank,
     in_flight: usize,
     last_turn: i64,
+    server: ServerId,
+}
+
+/// The replica that was selected for a part, and its rank among the candidates.
+pub(crate) struct Selection {
+    pub(crate) rank: Rank,
     pub(crate) server: ServerId,
 }
 
@@ -69,7 +75,7 @@
     /// Of the replicas in rotation it is the one that waited longest, or the one that is owed most by its
     /// weight. Where there are none, it is the one with the fewest attempts in flight, and last of all one that
     /// this part has been sent to.
-    pub(crate) fn select_replica(&mut self, now: Time, id: RequestId) -> Option<Candidate> {
+    pub(crate) fn select_replica(&mut self, now: Time, id: RequestId) -> Option<Selection> {
         let part = self.parts.get_mut(&id)?;
         let shard = part.shard;
         let class = part.class;
@@ -81,10 +87,8 @@
         let generation = self.queries.get(&query).map_or(0, |query| query.generation);
         servers.retain(|server| self.servers[server].generation <= generation);
         if let Some(server) = retry_on.filter(|server| servers.contains(server)) {
-            return Some(Candidate {
+            return Some(Selection {
                 rank: Rank::InRotation,
-                in_flight: 0,
-                last_turn: 0,
                 server,
             });
         }
@@ -92,16 +96,15 @@
             .into_iter()
             .map(|server| self.candidate(now, id, server, trial_allowed))
             .collect();
-        let mut selected = *candidates.iter().min()?;
-        if selected.rank == Rank::InRotation {
-            selected.server = self
-                .select_by_weight(&candidates)
-                .unwrap_or(selected.server);
-            if self.is_outlier(now, &self.servers[&selected.server]) {
-                self.trials.push(now, self.long_recent_span());
-            }
+        let &Candidate { rank, server, .. } = candidates.iter().min()?;
+        if rank != Rank::InRotation {
+            return Some(Selection { rank, server });
+        }
+        let server = self.select_by_weight(&candidates).unwrap_or(server);
+        if self.is_outlier(now, &self.servers[&server]) {
+            self.trials.push(now, self.long_recent_span());
         }
-        Some(selected)
+        Some(Selection { rank, server })
     }
 
     /// Rates a server for a part.
@@ -122,7 +125,7 @@
     }
 
     /// Rates a server by its health alone.
-    pub(crate) fn rank(&self, now: Time, id: ServerId, trial_allowed: bool) -> Candidate {
+    fn rank(&self, now: Time, id: ServerId, trial_allowed: bool) -> Candidate {
         let server = &self.servers[&id];
         let rank = if self.is_outlier(now, server) {
             if trial_allowed && self.is_due_for_trial(now, server) {
@@ -147,6 +150,11 @@
         }
     }
 
+    /// Whether a server, an outlier or not, would be sent a part in rotation.
+    pub(crate) fn is_in_rotation(&self, now: Time, id: ServerId, trial_allowed: bool) -> bool {
+        self.rank(now, id, trial_allowed).rank == Rank::InRotation
+    }
+
     /// Whether an outlier may get a trial part: nothing is in flight to it, no recent health check speaks
     /// against it, and its last part was long enough ago.
     fn is_due_for_trial(&self, now: Time, server: &Server) -> bool {
