--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -30,8 +30,8 @@
 use clock::Clock;
 use contract::Contracts;
 use fronts::exchange::{Front, Kind};
-use messages::{Message, Phase, ServedConfiguration};
-use pipeline::Core;
+use messages::{LocalOutliers, Message, Phase, ServedConfiguration};
+use pipeline::{Core, CoreChannels};
 use signals::Signal;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -145,10 +145,16 @@
 ) -> Result<Arc<ServedConfiguration>, String> {
     let (reply, taken) = oneshot::channel();
     let offer = Box::new(ServedConfiguration::clone(&fresh.offer));
-    core.send(Message::Reconfigure(offer, reply))
+    core.send(Message::Reconfigure {
+        configuration: offer,
+        reply,
+    })
+    .await
+    .map_err(|_| "the core ended")?;
+    let offer = taken
         .await
-        .map_err(|_| "the core ended")?;
-    let offer = taken.await.map_err(|_| "the core ended")??;
+        .map_err(|_| "the core ended")?
+        .map_err(|fault| fault.to_string())?;
     tell_classes(&offer);
     Ok(offer)
 }
@@ -187,7 +193,7 @@
     if !config.contracts.is_empty() {
         adopt(&contracts, &config).await?;
     }
-    let (asks, asked) = mpsc::channel(pipeline::request_queue::QUEUE);
+    let (asks, asked) = mpsc::channel(pipeline::request_queue::REQUEST_QUEUE_CAPACITY);
     let (to_core, messages) = mpsc::channel(MESSAGES);
     let (phase, phases) = watch::channel(Phase::Starting);
     let (deaf, deafs) = watch::channel(false);
@@ -247,16 +253,19 @@
         &config,
         contracts.clone(),
         clock.clone(),
-        asked,
-        (to_core.clone(), messages),
-        phase.clone(),
-        offer,
+        CoreChannels {
+            requests: asked,
+            messages,
+            message_sender: to_core.clone(),
+            phase: phase.clone(),
+            served_configuration: offer,
+        },
     );
     let peers = match &config.peers {
         None => None,
         Some(settings) => {
-            let (tell, doubts) = watch::channel((Vec::new(), 0));
-            core.tell_peers(tell);
+            let (tell, doubts) = watch::channel(LocalOutliers::default());
+            core.publish_outliers_to(tell);
             let (name, seed) = (config.name.clone(), config.seed);
             let (clock, phases, core) = (clock.clone(), phases.clone(), to_core.clone());
             let given = cluster::Given {
@@ -313,9 +322,9 @@
     loop {
         let step = stop.step(clock.now(), places.seen());
         let next = match step {
-            ShutdownPhase::Serving => Phase::Stopping,
-            ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::Closing,
-            ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::Refusing,
+            ShutdownPhase::Serving => Phase::ShuttingDown,
+            ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::IdleConnectionsClosing,
+            ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::PartialRequestsRejected,
         };
         phase.send_if_modified(|phase| std::mem::replace(phase, next) != next);
         if step >= ShutdownPhase::Deaf {
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -39,15 +39,15 @@
             .map(|index| Index {
                 name: index.name.clone(),
                 class: class_name(index.class),
-                shards: (index.first, index.last),
+                shards: (index.first_shard, index.last_shard),
             })
             .collect(),
         frames: config.backend == BackendKind::Frames,
         report: deployment.report_names.clone(),
         limits: Limits {
-            body: http::MOST_BODY,
-            head: http::MOST_HEAD,
-            fields: http::MOST_FIELDS,
+            body: http::MAX_BODY,
+            head: http::MAX_HEAD,
+            fields: http::MAX_FIELDS,
             slow: fronts::SLOW.as_secs_f64(),
             window: opensearch::MOST_WINDOW,
             searches: opensearch::MOST_SEARCHES,
