--- a/crates/coordinator/src/pipeline/router_driver.rs
+++ b/crates/coordinator/src/pipeline/router_driver.rs
@@ -80,7 +80,7 @@
     /// How many servers the router knows.
     #[cfg(test)]
     pub fn server_count(&self) -> usize {
-        self.router.servers()
+        self.router.server_count()
     }
 
     /// Whether events wait for the next call.
--- a/crates/routing/src/health_summary.rs
+++ b/crates/routing/src/health_summary.rs
@@ -8,7 +8,7 @@
 
 impl RequestRouter {
     /// How many servers are known, removed ones with attempts in flight included.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
