--- a/crates/admin/src/reconfigure.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -8,9 +8,9 @@
 use serde_json::Value;
 
 /// Most places. Classes that change often while requests of the old ones are open must not grow the tables for good.
-const MOST_PLACES: usize = 256;
+const MAX_CLASS_SLOTS: usize = 256;
 /// Keys that belong to a start and need not stand in a later file.
-const STARTS: [&str; 2] = ["known", "seed"];
+const STARTUP_ONLY_KEYS: [&str; 2] = ["known", "seed"];
 
 /// What other settings make of those in force.
 #[derive(Debug)]
@@ -18,15 +18,15 @@
     /// What is in force from now on.
     pub deployment: Deployment,
     /// The place of each class of the new file, in its order.
-    pub places: Vec<ClassId>,
+    pub class_ids: Vec<ClassId>,
     /// Of these, the ones that hold another class than before.
-    pub renewed: Vec<ClassId>,
+    pub replaced: Vec<ClassId>,
     /// What differs and takes a restart.
-    pub waiting: Vec<&'static str>,
+    pub requires_restart: Vec<&'static str>,
 }
 
 /// What new settings make of those in force. `held` says whether a request holds a place.
-pub fn retune(
+pub fn reconfigure(
     in_force: &Deployment,
     fresh: &Deployment,
     held: impl Fn(ClassId) -> bool,
@@ -51,7 +51,7 @@
             places[at] = Some(place);
         }
     }
-    let mut renewed = Vec::new();
+    let mut replaced = Vec::new();
     for (at, (name, class)) in stated() {
         if places[at].is_some() {
             continue;
@@ -62,9 +62,9 @@
         });
         let place = free.unwrap_or(classes.len());
         if place == classes.len() {
-            if place >= MOST_PLACES {
+            if place >= MAX_CLASS_SLOTS {
                 return Err(format!(
-                    "settings: requests hold all {MOST_PLACES} places for classes"
+                    "settings: requests hold all {MAX_CLASS_SLOTS} places for classes"
                 ));
             }
             classes.push(class.clone());
@@ -73,7 +73,7 @@
         classes[place] = class.clone();
         names[place] = name.clone();
         places[at] = Some(place);
-        renewed.push(id(place));
+        replaced.push(id(place));
     }
     let (old, new) = (in_force, fresh);
     let waits = [
@@ -117,9 +117,9 @@
     };
     Ok(Reconfiguration {
         deployment,
-        places: places.into_iter().flatten().map(id).collect(),
-        renewed,
-        waiting: waits
+        class_ids: places.into_iter().flatten().map(id).collect(),
+        replaced,
+        requires_restart: waits
             .into_iter()
             .filter_map(|(key, differs)| differs.then_some(key))
             .collect(),
@@ -132,13 +132,13 @@
 
 /// The first key that the file in force has and another lacks, as a path. Guards against a file that was cut or
 /// written badly and is sound all the same because a key has a default.
-pub fn lacks(in_force: &Value, fresh: &Value) -> Option<String> {
+pub fn first_missing_key(in_force: &Value, fresh: &Value) -> Option<String> {
     let Value::Object(keys) = in_force else {
         return missing(in_force, fresh);
     };
     let lasting = keys
         .iter()
-        .filter(|(key, _)| !STARTS.contains(&key.as_str()));
+        .filter(|(key, _)| !STARTUP_ONLY_KEYS.contains(&key.as_str()));
     lasting
         .map(|(key, value)| (key, value, fresh.get(key)))
         .find_map(|(key, value, other)| match other {
--- a/crates/admin/src/reconfigure/tests.rs
+++ b/crates/admin/src/reconfigure/tests.rs
@@ -41,22 +41,25 @@
 #[test]
 fn classes_keep_their_places_whatever_the_files_order() {
     let old = deployment(&[("a", 1.0), ("b", 2.0)]);
-    let got = retune(
+    let got = reconfigure(
         &old,
         &deployment(&[("c", 3.0), ("b", 2.0), ("a", 1.0)]),
         free,
     )
     .unwrap();
     assert_eq!(got.deployment.class_names, ["a", "b", "c"]);
-    assert_eq!(got.places, [ClassId(2), ClassId(1), ClassId(0)]);
-    assert_eq!((got.renewed, got.waiting.len()), (vec![ClassId(2)], 0));
+    assert_eq!(got.class_ids, [ClassId(2), ClassId(1), ClassId(0)]);
+    assert_eq!(
+        (got.replaced, got.requires_restart.len()),
+        (vec![ClassId(2)], 0)
+    );
 }
 
 /// Guards against a request under way that finds another class, or a laxer effect, at its place.
 #[test]
 fn a_class_that_goes_or_changes_keeps_its_place_while_it_is_held() {
     let old = deployment(&[("a", 1.0), ("b", 2.0)]);
-    let gone = retune(&old, &deployment(&[("b", 5.0)]), free)
+    let gone = reconfigure(&old, &deployment(&[("b", 5.0)]), free)
         .unwrap()
         .deployment;
     assert_eq!(
@@ -66,7 +69,7 @@
     );
     assert_eq!(gone.policy.classes[1], class(2.0));
     let next = deployment(&[("b", 5.0), ("c", 3.0)]);
-    let held = retune(&gone, &next, |place| place == ClassId(0))
+    let held = reconfigure(&gone, &next, |place| place == ClassId(0))
         .unwrap()
         .deployment;
     assert_eq!(held.class_names, ["", "c", "b"]);
@@ -74,7 +77,7 @@
         (&held.policy.classes[0], &held.policy.classes[1]),
         (&class(1.0), &class(3.0))
     );
-    let full = retune(&gone, &next, |_| true).unwrap().deployment;
+    let full = reconfigure(&gone, &next, |_| true).unwrap().deployment;
     assert_eq!(full.class_names, ["", "", "b", "c"]);
 }
 
@@ -88,8 +91,8 @@
         fresh.shards,
         fresh.open_cap,
     ) = (0.01, 2, 9, 7);
-    let got = retune(&old, &fresh, free).unwrap();
-    assert_eq!(got.waiting, ["tickS", "extra.shards"]);
+    let got = reconfigure(&old, &fresh, free).unwrap();
+    assert_eq!(got.requires_restart, ["tickS", "extra.shards"]);
     let now = got.deployment;
     assert_eq!(
         (
@@ -122,7 +125,7 @@
                 .collect();
             let fresh = deployment(&rows);
             let holds = |place: ClassId| held.iter().any(|&at| u16::from(at % 16) == place.0);
-            let Ok(got) = retune(&now, &fresh, holds) else {
+            let Ok(got) = reconfigure(&now, &fresh, holds) else {
                 return false;
             };
             let kept = (0..now.policy.classes.len())
@@ -132,7 +135,7 @@
                 .class_names
                 .iter()
                 .zip(&fresh.policy.classes)
-                .zip(&got.places)
+                .zip(&got.class_ids)
                 .all(|((name, class), place)| {
                     got.deployment.place(name) == Some(usize::from(place.0))
                         && got.deployment.policy.classes[usize::from(place.0)] == *class
@@ -160,7 +163,7 @@
     let lacking = |change: fn(&mut Value)| {
         let mut fresh = old.clone();
         change(&mut fresh);
-        lacks(&old, &fresh)
+        first_missing_key(&old, &fresh)
     };
     assert_eq!(lacking(|_| {}), None);
     assert_eq!(
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,19 +1,19 @@
 //! The calls of the operators' door, and what each outcome is told as.
 
 /// The longest id of a data node that a call may name, in bytes.
-pub const MOST_ID: usize = 128;
+pub const MAX_NODE_ID_BYTES: usize = 128;
 
 /// What a caller asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     /// Whether this process is ready to serve.
-    Ready,
+    Readiness,
     /// Leave a data node out.
     Suspend(String),
     /// A data node may serve again.
     Resume(String),
     /// Who is there of the group, as this coordinator sees it.
-    Peers,
+    ClusterMembers,
     /// Send clients away.
     Drain,
     /// The end of the drain.
@@ -24,79 +24,87 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
     /// It is so.
-    Yes,
+    Done,
     /// Not now: another state has to come first.
-    NotNow(&'static str),
+    Unavailable(&'static str),
     /// No data node of this id was ever listed.
-    Unknown,
+    UnknownNode,
     /// This coordinator takes part in no group.
-    NoPeers,
+    NotClustered,
     /// There is no such call.
-    NoSuchCall,
+    UnknownPath,
     /// The path is one, the method is another's; the one that it takes.
-    Method(&'static str),
+    MethodNotAllowed(&'static str),
     /// The id can't be one.
-    BadId,
+    InvalidNodeId,
     /// As many data nodes are left out as can be kept in mind.
-    TooMany,
+    TooManySuspensions,
 }
 
 impl AdminResponse {
     /// The status that tells it.
     pub fn status(&self) -> u16 {
         match self {
-            AdminResponse::Yes => 200,
-            AdminResponse::NotNow(_) | AdminResponse::TooMany => 503,
-            AdminResponse::Unknown | AdminResponse::NoPeers | AdminResponse::NoSuchCall => 404,
-            AdminResponse::Method(_) => 405,
-            AdminResponse::BadId => 400,
+            AdminResponse::Done => 200,
+            AdminResponse::Unavailable(_) | AdminResponse::TooManySuspensions => 503,
+            AdminResponse::UnknownNode
+            | AdminResponse::NotClustered
+            | AdminResponse::UnknownPath => 404,
+            AdminResponse::MethodNotAllowed(_) => 405,
+            AdminResponse::InvalidNodeId => 400,
         }
     }
 
     /// The same for people: what is wrong, and what to do.
-    pub fn text(&self) -> &'static str {
+    pub fn message(&self) -> &'static str {
         match self {
-            AdminResponse::Yes => "yes",
-            AdminResponse::NotNow(cause) => cause,
-            AdminResponse::Unknown => {
+            AdminResponse::Done => "yes",
+            AdminResponse::Unavailable(cause) => cause,
+            AdminResponse::UnknownNode => {
                 "no data node of this id was ever listed: look at the list of data nodes"
             }
-            AdminResponse::NoPeers => "this coordinator takes part in no group: see docs/PEERS.md",
-            AdminResponse::NoSuchCall => "there is no such call: see docs/OPERATION.md",
-            AdminResponse::Method("GET") => "this call takes GET",
-            AdminResponse::Method(_) => "this call takes PUT",
-            AdminResponse::BadId => "the id of the data node is empty, too long or malformed",
-            AdminResponse::TooMany => "too many data nodes are suspended: resume some first",
+            AdminResponse::NotClustered => {
+                "this coordinator takes part in no group: see docs/PEERS.md"
+            }
+            AdminResponse::UnknownPath => "there is no such call: see docs/OPERATION.md",
+            AdminResponse::MethodNotAllowed("GET") => "this call takes GET",
+            AdminResponse::MethodNotAllowed(_) => "this call takes PUT",
+            AdminResponse::InvalidNodeId => {
+                "the id of the data node is empty, too long or malformed"
+            }
+            AdminResponse::TooManySuspensions => {
+                "too many data nodes are suspended: resume some first"
+            }
         }
     }
 }
 
 /// The call that a method and a target stand for, or why there is none.
-pub fn read(method: &str, target: &str) -> Result<AdminRequest, AdminResponse> {
+pub fn parse_request(method: &str, target: &str) -> Result<AdminRequest, AdminResponse> {
     let path = target.split('?').next().unwrap_or("");
     let steps: Vec<&str> = path
         .strip_prefix("/v1/")
-        .ok_or(AdminResponse::NoSuchCall)?
+        .ok_or(AdminResponse::UnknownPath)?
         .split('/')
         .collect();
     let (call, takes) = match steps[..] {
-        ["readyz"] => (AdminRequest::Ready, "GET"),
-        ["peers"] => (AdminRequest::Peers, "GET"),
+        ["readyz"] => (AdminRequest::Readiness, "GET"),
+        ["peers"] => (AdminRequest::ClusterMembers, "GET"),
         ["coordinator", "drain"] => (AdminRequest::Drain, "PUT"),
         ["coordinator", "activate"] => (AdminRequest::Activate, "PUT"),
-        ["data-nodes", id, "suspend"] => (AdminRequest::Suspend(node(id)?), "PUT"),
-        ["data-nodes", id, "resume"] => (AdminRequest::Resume(node(id)?), "PUT"),
-        _ => return Err(AdminResponse::NoSuchCall),
+        ["data-nodes", id, "suspend"] => (AdminRequest::Suspend(decode_node_id(id)?), "PUT"),
+        ["data-nodes", id, "resume"] => (AdminRequest::Resume(decode_node_id(id)?), "PUT"),
+        _ => return Err(AdminResponse::UnknownPath),
     };
     if method == takes {
         Ok(call)
     } else {
-        Err(AdminResponse::Method(takes))
+        Err(AdminResponse::MethodNotAllowed(takes))
     }
 }
 
 /// An id out of a path, its percent signs undone.
-fn node(text: &str) -> Result<String, AdminResponse> {
+fn decode_node_id(text: &str) -> Result<String, AdminResponse> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
@@ -111,13 +119,13 @@
         let digits = digits.filter(|digits| digits.bytes().all(|b| b.is_ascii_hexdigit()));
         let value = digits
             .and_then(|digits| u8::from_str_radix(digits, 16).ok())
-            .ok_or(AdminResponse::BadId)?;
+            .ok_or(AdminResponse::InvalidNodeId)?;
         bytes.push(value);
         rest = &rest[2..];
     }
-    let id = String::from_utf8(bytes).map_err(|_| AdminResponse::BadId)?;
-    if id.is_empty() || id.len() > MOST_ID || id.chars().any(char::is_control) {
-        return Err(AdminResponse::BadId);
+    let id = String::from_utf8(bytes).map_err(|_| AdminResponse::InvalidNodeId)?;
+    if id.is_empty() || id.len() > MAX_NODE_ID_BYTES || id.chars().any(char::is_control) {
+        return Err(AdminResponse::InvalidNodeId);
     }
     Ok(id)
 }
--- a/crates/admin/src/request/tests.rs
+++ b/crates/admin/src/request/tests.rs
@@ -5,10 +5,14 @@
 fn every_call_is_told_from_what_is_none() {
     let suspend = |id: &str| Ok(AdminRequest::Suspend(id.into()));
     for (method, target, expected) in [
-        ("GET", "/v1/readyz", Ok(AdminRequest::Ready)),
-        ("GET", "/v1/readyz?verbose", Ok(AdminRequest::Ready)),
-        ("PUT", "/v1/readyz", Err(AdminResponse::Method("GET"))),
-        ("GET", "/v1/peers", Ok(AdminRequest::Peers)),
+        ("GET", "/v1/readyz", Ok(AdminRequest::Readiness)),
+        ("GET", "/v1/readyz?verbose", Ok(AdminRequest::Readiness)),
+        (
+            "PUT",
+            "/v1/readyz",
+            Err(AdminResponse::MethodNotAllowed("GET")),
+        ),
+        ("GET", "/v1/peers", Ok(AdminRequest::ClusterMembers)),
         ("PUT", "/v1/coordinator/drain", Ok(AdminRequest::Drain)),
         (
             "PUT",
@@ -18,7 +22,7 @@
         (
             "POST",
             "/v1/coordinator/activate",
-            Err(AdminResponse::Method("PUT")),
+            Err(AdminResponse::MethodNotAllowed("PUT")),
         ),
         ("PUT", "/v1/data-nodes/s-1/suspend", suspend("s-1")),
         ("PUT", "/v1/data-nodes/s%2f1%20/suspend", suspend("s/1 ")),
@@ -30,34 +34,48 @@
         (
             "GET",
             "/v1/data-nodes/s-1/resume",
-            Err(AdminResponse::Method("PUT")),
+            Err(AdminResponse::MethodNotAllowed("PUT")),
+        ),
+        (
+            "PUT",
+            "/v1/data-nodes//resume",
+            Err(AdminResponse::InvalidNodeId),
+        ),
+        (
+            "PUT",
+            "/v1/data-nodes/%/resume",
+            Err(AdminResponse::InvalidNodeId),
         ),
-        ("PUT", "/v1/data-nodes//resume", Err(AdminResponse::BadId)),
-        ("PUT", "/v1/data-nodes/%/resume", Err(AdminResponse::BadId)),
         (
             "PUT",
             "/v1/data-nodes/%ff/resume",
-            Err(AdminResponse::BadId),
+            Err(AdminResponse::InvalidNodeId),
         ),
         (
             "PUT",
             "/v1/data-nodes/%0a/resume",
-            Err(AdminResponse::BadId),
+            Err(AdminResponse::InvalidNodeId),
         ),
-        ("PUT", "/v1/data-nodes/s-1", Err(AdminResponse::NoSuchCall)),
+        ("PUT", "/v1/data-nodes/s-1", Err(AdminResponse::UnknownPath)),
         (
             "PUT",
             "/v1/coordinator/drain/",
-            Err(AdminResponse::NoSuchCall),
+            Err(AdminResponse::UnknownPath),
         ),
-        ("GET", "/v1/", Err(AdminResponse::NoSuchCall)),
-        ("GET", "/", Err(AdminResponse::NoSuchCall)),
-        ("GET", "", Err(AdminResponse::NoSuchCall)),
+        ("GET", "/v1/", Err(AdminResponse::UnknownPath)),
+        ("GET", "/", Err(AdminResponse::UnknownPath)),
+        ("GET", "", Err(AdminResponse::UnknownPath)),
     ] {
-        assert_eq!(read(method, target), expected, "{method} {target}");
+        assert_eq!(parse_request(method, target), expected, "{method} {target}");
     }
-    let long = format!("/v1/data-nodes/{}/resume", "a".repeat(MOST_ID + 1));
-    assert_eq!(read("PUT", &long), Err(AdminResponse::BadId));
+    let long = format!(
+        "/v1/data-nodes/{}/resume",
+        "a".repeat(MAX_NODE_ID_BYTES + 1)
+    );
+    assert_eq!(
+        parse_request("PUT", &long),
+        Err(AdminResponse::InvalidNodeId)
+    );
 }
 
 /// Guards against a path that ends the program instead of getting its no.
@@ -65,7 +83,7 @@
 fn no_path_is_too_odd() {
     let one = |id: String| {
         let target = format!("/v1/data-nodes/{id}/suspend");
-        !matches!(read("PUT", &target), Ok(AdminRequest::Suspend(id)) if id.is_empty() || id.len() > MOST_ID)
+        !matches!(parse_request("PUT", &target), Ok(AdminRequest::Suspend(id)) if id.is_empty() || id.len() > MAX_NODE_ID_BYTES)
     };
     let fixed = Gen::from_size_and_seed(40, 7);
     QuickCheck::new()
--- a/crates/admin/src/shutdown.rs
+++ b/crates/admin/src/shutdown.rs
@@ -8,29 +8,29 @@
 use cairnroad_types::Time;
 
 /// When idle connections are closed. New connections keep coming for up to 0.4 s, and clients use the ones they have.
-const CLOSE_IDLE: f64 = 0.5;
+const CLOSE_IDLE_AFTER: f64 = 0.5;
 /// When nobody is accepted any more, at the earliest and at the latest. Those who go on coming must not hold the end up:
 /// the program is killed, and what is unanswered then is lost.
-const EARLIEST_DEAF: f64 = 0.9;
-const LATEST_DEAF: f64 = 1.2;
+const EARLIEST_LISTENER_CLOSE: f64 = 0.9;
+const LATEST_LISTENER_CLOSE: f64 = 1.2;
 /// The same, counted back from the kill: with short deadlines it comes sooner, and what is accepted last needs its time.
-const EARLIEST_DEAF_BEFORE: f64 = 0.5;
-const LATEST_DEAF_BEFORE: f64 = 0.4;
+const EARLIEST_LISTENER_CLOSE_BEFORE_KILL: f64 = 0.5;
+const LATEST_LISTENER_CLOSE_BEFORE_KILL: f64 = 0.4;
 /// For how long no request may have come before that.
-const QUIET: f64 = 0.4;
+const QUIET_PERIOD: f64 = 0.4;
 /// For how long after that the rest of a request that has begun to come is waited for. What comes in pieces comes
 /// within this, and a request that comes much later could not be answered before the kill.
-const HALF_SENT: f64 = 0.3;
+const PARTIAL_REQUEST_GRACE: f64 = 0.3;
 /// How long a client is given to read what it was told last, at least. A process that ends sooner resets its
 /// connections where bytes lie unread, and the answer goes with them.
-const LAST_WORDS: f64 = 0.05;
+const FINAL_RESPONSE_GRACE: f64 = 0.05;
 /// How long connections on which nothing came are waited for at the end: they are closed by then.
-const STAYING: f64 = 0.3;
+const UNNOTIFIED_CONNECTION_GRACE: f64 = 0.3;
 /// The kill comes no sooner than the longest deadline, counted as this where it is longer, and this after the order.
-const LONGEST_COUNTED: f64 = 3.0;
-const KILLED_AFTER: f64 = 0.7;
+const MAX_DEADLINE_COUNTED: f64 = 3.0;
+const KILL_DELAY: f64 = 0.7;
 /// Answers leave this long before the kill: the way to the client and a busy processor take time.
-const KILL_MARGIN: f64 = 0.1;
+const RESPONSE_MARGIN: f64 = 0.1;
 
 /// What the program does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,28 +38,28 @@
     /// Everybody is served and told that the connection ends.
     Serving,
     /// Idle connections are closed, too.
-    Closing,
+    IdleConnectionsClosed,
     /// Nobody is accepted any more.
-    Deaf,
+    ListenerClosed,
     /// What has come in part is refused.
-    Refusing,
+    Rejecting,
     /// The program ends.
-    Over,
+    Finished,
 }
 
 /// What it goes by.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
+pub struct ShutdownObservation {
     /// When the last request came.
-    pub last_asked: Time,
+    pub last_request_at: Time,
     /// When the last answer, or refusal, was written.
-    pub last_answered: Time,
+    pub last_response_at: Time,
     /// Connections that stand in the middle of a request.
-    pub coming_in: usize,
+    pub partial_requests: usize,
     /// Requests that came and aren't answered.
-    pub serving: usize,
+    pub unanswered_requests: usize,
     /// Connections whose clients have not been told of the end.
-    pub staying: usize,
+    pub unnotified_connections: usize,
 }
 
 /// One order to stop, from its moment on.
@@ -79,43 +79,50 @@
             ordered: now,
             step: ShutdownPhase::Serving,
             since: now,
-            kill: longest.min(LONGEST_COUNTED) + KILLED_AFTER,
+            kill: longest.min(MAX_DEADLINE_COUNTED) + KILL_DELAY,
         }
     }
 
     /// The moment by which every request has to have its final answer.
-    pub fn answered_by(&self) -> Time {
-        self.ordered + (self.kill - KILL_MARGIN)
+    pub fn answer_deadline(&self) -> Time {
+        self.ordered + (self.kill - RESPONSE_MARGIN)
     }
 
     /// What is done now. It only goes forward.
-    pub fn step(&mut self, now: Time, seen: Seen) -> ShutdownPhase {
+    pub fn advance(&mut self, now: Time, seen: ShutdownObservation) -> ShutdownPhase {
         let (age, for_so_long) = (now - self.ordered, now - self.since);
-        let quiet = now - seen.last_asked >= QUIET;
-        let earliest = EARLIEST_DEAF
-            .min(self.kill - EARLIEST_DEAF_BEFORE)
-            .max(CLOSE_IDLE);
-        let latest = LATEST_DEAF
-            .min(self.kill - LATEST_DEAF_BEFORE)
-            .max(CLOSE_IDLE);
+        let quiet = now - seen.last_request_at >= QUIET_PERIOD;
+        let earliest = EARLIEST_LISTENER_CLOSE
+            .min(self.kill - EARLIEST_LISTENER_CLOSE_BEFORE_KILL)
+            .max(CLOSE_IDLE_AFTER);
+        let latest = LATEST_LISTENER_CLOSE
+            .min(self.kill - LATEST_LISTENER_CLOSE_BEFORE_KILL)
+            .max(CLOSE_IDLE_AFTER);
         // Whoever is refused needs time to read it, too.
-        let refused_by = self.kill - KILL_MARGIN - LAST_WORDS;
-        let told = now - self.since.max(seen.last_answered) >= LAST_WORDS;
-        let waited = for_so_long >= STAYING || age >= self.kill - KILL_MARGIN;
+        let refused_by = self.kill - RESPONSE_MARGIN - FINAL_RESPONSE_GRACE;
+        let told = now - self.since.max(seen.last_response_at) >= FINAL_RESPONSE_GRACE;
+        let waited =
+            for_so_long >= UNNOTIFIED_CONNECTION_GRACE || age >= self.kill - RESPONSE_MARGIN;
         let next = match self.step {
-            ShutdownPhase::Serving if age >= CLOSE_IDLE => ShutdownPhase::Closing,
-            ShutdownPhase::Closing if age >= latest || (age >= earliest && quiet) => {
-                ShutdownPhase::Deaf
+            ShutdownPhase::Serving if age >= CLOSE_IDLE_AFTER => {
+                ShutdownPhase::IdleConnectionsClosed
             }
-            ShutdownPhase::Deaf
-                if seen.coming_in == 0 || for_so_long >= HALF_SENT || age >= refused_by =>
+            ShutdownPhase::IdleConnectionsClosed if age >= latest || (age >= earliest && quiet) => {
+                ShutdownPhase::ListenerClosed
+            }
+            ShutdownPhase::ListenerClosed
+                if seen.partial_requests == 0
+                    || for_so_long >= PARTIAL_REQUEST_GRACE
+                    || age >= refused_by =>
             {
-                ShutdownPhase::Refusing
+                ShutdownPhase::Rejecting
             }
-            ShutdownPhase::Refusing
-                if seen.serving == 0 && told && (seen.staying == 0 || waited) =>
+            ShutdownPhase::Rejecting
+                if seen.unanswered_requests == 0
+                    && told
+                    && (seen.unnotified_connections == 0 || waited) =>
             {
-                ShutdownPhase::Over
+                ShutdownPhase::Finished
             }
             step => step,
         };
--- a/crates/admin/src/suspensions/tests.rs
+++ b/crates/admin/src/suspensions/tests.rs
@@ -8,110 +8,135 @@
 
 #[test]
 fn a_ban_holds_against_the_list_until_the_one_call_back() {
-    let mut bans = Suspensions::default();
-    bans.listed("s-1");
-    assert!(bans.knows("s-1") && !bans.knows("s-2"));
+    let mut suspensions = Suspensions::default();
+    suspensions.record_listed("s-1");
+    assert!(suspensions.is_known("s-1") && !suspensions.is_known("s-2"));
     for now in [1.0, 2.0] {
-        let ban = bans.suspended("s-1", at(now));
-        assert_eq!(ban.since_us, 1_000_000, "a repeated call changes nothing");
-        bans.put("s-1", ban);
+        let suspension = suspensions.suspension_of("s-1", at(now));
+        assert_eq!(
+            suspension.suspended_at_us, 1_000_000,
+            "a repeated call changes nothing"
+        );
+        suspensions.apply("s-1", suspension);
     }
     // Whatever the list says of it, a start included, it gets nothing new.
     assert_eq!(
-        bans.overlay("s-1", READY, None),
+        suspensions.effective_state("s-1", READY, None),
         (ServerState::Draining, None)
     );
     assert_eq!(
-        bans.overlay("s-1", READY, Some(at(2.5))).0,
+        suspensions.effective_state("s-1", READY, Some(at(2.5))).0,
         ServerState::Draining
     );
     assert_eq!(
-        bans.overlay("s-1", ServerState::Removed, None).0,
+        suspensions
+            .effective_state("s-1", ServerState::Removed, None)
+            .0,
         ServerState::Removed
     );
-    assert_eq!(bans.overlay("s-2", READY, None), (READY, None));
-    let back = bans.resumed("s-1", at(5.0)).unwrap();
-    assert!(bans.put("s-1", back) && bans.held().count() == 0);
-    assert_eq!(bans.resumed("s-1", at(6.0)), None, "one call back ends it");
+    assert_eq!(
+        suspensions.effective_state("s-2", READY, None),
+        (READY, None)
+    );
+    let back = suspensions.resumption_of("s-1", at(5.0)).unwrap();
+    assert!(suspensions.apply("s-1", back) && suspensions.active_nodes().count() == 0);
+    assert_eq!(
+        suspensions.resumption_of("s-1", at(6.0)),
+        None,
+        "one call back ends it"
+    );
 }
 
 /// Guards against a cold node that is pushed over because the list tells late of its start, or never.
 #[test]
 fn a_node_that_is_back_counts_as_started_at_the_call_or_as_the_list_says() {
-    let mut bans = Suspensions::default();
-    bans.put(
+    let mut suspensions = Suspensions::default();
+    suspensions.apply(
         "s-1",
         Suspension {
-            since_us: 1_000_000,
-            back_us: Some(5_000_000),
+            suspended_at_us: 1_000_000,
+            resumed_at_us: Some(5_000_000),
         },
     );
-    assert_eq!(bans.overlay("s-1", READY, None), (READY, Some(at(5.0))));
     assert_eq!(
-        bans.overlay("s-1", READY, Some(at(0.5))),
+        suspensions.effective_state("s-1", READY, None),
+        (READY, Some(at(5.0)))
+    );
+    assert_eq!(
+        suspensions.effective_state("s-1", READY, Some(at(0.5))),
         (READY, Some(at(5.0))),
         "an older start"
     );
     assert_eq!(
-        bans.overlay("s-1", READY, Some(at(3.0))),
+        suspensions.effective_state("s-1", READY, Some(at(3.0))),
         (READY, Some(at(3.0)))
     );
     assert_eq!(
-        bans.overlay("s-1", ServerState::Draining, None),
+        suspensions.effective_state("s-1", ServerState::Draining, None),
         (ServerState::Draining, None)
     );
-    assert!(bans.expire(at(20.0), 16.0).is_empty());
-    assert_eq!(bans.expire(at(21.1), 16.0), ["s-1"]);
-    assert_eq!(bans.overlay("s-1", READY, None), (READY, None));
+    assert!(suspensions.remove_expired(at(20.0), 16.0).is_empty());
+    assert_eq!(suspensions.remove_expired(at(21.1), 16.0), ["s-1"]);
+    assert_eq!(
+        suspensions.effective_state("s-1", READY, None),
+        (READY, None)
+    );
 }
 
 #[test]
 fn what_another_process_keeps_is_taken_over() {
-    let mut bans = Suspensions::default();
+    let mut suspensions = Suspensions::default();
     let (held, back) = (
         Suspension {
-            since_us: 1,
-            back_us: None,
+            suspended_at_us: 1,
+            resumed_at_us: None,
         },
         Suspension {
-            since_us: 1,
-            back_us: Some(2),
+            suspended_at_us: 1,
+            resumed_at_us: Some(2),
         },
     );
-    let kept = |ban| BTreeMap::from([("s-1".to_string(), ban)]);
-    assert_eq!(bans.merge(&kept(held)), ["s-1"]);
-    assert!(bans.merge(&kept(held)).is_empty(), "nothing new");
+    let kept = |suspension| BTreeMap::from([("s-1".to_string(), suspension)]);
+    assert_eq!(suspensions.synchronize(&kept(held)), ["s-1"]);
+    assert!(
+        suspensions.synchronize(&kept(held)).is_empty(),
+        "nothing new"
+    );
     assert!(
-        bans.knows("s-1"),
+        suspensions.is_known("s-1"),
         "a call back is taken though no list named it"
     );
-    assert_eq!(bans.merge(&kept(back)), ["s-1"]);
-    assert_eq!(bans.merge(&BTreeMap::new()), ["s-1"]);
-    assert_eq!(bans.held().count(), 0);
+    assert_eq!(suspensions.synchronize(&kept(back)), ["s-1"]);
+    assert_eq!(suspensions.synchronize(&BTreeMap::new()), ["s-1"]);
+    assert_eq!(suspensions.active_nodes().count(), 0);
 }
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut bans = Suspensions::default();
-    for number in 0..MOST_SEEN + 10 {
-        bans.listed(&format!("s-{number}"));
+    let mut suspensions = Suspensions::default();
+    for number in 0..MAX_KNOWN_NODES + 10 {
+        suspensions.record_listed(&format!("s-{number}"));
     }
-    assert!(!bans.knows("s-9") && bans.knows("s-10") && bans.seen.len() == MOST_SEEN);
-    for number in 0..MOST_BANS {
-        assert!(bans.put(
+    assert!(
+        !suspensions.is_known("s-9")
+            && suspensions.is_known("s-10")
+            && suspensions.seen.len() == MAX_KNOWN_NODES
+    );
+    for number in 0..MAX_SUSPENSIONS {
+        assert!(suspensions.apply(
             &format!("s-{number}"),
             Suspension {
-                since_us: 1,
-                back_us: None
+                suspended_at_us: 1,
+                resumed_at_us: None
             }
         ));
     }
-    assert!(!bans.has_room("s-x") && bans.has_room("s-0"));
-    assert!(!bans.put(
+    assert!(!suspensions.has_capacity_for("s-x") && suspensions.has_capacity_for("s-0"));
+    assert!(!suspensions.apply(
         "s-x",
         Suspension {
-            since_us: 1,
-            back_us: None
+            suspended_at_us: 1,
+            resumed_at_us: None
         }
     ));
 }
--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -80,23 +80,23 @@
         Ok(None) => return,
         Ok(Some(Ok(request))) => {
             read.set(true);
-            let verdict = match admin_request::read(&request.method, &request.target) {
-                Ok(AdminRequest::Peers) => {
+            let verdict = match admin_request::parse_request(&request.method, &request.target) {
+                Ok(AdminRequest::ClusterMembers) => {
                     view = door.view().await;
                     if view.is_some() {
-                        AdminResponse::Yes
+                        AdminResponse::Done
                     } else {
-                        AdminResponse::NoPeers
+                        AdminResponse::NotClustered
                     }
                 }
                 Ok(call) => door.carry_out(call).await,
                 Err(verdict) => verdict,
             };
             let allow = match verdict {
-                AdminResponse::Method(takes) => vec![("Allow", takes.to_string())],
+                AdminResponse::MethodNotAllowed(takes) => vec![("Allow", takes.to_string())],
                 _ => Vec::new(),
             };
-            (verdict.status(), allow, verdict.text())
+            (verdict.status(), allow, verdict.message())
         }
         Ok(Some(Err(bad))) => (bad.status(), Vec::new(), bad.text()),
         Err(_) => (
@@ -151,20 +151,22 @@
     }
 
     async fn carry_out(&self, call: AdminRequest) -> AdminResponse {
-        if call == AdminRequest::Ready {
+        if call == AdminRequest::Readiness {
             return match *self.phase.borrow() {
-                Phase::Serving => AdminResponse::Yes,
+                Phase::Serving => AdminResponse::Done,
                 Phase::Starting => {
-                    AdminResponse::NotNow("not ready yet: the list of data nodes has not come")
+                    AdminResponse::Unavailable("not ready yet: the list of data nodes has not come")
+                }
+                Phase::Drained => {
+                    AdminResponse::Unavailable("drained: activate the coordinator first")
                 }
-                Phase::Drained => AdminResponse::NotNow("drained: activate the coordinator first"),
                 Phase::Stopping | Phase::Closing | Phase::Refusing => {
-                    AdminResponse::NotNow("the process was told to stop")
+                    AdminResponse::Unavailable("the process was told to stop")
                 }
             };
         }
         let (reply, verdict) = oneshot::channel();
-        let busy = AdminResponse::NotNow("the coordinator is too busy: call again");
+        let busy = AdminResponse::Unavailable("the coordinator is too busy: call again");
         if self.core.try_send(Message::Admin(call, reply)).is_err() {
             return busy;
         }
--- a/crates/coordinator/src/admin_api/suspension_store.rs
+++ b/crates/coordinator/src/admin_api/suspension_store.rs
@@ -1,30 +1,31 @@
-//! Where bans on data nodes are kept: a folder that all processes of one coordinator share, a file each, so that two
+//! Where suspensions on data nodes are kept: a folder that all processes of one coordinator share, a file each, so that two
 //! processes never undo each other's changes. A file is written aside and renamed; half a file is never read.
 
-use cairnroad_admin::suspensions::{Suspension, MOST_BANS};
+use cairnroad_admin::suspensions::{Suspension, MAX_SUSPENSIONS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// The ending of a ban's file. Others, such as one half written, are passed over.
-const ENDING: &str = "ban";
-/// The longest file that is read, in bytes: a ban takes some 60.
-const MOST_BYTES: u64 = 4096;
+/// The ending of a suspension's file. Others, such as one half written, are passed over.
+const EXTENSION: &str = "ban";
+/// The longest file that is read, in bytes: a suspension takes some 60.
+const MAX_FILE_BYTES: u64 = 4096;
 
 /// The folder, if there is one, and what could not be written there yet.
 #[derive(Default)]
 pub struct SuspensionStore {
     folder: Option<PathBuf>,
-    unkept: BTreeMap<String, Suspension>,
-    complained: bool,
+    unsaved: BTreeMap<String, Suspension>,
+    fault_logged: bool,
 }
 
 impl SuspensionStore {
-    /// The shelf of the coordinator of this name below the folder for passing files.
-    pub fn new(passing: Option<&Path>, name: &str) -> SuspensionStore {
-        let folder = passing.map(|passing| passing.join(format!("cairnroad-{}", escape(name))));
+    /// The store of the coordinator of this name below the folder for shared_folder files.
+    pub fn new(shared_folder: Option<&Path>, name: &str) -> SuspensionStore {
+        let folder = shared_folder
+            .map(|shared_folder| shared_folder.join(format!("cairnroad-{}", escape(name))));
         let made = folder.as_ref().map_or(Ok(()), std::fs::create_dir_all);
         if let (Err(cause), Some(folder)) = (made, &folder) {
-            tracing::error!(folder = %folder.display(), %cause, "bans can't be kept");
+            tracing::error!(folder = %folder.display(), %cause, "suspensions can't be kept");
         }
         SuspensionStore {
             folder,
@@ -32,56 +33,56 @@
         }
     }
 
-    /// Keeps a ban, or how it ended. Where that fails it is tried again at the next look.
-    pub fn keep(&mut self, id: &str, ban: Suspension) {
+    /// Keeps a suspension, or how it ended. Where that fails it is tried again at the next look.
+    pub fn save(&mut self, id: &str, suspension: Suspension) {
         let Some(folder) = &self.folder else { return };
-        let path = folder.join(format!("{}.{ENDING}", escape(id)));
+        let path = folder.join(format!("{}.{EXTENSION}", escape(id)));
         let aside = folder.join(format!("{}.{}", escape(id), std::process::id()));
-        let text = serde_json::to_vec(&(id, ban)).unwrap_or_default();
+        let text = serde_json::to_vec(&(id, suspension)).unwrap_or_default();
         let written = std::fs::write(&aside, text).and_then(|()| std::fs::rename(&aside, path));
         match written {
             Ok(()) => {
-                self.unkept.remove(id);
+                self.unsaved.remove(id);
             }
             Err(cause) => {
                 let _ = std::fs::remove_file(aside);
-                if !std::mem::replace(&mut self.complained, true) {
-                    tracing::error!(%cause, server = id, "a ban holds in this process only");
+                if !std::mem::replace(&mut self.fault_logged, true) {
+                    tracing::error!(%cause, server = id, "a suspension holds in this process only");
                 }
-                self.unkept.insert(id.into(), ban);
+                self.unsaved.insert(id.into(), suspension);
             }
         }
     }
 
-    /// Takes a ban off that is over.
-    pub fn drop(&mut self, id: &str) {
-        self.unkept.remove(id);
+    /// Takes a suspension off that is over.
+    pub fn remove(&mut self, id: &str) {
+        self.unsaved.remove(id);
         if let Some(folder) = &self.folder {
-            let _ = std::fs::remove_file(folder.join(format!("{}.{ENDING}", escape(id))));
+            let _ = std::fs::remove_file(folder.join(format!("{}.{EXTENSION}", escape(id))));
         }
     }
 
     /// All that is kept; `None` where there is no folder, or it can't be read.
-    pub fn look(&mut self) -> Option<BTreeMap<String, Suspension>> {
-        for (id, ban) in self.unkept.clone() {
-            self.keep(&id, ban);
+    pub fn load_all(&mut self) -> Option<BTreeMap<String, Suspension>> {
+        for (id, suspension) in self.unsaved.clone() {
+            self.save(&id, suspension);
         }
-        let mut all = self.unkept.clone();
+        let mut all = self.unsaved.clone();
         let files = std::fs::read_dir(self.folder.as_ref()?).ok()?;
         let paths: BTreeSet<PathBuf> = files.flatten().map(|file| file.path()).collect();
-        let bans = paths
+        let suspensions = paths
             .iter()
-            .filter(|path| path.extension().is_some_and(|ending| ending == ENDING));
-        for path in bans.take(MOST_BANS) {
+            .filter(|path| path.extension().is_some_and(|ending| ending == EXTENSION));
+        for path in suspensions.take(MAX_SUSPENSIONS) {
             match read(path) {
-                Ok((id, ban)) => {
-                    all.entry(id).or_insert(ban);
+                Ok((id, suspension)) => {
+                    all.entry(id).or_insert(suspension);
                 }
                 // Taken off by another process between the two reads.
                 Err(cause) if cause.kind() == std::io::ErrorKind::NotFound => {}
                 Err(cause) => {
-                    if !std::mem::replace(&mut self.complained, true) {
-                        tracing::error!(file = %path.display(), %cause, "a ban can't be read");
+                    if !std::mem::replace(&mut self.fault_logged, true) {
+                        tracing::error!(file = %path.display(), %cause, "a suspension can't be read");
                     }
                 }
             }
@@ -94,7 +95,7 @@
     use std::io::Read;
     let mut text = Vec::new();
     std::fs::File::open(path)?
-        .take(MOST_BYTES)
+        .take(MAX_FILE_BYTES)
         .read_to_end(&mut text)?;
     Ok(serde_json::from_slice(&text)?)
 }
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -61,7 +61,7 @@
 impl Config {
     /// The first key that this configuration's file has and another's lacks.
     pub fn lacked_by(&self, other: &Config) -> Option<String> {
-        cairnroad_admin::reconfigure::lacks(&self.stated, &other.stated)
+        cairnroad_admin::reconfigure::first_missing_key(&self.stated, &other.stated)
     }
 
     /// The keys that another file says differently and that take effect only at a restart. `discovery` takes
--- a/crates/coordinator/src/fronts/client_connections.rs
+++ b/crates/coordinator/src/fronts/client_connections.rs
@@ -1,7 +1,7 @@
 //! The places that client connections take up, of all fronts together. One that idles is told to leave when its
 //! place is needed, so that clients who ask nothing don't keep out those who do.
 
-use cairnroad_admin::shutdown::Seen;
+use cairnroad_admin::shutdown::ShutdownObservation;
 use cairnroad_types::Time;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -53,15 +53,15 @@
     }
 
     /// Connections that stand in the middle of a request, and what else a stop goes by.
-    pub fn seen(&self) -> Seen {
+    pub fn seen(&self) -> ShutdownObservation {
         let (last_asked, last_answered) = (self.last_asked.get(), self.last_answered.get());
         let (serving, staying) = (self.serving.get(), self.open.get() - self.parted.get());
-        Seen {
-            last_asked,
-            last_answered,
-            coming_in: self.busy().saturating_sub(serving),
-            serving,
-            staying,
+        ShutdownObservation {
+            last_request_at: last_asked,
+            last_response_at: last_answered,
+            partial_requests: self.busy().saturating_sub(serving),
+            unanswered_requests: serving,
+            unnotified_connections: staying,
         }
     }
 
--- a/crates/coordinator/src/fronts/client_connections/tests.rs
+++ b/crates/coordinator/src/fronts/client_connections/tests.rs
@@ -28,11 +28,14 @@
     held[2].idle(at(10.0));
     held[1].asked(at(9.9));
     assert_eq!(
-        (places.seen().serving, places.seen().last_asked),
+        (
+            places.seen().unanswered_requests,
+            places.seen().last_request_at
+        ),
         (1, at(9.9))
     );
     held[1].answered(at(9.9));
-    assert_eq!(places.seen().serving, 0);
+    assert_eq!(places.seen().unanswered_requests, 0);
     held[1].idle(at(10.0));
     assert_eq!((left(10.04), left(10.06)), (vec![1, 2], vec![2]));
     held[1].busy();
@@ -52,8 +55,8 @@
         (
             places.open(),
             places.busy(),
-            places.seen().coming_in,
-            places.seen().staying,
+            places.seen().partial_requests,
+            places.seen().unnotified_connections,
         )
     };
     assert_eq!(seen(&places), (3, 2, 2, 3));
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -307,21 +307,23 @@
     }
     let longest = offers.borrow().deployment.longest_deadline();
     let mut stop = GracefulShutdown::new(clock.now(), longest);
-    places.answer_by(stop.answered_by());
+    places.answer_by(stop.answer_deadline());
     // What is open already may have longer than that.
-    let _ = to_core.send(Message::FinishBy(stop.answered_by())).await;
+    let _ = to_core
+        .send(Message::FinishBy(stop.answer_deadline()))
+        .await;
     loop {
-        let step = stop.step(clock.now(), places.seen());
+        let step = stop.advance(clock.now(), places.seen());
         let next = match step {
             ShutdownPhase::Serving => Phase::Stopping,
-            ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::Closing,
-            ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::Refusing,
+            ShutdownPhase::IdleConnectionsClosed | ShutdownPhase::ListenerClosed => Phase::Closing,
+            ShutdownPhase::Rejecting | ShutdownPhase::Finished => Phase::Refusing,
         };
         phase.send_if_modified(|phase| std::mem::replace(phase, next) != next);
-        if step >= ShutdownPhase::Deaf {
+        if step >= ShutdownPhase::ListenerClosed {
             deaf.send_replace(true);
         }
-        if step == ShutdownPhase::Over {
+        if step == ShutdownPhase::Finished {
             break;
         }
         tokio::time::sleep(STOP_TICK).await;
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -267,7 +267,8 @@
         }
         let mut rows = self.directory.number(news);
         if self.shelf.is_some() {
-            rows.iter().for_each(|(_, row)| self.bans.listed(&row.id));
+            rows.iter()
+                .for_each(|(_, row)| self.bans.record_listed(&row.id));
         }
         self.tell(&mut rows, news.complete, cached);
         self.fresh_list |= !cached;
@@ -276,7 +277,7 @@
     /// Tells pool and decisions what the list says, as operators' bans leave it.
     fn tell(&mut self, rows: &mut [(ServerId, EndpointEntry)], complete: bool, cached: bool) {
         for (_, row) in &mut *rows {
-            (row.state, row.ready_at) = self.bans.overlay(&row.id, row.state, row.ready_at);
+            (row.state, row.ready_at) = self.bans.effective_state(&row.id, row.state, row.ready_at);
         }
         self.pool.note_list(rows, complete);
         self.route.push(Event::Endpoints(discovery::list_news(
@@ -287,11 +288,11 @@
     /// Looks at what another process of this coordinator may have changed.
     fn look(&mut self, now: Time) {
         let Some(shelf) = &mut self.shelf else { return };
-        for id in self.bans.expire(now, self.warm_up) {
-            shelf.drop(&id);
+        for id in self.bans.remove_expired(now, self.warm_up) {
+            shelf.remove(&id);
         }
-        if let Some(kept) = shelf.look() {
-            let changed = self.bans.merge(&kept);
+        if let Some(kept) = shelf.load_all() {
+            let changed = self.bans.synchronize(&kept);
             if !changed.is_empty() {
                 tracing::info!(
                     servers = changed.join(", "),
@@ -313,12 +314,12 @@
     fn retune(&mut self, fresh: ServedConfiguration) -> Result<Arc<ServedConfiguration>, String> {
         let in_force = self.offer.borrow().clone();
         let held = |class: ClassId| self.book.holds(usize::from(class.0));
-        let retuned = reconfigure::retune(&in_force.deployment, &fresh.deployment, held)?;
+        let retuned = reconfigure::reconfigure(&in_force.deployment, &fresh.deployment, held)?;
         let Reconfiguration {
             deployment,
-            places,
-            renewed,
-            waiting,
+            class_ids: places,
+            replaced: renewed,
+            requires_restart: waiting,
         } = retuned;
         if !waiting.is_empty() {
             tracing::warn!(
@@ -382,14 +383,16 @@
     fn operate(&mut self, now: Time, call: AdminRequest) -> AdminResponse {
         let verdict = match &call {
             // The door answers these by itself.
-            AdminRequest::Ready | AdminRequest::Peers => AdminResponse::Yes,
-            AdminRequest::Suspend(id) if !self.bans.knows(id) => AdminResponse::Unknown,
-            AdminRequest::Suspend(id) if !self.bans.has_room(id) => AdminResponse::TooMany,
-            AdminRequest::Suspend(id) => self.put(id, self.bans.suspended(id, now)),
-            AdminRequest::Resume(id) if !self.bans.knows(id) => AdminResponse::Unknown,
-            AdminRequest::Resume(id) => match self.bans.resumed(id, now) {
+            AdminRequest::Readiness | AdminRequest::ClusterMembers => AdminResponse::Done,
+            AdminRequest::Suspend(id) if !self.bans.is_known(id) => AdminResponse::UnknownNode,
+            AdminRequest::Suspend(id) if !self.bans.has_capacity_for(id) => {
+                AdminResponse::TooManySuspensions
+            }
+            AdminRequest::Suspend(id) => self.put(id, self.bans.suspension_of(id, now)),
+            AdminRequest::Resume(id) if !self.bans.is_known(id) => AdminResponse::UnknownNode,
+            AdminRequest::Resume(id) => match self.bans.resumption_of(id, now) {
                 Some(ban) => self.put(id, ban),
-                None => AdminResponse::Yes,
+                None => AdminResponse::Done,
             },
             AdminRequest::Drain => self.turn_to(|phase| match phase {
                 Phase::Starting | Phase::Serving => Some(Phase::Drained),
@@ -405,24 +408,24 @@
     }
 
     fn put(&mut self, id: &str, ban: cairnroad_admin::suspensions::Suspension) -> AdminResponse {
-        if self.bans.put(id, ban) {
+        if self.bans.apply(id, ban) {
             if let Some(shelf) = &mut self.shelf {
-                shelf.keep(id, ban);
+                shelf.save(id, ban);
             }
             self.tell_again(&[id.to_string()]);
         }
-        AdminResponse::Yes
+        AdminResponse::Done
     }
 
     fn turn_to(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
         let current = *self.phase.borrow();
         if matches!(current, Phase::Stopping | Phase::Closing | Phase::Refusing) {
-            return AdminResponse::NotNow("the process was told to stop");
+            return AdminResponse::Unavailable("the process was told to stop");
         }
         if let Some(phase) = next(current) {
             self.phase.send_replace(phase);
         }
-        AdminResponse::Yes
+        AdminResponse::Done
     }
 
     /// Ready once a server is known, from a fresh list or, if that doesn't come, from the cached one.
