--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -10,7 +10,7 @@
 use crate::messages::{EndpointEntry, EndpointListUpdate, Message};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::schema::Direction;
-use cairnroad_discovery_watch::{Ask, Call, Fault, Watch, DIAL};
+use cairnroad_discovery_watch::{DiscoveryWatch, Poll, PollRequest, WatchError, CONNECT_TIMEOUT};
 use cairnroad_types::{Endpoint, EndpointUpdate, ServerId, ServerState};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -119,7 +119,7 @@
     contracts: Rc<Contracts>,
     clock: Clock,
 ) {
-    let mut watch = Watch::new(clock.now());
+    let mut watch = DiscoveryWatch::new(clock.now());
     loop {
         let agent = *agents.borrow_and_update();
         let moved = tokio::select! {
@@ -128,7 +128,7 @@
             () = follow_on(agent, &core, &contracts, &clock, &mut watch) => false,
         };
         if moved {
-            watch.moved(clock.now());
+            watch.on_agent_changed(clock.now());
         }
         if core.is_closed() {
             return;
@@ -142,13 +142,13 @@
     core: &mpsc::Sender<Message>,
     contracts: &Contracts,
     clock: &Clock,
-    watch: &mut Watch,
+    watch: &mut DiscoveryWatch,
 ) {
     let rest = match follow(agent, core, contracts, clock, watch).await {
-        Ok(()) => watch.parted(),
+        Ok(()) => watch.on_connection_closed(),
         Err(fault) => {
-            let rest = watch.broke(&fault);
-            let (faults, help) = (watch.faults(), fault.help());
+            let rest = watch.on_fault(&fault);
+            let (faults, help) = (watch.consecutive_faults(), fault.help());
             tracing::warn!(server = %agent, cause = %fault, faults, help, "discovery: the watch is begun anew");
             rest
         }
@@ -162,20 +162,29 @@
     core: &mpsc::Sender<Message>,
     contracts: &Contracts,
     clock: &Clock,
-    watch: &mut Watch,
-) -> Result<(), Fault> {
-    let connect = tokio::time::timeout(Duration::from_secs_f64(DIAL), TcpStream::connect(agent));
-    let mut stream = connect
-        .await
-        .map_err(|_| Fault::NoConnection { secs: DIAL })??;
+    watch: &mut DiscoveryWatch,
+) -> Result<(), WatchError> {
+    let connect = tokio::time::timeout(
+        Duration::from_secs_f64(CONNECT_TIMEOUT),
+        TcpStream::connect(agent),
+    );
+    let mut stream = connect.await.map_err(|_| WatchError::ConnectTimeout {
+        secs: CONNECT_TIMEOUT,
+    })??;
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     loop {
-        let Ask { call, patience } = watch.ask();
-        let target = match call {
-            Call::Whole => "/catalog/members".to_string(),
-            Call::Since { revision, hold_ms } => {
-                format!("/catalog/members?from={revision}&hold_ms={hold_ms}")
+        let Poll {
+            request,
+            response_timeout,
+        } = watch.next_poll();
+        let target = match request {
+            PollRequest::Snapshot => "/catalog/members".to_string(),
+            PollRequest::Changes {
+                revision,
+                max_wait_ms,
+            } => {
+                format!("/catalog/members?from={revision}&hold_ms={max_wait_ms}")
             }
         };
         let judge = contracts.current();
@@ -189,14 +198,14 @@
         let asked = || target.clone();
         contracts.frame(&judge, Interface::Discovery, &party, ask, asked, ask_head);
         let call = format!("GET {target} HTTP/1.1\r\nHost: {agent}\r\n\r\n");
-        let patience = Duration::from_secs_f64(patience);
+        let patience = Duration::from_secs_f64(response_timeout);
         let answer =
             tokio::time::timeout(patience, exchange(&mut stream, &call, &mut buffer)).await;
-        let answer = answer.map_err(|_| Fault::Silent {
+        let answer = answer.map_err(|_| WatchError::ResponseTimeout {
             secs: patience.as_secs_f64(),
         })??;
         if answer.status != 200 {
-            return Err(Fault::Status(answer.status));
+            return Err(WatchError::UnexpectedStatus(answer.status));
         }
         let payload = &answer.body;
         let list = Part {
@@ -214,9 +223,9 @@
             |_| json!({}),
         );
         let page: Page =
-            serde_json::from_slice(&answer.body).map_err(|e| Fault::NoList(e.to_string()))?;
+            serde_json::from_slice(&answer.body).map_err(WatchError::InvalidEndpointList)?;
         let news = page.news();
-        if watch.answered(clock.now(), news.revision) {
+        if watch.on_response(clock.now(), news.revision) {
             tracing::warn!(server = %agent, "discovery: the list came after it counted as told");
         }
         if core.send(Message::Endpoints(news)).await.is_err() || answer.close {
@@ -237,18 +246,18 @@
     stream: &mut TcpStream,
     call: &str,
     buffer: &mut Vec<u8>,
-) -> Result<http::Response, Fault> {
+) -> Result<http::Response, WatchError> {
     stream.write_all(call.as_bytes()).await?;
     loop {
         let read = stream.read_buf(buffer).await?;
         match http::response(buffer, read == 0, MOST_LIST)
-            .map_err(|bad| Fault::Unreadable(bad.text()))?
+            .map_err(|bad| WatchError::MalformedResponse(bad.text()))?
         {
             Some((response, used)) => {
                 buffer.drain(..used);
                 return Ok(response);
             }
-            None if read == 0 => return Err(Fault::Closed),
+            None if read == 0 => return Err(WatchError::ConnectionClosed),
             None => {}
         }
     }
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster;
 use cairnroad_cluster::{names, Dropped};
-use cairnroad_discovery_watch::Fault as Watch;
+use cairnroad_discovery_watch::WatchError as Watch;
 use cairnroad_settings::Fault as Settings;
 
 /// How to make the page anew.
@@ -63,22 +63,22 @@
 
 fn watch() -> Vec<Row> {
     let all = vec![
-        Watch::NoConnection { secs: 0.5 },
-        Watch::Io(io()),
-        Watch::Silent { secs: 3.0 },
-        Watch::Closed,
-        Watch::Status(410),
-        Watch::Unreadable("the head is too large"),
-        Watch::NoList("expected value".into()),
+        Watch::ConnectTimeout { secs: 0.5 },
+        Watch::Connection(io()),
+        Watch::ResponseTimeout { secs: 3.0 },
+        Watch::ConnectionClosed,
+        Watch::UnexpectedStatus(410),
+        Watch::MalformedResponse("the head is too large"),
+        Watch::InvalidEndpointList(serde_json::from_str::<bool>("?").unwrap_err()),
     ];
     let place = |fault: &Watch| match fault {
-        Watch::NoConnection { .. } => 0,
-        Watch::Io(_) => 1,
-        Watch::Silent { .. } => 2,
-        Watch::Closed => 3,
-        Watch::Status(_) => 4,
-        Watch::Unreadable(_) => 5,
-        Watch::NoList(_) => 6,
+        Watch::ConnectTimeout { .. } => 0,
+        Watch::Connection(_) => 1,
+        Watch::ResponseTimeout { .. } => 2,
+        Watch::ConnectionClosed => 3,
+        Watch::UnexpectedStatus(_) => 4,
+        Watch::MalformedResponse(_) => 5,
+        Watch::InvalidEndpointList(_) => 6,
     };
     assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
     rows(all, Watch::help)
--- /dev/null
+++ b/crates/discovery-watch/src/watch.rs
@@ -0,0 +1,109 @@
+//! The watch's state and its transitions.
+
+use crate::error::WatchError;
+use crate::poll::Poll;
+use cairnroad_types::{Seconds, Time};
+
+/// Backoff per consecutive fault. Well under the 0.2 s within which a watch has to go on.
+const BACKOFF_STEP: Seconds = 0.05;
+/// Consecutive faults that lengthen the backoff: an agent that is down for long is polled twice a second.
+const MAX_BACKOFF_STEPS: u32 = 10;
+/// After this much silence of the agent, this process counts as notified of what it missed.
+const NOTIFIED_AFTER_SILENCE: Seconds = 6.0;
+/// The same, counted from the end of a long poll's wait, if that is later.
+const NOTIFIED_AFTER_LONG_POLL: Seconds = 2.0;
+/// The same, counted from a change to another agent.
+const NOTIFIED_AFTER_AGENT_CHANGE: Seconds = 4.0;
+
+/// The watch of one agent at a time.
+///
+/// Silence is measured by one clock, whether lists are pushed or polled. A connection that fell silent says nothing
+/// about the agent, which may respond at once on the next one. So a broken watch resumes with a poll that the agent
+/// answers immediately, and only an agent that has responded is trusted with a long poll.
+#[derive(Debug)]
+pub struct DiscoveryWatch {
+    /// The newest revision received; `None` makes the next poll a snapshot.
+    revision: Option<u64>,
+    /// Whether the agent has responded since the watch was started or last broke.
+    agent_confirmed: bool,
+    consecutive_faults: u32,
+    last_response_at: Time,
+    /// When the agent was changed; `None` once it has responded.
+    agent_changed_at: Option<Time>,
+}
+
+impl DiscoveryWatch {
+    /// Returns a watch that starts now: this process counts as notified of the agent's list from the start on.
+    pub fn new(now: Time) -> DiscoveryWatch {
+        DiscoveryWatch {
+            revision: None,
+            agent_confirmed: false,
+            consecutive_faults: 0,
+            last_response_at: now,
+            agent_changed_at: None,
+        }
+    }
+
+    /// Returns the next poll to send.
+    pub fn next_poll(&self) -> Poll {
+        match self.revision {
+            None => Poll::snapshot(),
+            Some(revision) if self.agent_confirmed => Poll::long(revision),
+            Some(revision) => Poll::confirmation(revision),
+        }
+    }
+
+    /// Records a response with a list or changes of this revision.
+    ///
+    /// Returns whether it came after the notification deadline.
+    pub fn on_response(&mut self, now: Time, revision: u64) -> bool {
+        let late = now > self.notification_deadline();
+        *self = DiscoveryWatch {
+            revision: Some(revision),
+            agent_confirmed: true,
+            ..DiscoveryWatch::new(now)
+        };
+        late
+    }
+
+    /// Records a fault. Returns the backoff before the watch is restarted.
+    pub fn on_fault(&mut self, error: &WatchError) -> Seconds {
+        if error.invalidates_revision() {
+            self.revision = None;
+        }
+        self.agent_confirmed = false;
+        self.consecutive_faults = self.consecutive_faults.saturating_add(1);
+        BACKOFF_STEP * f64::from(self.consecutive_faults.min(MAX_BACKOFF_STEPS))
+    }
+
+    /// Returns the pause after the agent closed the connection behind a complete response, which is not a fault.
+    pub fn on_connection_closed(&self) -> Seconds {
+        BACKOFF_STEP
+    }
+
+    /// Restarts the watch at another agent with a snapshot: revisions of two agents can't be compared.
+    pub fn on_agent_changed(&mut self, now: Time) {
+        *self = DiscoveryWatch {
+            agent_changed_at: Some(now),
+            ..DiscoveryWatch::new(self.last_response_at)
+        };
+    }
+
+    /// Returns the moment from which this process counts as notified of all changes since the last response, whether
+    /// or not they arrived.
+    pub fn notification_deadline(&self) -> Time {
+        if let Some(changed_at) = self.agent_changed_at {
+            return changed_at + NOTIFIED_AFTER_AGENT_CHANGE;
+        }
+        let after_long_poll = self.next_poll().request.max_wait() + NOTIFIED_AFTER_LONG_POLL;
+        self.last_response_at + f64::max(NOTIFIED_AFTER_SILENCE, after_long_poll)
+    }
+
+    /// Returns the number of faults since the last response.
+    pub fn consecutive_faults(&self) -> u32 {
+        self.consecutive_faults
+    }
+}
+
+#[cfg(test)]
+mod tests;
