--- a/crates/admin/src/reconfigure.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -1,179 +1,128 @@
-//! Settings that change in service: whether a file may be taken at all, and which place each class gets.
+//! Reloading the deployment's settings (SIGHUP): whether a file is accepted, and what changes with it.
 //!
-//! A class's place is its number in all tables. Requests hold theirs until they end, so a class that is gone or
-//! changed keeps its place, without its name, until no request holds it.
+//! A rejected file changes nothing. [`first_missing_key`] rejects a file that lost a key; [`reconfigure`] assigns the
+//! new classes to slots and keeps every setting that only a restart may change.
+
+mod class_slots;
+mod missing_key;
+
+pub use missing_key::first_missing_key;
 
 use cairnroad_settings::Deployment;
-use cairnroad_types::ClassId;
-use serde_json::Value;
+use cairnroad_types::{ClassId, Settings};
+use class_slots::{ClassSlots, ClassTables};
 
-/// Most places. Classes that change often while requests of the old ones are open must not grow the tables for good.
+/// Upper limit of class slots. Classes that change often while requests of the old ones are in flight must not grow
+/// the tables without bound.
 const MAX_CLASS_SLOTS: usize = 256;
-/// Keys that belong to a start and need not stand in a later file.
-const STARTUP_ONLY_KEYS: [&str; 2] = ["known", "seed"];
 
-/// What other settings make of those in force.
+/// Why a deployment that is valid by itself can't replace the one in force.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ReconfigureError {
+    /// In-flight requests hold every slot that a new or changed class could take.
+    #[error("settings: requests in flight hold all {limit} class slots; reload again once they have completed")]
+    NoFreeClassSlot {
+        /// The upper limit of slots.
+        limit: usize,
+    },
+}
+
+/// An accepted reload.
 #[derive(Debug)]
 pub struct Reconfiguration {
-    /// What is in force from now on.
+    /// The deployment in force from now on.
     pub deployment: Deployment,
-    /// The place of each class of the new file, in its order.
+    /// The slot of each class of the new file, in the file's order.
     pub class_ids: Vec<ClassId>,
-    /// Of these, the ones that hold another class than before.
+    /// The slots among `class_ids` that hold another class than before.
     pub replaced: Vec<ClassId>,
-    /// What differs and takes a restart.
+    /// Keys that differ in the new file and keep their old value until a restart.
     pub requires_restart: Vec<&'static str>,
 }
 
-/// What new settings make of those in force. `held` says whether a request holds a place.
+/// Returns what the deployment `new` changes of the one in force.
+///
+/// `is_in_use` says whether a request in flight holds a class's slot.
 pub fn reconfigure(
     in_force: &Deployment,
-    fresh: &Deployment,
-    held: impl Fn(ClassId) -> bool,
-) -> Result<Reconfiguration, String> {
-    let mut names = vec![String::new(); in_force.class_names.len()];
-    let mut classes = in_force.policy.classes.clone();
-    let mut places = vec![None; fresh.class_names.len()];
-    let stated = || {
-        fresh
-            .class_names
-            .iter()
-            .zip(&fresh.policy.classes)
-            .enumerate()
+    new: &Deployment,
+    is_in_use: impl Fn(ClassId) -> bool,
+) -> Result<Reconfiguration, ReconfigureError> {
+    let mut slots = ClassSlots::new(in_force, new.class_names.len());
+    slots.keep_unchanged_classes(new);
+    slots.assign_other_classes(new, is_in_use)?;
+    let requires_restart = keys_that_require_restart(in_force, new);
+    let class_ids = slots.class_ids();
+    let ClassTables {
+        classes,
+        class_names,
+        replaced,
+    } = slots.into_tables();
+    let policy = Settings {
+        classes,
+        ..live_policy(&in_force.policy, &new.policy)
     };
-    // Who is the same stays where it was, whatever the order of the file.
-    for (at, (name, class)) in stated() {
-        let same = in_force
-            .place(name)
-            .filter(|&place| in_force.policy.classes[place] == *class);
-        if let Some(place) = same.filter(|&place| names[place].is_empty()) {
-            names[place] = name.clone();
-            places[at] = Some(place);
-        }
-    }
-    let mut replaced = Vec::new();
-    for (at, (name, class)) in stated() {
-        if places[at].is_some() {
-            continue;
-        }
-        // A place that was given up just now may be held by a request that is on its way here.
-        let free = (0..in_force.class_names.len()).find(|&place| {
-            in_force.class_names[place].is_empty() && names[place].is_empty() && !held(id(place))
-        });
-        let place = free.unwrap_or(classes.len());
-        if place == classes.len() {
-            if place >= MAX_CLASS_SLOTS {
-                return Err(format!(
-                    "settings: requests hold all {MAX_CLASS_SLOTS} places for classes"
-                ));
-            }
-            classes.push(class.clone());
-            names.push(String::new());
-        }
-        classes[place] = class.clone();
-        names[place] = name.clone();
-        places[at] = Some(place);
-        replaced.push(id(place));
-    }
-    let (old, new) = (in_force, fresh);
-    let waits = [
-        ("tickS", old.policy.tick != new.policy.tick),
-        ("extra.positions", old.policy.cells != new.policy.cells),
-        (
-            "extra.span",
-            old.policy.cells_per_shard != new.policy.cells_per_shard,
-        ),
-        ("extra.shards", old.shards != new.shards),
-        (
-            "extra.partsACall",
-            old.policy.max_parts_per_call != new.policy.max_parts_per_call,
-        ),
-        (
-            "report.names",
-            old.report_names != new.report_names
-                || old.policy.health_check_value != new.policy.health_check_value,
-        ),
-        (
-            "registryMode",
-            old.policy.max_poll_interval != new.policy.max_poll_interval,
-        ),
-        ("caps.dialTimeoutS", old.dial_timeout != new.dial_timeout),
-        ("caps.keepaliveS", old.keepalive != new.keepalive),
-        ("caps.streamsPerConn", old.streams != new.streams),
-    ];
-    let mut policy = new.policy.clone();
-    policy.classes = classes;
-    policy.tick = old.policy.tick;
-    (policy.cells, policy.cells_per_shard) = (old.policy.cells, old.policy.cells_per_shard);
-    (policy.max_parts_per_call, policy.health_check_value) =
-        (old.policy.max_parts_per_call, old.policy.health_check_value);
-    policy.max_poll_interval = old.policy.max_poll_interval;
     let deployment = Deployment {
         policy,
-        class_names: names,
+        class_names,
         open_cap: new.open_cap,
         longest_advice: new.longest_advice,
-        ..old.clone()
+        ..in_force.clone()
     };
     Ok(Reconfiguration {
         deployment,
-        class_ids: places.into_iter().flatten().map(id).collect(),
+        class_ids,
         replaced,
-        requires_restart: waits
-            .into_iter()
-            .filter_map(|(key, differs)| differs.then_some(key))
-            .collect(),
+        requires_restart,
     })
 }
 
-fn id(place: usize) -> ClassId {
-    ClassId(place as u16)
-}
-
-/// The first key that the file in force has and another lacks, as a path. Guards against a file that was cut or
-/// written badly and is sound all the same because a key has a default.
-pub fn first_missing_key(in_force: &Value, fresh: &Value) -> Option<String> {
-    let Value::Object(keys) = in_force else {
-        return missing(in_force, fresh);
-    };
-    let lasting = keys
-        .iter()
-        .filter(|(key, _)| !STARTUP_ONLY_KEYS.contains(&key.as_str()));
-    lasting
-        .map(|(key, value)| (key, value, fresh.get(key)))
-        .find_map(|(key, value, other)| match other {
-            None => Some(key.clone()),
-            Some(other) => missing(value, other).map(|path| join(key, &path)),
-        })
-}
-
-fn join(key: &str, path: &str) -> String {
-    match path.starts_with('[') {
-        true => format!("{key}{path}"),
-        false => format!("{key}.{path}"),
+/// Returns the new policy with the old values of what only a restart may change.
+fn live_policy(in_force: &Settings, new: &Settings) -> Settings {
+    Settings {
+        tick: in_force.tick,
+        cells: in_force.cells,
+        cells_per_shard: in_force.cells_per_shard,
+        max_parts_per_call: in_force.max_parts_per_call,
+        health_check_value: in_force.health_check_value,
+        max_poll_interval: in_force.max_poll_interval,
+        ..new.clone()
     }
 }
 
-fn missing(old: &Value, new: &Value) -> Option<String> {
-    match (old, new) {
-        (Value::Object(keys), Value::Object(others)) => {
-            keys.iter().find_map(|(key, value)| match others.get(key) {
-                None => Some(key.clone()),
-                Some(other) => missing(value, other).map(|path| join(key, &path)),
-            })
-        }
-        // Rows may come and go; each has what all rows had.
-        (Value::Array(rows), Value::Array(others)) => {
-            let first = rows.first()?.as_object()?;
-            let common = |key: &&String| rows.iter().all(|row| row.get(key.as_str()).is_some());
-            let keys: Vec<_> = first.keys().filter(common).collect();
-            others.iter().enumerate().find_map(|(at, other)| {
-                let lost = keys.iter().find(|key| other.get(key.as_str()).is_none())?;
-                Some(format!("[{at}].{lost}"))
-            })
-        }
-        _ => None,
-    }
+/// Returns the keys that differ and that [`live_policy`] and [`reconfigure`] leave as they were.
+fn keys_that_require_restart(in_force: &Deployment, new: &Deployment) -> Vec<&'static str> {
+    let (old_policy, new_policy) = (&in_force.policy, &new.policy);
+    let report_differs = in_force.report_names != new.report_names
+        || old_policy.health_check_value != new_policy.health_check_value;
+    let differences = [
+        ("tickS", old_policy.tick != new_policy.tick),
+        ("extra.positions", old_policy.cells != new_policy.cells),
+        (
+            "extra.span",
+            old_policy.cells_per_shard != new_policy.cells_per_shard,
+        ),
+        ("extra.shards", in_force.shards != new.shards),
+        (
+            "extra.partsACall",
+            old_policy.max_parts_per_call != new_policy.max_parts_per_call,
+        ),
+        ("report.names", report_differs),
+        (
+            "registryMode",
+            old_policy.max_poll_interval != new_policy.max_poll_interval,
+        ),
+        (
+            "caps.dialTimeoutS",
+            in_force.dial_timeout != new.dial_timeout,
+        ),
+        ("caps.keepaliveS", in_force.keepalive != new.keepalive),
+        ("caps.streamsPerConn", in_force.streams != new.streams),
+    ];
+    differences
+        .into_iter()
+        .filter_map(|(key, differs)| differs.then_some(key))
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/admin/src/reconfigure/tests.rs
+++ b/crates/admin/src/reconfigure/tests.rs
@@ -1,11 +1,12 @@
-use super::*;
-use cairnroad_types::{Class, Idempotency, Settings};
+use super::{class_slots, first_missing_key, reconfigure};
+use cairnroad_settings::Deployment;
+use cairnroad_types::{Class, ClassId, Idempotency, Settings};
 use quickcheck::{Gen, QuickCheck};
-use serde_json::json;
+use serde_json::{json, Value};
 
-fn class(aim: f64) -> Class {
+fn class(latency_objective: f64) -> Class {
     Class {
-        latency_objective: aim,
+        latency_objective,
         objective_per_work: 0.0,
         deadline: 2.0,
         priority_weight: 1.0,
@@ -34,17 +35,17 @@
     }
 }
 
-fn free(_: ClassId) -> bool {
+fn nothing_in_use(_: ClassId) -> bool {
     false
 }
 
 #[test]
-fn classes_keep_their_places_whatever_the_files_order() {
+fn unchanged_classes_keep_their_slots_whatever_the_order_of_the_file() {
     let old = deployment(&[("a", 1.0), ("b", 2.0)]);
     let got = reconfigure(
         &old,
         &deployment(&[("c", 3.0), ("b", 2.0), ("a", 1.0)]),
-        free,
+        nothing_in_use,
     )
     .unwrap();
     assert_eq!(got.deployment.class_names, ["a", "b", "c"]);
@@ -55,21 +56,21 @@
     );
 }
 
-/// Guards against a request under way that finds another class, or a laxer effect, at its place.
+/// Guards against a request in flight that finds another class, or a laxer idempotency, in its slot.
 #[test]
-fn a_class_that_goes_or_changes_keeps_its_place_while_it_is_held() {
+fn a_removed_or_changed_class_keeps_its_slot_while_requests_hold_it() {
     let old = deployment(&[("a", 1.0), ("b", 2.0)]);
-    let gone = reconfigure(&old, &deployment(&[("b", 5.0)]), free)
+    let gone = reconfigure(&old, &deployment(&[("b", 5.0)]), nothing_in_use)
         .unwrap()
         .deployment;
     assert_eq!(
         gone.class_names,
         ["", "", "b"],
-        "the place of the old b is not given up and taken at once"
+        "the slot of the old b is not freed and reused at once"
     );
     assert_eq!(gone.policy.classes[1], class(2.0));
     let next = deployment(&[("b", 5.0), ("c", 3.0)]);
-    let held = reconfigure(&gone, &next, |place| place == ClassId(0))
+    let held = reconfigure(&gone, &next, |slot| slot == ClassId(0))
         .unwrap()
         .deployment;
     assert_eq!(held.class_names, ["", "c", "b"]);
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn what_shapes_the_tables_waits_for_a_restart() {
+fn settings_that_shape_tables_require_a_restart() {
     let old = deployment(&[("a", 1.0)]);
     let mut fresh = deployment(&[("a", 1.0)]);
     (
@@ -91,7 +92,7 @@
         fresh.shards,
         fresh.open_cap,
     ) = (0.01, 2, 9, 7);
-    let got = reconfigure(&old, &fresh, free).unwrap();
+    let got = reconfigure(&old, &fresh, nothing_in_use).unwrap();
     assert_eq!(got.requires_restart, ["tickS", "extra.shards"]);
     let now = got.deployment;
     assert_eq!(
@@ -105,10 +106,10 @@
     );
 }
 
-/// A model: whatever files come in whatever order, every class of the file in force has a place of its own with
-/// its own terms, no held place changes, and the tables stay bounded.
+/// Whatever files are loaded in whatever order, every class in force has a slot of its own with its own terms, no slot
+/// in use changes, and the tables stay bounded.
 #[test]
-fn every_class_has_its_terms_and_no_held_place_changes() {
+fn every_class_has_its_own_slot_and_no_slot_in_use_changes() {
     let one = |files: Vec<Vec<(u8, bool)>>, held: Vec<u8>| {
         let mut now = deployment(&[("a", 1.0)]);
         for file in files {
@@ -124,23 +125,23 @@
                 .map(|(name, aim)| (name.as_str(), *aim))
                 .collect();
             let fresh = deployment(&rows);
-            let holds = |place: ClassId| held.iter().any(|&at| u16::from(at % 16) == place.0);
-            let Ok(got) = reconfigure(&now, &fresh, holds) else {
+            let in_use = |slot: ClassId| held.iter().any(|&at| u16::from(at % 16) == slot.0);
+            let Ok(got) = reconfigure(&now, &fresh, in_use) else {
                 return false;
             };
             let kept = (0..now.policy.classes.len())
-                .filter(|&place| holds(id(place)))
-                .all(|place| got.deployment.policy.classes[place] == now.policy.classes[place]);
+                .filter(|&slot| in_use(class_slots::class_id(slot)))
+                .all(|slot| got.deployment.policy.classes[slot] == now.policy.classes[slot]);
             let right = fresh
                 .class_names
                 .iter()
                 .zip(&fresh.policy.classes)
                 .zip(&got.class_ids)
-                .all(|((name, class), place)| {
-                    got.deployment.place(name) == Some(usize::from(place.0))
-                        && got.deployment.policy.classes[usize::from(place.0)] == *class
+                .all(|((name, class), slot)| {
+                    got.deployment.place(name) == Some(usize::from(slot.0))
+                        && got.deployment.policy.classes[usize::from(slot.0)] == *class
                 });
-            // Eight names in two files in a row, and sixteen places that may be held for good.
+            // Eight names in two files in a row, and sixteen slots that may stay in use.
             if !kept || !right || got.deployment.class_names.len() > 32 {
                 return false;
             }
@@ -157,30 +158,30 @@
 }
 
 #[test]
-fn a_file_that_lacks_a_key_is_told_by_the_key() {
+fn the_first_missing_key_is_reported_by_its_path() {
     let old = json!({"name": "n", "seed": "1", "settings": {"caps": {"a": 1},
         "classes": [{"name": "x", "aimS": 1, "odd": 1}, {"name": "y", "aimS": 1}]}});
-    let lacking = |change: fn(&mut Value)| {
+    let missing_after = |change: fn(&mut Value)| {
         let mut fresh = old.clone();
         change(&mut fresh);
         first_missing_key(&old, &fresh)
     };
-    assert_eq!(lacking(|_| {}), None);
+    assert_eq!(missing_after(|_| {}), None);
     assert_eq!(
-        lacking(|v| drop(v.as_object_mut().unwrap().remove("seed"))),
+        missing_after(|v| drop(v.as_object_mut().unwrap().remove("seed"))),
         None,
-        "a start's own"
+        "only needed at a start"
     );
     assert_eq!(
-        lacking(|v| v["settings"]["classes"].as_array_mut().unwrap().truncate(1)),
+        missing_after(|v| v["settings"]["classes"].as_array_mut().unwrap().truncate(1)),
         None
     );
     assert_eq!(
-        lacking(|v| drop(v.as_object_mut().unwrap().remove("name"))).unwrap(),
+        missing_after(|v| drop(v.as_object_mut().unwrap().remove("name"))).unwrap(),
         "name"
     );
     let caps = |v: &mut Value| drop(v["settings"]["caps"].as_object_mut().unwrap().remove("a"));
-    assert_eq!(lacking(caps).unwrap(), "settings.caps.a");
+    assert_eq!(missing_after(caps).unwrap(), "settings.caps.a");
     let row = |v: &mut Value| {
         drop(
             v["settings"]["classes"][1]
@@ -189,7 +190,7 @@
                 .remove("aimS"),
         )
     };
-    assert_eq!(lacking(row).unwrap(), "settings.classes[1].aimS");
+    assert_eq!(missing_after(row).unwrap(), "settings.classes[1].aimS");
     let odd = |v: &mut Value| {
         drop(
             v["settings"]["classes"][0]
@@ -198,5 +199,5 @@
                 .remove("odd"),
         )
     };
-    assert_eq!(lacking(odd), None, "not every row had it");
+    assert_eq!(missing_after(odd), None, "not every row had it");
 }
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,48 +1,54 @@
-//! The calls of the operators' door, and what each outcome is told as.
+//! The requests of the admin API, and the status and text of each response.
 
-/// The longest id of a data node that a call may name, in bytes.
+use std::str;
+
+/// Upper limit of a data node's id in a request, in bytes.
 pub const MAX_NODE_ID_BYTES: usize = 128;
 
-/// What a caller asks for.
+const PATH_PREFIX: &str = "/v1/";
+const GET: &str = "GET";
+const PUT: &str = "PUT";
+
+/// What an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     /// Whether this process is ready to serve.
     Readiness,
-    /// Leave a data node out.
+    /// Send nothing new to a data node.
     Suspend(String),
-    /// A data node may serve again.
+    /// Let a suspended data node serve again.
     Resume(String),
-    /// Who is there of the group, as this coordinator sees it.
+    /// The cluster's members as this coordinator sees them.
     ClusterMembers,
     /// Send clients away.
     Drain,
-    /// The end of the drain.
+    /// End the drain.
     Activate,
 }
 
-/// How a call ends.
+/// The outcome of an admin request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
-    /// It is so.
+    /// The requested state holds.
     Done,
-    /// Not now: another state has to come first.
+    /// Not possible in the present state, for this reason.
     Unavailable(&'static str),
-    /// No data node of this id was ever listed.
+    /// No endpoint list ever named a data node of this id.
     UnknownNode,
-    /// This coordinator takes part in no group.
+    /// This coordinator is not part of a cluster.
     NotClustered,
-    /// There is no such call.
+    /// No request has this path.
     UnknownPath,
-    /// The path is one, the method is another's; the one that it takes.
+    /// The path takes another method, which is named.
     MethodNotAllowed(&'static str),
-    /// The id can't be one.
+    /// The id is not that of any data node.
     InvalidNodeId,
-    /// As many data nodes are left out as can be kept in mind.
+    /// The limit of suspensions is reached.
     TooManySuspensions,
 }
 
 impl AdminResponse {
-    /// The status that tells it.
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         match self {
             AdminResponse::Done => 200,
@@ -55,11 +61,11 @@
         }
     }
 
-    /// The same for people: what is wrong, and what to do.
+    /// Returns the text of the body: what is wrong, and what to do.
     pub fn message(&self) -> &'static str {
         match self {
             AdminResponse::Done => "yes",
-            AdminResponse::Unavailable(cause) => cause,
+            AdminResponse::Unavailable(reason) => reason,
             AdminResponse::UnknownNode => {
                 "no data node of this id was ever listed: look at the list of data nodes"
             }
@@ -67,7 +73,7 @@
                 "this coordinator takes part in no group: see docs/PEERS.md"
             }
             AdminResponse::UnknownPath => "there is no such call: see docs/OPERATION.md",
-            AdminResponse::MethodNotAllowed("GET") => "this call takes GET",
+            AdminResponse::MethodNotAllowed(GET) => "this call takes GET",
             AdminResponse::MethodNotAllowed(_) => "this call takes PUT",
             AdminResponse::InvalidNodeId => {
                 "the id of the data node is empty, too long or malformed"
@@ -79,55 +85,61 @@
     }
 }
 
-/// The call that a method and a target stand for, or why there is none.
+/// Returns the request that a method and a target stand for, or the response that rejects them.
 pub fn parse_request(method: &str, target: &str) -> Result<AdminRequest, AdminResponse> {
-    let path = target.split('?').next().unwrap_or("");
-    let steps: Vec<&str> = path
-        .strip_prefix("/v1/")
-        .ok_or(AdminResponse::UnknownPath)?
-        .split('/')
-        .collect();
-    let (call, takes) = match steps[..] {
-        ["readyz"] => (AdminRequest::Readiness, "GET"),
-        ["peers"] => (AdminRequest::ClusterMembers, "GET"),
-        ["coordinator", "drain"] => (AdminRequest::Drain, "PUT"),
-        ["coordinator", "activate"] => (AdminRequest::Activate, "PUT"),
-        ["data-nodes", id, "suspend"] => (AdminRequest::Suspend(decode_node_id(id)?), "PUT"),
-        ["data-nodes", id, "resume"] => (AdminRequest::Resume(decode_node_id(id)?), "PUT"),
+    let (path, _query) = target.split_once('?').unwrap_or((target, ""));
+    let path = path
+        .strip_prefix(PATH_PREFIX)
+        .ok_or(AdminResponse::UnknownPath)?;
+    let segments: Vec<&str> = path.split('/').collect();
+    let (request, allowed_method) = match segments[..] {
+        ["readyz"] => (AdminRequest::Readiness, GET),
+        ["peers"] => (AdminRequest::ClusterMembers, GET),
+        ["coordinator", "drain"] => (AdminRequest::Drain, PUT),
+        ["coordinator", "activate"] => (AdminRequest::Activate, PUT),
+        ["data-nodes", id, "suspend"] => (AdminRequest::Suspend(parse_node_id(id)?), PUT),
+        ["data-nodes", id, "resume"] => (AdminRequest::Resume(parse_node_id(id)?), PUT),
         _ => return Err(AdminResponse::UnknownPath),
     };
-    if method == takes {
-        Ok(call)
-    } else {
-        Err(AdminResponse::MethodNotAllowed(takes))
+    if method != allowed_method {
+        return Err(AdminResponse::MethodNotAllowed(allowed_method));
     }
+    Ok(request)
 }
 
-/// An id out of a path, its percent signs undone.
-fn decode_node_id(text: &str) -> Result<String, AdminResponse> {
-    let mut bytes = Vec::with_capacity(text.len());
-    let mut rest = text.as_bytes();
-    while let Some((&byte, after)) = rest.split_first() {
-        rest = after;
+/// Returns the data node's id in a path segment.
+fn parse_node_id(segment: &str) -> Result<String, AdminResponse> {
+    let bytes = percent_decode(segment.as_bytes()).ok_or(AdminResponse::InvalidNodeId)?;
+    let id = String::from_utf8(bytes).map_err(|_| AdminResponse::InvalidNodeId)?;
+    let has_valid_length = (1..=MAX_NODE_ID_BYTES).contains(&id.len());
+    if !has_valid_length || id.chars().any(char::is_control) {
+        return Err(AdminResponse::InvalidNodeId);
+    }
+    Ok(id)
+}
+
+/// Returns the decoded bytes; `None` where a percent sign is not followed by two hexadecimal digits.
+fn percent_decode(mut encoded: &[u8]) -> Option<Vec<u8>> {
+    let mut decoded = Vec::with_capacity(encoded.len());
+    while let Some((&byte, rest)) = encoded.split_first() {
+        encoded = rest;
         if byte != b'%' {
-            bytes.push(byte);
+            decoded.push(byte);
             continue;
         }
-        let digits = rest
-            .get(..2)
-            .and_then(|digits| std::str::from_utf8(digits).ok());
-        let digits = digits.filter(|digits| digits.bytes().all(|b| b.is_ascii_hexdigit()));
-        let value = digits
-            .and_then(|digits| u8::from_str_radix(digits, 16).ok())
-            .ok_or(AdminResponse::InvalidNodeId)?;
-        bytes.push(value);
-        rest = &rest[2..];
+        let (digits, rest) = encoded.split_first_chunk::<2>()?;
+        decoded.push(hex_byte(digits)?);
+        encoded = rest;
     }
-    let id = String::from_utf8(bytes).map_err(|_| AdminResponse::InvalidNodeId)?;
-    if id.is_empty() || id.len() > MAX_NODE_ID_BYTES || id.chars().any(char::is_control) {
-        return Err(AdminResponse::InvalidNodeId);
+    Some(decoded)
+}
+
+fn hex_byte(digits: &[u8; 2]) -> Option<u8> {
+    // The parser of integers would also take a sign.
+    if !digits.iter().all(u8::is_ascii_hexdigit) {
+        return None;
     }
-    Ok(id)
+    u8::from_str_radix(str::from_utf8(digits).ok()?, 16).ok()
 }
 
 #[cfg(test)]
--- a/crates/admin/src/request/tests.rs
+++ b/crates/admin/src/request/tests.rs
@@ -1,8 +1,9 @@
-use super::*;
+use super::{parse_request, AdminRequest, AdminResponse, MAX_NODE_ID_BYTES};
 use quickcheck::{Gen, QuickCheck};
 
 #[test]
-fn every_call_is_told_from_what_is_none() {
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
+fn every_request_is_parsed_and_everything_else_is_rejected() {
     let suspend = |id: &str| Ok(AdminRequest::Suspend(id.into()));
     for (method, target, expected) in [
         ("GET", "/v1/readyz", Ok(AdminRequest::Readiness)),
@@ -78,9 +79,9 @@
     );
 }
 
-/// Guards against a path that ends the program instead of getting its no.
+/// Guards against a path that ends the process instead of getting its rejection.
 #[test]
-fn no_path_is_too_odd() {
+fn no_path_panics_or_yields_an_invalid_id() {
     let one = |id: String| {
         let target = format!("/v1/data-nodes/{id}/suspend");
         !matches!(parse_request("PUT", &target), Ok(AdminRequest::Suspend(id)) if id.is_empty() || id.len() > MAX_NODE_ID_BYTES)
--- a/crates/admin/src/suspensions.rs
+++ b/crates/admin/src/suspensions.rs
@@ -1,23 +1,25 @@
-//! Which data nodes operators leave out. A suspension holds whatever the list says, until the call back; after it the node
-//! counts as started anew, for it was restarted at some moment in between.
+//! The data nodes that operators suspended for maintenance.
+//!
+//! A suspension holds whatever the endpoint list says, until the node is resumed. From then on the node counts as
+//! just started, since it was restarted at some moment in between.
 
-use cairnroad_types::{ServerState, Time};
+use cairnroad_types::{Seconds, ServerState, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most data nodes that are left out or just back.
+/// Upper limit of data nodes that are suspended or were resumed lately.
 pub const MAX_SUSPENSIONS: usize = 512;
-/// Ids once listed that are remembered, to tell a wrong id from one that is gone. On a long day nodes are replaced
-/// under new ids without end.
+/// Upper limit of listed ids that are remembered, to tell a wrong id from one that is gone. Over a long time nodes are
+/// replaced under ever new ids.
 const MAX_KNOWN_NODES: usize = 16_384;
 
-/// One data node's maintenance, as it is kept for the next process.
+/// One data node's maintenance, as it is stored for other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspension {
-    /// When it was suspended, in microseconds of Unix time.
+    /// When the node was suspended, in microseconds of Unix time.
     #[serde(rename = "since_us")]
     pub suspended_at_us: i64,
-    /// When it was called back; `null` while it is left out.
+    /// When the node was resumed, in microseconds of Unix time; `None` while it is suspended.
     #[serde(rename = "back_us")]
     pub resumed_at_us: Option<i64>,
 }
@@ -28,42 +30,43 @@
     }
 }
 
-/// All suspensions, and which ids were ever listed.
+/// All suspensions, and the ids that were ever listed.
 #[derive(Debug, Default)]
 pub struct Suspensions {
-    suspensions: BTreeMap<String, Suspension>,
-    seen: BTreeSet<String>,
-    order: VecDeque<String>,
+    by_node: BTreeMap<String, Suspension>,
+    known_nodes: BTreeSet<String>,
+    /// The known ids, the longest known first.
+    known_order: VecDeque<String>,
 }
 
 impl Suspensions {
-    /// Notes that the list names a data node.
+    /// Records that an endpoint list names a data node.
     pub fn record_listed(&mut self, id: &str) {
-        if self.seen.contains(id) {
+        if self.known_nodes.contains(id) {
             return;
         }
-        if self.order.len() >= MAX_KNOWN_NODES {
-            if let Some(oldest) = self.order.pop_front() {
-                self.seen.remove(&oldest);
+        if self.known_order.len() >= MAX_KNOWN_NODES {
+            if let Some(oldest) = self.known_order.pop_front() {
+                self.known_nodes.remove(&oldest);
             }
         }
-        self.seen.insert(id.into());
-        self.order.push_back(id.into());
+        self.known_nodes.insert(id.into());
+        self.known_order.push_back(id.into());
     }
 
-    /// Whether a data node was ever listed, as far as this process knows.
+    /// Returns whether a data node was ever listed, as far as this process knows.
     pub fn is_known(&self, id: &str) -> bool {
-        self.seen.contains(id) || self.suspensions.contains_key(id)
+        self.known_nodes.contains(id) || self.by_node.contains_key(id)
     }
 
-    /// Whether another suspension finds room.
+    /// Returns whether a suspension of this data node stays within the limit.
     pub fn has_capacity_for(&self, id: &str) -> bool {
-        self.suspensions.len() < MAX_SUSPENSIONS || self.suspensions.contains_key(id)
+        self.by_node.len() < MAX_SUSPENSIONS || self.by_node.contains_key(id)
     }
 
-    /// The suspension that a call to suspend leaves in force. A repeated call changes nothing.
+    /// Returns the suspension after a request to suspend. A repeated request changes nothing.
     pub fn suspension_of(&self, id: &str, now: Time) -> Suspension {
-        match self.suspensions.get(id) {
+        match self.by_node.get(id) {
             Some(suspension) if suspension.is_active() => *suspension,
             _ => Suspension {
                 suspended_at_us: now.0,
@@ -72,10 +75,10 @@
         }
     }
 
-    /// What a call back leaves, if the data node was left out.
+    /// Returns the suspension after a request to resume; `None` if the data node is not suspended.
     pub fn resumption_of(&self, id: &str, now: Time) -> Option<Suspension> {
         let suspension = self
-            .suspensions
+            .by_node
             .get(id)
             .filter(|suspension| suspension.is_active())?;
         Some(Suspension {
@@ -84,25 +87,29 @@
         })
     }
 
-    /// Puts a suspension, or its end, into force. Whether that changes anything.
+    /// Puts a suspension, or its end, into force. Returns whether that changes anything.
     pub fn apply(&mut self, id: &str, suspension: Suspension) -> bool {
-        self.has_capacity_for(id)
-            && self.suspensions.insert(id.into(), suspension) != Some(suspension)
+        if !self.has_capacity_for(id) {
+            return false;
+        }
+        let previous = self.by_node.insert(id.into(), suspension);
+        previous != Some(suspension)
     }
 
-    /// Takes in all that is kept, which another process may have changed. Returns the ids that changed. One that is
-    /// kept no more was called back long ago.
-    pub fn synchronize(&mut self, kept: &BTreeMap<String, Suspension>) -> Vec<String> {
-        let dropped = self
-            .suspensions
+    /// Takes over all stored suspensions, which another process may have changed. Returns the ids that changed.
+    ///
+    /// A suspension that is stored no more was resumed long ago and is removed here too.
+    pub fn synchronize(&mut self, stored: &BTreeMap<String, Suspension>) -> Vec<String> {
+        let mut changed: Vec<String> = self
+            .by_node
             .keys()
-            .filter(|id| !kept.contains_key(*id))
-            .cloned();
-        let mut changed: Vec<String> = dropped.collect();
+            .filter(|id| !stored.contains_key(*id))
+            .cloned()
+            .collect();
         for id in &changed {
-            self.suspensions.remove(id);
+            self.by_node.remove(id);
         }
-        for (id, suspension) in kept {
+        for (id, suspension) in stored {
             if self.apply(id, *suspension) {
                 changed.push(id.clone());
             }
@@ -110,49 +117,53 @@
         changed
     }
 
-    /// Ends the memory of those that were called back so long ago that they are warm; their ids.
-    pub fn remove_expired(&mut self, now: Time, warm_up: f64) -> Vec<String> {
-        let warm = |suspension: &Suspension| {
+    /// Removes data nodes that were resumed longer ago than a slow start takes. Returns their ids.
+    pub fn remove_expired(&mut self, now: Time, slow_start_duration: Seconds) -> Vec<String> {
+        let is_expired = |suspension: &Suspension| {
             suspension
                 .resumed_at_us
-                .is_some_and(|at| now - Time(at) > warm_up)
+                .is_some_and(|resumed_at| now - Time(resumed_at) > slow_start_duration)
         };
-        let over: Vec<String> = self
-            .suspensions
+        let expired: Vec<String> = self
+            .by_node
             .iter()
-            .filter(|(_, suspension)| warm(suspension))
+            .filter(|(_, suspension)| is_expired(suspension))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &over {
-            self.suspensions.remove(id);
+        for id in &expired {
+            self.by_node.remove(id);
         }
-        over
+        expired
     }
 
-    /// What the decisions are told of a data node that the list calls so and that started then.
+    /// Returns the state and start that count for a data node with this listed state and start.
+    ///
+    /// A suspended node that is listed as ready drains; a resumed one started at its resumption, unless the list
+    /// states a start since the suspension.
     pub fn effective_state(
         &self,
         id: &str,
-        state: ServerState,
-        started: Option<Time>,
+        listed_state: ServerState,
+        listed_start: Option<Time>,
     ) -> (ServerState, Option<Time>) {
-        let Some(suspension) = self.suspensions.get(id) else {
-            return (state, started);
+        let Some(suspension) = self.by_node.get(id) else {
+            return (listed_state, listed_start);
         };
-        match (suspension.resumed_at_us, state) {
-            (None, ServerState::Ready) => (ServerState::Draining, started),
-            (Some(back), ServerState::Ready) => {
-                // A start that the list tells of since then is the true one.
-                let told = started.filter(|at| *at > Time(suspension.suspended_at_us));
-                (state, Some(told.unwrap_or(Time(back))))
-            }
-            _ => (state, started),
+        if listed_state != ServerState::Ready {
+            return (listed_state, listed_start);
         }
+        let Some(resumed_at) = suspension.resumed_at_us else {
+            return (ServerState::Draining, listed_start);
+        };
+        let start_since_suspension =
+            listed_start.filter(|start| *start > Time(suspension.suspended_at_us));
+        let started_at = start_since_suspension.unwrap_or(Time(resumed_at));
+        (ServerState::Ready, Some(started_at))
     }
 
-    /// The data nodes that are left out.
+    /// Returns the ids of the suspended data nodes.
     pub fn active_nodes(&self) -> impl Iterator<Item = &str> {
-        self.suspensions
+        self.by_node
             .iter()
             .filter(|(_, suspension)| suspension.is_active())
             .map(|(id, _)| id.as_str())
--- a/crates/admin/src/suspensions/tests.rs
+++ b/crates/admin/src/suspensions/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use super::{Suspension, Suspensions, MAX_KNOWN_NODES, MAX_SUSPENSIONS};
+use cairnroad_types::{ServerState, Time};
+use std::collections::BTreeMap;
 
 const READY: ServerState = ServerState::Ready;
 
@@ -7,7 +9,7 @@
 }
 
 #[test]
-fn a_ban_holds_against_the_list_until_the_one_call_back() {
+fn a_suspension_holds_whatever_the_list_says_until_it_is_resumed() {
     let mut suspensions = Suspensions::default();
     suspensions.record_listed("s-1");
     assert!(suspensions.is_known("s-1") && !suspensions.is_known("s-2"));
@@ -19,7 +21,7 @@
         );
         suspensions.apply("s-1", suspension);
     }
-    // Whatever the list says of it, a start included, it gets nothing new.
+    // It drains whatever the list says, a new start included.
     assert_eq!(
         suspensions.effective_state("s-1", READY, None),
         (ServerState::Draining, None)
@@ -47,9 +49,9 @@
     );
 }
 
-/// Guards against a cold node that is pushed over because the list tells late of its start, or never.
+/// Guards against a warming-up node that is overloaded because the list states its start late, or never.
 #[test]
-fn a_node_that_is_back_counts_as_started_at_the_call_or_as_the_list_says() {
+fn a_resumed_node_counts_as_started_at_its_resumption_or_at_a_later_listed_start() {
     let mut suspensions = Suspensions::default();
     suspensions.apply(
         "s-1",
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn what_another_process_keeps_is_taken_over() {
+fn suspensions_stored_by_another_process_are_taken_over() {
     let mut suspensions = Suspensions::default();
     let (held, back) = (
         Suspension {
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn known_nodes_and_suspensions_are_bounded() {
     let mut suspensions = Suspensions::default();
     for number in 0..MAX_KNOWN_NODES + 10 {
         suspensions.record_listed(&format!("s-{number}"));
@@ -120,7 +122,7 @@
     assert!(
         !suspensions.is_known("s-9")
             && suspensions.is_known("s-10")
-            && suspensions.seen.len() == MAX_KNOWN_NODES
+            && suspensions.known_nodes.len() == MAX_KNOWN_NODES
     );
     for number in 0..MAX_SUSPENSIONS {
         assert!(suspensions.apply(
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -314,7 +314,8 @@
     fn retune(&mut self, fresh: ServedConfiguration) -> Result<Arc<ServedConfiguration>, String> {
         let in_force = self.offer.borrow().clone();
         let held = |class: ClassId| self.book.holds(usize::from(class.0));
-        let retuned = reconfigure::reconfigure(&in_force.deployment, &fresh.deployment, held)?;
+        let retuned = reconfigure::reconfigure(&in_force.deployment, &fresh.deployment, held)
+            .map_err(|error| error.to_string())?;
         let Reconfiguration {
             deployment,
             class_ids: places,
