--- /dev/null
+++ b/crates/coordinator/src/admin_api/exchange.rs
@@ -0,0 +1,134 @@
+//! The exchange on one admin connection: one request, one response, and a lingering close.
+
+use super::open_connections::RequestReceived;
+use super::AdminApi;
+use crate::http;
+use cairnroad_admin::request::{parse_request, AdminRequest, AdminResponse};
+use serde_json::json;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+/// How long a request may take to arrive. Every response is due within 1 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long the response may take to be written, and how long the client is read afterwards, so that no reset cuts
+/// the response off.
+const LINGER: Duration = Duration::from_millis(200);
+
+/// A response as it is written.
+struct Reply {
+    status: u16,
+    /// The method that the path takes, for the `Allow` header of a status 405.
+    allowed_method: Option<&'static str>,
+    /// A JSON object.
+    body: String,
+}
+
+impl Reply {
+    fn new(status: u16, message: &str) -> Reply {
+        let key = if status < 300 { "answer" } else { "error" };
+        Reply {
+            status,
+            allowed_method: None,
+            body: json!({ key: message }).to_string(),
+        }
+    }
+
+    fn to_bytes(&self) -> Vec<u8> {
+        let allow = self
+            .allowed_method
+            .map(|method| ("Allow", method.to_string()));
+        let headers: Vec<_> = allow.into_iter().collect();
+        let body = self.body.as_bytes();
+        http::write_response(self.status, "application/json", &headers, true, body)
+    }
+}
+
+impl From<AdminResponse> for Reply {
+    fn from(response: AdminResponse) -> Reply {
+        let allowed_method = match response {
+            AdminResponse::MethodNotAllowed(method) => Some(method),
+            _ => None,
+        };
+        Reply {
+            allowed_method,
+            ..Reply::new(response.status(), response.message())
+        }
+    }
+}
+
+impl From<http::Bad> for Reply {
+    fn from(error: http::Bad) -> Reply {
+        Reply::new(error.status(), error.text())
+    }
+}
+
+/// Serves one connection to its end.
+pub(super) async fn serve(mut stream: TcpStream, api: Rc<AdminApi>, received: RequestReceived) {
+    let _ = stream.set_nodelay(true);
+    let reply = match timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await {
+        Ok(None) => return,
+        Ok(Some(Ok(request))) => {
+            received.set();
+            api.reply_to(&request).await
+        }
+        Ok(Some(Err(error))) => Reply::from(error),
+        Err(_) => Reply::from(http::Bad::TooSlow),
+    };
+    let written = timeout(LINGER, stream.write_all(&reply.to_bytes())).await;
+    if matches!(written, Ok(Ok(()))) {
+        close(stream).await;
+    }
+}
+
+/// Closes a connection once its client has, or has had the time to.
+async fn close(mut stream: TcpStream) {
+    let _ = stream.shutdown().await;
+    let mut unread = [0; 1024];
+    let _ = timeout(LINGER, async {
+        while matches!(stream.read(&mut unread).await, Ok(1..)) {}
+    })
+    .await;
+}
+
+/// Reads the connection's request; `None` where the client closed it without one.
+async fn read_request(stream: &mut TcpStream) -> Option<Result<http::Request, http::Bad>> {
+    let mut buffer = Vec::new();
+    loop {
+        match http::request(&buffer) {
+            Ok(Some((request, _))) => return Some(Ok(request)),
+            Err(error) => return Some(Err(error)),
+            Ok(None) => {}
+        }
+        if http::awaits_continue(&buffer) {
+            return Some(Err(http::Bad::Malformed("calls have no body")));
+        }
+        match stream.read_buf(&mut buffer).await {
+            Ok(0) if !buffer.is_empty() => {
+                return Some(Err(http::Bad::Malformed("the call is not whole")))
+            }
+            Ok(0) | Err(_) => return None,
+            Ok(_) => {}
+        }
+    }
+}
+
+impl AdminApi {
+    async fn reply_to(&self, request: &http::Request) -> Reply {
+        match parse_request(&request.method, &request.target) {
+            Ok(AdminRequest::ClusterMembers) => match self.cluster_members().await {
+                Some(members) => Reply {
+                    status: AdminResponse::Done.status(),
+                    allowed_method: None,
+                    body: members,
+                },
+                None => Reply::from(AdminResponse::NotClustered),
+            },
+            Ok(AdminRequest::Readiness) => Reply::from(self.readiness()),
+            Ok(request) => Reply::from(self.carry_out(request).await),
+            Err(response) => Reply::from(response),
+        }
+    }
+}
--- a/crates/coordinator/src/admin_api/suspension_store.rs
+++ b/crates/coordinator/src/admin_api/suspension_store.rs
@@ -1,31 +1,72 @@
-//! Where suspensions on data nodes are kept: a folder that all processes of one coordinator share, a file each, so that two
-//! processes never undo each other's changes. A file is written aside and renamed; half a file is never read.
+//! The stored suspensions of data nodes: a folder that all processes of one coordinator share, with one file a node,
+//! so that two processes never undo each other's changes.
+//!
+//! A file holds `["ID",{"since_us":MICROSECONDS,"back_us":MICROSECONDS or null}]`. It is written aside and renamed, so
+//! a partial file is never read.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use cairnroad_admin::suspensions::{Suspension, MAX_SUSPENSIONS};
 use std::collections::{BTreeMap, BTreeSet};
+use std::fs::{self, File};
+use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-/// The ending of a suspension's file. Others, such as one half written, are passed over.
+/// The extension of a suspension's file. Others, such as files being written, are ignored.
 const EXTENSION: &str = "ban";
-/// The longest file that is read, in bytes: a suspension takes some 60.
+/// Upper limit of a file's size in bytes; a suspension takes some 60.
 const MAX_FILE_BYTES: u64 = 4096;
+/// Upper limit of a file's name without its extension, in bytes.
+const MAX_FILE_NAME_BYTES: usize = 200;
+/// How much of a longer name is kept before its checksum.
+const KEPT_FILE_NAME_BYTES: usize = 180;
+
+/// Why the store, or a file in it, can't be used.
+#[derive(Debug, thiserror::Error)]
+enum StoreError {
+    #[error("the folder can't be created: {0}")]
+    CreateFolder(#[source] io::Error),
+    #[error("the file can't be written: {0}")]
+    Write(#[source] io::Error),
+    #[error("the file can't be read: {0}")]
+    Read(#[source] io::Error),
+    #[error("the file is not a suspension: {0}")]
+    Decode(#[source] serde_json::Error),
+}
 
-/// The folder, if there is one, and what could not be written there yet.
+impl StoreError {
+    fn help(&self) -> &'static str {
+        match self {
+            StoreError::CreateFolder(_) => {
+                "create it, or restart with a TMPDIR that can be written"
+            }
+            StoreError::Write(_) => "check free space and permissions; writing is retried",
+            StoreError::Read(_) => "check the permissions of the file",
+            StoreError::Decode(_) => "suspend or resume the node again, which rewrites its file",
+        }
+    }
+}
+
+/// The suspensions of one coordinator on disk.
 #[derive(Default)]
 pub struct SuspensionStore {
+    /// `None` where no folder is shared: suspensions then last as long as the process.
     folder: Option<PathBuf>,
+    /// Suspensions that could not be written yet.
     unsaved: BTreeMap<String, Suspension>,
+    /// Whether a fault of a file was logged: the store is read many times a second.
     fault_logged: bool,
 }
 
 impl SuspensionStore {
-    /// The store of the coordinator of this name below the folder for shared_folder files.
-    pub fn new(shared_folder: Option<&Path>, name: &str) -> SuspensionStore {
+    /// Opens the store of the coordinator of this name below a folder that all its processes share.
+    pub fn new(shared_folder: Option<&Path>, coordinator: &str) -> SuspensionStore {
         let folder = shared_folder
-            .map(|shared_folder| shared_folder.join(format!("cairnroad-{}", escape(name))));
-        let made = folder.as_ref().map_or(Ok(()), std::fs::create_dir_all);
-        if let (Err(cause), Some(folder)) = (made, &folder) {
-            tracing::error!(folder = %folder.display(), %cause, "suspensions can't be kept");
+            .map(|shared| shared.join(format!("cairnroad-{}", file_name(coordinator))));
+        if let Some(folder) = &folder {
+            if let Err(error) = fs::create_dir_all(folder).map_err(StoreError::CreateFolder) {
+                tracing::error!(folder = %folder.display(), %error, help = error.help(), "suspension store unavailable");
+            }
         }
         SuspensionStore {
             folder,
@@ -33,75 +74,99 @@
         }
     }
 
-    /// Keeps a suspension, or how it ended. Where that fails it is tried again at the next look.
+    /// Saves a suspension, or its end. If that fails, the next [`Self::load_all`] tries again.
     pub fn save(&mut self, id: &str, suspension: Suspension) {
         let Some(folder) = &self.folder else { return };
-        let path = folder.join(format!("{}.{EXTENSION}", escape(id)));
-        let aside = folder.join(format!("{}.{}", escape(id), std::process::id()));
-        let text = serde_json::to_vec(&(id, suspension)).unwrap_or_default();
-        let written = std::fs::write(&aside, text).and_then(|()| std::fs::rename(&aside, path));
-        match written {
+        match write_file(folder, id, suspension) {
             Ok(()) => {
                 self.unsaved.remove(id);
             }
-            Err(cause) => {
-                let _ = std::fs::remove_file(aside);
-                if !std::mem::replace(&mut self.fault_logged, true) {
-                    tracing::error!(%cause, server = id, "a suspension holds in this process only");
+            Err(error) => {
+                if self.is_first_fault() {
+                    tracing::error!(%error, help = error.help(), server = id, "suspension not saved");
                 }
                 self.unsaved.insert(id.into(), suspension);
             }
         }
     }
 
-    /// Takes a suspension off that is over.
+    /// Removes a suspension that has expired.
     pub fn remove(&mut self, id: &str) {
         self.unsaved.remove(id);
         if let Some(folder) = &self.folder {
-            let _ = std::fs::remove_file(folder.join(format!("{}.{EXTENSION}", escape(id))));
+            let _ = fs::remove_file(suspension_path(folder, id));
         }
     }
 
-    /// All that is kept; `None` where there is no folder, or it can't be read.
+    /// Returns all suspensions by node; `None` where there is no folder, or it can't be read.
     pub fn load_all(&mut self) -> Option<BTreeMap<String, Suspension>> {
-        for (id, suspension) in self.unsaved.clone() {
-            self.save(&id, suspension);
-        }
-        let mut all = self.unsaved.clone();
-        let files = std::fs::read_dir(self.folder.as_ref()?).ok()?;
-        let paths: BTreeSet<PathBuf> = files.flatten().map(|file| file.path()).collect();
-        let suspensions = paths
-            .iter()
-            .filter(|path| path.extension().is_some_and(|ending| ending == EXTENSION));
-        for path in suspensions.take(MAX_SUSPENSIONS) {
-            match read(path) {
+        self.retry_unsaved();
+        let mut suspensions = self.unsaved.clone();
+        let paths = suspension_paths(self.folder.as_ref()?).ok()?;
+        for path in paths.iter().take(MAX_SUSPENSIONS) {
+            match read_file(path) {
                 Ok((id, suspension)) => {
-                    all.entry(id).or_insert(suspension);
+                    suspensions.entry(id).or_insert(suspension);
                 }
-                // Taken off by another process between the two reads.
-                Err(cause) if cause.kind() == std::io::ErrorKind::NotFound => {}
-                Err(cause) => {
-                    if !std::mem::replace(&mut self.fault_logged, true) {
-                        tracing::error!(file = %path.display(), %cause, "a suspension can't be read");
+                // Another process removed it since the folder was listed.
+                Err(StoreError::Read(cause)) if cause.kind() == io::ErrorKind::NotFound => {}
+                Err(error) => {
+                    if self.is_first_fault() {
+                        tracing::error!(file = %path.display(), %error, help = error.help(), "suspension not readable");
                     }
                 }
             }
         }
-        Some(all)
+        Some(suspensions)
     }
+
+    fn retry_unsaved(&mut self) {
+        for (id, suspension) in self.unsaved.clone() {
+            self.save(&id, suspension);
+        }
+    }
+
+    fn is_first_fault(&mut self) -> bool {
+        !std::mem::replace(&mut self.fault_logged, true)
+    }
+}
+
+/// Returns the paths of all suspensions in a folder, in order of their names.
+fn suspension_paths(folder: &Path) -> io::Result<BTreeSet<PathBuf>> {
+    let paths = fs::read_dir(folder)?.flatten().map(|file| file.path());
+    let is_suspension = |path: &PathBuf| {
+        path.extension()
+            .is_some_and(|extension| extension == EXTENSION)
+    };
+    Ok(paths.filter(is_suspension).collect())
+}
+
+fn suspension_path(folder: &Path, id: &str) -> PathBuf {
+    folder.join(format!("{}.{EXTENSION}", file_name(id)))
+}
+
+/// Writes aside, under a name of this process's own, and renames.
+fn write_file(folder: &Path, id: &str, suspension: Suspension) -> Result<(), StoreError> {
+    let temporary = folder.join(format!("{}.{}", file_name(id), std::process::id()));
+    let text = serde_json::to_vec(&(id, suspension)).unwrap_or_default();
+    let written = fs::write(&temporary, text)
+        .and_then(|()| fs::rename(&temporary, suspension_path(folder, id)));
+    written.map_err(|cause| {
+        let _ = fs::remove_file(&temporary);
+        StoreError::Write(cause)
+    })
 }
 
-fn read(path: &Path) -> std::io::Result<(String, Suspension)> {
-    use std::io::Read;
+fn read_file(path: &Path) -> Result<(String, Suspension), StoreError> {
     let mut text = Vec::new();
-    std::fs::File::open(path)?
-        .take(MAX_FILE_BYTES)
-        .read_to_end(&mut text)?;
-    Ok(serde_json::from_slice(&text)?)
+    File::open(path)
+        .and_then(|file| file.take(MAX_FILE_BYTES).read_to_end(&mut text))
+        .map_err(StoreError::Read)?;
+    serde_json::from_slice(&text).map_err(StoreError::Decode)
 }
 
-/// A file's name for an id: what is plain stays, so that people can read it.
-fn escape(id: &str) -> String {
+/// Returns the file name for an id. Plain characters stay, so that people can read it.
+fn file_name(id: &str) -> String {
     let mut name = String::with_capacity(id.len());
     for byte in id.bytes() {
         if byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_' {
@@ -110,11 +175,11 @@
             name.push_str(&format!("%{byte:02x}"));
         }
     }
-    // The longest id that a call may name fits a file name in all but odd cases; those are told apart by their sum.
-    if name.len() > 200 {
-        let sum = crc32fast::hash(id.as_bytes());
-        name.truncate(180);
-        name.push_str(&format!("~{sum:08x}"));
+    // The longest id a request may name fits a file name unless it is mostly escaped; a checksum tells those apart.
+    if name.len() > MAX_FILE_NAME_BYTES {
+        let checksum = crc32fast::hash(id.as_bytes());
+        name.truncate(KEPT_FILE_NAME_BYTES);
+        name.push_str(&format!("~{checksum:08x}"));
     }
     name
 }
