--- a/crates/coordinator/src/admin_api/suspension_store/tests.rs
+++ b/crates/coordinator/src/admin_api/suspension_store/tests.rs
@@ -1,4 +1,8 @@
-use super::*;
+use super::SuspensionStore;
+use cairnroad_admin::suspensions::{Suspension, Suspensions};
+use cairnroad_types::{ServerState, Time};
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
 
 fn folder(name: &str) -> PathBuf {
     let folder =
@@ -8,7 +12,7 @@
 }
 
 #[test]
-fn two_processes_see_each_others_bans_and_undo_none() {
+fn two_processes_see_each_others_suspensions_and_undo_none() {
     let folder = folder("two");
     let (mut old, mut new) = (
         SuspensionStore::new(Some(&folder), "n1"),
@@ -33,16 +37,16 @@
         old.load_all().map(|all| all.into_keys().collect()),
         Some(vec!["s/2".to_string()])
     );
-    // What is half written, or nobody's, costs nothing.
+    // A partial file and an unrelated one are ignored.
     std::fs::write(folder.join("cairnroad-n1/s-3.ban"), "[\"s-").unwrap();
     std::fs::write(folder.join("cairnroad-n1/s-4.17"), "x").unwrap();
     assert_eq!(old.load_all().map(|all| all.len()), Some(1));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Guards against a suspension that the next look lifts because it could not be written.
+/// Guards against a suspension that the next load lifts because it could not be written.
 #[test]
-fn a_ban_that_cannot_be_kept_holds_here_and_is_kept_later() {
+fn a_suspension_that_cannot_be_saved_holds_in_this_process_and_is_saved_later() {
     let folder = folder("full");
     let mut store = SuspensionStore::new(Some(&folder), "n1");
     let own = folder.join("cairnroad-n1");
@@ -57,10 +61,75 @@
     assert_eq!(
         store.load_all(),
         None,
-        "nothing is taken off while the folder can't be read"
+        "nothing is removed while the folder can't be read"
     );
     std::fs::create_dir_all(&own).unwrap();
     assert_eq!(store.load_all().map(|all| all.len()), Some(1));
     assert!(own.join("s-1.ban").exists());
     std::fs::remove_dir_all(folder).unwrap();
 }
+
+/// Files that release 0.1.0 wrote when its fields and types still had other names: `s-1` and `s/2 x` were suspended,
+/// `s-3` was suspended and resumed. Loading does not look at the clock, so their times never grow stale.
+const FILES_OF_RELEASE_0_1_0: [&str; 3] = ["s-1.ban", "s%2f2%20x.ban", "s-3.ban"];
+
+fn fixture(file: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("src/admin_api/suspension_store/fixtures")
+        .join(file)
+}
+
+fn suspensions_of_release_0_1_0() -> BTreeMap<String, Suspension> {
+    let suspension = |suspended_at_us, resumed_at_us| Suspension {
+        suspended_at_us,
+        resumed_at_us,
+    };
+    BTreeMap::from([
+        ("s-1".into(), suspension(1_796_237_463_432_645, None)),
+        ("s/2 x".into(), suspension(1_796_237_463_437_707, None)),
+        (
+            "s-3".into(),
+            suspension(1_796_237_463_442_400, Some(1_796_237_463_447_966)),
+        ),
+    ])
+}
+
+/// Guards against an upgrade that loses the suspensions in force, or reads them as something else.
+#[test]
+fn suspensions_written_by_release_0_1_0_are_loaded_and_in_force() {
+    let folder = folder("release-0-1-0");
+    let mut store = SuspensionStore::new(Some(&folder), "n1");
+    for file in FILES_OF_RELEASE_0_1_0 {
+        std::fs::copy(fixture(file), folder.join("cairnroad-n1").join(file)).unwrap();
+    }
+    let loaded = store.load_all().unwrap();
+    assert_eq!(loaded, suspensions_of_release_0_1_0());
+
+    let mut suspensions = Suspensions::default();
+    assert_eq!(suspensions.synchronize(&loaded), ["s-1", "s-3", "s/2 x"]);
+    let state = |id| suspensions.effective_state(id, ServerState::Ready, None);
+    assert_eq!(state("s-1"), (ServerState::Draining, None));
+    assert_eq!(state("s/2 x"), (ServerState::Draining, None));
+    let resumed_at = Time(1_796_237_463_447_966);
+    assert_eq!(state("s-3"), (ServerState::Ready, Some(resumed_at)));
+
+    store.remove("s/2 x");
+    let removed = folder.join("cairnroad-n1/s%2f2%20x.ban");
+    assert!(!removed.exists(), "its file is found by its id");
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+/// Guards against a process that stores what a process of release 0.1.0 beside it can't read.
+#[test]
+fn suspensions_are_saved_byte_for_byte_as_by_release_0_1_0() {
+    let folder = folder("as-release-0-1-0");
+    let mut store = SuspensionStore::new(Some(&folder), "n1");
+    for (id, suspension) in suspensions_of_release_0_1_0() {
+        store.save(&id, suspension);
+    }
+    for file in FILES_OF_RELEASE_0_1_0 {
+        let saved = std::fs::read(folder.join("cairnroad-n1").join(file)).unwrap();
+        assert_eq!(saved, std::fs::read(fixture(file)).unwrap(), "{file}");
+    }
+    std::fs::remove_dir_all(folder).unwrap();
+}
