--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -2,7 +2,7 @@
 //! `NODE_CONFIG` names, and this project's own file under `deploy/`. Errors name the file and the faulty key, with its
 //! line in the project's own file.
 
-use crate::discovery::endpoint_list::Page;
+use crate::discovery::endpoint_list::EndpointListPage;
 use crate::messages::{EndpointListUpdate, Index, ServedConfiguration};
 use crate::observability::log;
 use cairnroad_cluster::facts::MOST_OFFERS;
@@ -256,7 +256,7 @@
     admin: Option<String>,
     seed: Option<String>,
     limits: Option<JsonLimits>,
-    known: Option<Page>,
+    known: Option<EndpointListPage>,
     settings: Box<serde_json::value::RawValue>,
 }
 
@@ -485,7 +485,10 @@
             limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) / sharers,
             limits.sockets.unwrap_or(DEFAULT_SOCKETS) / sharers as usize,
         ),
-        known: json.known.map(Page::news).unwrap_or_default(),
+        known: json
+            .known
+            .map(EndpointListPage::into_update)
+            .unwrap_or_default(),
         offer: Arc::new(ServedConfiguration {
             deployment,
             indices,
--- a/crates/coordinator/src/discovery/endpoint_list.rs
+++ b/crates/coordinator/src/discovery/endpoint_list.rs
@@ -7,7 +7,7 @@
 
 /// One server's line.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Member {
+pub struct EndpointLine {
     id: String,
     host_port: String,
     #[serde(default)]
@@ -27,24 +27,24 @@
 
 /// A locality as a number: the same name gives the same one, none gives 0. Two names that meet in one number would
 /// only be taken for one place.
-pub fn zone(locality: &str) -> u32 {
+pub fn zone_id(locality: &str) -> u32 {
     crc32fast::hash(locality.as_bytes())
 }
 
 /// An answer of the agent.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Page {
+pub struct EndpointListPage {
     #[serde(default)]
     revision: u64,
     complete: bool,
     members: Vec<Box<RawValue>>,
 }
 
-impl Page {
+impl EndpointListPage {
     /// What the page says. A line that can't be read costs nobody but its own server, which counts as left out.
-    pub fn news(self) -> EndpointListUpdate {
+    pub fn into_update(self) -> EndpointListUpdate {
         let row = |line: &RawValue| {
-            let member: Member =
+            let member: EndpointLine =
                 serde_json::from_str(line.get()).map_err(|e| format!("members: {e}"))?;
             let state = match member.phase.as_str() {
                 "active" => ServerState::Ready,
@@ -69,7 +69,7 @@
             let ready_at =
                 (member.up_since_ms > 0).then(|| Time(member.up_since_ms.saturating_mul(1000)));
             let (cell, size) = (member.cell, member.size);
-            let zone = zone(&member.locality);
+            let zone = zone_id(&member.locality);
             Ok(EndpointEntry {
                 id: member.id,
                 address,
--- a/crates/coordinator/src/discovery/endpoint_list/tests.rs
+++ b/crates/coordinator/src/discovery/endpoint_list/tests.rs
@@ -18,7 +18,9 @@
         r#"{{"revision":7,"complete":true,"members":[{}]}}"#,
         odd.join(",")
     );
-    let news = serde_json::from_str::<Page>(&text).unwrap().news();
+    let news = serde_json::from_str::<EndpointListPage>(&text)
+        .unwrap()
+        .into_update();
     let ids: Vec<&str> = news.rows.iter().map(|row| row.id.as_str()).collect();
     assert_eq!((news.revision, ids), (7, vec!["s-a", "s-c", "s-d"]));
     assert_eq!(
--- a/crates/coordinator/src/discovery/file_source.rs
+++ b/crates/coordinator/src/discovery/file_source.rs
@@ -374,7 +374,7 @@
                 id: id.clone(),
                 address: server.address,
                 cell: server.cell,
-                zone: crate::discovery::endpoint_list::zone(&server.locality),
+                zone: crate::discovery::endpoint_list::zone_id(&server.locality),
                 state,
                 size: 1.0,
                 weight: at.weight,
--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Clock;
 use crate::contract::{Contracts, Part};
-use crate::discovery::endpoint_list::Page;
+use crate::discovery::endpoint_list::EndpointListPage;
 use crate::http;
 use crate::messages::{EndpointEntry, EndpointListUpdate, Message};
 use cairnroad_contract::drift::Interface;
@@ -28,14 +28,14 @@
 /// The numbers that the decisions know servers by, given out in the order in which ids are first heard of and
 /// never twice. An id that is gone is forgotten: on a long day servers are replaced under new ids without end.
 #[derive(Default)]
-pub struct Directory {
+pub struct ServerDirectory {
     numbers: BTreeMap<String, (ServerId, EndpointEntry)>,
     next: u32,
 }
 
-impl Directory {
+impl ServerDirectory {
     /// The rows with their servers' numbers. One that comes back after it was gone gets a new number.
-    pub fn number(&mut self, news: &EndpointListUpdate) -> Vec<(ServerId, EndpointEntry)> {
+    pub fn assign_ids(&mut self, news: &EndpointListUpdate) -> Vec<(ServerId, EndpointEntry)> {
         let mut rows = Vec::with_capacity(news.rows.len());
         for row in &news.rows {
             let known = self.numbers.get(&row.id).map(|(number, _)| *number);
@@ -67,12 +67,12 @@
     }
 
     /// What the list last said of a server.
-    pub fn row(&self, id: &str) -> Option<(ServerId, EndpointEntry)> {
+    pub fn get(&self, id: &str) -> Option<(ServerId, EndpointEntry)> {
         self.numbers.get(id).cloned()
     }
 
     /// The ids of these servers.
-    pub fn ids<'a>(&'a self, servers: &'a [ServerId]) -> impl Iterator<Item = &'a str> {
+    pub fn names_of<'a>(&'a self, servers: &'a [ServerId]) -> impl Iterator<Item = &'a str> {
         let listed = self
             .numbers
             .iter()
@@ -87,7 +87,7 @@
 }
 
 /// The news in the decisions' words.
-pub fn list_news(
+pub fn endpoint_update(
     rows: &[(ServerId, EndpointEntry)],
     complete: bool,
     cached: bool,
@@ -113,7 +113,7 @@
 /// Watches the agent for good and tells the core what it says. A new address drops the call that is held at the
 /// old one, or the rest before the next: the old agent may say nothing more, and another agent's revisions are
 /// its own, so the watch starts over there with the whole list.
-pub async fn watch(
+pub async fn watch_endpoints(
     mut agents: watch::Receiver<SocketAddr>,
     core: mpsc::Sender<Message>,
     contracts: Rc<Contracts>,
@@ -222,9 +222,9 @@
             String::new,
             |_| json!({}),
         );
-        let page: Page =
+        let page: EndpointListPage =
             serde_json::from_slice(&answer.body).map_err(WatchError::InvalidEndpointList)?;
-        let news = page.news();
+        let news = page.into_update();
         if watch.on_response(clock.now(), news.revision) {
             tracing::warn!(server = %agent, "discovery: the list came after it counted as told");
         }
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -290,7 +290,12 @@
     match config.files.clone() {
         Some(source) => discovery::file_source::start(source, to_core.clone())?,
         None => {
-            let watch = discovery::watch(agents, to_core.clone(), contracts.clone(), clock.clone());
+            let watch = discovery::watch_endpoints(
+                agents,
+                to_core.clone(),
+                contracts.clone(),
+                clock.clone(),
+            );
             tokio::task::spawn_local(watch);
         }
     }
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -1,7 +1,7 @@
 //! Random cuts of valid messages and random garbage against every parser, from fixed seeds.
 
 use crate::backends::{frames, opensearch};
-use crate::discovery::endpoint_list::Page;
+use crate::discovery::endpoint_list::EndpointListPage;
 use crate::http;
 use quickcheck::{Gen, QuickCheck, Testable};
 
@@ -129,7 +129,7 @@
         let _ = opensearch::outcome(&response);
     }
     let _ = frames::parse(bytes);
-    let _ = serde_json::from_slice::<Page>(bytes).map(Page::news);
+    let _ = serde_json::from_slice::<EndpointListPage>(bytes).map(EndpointListPage::into_update);
     let _ = frames::report(&String::from_utf8_lossy(bytes), &["queue".into()]);
 }
 
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -16,7 +16,7 @@
 use crate::configuration::Config;
 use crate::connections::pool::{self, Pool, PoolEvent};
 use crate::contract::Contracts;
-use crate::discovery::{self, Directory};
+use crate::discovery::{self, ServerDirectory};
 use crate::messages::{
     Attempt, AttemptResult, ClientRequest, EndpointEntry, EndpointListUpdate, Index, Message,
     Phase, ServedConfiguration,
@@ -53,7 +53,7 @@
     book: request_table::RequestTable,
     pool: Pool,
     wheel: TimerWheel<Timer>,
-    directory: Directory,
+    directory: ServerDirectory,
     contracts: Rc<Contracts>,
     messages: mpsc::Receiver<Message>,
     phase: Rc<watch::Sender<Phase>>,
@@ -92,7 +92,7 @@
             book: request_table::RequestTable::new(config),
             pool: Pool::new(config, contracts.clone(), clock, messages.0),
             wheel,
-            directory: Directory::default(),
+            directory: ServerDirectory::default(),
             contracts,
             messages: messages.1,
             phase,
@@ -265,7 +265,7 @@
                 Counter::Changes
             });
         }
-        let mut rows = self.directory.number(news);
+        let mut rows = self.directory.assign_ids(news);
         if self.shelf.is_some() {
             rows.iter()
                 .for_each(|(_, row)| self.bans.record_listed(&row.id));
@@ -280,7 +280,7 @@
             (row.state, row.ready_at) = self.bans.effective_state(&row.id, row.state, row.ready_at);
         }
         self.pool.note_list(rows, complete);
-        self.route.push(Event::Endpoints(discovery::list_news(
+        self.route.push(Event::Endpoints(discovery::endpoint_update(
             rows, complete, cached,
         )));
     }
@@ -306,7 +306,7 @@
 
     /// Says anew what the list says of these servers.
     fn tell_again(&mut self, ids: &[String]) {
-        let mut rows: Vec<_> = ids.iter().filter_map(|id| self.directory.row(id)).collect();
+        let mut rows: Vec<_> = ids.iter().filter_map(|id| self.directory.get(id)).collect();
         self.tell(&mut rows, false, false);
     }
 
@@ -358,7 +358,11 @@
     fn tell_doubts(&mut self, now: Time) {
         let Some(peers) = &self.peers else { return };
         let doubted = self.route.doubted_lately(now, TELL_DOUBTS * LATELY);
-        let ids: Vec<String> = self.directory.ids(&doubted).map(str::to_string).collect();
+        let ids: Vec<String> = self
+            .directory
+            .names_of(&doubted)
+            .map(str::to_string)
+            .collect();
         let listed = self.directory.len();
         peers.send_if_modified(|told| {
             let fresh = told.0 != ids || !ids.is_empty();
@@ -372,7 +376,7 @@
     fn advised(&mut self, ids: &[String]) {
         let known = ids
             .iter()
-            .filter_map(|id| self.directory.row(id))
+            .filter_map(|id| self.directory.get(id))
             .map(|(server, _)| server);
         let servers: Vec<ServerId> = known.collect();
         if !servers.is_empty() {
