--- /dev/null
+++ b/crates/coordinator/src/discovery/agent_connection.rs
@@ -0,0 +1,87 @@
+//! One HTTP/1.1 connection to the discovery agent.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+use crate::http;
+use cairnroad_discovery_watch::{PollRequest, WatchError, CONNECT_TIMEOUT};
+use cairnroad_types::Seconds;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+/// Upper limit of an endpoint list's size in bytes.
+const MAX_LIST_BYTES: usize = 1024 * 1024;
+const STATUS_OK: u16 = 200;
+
+/// An open connection, and what was read beyond the last response.
+pub(super) struct AgentConnection {
+    agent: SocketAddr,
+    stream: TcpStream,
+    buffer: Vec<u8>,
+}
+
+impl AgentConnection {
+    /// Connects to the agent at this address.
+    pub(super) async fn open(agent: SocketAddr) -> Result<AgentConnection, WatchError> {
+        let time_limit = Duration::from_secs_f64(CONNECT_TIMEOUT);
+        let stream = timeout(time_limit, TcpStream::connect(agent))
+            .await
+            .map_err(|_| WatchError::ConnectTimeout {
+                secs: CONNECT_TIMEOUT,
+            })??;
+        let _ = stream.set_nodelay(true);
+        Ok(AgentConnection {
+            agent,
+            stream,
+            buffer: Vec::new(),
+        })
+    }
+
+    /// Sends a poll for this target and returns its response, which has the status 200.
+    pub(super) async fn poll(
+        &mut self,
+        target: &str,
+        response_timeout: Seconds,
+    ) -> Result<http::Response, WatchError> {
+        let time_limit = Duration::from_secs_f64(response_timeout);
+        let response = timeout(time_limit, self.exchange(target))
+            .await
+            .map_err(|_| WatchError::ResponseTimeout {
+                secs: response_timeout,
+            })??;
+        if response.status != STATUS_OK {
+            return Err(WatchError::UnexpectedStatus(response.status));
+        }
+        Ok(response)
+    }
+
+    async fn exchange(&mut self, target: &str) -> Result<http::Response, WatchError> {
+        let request = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.agent);
+        self.stream.write_all(request.as_bytes()).await?;
+        loop {
+            let ended = self.stream.read_buf(&mut self.buffer).await? == 0;
+            let parsed = http::response(&self.buffer, ended, MAX_LIST_BYTES)
+                .map_err(|error| WatchError::MalformedResponse(error.text()))?;
+            if let Some((response, length)) = parsed {
+                self.buffer.drain(..length);
+                return Ok(response);
+            }
+            if ended {
+                return Err(WatchError::ConnectionClosed);
+            }
+        }
+    }
+}
+
+/// Returns the request target of a poll.
+pub(super) fn target(request: PollRequest) -> String {
+    match request {
+        PollRequest::Snapshot => "/catalog/members".to_string(),
+        PollRequest::Changes {
+            revision,
+            max_wait_ms,
+        } => format!("/catalog/members?from={revision}&hold_ms={max_wait_ms}"),
+    }
+}
--- a/crates/coordinator/src/discovery/endpoint_list/tests.rs
+++ b/crates/coordinator/src/discovery/endpoint_list/tests.rs
@@ -1,30 +1,31 @@
-use super::*;
+use super::EndpointListPage;
+use cairnroad_types::ServerState;
 
-/// Guards against one unreadable line that fails its page, and with it all news.
+/// Guards against one malformed member that fails its page, and with it the whole update.
 #[test]
-fn a_line_that_cannot_be_read_costs_nobody_else() {
-    let line = |id: &str, address: &str, phase: &str| {
+fn a_member_that_cannot_be_decoded_is_left_out_alone() {
+    let member = |id: &str, address: &str, phase: &str| {
         format!(r#"{{"id":"{id}","host_port":"{address}","cell":1,"phase":"{phase}"}}"#)
     };
-    let odd = [
-        line("s-a", "10.1.0.1:9000", "active"),
-        line("s-b", "nowhere", "active"),
-        line("s-c", "10.1.0.2:9000", "asleep"),
+    let members = [
+        member("s-a", "10.1.0.1:9000", "active"),
+        member("s-b", "nowhere", "active"),
+        member("s-c", "10.1.0.2:9000", "asleep"),
         "17".into(),
         r#"{"id":null}"#.into(),
-        line("s-d", "10.1.0.3:9000", "leaving"),
+        member("s-d", "10.1.0.3:9000", "leaving"),
     ];
     let text = format!(
         r#"{{"revision":7,"complete":true,"members":[{}]}}"#,
-        odd.join(",")
+        members.join(",")
     );
-    let news = serde_json::from_str::<EndpointListPage>(&text)
+    let update = serde_json::from_str::<EndpointListPage>(&text)
         .unwrap()
         .into_update();
-    let ids: Vec<&str> = news.rows.iter().map(|row| row.id.as_str()).collect();
-    assert_eq!((news.revision, ids), (7, vec!["s-a", "s-c", "s-d"]));
+    let ids: Vec<&str> = update.rows.iter().map(|row| row.id.as_str()).collect();
+    assert_eq!((update.revision, ids), (7, vec!["s-a", "s-c", "s-d"]));
     assert_eq!(
-        news.rows[1].state,
+        update.rows[1].state,
         ServerState::Draining,
         "an unknown phase is not 'active'"
     );
--- /dev/null
+++ b/crates/coordinator/src/discovery/watch_task.rs
@@ -0,0 +1,156 @@
+//! The task that watches the discovery agent and passes its endpoint list on to the pipeline.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+use crate::clock::Clock;
+use crate::contract::{Contracts, Part};
+use crate::discovery::agent_connection::{target, AgentConnection};
+use crate::discovery::endpoint_list::EndpointListPage;
+use crate::http;
+use crate::messages::{ContractsInForce, Message};
+use cairnroad_contract::drift::Interface;
+use cairnroad_contract::schema::Direction;
+use cairnroad_discovery_watch::{DiscoveryWatch, WatchError};
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+
+/// The channel of the published description that polls and lists belong to.
+const CONTRACT_CHANNEL: &str = "watch";
+/// The party that the contract's log names.
+const CONTRACT_PARTY: &str = "agent";
+
+/// Watches the agent until the pipeline ends, and sends it every list.
+///
+/// A new agent address drops the poll in flight, or the backoff before the next: the old agent may never respond, and
+/// the watch restarts at the new one.
+pub async fn watch_endpoints(
+    mut agents: watch::Receiver<SocketAddr>,
+    pipeline: mpsc::Sender<Message>,
+    contracts: Rc<Contracts>,
+    clock: Clock,
+) {
+    let mut task = WatchTask {
+        watch: DiscoveryWatch::new(clock.now()),
+        pipeline,
+        contracts,
+        clock,
+    };
+    loop {
+        let agent = *agents.borrow_and_update();
+        let agent_changed = tokio::select! {
+            biased;
+            Ok(()) = agents.changed() => true,
+            () = task.run_connection_and_back_off(agent) => false,
+        };
+        if agent_changed {
+            task.watch.on_agent_changed(task.clock.now());
+        }
+        if task.pipeline.is_closed() {
+            return;
+        }
+    }
+}
+
+struct WatchTask {
+    watch: DiscoveryWatch,
+    pipeline: mpsc::Sender<Message>,
+    contracts: Rc<Contracts>,
+    clock: Clock,
+}
+
+impl WatchTask {
+    async fn run_connection_and_back_off(&mut self, agent: SocketAddr) {
+        let backoff = match self.run_connection(agent).await {
+            Ok(()) => self.watch.on_connection_closed(),
+            Err(error) => {
+                let backoff = self.watch.on_fault(&error);
+                let consecutive_faults = self.watch.consecutive_faults();
+                tracing::warn!(server = %agent, %error, consecutive_faults, help = error.help(), "discovery watch restarted");
+                backoff
+            }
+        };
+        tokio::time::sleep(Duration::from_secs_f64(backoff)).await;
+    }
+
+    /// Sends poll after poll on one connection, until the agent closes it or the pipeline ends.
+    async fn run_connection(&mut self, agent: SocketAddr) -> Result<(), WatchError> {
+        let mut connection = AgentConnection::open(agent).await?;
+        loop {
+            let response = self.poll(&mut connection).await?;
+            let page: EndpointListPage =
+                serde_json::from_slice(&response.body).map_err(WatchError::InvalidEndpointList)?;
+            let update = page.into_update();
+            if self.watch.on_response(self.clock.now(), update.revision) {
+                tracing::warn!(server = %agent, revision = update.revision, "endpoint list arrived after the notification deadline");
+            }
+            let pipeline_ended = self
+                .pipeline
+                .send(Message::Endpoints(update))
+                .await
+                .is_err();
+            if pipeline_ended || response.close {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Sends the next poll; it and its response are held against the contracts in force when it is sent.
+    async fn poll(&self, connection: &mut AgentConnection) -> Result<http::Response, WatchError> {
+        let poll = self.watch.next_poll();
+        let target = target(poll.request);
+        let contracts_in_force = self.contracts.current();
+        self.check_poll(&contracts_in_force, &target);
+        let response = connection.poll(&target, poll.response_timeout).await?;
+        self.check_list(&contracts_in_force, &response.body);
+        Ok(response)
+    }
+
+    /// Holds a poll against the contracts, which only observe discovery.
+    fn check_poll(&self, in_force: &ContractsInForce, target: &str) {
+        let part = Part {
+            channel: CONTRACT_CHANNEL,
+            word: "ask",
+            direction: Direction::Request,
+            payload: b"",
+        };
+        self.contracts.frame(
+            in_force,
+            Interface::Discovery,
+            &Arc::from(CONTRACT_PARTY),
+            part,
+            || target.to_string(),
+            query_parameters,
+        );
+    }
+
+    /// Holds an endpoint list against the contracts, which only observe discovery.
+    fn check_list(&self, in_force: &ContractsInForce, payload: &[u8]) {
+        let part = Part {
+            channel: CONTRACT_CHANNEL,
+            word: "list",
+            direction: Direction::Answer,
+            payload,
+        };
+        self.contracts.frame(
+            in_force,
+            Interface::Discovery,
+            &Arc::from(CONTRACT_PARTY),
+            part,
+            String::new,
+            |_| json!({}),
+        );
+    }
+}
+
+/// Returns a target's query parameters as a JSON object; one that is no number becomes `null`.
+fn query_parameters(target: &str) -> Value {
+    let (_path, query) = target.split_once('?').unwrap_or((target, ""));
+    let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    let parameters =
+        pairs.map(|(name, value)| (name.to_string(), json!(value.parse::<u64>().ok())));
+    Value::Object(parameters.collect())
+}
--- a/crates/coordinator/tests/agents.rs
+++ b/crates/coordinator/tests/agents.rs
@@ -390,7 +390,7 @@
         _ => Reply::Stall(Vec::new()),
     });
     let rig = rig(&agent, members, stage);
-    rig.wait_for_line("no list of servers");
+    rig.wait_for_line("not an endpoint list");
     wait_for("the later calls", || agent.calls.lock().unwrap().len() > 4);
     for number in 0..8 {
         assert_eq!(
