--- a/crates/coordinator/src/admin_api/suspension_store.rs
+++ b/crates/coordinator/src/admin_api/suspension_store.rs
@@ -12,7 +12,7 @@
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-/// The extension of a suspension's file. Others, such as files being written, are ignored.
+/// The extension of a suspension's file, as all releases write it. Others, such as files being written, are ignored.
 const EXTENSION: &str = "ban";
 /// Upper limit of a file's size in bytes; a suspension takes some 60.
 const MAX_FILE_BYTES: u64 = 4096;
