--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -6,8 +6,49 @@
 pub const MAX_NODE_ID_BYTES: usize = 128;
 
 const PATH_PREFIX: &str = "/v1/";
-const GET: &str = "GET";
-const PUT: &str = "PUT";
+
+/// The method that a path takes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AllowedMethod {
+    /// For requests that change nothing.
+    Get,
+    /// For requests that bring about a state, and may be repeated.
+    Put,
+}
+
+impl AllowedMethod {
+    /// Returns the method's name on the wire.
+    pub fn name(self) -> &'static str {
+        match self {
+            AllowedMethod::Get => "GET",
+            AllowedMethod::Put => "PUT",
+        }
+    }
+}
+
+/// Why a request is not possible at the moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UnavailableReason {
+    /// The process has no endpoint list yet.
+    Starting,
+    /// An operator drained the coordinator.
+    Drained,
+    /// The process is shutting down.
+    ShuttingDown,
+    /// The request was not carried out in time, or its outcome is unknown.
+    Busy,
+}
+
+impl UnavailableReason {
+    fn message(self) -> &'static str {
+        match self {
+            UnavailableReason::Starting => "not ready yet: the list of data nodes has not come",
+            UnavailableReason::Drained => "drained: activate the coordinator first",
+            UnavailableReason::ShuttingDown => "the process was told to stop",
+            UnavailableReason::Busy => "the coordinator is too busy: call again",
+        }
+    }
+}
 
 /// What an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,16 +72,16 @@
 pub enum AdminResponse {
     /// The requested state holds.
     Done,
-    /// Not possible in the present state, for this reason.
-    Unavailable(&'static str),
+    /// Not possible at the moment, for this reason.
+    Unavailable(UnavailableReason),
     /// No endpoint list ever named a data node of this id.
     UnknownNode,
     /// This coordinator is not part of a cluster.
     NotClustered,
     /// No request has this path.
     UnknownPath,
-    /// The path takes another method, which is named.
-    MethodNotAllowed(&'static str),
+    /// The path takes another method, which is this one.
+    MethodNotAllowed(AllowedMethod),
     /// The id is not that of any data node.
     InvalidNodeId,
     /// The limit of suspensions is reached.
@@ -65,7 +106,7 @@
     pub fn message(&self) -> &'static str {
         match self {
             AdminResponse::Done => "yes",
-            AdminResponse::Unavailable(reason) => reason,
+            AdminResponse::Unavailable(reason) => reason.message(),
             AdminResponse::UnknownNode => {
                 "no data node of this id was ever listed: look at the list of data nodes"
             }
@@ -73,8 +114,8 @@
                 "this coordinator takes part in no group: see docs/PEERS.md"
             }
             AdminResponse::UnknownPath => "there is no such call: see docs/OPERATION.md",
-            AdminResponse::MethodNotAllowed(GET) => "this call takes GET",
-            AdminResponse::MethodNotAllowed(_) => "this call takes PUT",
+            AdminResponse::MethodNotAllowed(AllowedMethod::Get) => "this call takes GET",
+            AdminResponse::MethodNotAllowed(AllowedMethod::Put) => "this call takes PUT",
             AdminResponse::InvalidNodeId => {
                 "the id of the data node is empty, too long or malformed"
             }
@@ -93,15 +134,20 @@
         .ok_or(AdminResponse::UnknownPath)?;
     let segments: Vec<&str> = path.split('/').collect();
     let (request, allowed_method) = match segments[..] {
-        ["readyz"] => (AdminRequest::Readiness, GET),
-        ["peers"] => (AdminRequest::ClusterMembers, GET),
-        ["coordinator", "drain"] => (AdminRequest::Drain, PUT),
-        ["coordinator", "activate"] => (AdminRequest::Activate, PUT),
-        ["data-nodes", id, "suspend"] => (AdminRequest::Suspend(parse_node_id(id)?), PUT),
-        ["data-nodes", id, "resume"] => (AdminRequest::Resume(parse_node_id(id)?), PUT),
+        ["readyz"] => (AdminRequest::Readiness, AllowedMethod::Get),
+        ["peers"] => (AdminRequest::ClusterMembers, AllowedMethod::Get),
+        ["coordinator", "drain"] => (AdminRequest::Drain, AllowedMethod::Put),
+        ["coordinator", "activate"] => (AdminRequest::Activate, AllowedMethod::Put),
+        ["data-nodes", id, "suspend"] => (
+            AdminRequest::Suspend(parse_node_id(id)?),
+            AllowedMethod::Put,
+        ),
+        ["data-nodes", id, "resume"] => {
+            (AdminRequest::Resume(parse_node_id(id)?), AllowedMethod::Put)
+        }
         _ => return Err(AdminResponse::UnknownPath),
     };
-    if method != allowed_method {
+    if method != allowed_method.name() {
         return Err(AdminResponse::MethodNotAllowed(allowed_method));
     }
     Ok(request)
--- a/crates/admin/src/request/tests.rs
+++ b/crates/admin/src/request/tests.rs
@@ -1,4 +1,4 @@
-use super::{parse_request, AdminRequest, AdminResponse, MAX_NODE_ID_BYTES};
+use super::{parse_request, AdminRequest, AdminResponse, AllowedMethod, MAX_NODE_ID_BYTES};
 use quickcheck::{Gen, QuickCheck};
 
 #[test]
@@ -11,7 +11,7 @@
         (
             "PUT",
             "/v1/readyz",
-            Err(AdminResponse::MethodNotAllowed("GET")),
+            Err(AdminResponse::MethodNotAllowed(AllowedMethod::Get)),
         ),
         ("GET", "/v1/peers", Ok(AdminRequest::ClusterMembers)),
         ("PUT", "/v1/coordinator/drain", Ok(AdminRequest::Drain)),
@@ -23,7 +23,7 @@
         (
             "POST",
             "/v1/coordinator/activate",
-            Err(AdminResponse::MethodNotAllowed("PUT")),
+            Err(AdminResponse::MethodNotAllowed(AllowedMethod::Put)),
         ),
         ("PUT", "/v1/data-nodes/s-1/suspend", suspend("s-1")),
         ("PUT", "/v1/data-nodes/s%2f1%20/suspend", suspend("s/1 ")),
@@ -35,7 +35,7 @@
         (
             "GET",
             "/v1/data-nodes/s-1/resume",
-            Err(AdminResponse::MethodNotAllowed("PUT")),
+            Err(AdminResponse::MethodNotAllowed(AllowedMethod::Put)),
         ),
         (
             "PUT",
--- a/crates/coordinator/src/admin_api/exchange.rs
+++ b/crates/coordinator/src/admin_api/exchange.rs
@@ -3,7 +3,7 @@
 use super::open_connections::RequestReceived;
 use super::AdminApi;
 use crate::http;
-use cairnroad_admin::request::{parse_request, AdminRequest, AdminResponse};
+use cairnroad_admin::request::{parse_request, AdminRequest, AdminResponse, AllowedMethod};
 use serde_json::json;
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 struct Reply {
     status: u16,
     /// The method that the path takes, for the `Allow` header of a status 405.
-    allowed_method: Option<&'static str>,
+    allowed_method: Option<AllowedMethod>,
     /// A JSON object.
     body: String,
 }
@@ -39,7 +39,7 @@
     fn to_bytes(&self) -> Vec<u8> {
         let allow = self
             .allowed_method
-            .map(|method| ("Allow", method.to_string()));
+            .map(|method| ("Allow", method.name().to_string()));
         let headers: Vec<_> = allow.into_iter().collect();
         let body = self.body.as_bytes();
         http::write_response(self.status, "application/json", &headers, true, body)
--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::cluster::Peers;
 use crate::messages::{Message, Phase};
-use cairnroad_admin::request::{AdminRequest, AdminResponse};
+use cairnroad_admin::request::{AdminRequest, AdminResponse, UnavailableReason};
 use open_connections::{OpenConnections, RequestReceived};
 use std::rc::Rc;
 use std::time::Duration;
@@ -72,19 +72,17 @@
     fn readiness(&self) -> AdminResponse {
         match *self.phase.borrow() {
             Phase::Serving => AdminResponse::Done,
-            Phase::Starting => {
-                AdminResponse::Unavailable("not ready yet: the list of data nodes has not come")
-            }
-            Phase::Drained => AdminResponse::Unavailable("drained: activate the coordinator first"),
+            Phase::Starting => AdminResponse::Unavailable(UnavailableReason::Starting),
+            Phase::Drained => AdminResponse::Unavailable(UnavailableReason::Drained),
             Phase::Stopping | Phase::Closing | Phase::Refusing => {
-                AdminResponse::Unavailable("the process was told to stop")
+                AdminResponse::Unavailable(UnavailableReason::ShuttingDown)
             }
         }
     }
 
     /// Has the pipeline carry out a request, and returns its response.
     async fn carry_out(&self, request: AdminRequest) -> AdminResponse {
-        let busy = AdminResponse::Unavailable("the coordinator is too busy: call again");
+        let busy = AdminResponse::Unavailable(UnavailableReason::Busy);
         let (reply, response) = oneshot::channel();
         let message = Message::Admin(request, reply);
         if self.pipeline.try_send(message).is_err() {
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -24,7 +24,7 @@
 use crate::observability::metrics::{Counter, Metrics};
 use crate::timer_wheel::{Timer, TimerWheel};
 use cairnroad_admin::reconfigure::{self, Reconfiguration};
-use cairnroad_admin::request::{AdminRequest, AdminResponse};
+use cairnroad_admin::request::{AdminRequest, AdminResponse, UnavailableReason};
 use cairnroad_admin::suspensions::Suspensions;
 use cairnroad_types::{Action, ClassId, Event, Outcome, ServerId, Time};
 use std::rc::Rc;
@@ -425,7 +425,7 @@
     fn turn_to(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
         let current = *self.phase.borrow();
         if matches!(current, Phase::Stopping | Phase::Closing | Phase::Refusing) {
-            return AdminResponse::Unavailable("the process was told to stop");
+            return AdminResponse::Unavailable(UnavailableReason::ShuttingDown);
         }
         if let Some(phase) = next(current) {
             self.phase.send_replace(phase);
