--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -73,8 +73,10 @@
         match *self.phase.borrow() {
             Phase::Serving => AdminResponse::Done,
             Phase::Starting => AdminResponse::Unavailable(UnavailableReason::Starting),
-            Phase::Drained => AdminResponse::Unavailable(UnavailableReason::Drained),
-            Phase::Stopping | Phase::Closing | Phase::Refusing => {
+            Phase::DrainedByOperator => AdminResponse::Unavailable(UnavailableReason::Drained),
+            Phase::ShuttingDown
+            | Phase::IdleConnectionsClosing
+            | Phase::PartialRequestsRejected => {
                 AdminResponse::Unavailable(UnavailableReason::ShuttingDown)
             }
         }
@@ -84,7 +86,7 @@
     async fn carry_out(&self, request: AdminRequest) -> AdminResponse {
         let busy = AdminResponse::Unavailable(UnavailableReason::Busy);
         let (reply, response) = oneshot::channel();
-        let message = Message::Admin(request, reply);
+        let message = Message::Admin { request, reply };
         if self.pipeline.try_send(message).is_err() {
             return busy;
         }
