--- a/crates/coordinator/src/admin_api/exchange.rs
+++ b/crates/coordinator/src/admin_api/exchange.rs
@@ -59,9 +59,9 @@
     }
 }
 
-impl From<http::Bad> for Reply {
-    fn from(error: http::Bad) -> Reply {
-        Reply::new(error.status(), error.text())
+impl From<http::MessageError> for Reply {
+    fn from(error: http::MessageError) -> Reply {
+        Reply::new(error.status(), error.message())
     }
 }
 
@@ -75,7 +75,7 @@
             api.reply_to(&request).await
         }
         Ok(Some(Err(error))) => Reply::from(error),
-        Err(_) => Reply::from(http::Bad::TooSlow),
+        Err(_) => Reply::from(http::MessageError::TooSlow),
     };
     let written = timeout(LINGER, stream.write_all(&reply.to_bytes())).await;
     if matches!(written, Ok(Ok(()))) {
@@ -94,20 +94,20 @@
 }
 
 /// Reads the connection's request; `None` where the client closed it without one.
-async fn read_request(stream: &mut TcpStream) -> Option<Result<http::Request, http::Bad>> {
+async fn read_request(stream: &mut TcpStream) -> Option<Result<http::Request, http::MessageError>> {
     let mut buffer = Vec::new();
     loop {
-        match http::request(&buffer) {
+        match http::parse_request(&buffer) {
             Ok(Some((request, _))) => return Some(Ok(request)),
             Err(error) => return Some(Err(error)),
             Ok(None) => {}
         }
-        if http::awaits_continue(&buffer) {
-            return Some(Err(http::Bad::Malformed("calls have no body")));
+        if http::expects_continue(&buffer) {
+            return Some(Err(http::MessageError::Malformed("calls have no body")));
         }
         match stream.read_buf(&mut buffer).await {
             Ok(0) if !buffer.is_empty() => {
-                return Some(Err(http::Bad::Malformed("the call is not whole")))
+                return Some(Err(http::MessageError::Malformed("the call is not whole")))
             }
             Ok(0) | Err(_) => return None,
             Ok(_) => {}
--- a/crates/coordinator/src/discovery/agent_connection.rs
+++ b/crates/coordinator/src/discovery/agent_connection.rs
@@ -62,8 +62,8 @@
         self.stream.write_all(request.as_bytes()).await?;
         loop {
             let ended = self.stream.read_buf(&mut self.buffer).await? == 0;
-            let parsed = http::response(&self.buffer, ended, MAX_LIST_BYTES)
-                .map_err(|error| WatchError::MalformedResponse(error.text()))?;
+            let parsed = http::parse_response(&self.buffer, ended, MAX_LIST_BYTES)
+                .map_err(|error| WatchError::MalformedResponse(error.message()))?;
             if let Some((response, length)) = parsed {
                 self.buffer.drain(..length);
                 return Ok(response);
--- a/crates/coordinator/src/pipeline/core/endpoints.rs
+++ b/crates/coordinator/src/pipeline/core/endpoints.rs
@@ -44,7 +44,7 @@
                 self.suspensions
                     .effective_state(&entry.id, entry.state, entry.ready_at);
         }
-        self.pool.note_list(entries, complete);
+        self.pool.on_endpoint_list(entries, complete);
         let update = discovery::endpoint_update(entries, complete, cached);
         self.router.push(Event::Endpoints(update));
     }
--- a/crates/coordinator/src/pipeline/core/incoming.rs
+++ b/crates/coordinator/src/pipeline/core/incoming.rs
@@ -35,9 +35,9 @@
     }
 
     fn on_connection_report(&mut self, now: Time, report: ConnectionReport) {
-        match self.pool.note(now, report) {
-            Some(PoolEvent::Attempt(result)) => self.on_attempt_ended(result),
-            Some(PoolEvent::Probe {
+        match self.pool.on_connection_event(now, report) {
+            Some(PoolEvent::AttemptEnded(result)) => self.on_attempt_ended(result),
+            Some(PoolEvent::HealthCheckEnded {
                 server,
                 outcome,
                 report,
@@ -46,7 +46,7 @@
                 outcome,
                 report,
             }),
-            Some(PoolEvent::NotUp) => self.metrics.add(Counter::DialFailures),
+            Some(PoolEvent::DialFailed) => self.metrics.add(Counter::DialFailures),
             None => {}
         }
     }
@@ -62,7 +62,7 @@
         match timer {
             Timer::RouterWakeUp => self.router.push(Event::TimerFired),
             Timer::AttemptDeadline(attempt) => self.on_attempt_deadline(attempt),
-            Timer::DialDeadline(connection) => self.pool.dial_is_due(connection),
+            Timer::DialDeadline(connection) => self.pool.on_dial_deadline(connection),
             Timer::ConnectionSweep => self.sweep_connections(now),
             Timer::SuspensionPoll => self.poll_suspensions(now),
             Timer::OutlierPublication => self.publish_outliers(now),
@@ -71,7 +71,7 @@
 
     /// Times an attempt out if it is still in flight.
     fn on_attempt_deadline(&mut self, attempt: Attempt) {
-        if self.pool.abandon(attempt) {
+        if self.pool.time_out(attempt) {
             self.on_attempt_ended(AttemptResult {
                 attempt,
                 outcome: Outcome::Timeout,
