--- a/crates/coordinator/src/pipeline/core/outlier_advice.rs
+++ b/crates/coordinator/src/pipeline/core/outlier_advice.rs
@@ -28,7 +28,11 @@
         let period = OUTLIER_PUBLICATION_INTERVAL * RECENT_OUTLIER_INTERVALS;
         let servers = self.router.recent_outliers(now, period);
         let outliers = LocalOutliers {
-            endpoint_ids: self.directory.ids(&servers).map(str::to_string).collect(),
+            endpoint_ids: self
+                .directory
+                .names_of(&servers)
+                .map(str::to_string)
+                .collect(),
             endpoint_count: self.directory.len(),
         };
         publisher.send_if_modified(|published| {
@@ -45,7 +49,7 @@
 
     /// Passes other coordinators' outliers to the router, as far as this coordinator's own list names them.
     pub(super) fn on_outlier_advice(&mut self, ids: &[String]) {
-        let listed = ids.iter().filter_map(|id| self.directory.row(id));
+        let listed = ids.iter().filter_map(|id| self.directory.get(id));
         let servers: Vec<ServerId> = listed.map(|(server, _)| server).collect();
         if !servers.is_empty() {
             self.router.push(Event::OutlierAdvice(servers));
