--- a/crates/coordinator/src/discovery/tests.rs
+++ b/crates/coordinator/src/discovery/tests.rs
@@ -1,37 +1,42 @@
-use super::*;
-use cairnroad_types::Time;
+use super::endpoint_list::EndpointListPage;
+use super::{endpoint_update, ServerDirectory};
+use cairnroad_types::{EndpointUpdate, ServerId, ServerState, Time};
 
 #[test]
-fn a_list_is_understood_and_numbered_by_first_sight() {
+fn listed_servers_get_ids_in_order_of_first_listing_and_ids_are_not_reused() {
     let text = r#"{"revision":43,"complete":false,"members":[{"id":"s-b","host_port":"10.1.0.18:9000",
         "locality":"a","flavor":"m2","cell":3,"phase":"leaving","size":1.0,"up_since_ms":1500}]}"#;
-    let read = |text: &str| serde_json::from_str::<Page>(text).unwrap().news();
-    let news = read(text);
+    let decode = |text: &str| {
+        serde_json::from_str::<EndpointListPage>(text)
+            .unwrap()
+            .into_update()
+    };
+    let update = decode(text);
     assert_eq!(
-        (news.revision, news.complete, news.rows[0].state),
+        (update.revision, update.complete, update.rows[0].state),
         (43, false, ServerState::Draining)
     );
-    assert_eq!(news.rows[0].ready_at, Some(Time(1_500_000)));
-    let mut directory = Directory::default();
-    let rows = directory.number(&news);
+    assert_eq!(update.rows[0].ready_at, Some(Time(1_500_000)));
+    let mut directory = ServerDirectory::default();
+    let rows = directory.assign_ids(&update);
     assert_eq!(
-        (rows[0].0, directory.number(&news)[0].0),
+        (rows[0].0, directory.assign_ids(&update)[0].0),
         (ServerId(0), ServerId(0))
     );
     assert!(matches!(
-        list_news(&rows, false, false),
+        endpoint_update(&rows, false, false),
         EndpointUpdate::Delta(_)
     ));
     assert!(
         directory
-            .number(&read(&text.replace("leaving", "left")))
+            .assign_ids(&decode(&text.replace("leaving", "left")))
             .len()
             == 1
             && directory.len() == 0
     );
     assert_eq!(
-        directory.number(&news)[0].0,
+        directory.assign_ids(&update)[0].0,
         ServerId(1),
-        "a number is never given twice"
+        "an id is never reused"
     );
 }
--- a/crates/coordinator/src/pipeline/core.rs
+++ b/crates/coordinator/src/pipeline/core.rs
@@ -20,7 +20,7 @@
 use crate::configuration::Config;
 use crate::connections::pool::{self, Pool};
 use crate::contract::Contracts;
-use crate::discovery::Directory;
+use crate::discovery::ServerDirectory;
 use crate::messages::{
     Attempt, AttemptResult, ClientRequest, LocalOutliers, Message, Phase, ServedConfiguration,
 };
@@ -53,7 +53,7 @@
     requests: RequestTable,
     pool: Pool,
     timers: TimerWheel<Timer>,
-    directory: Directory,
+    directory: ServerDirectory,
     contracts: Rc<Contracts>,
     suspensions: Suspensions,
     /// Where suspensions are stored; `None` without an admin API.
@@ -107,7 +107,7 @@
             requests: RequestTable::new(config),
             pool: Pool::new(config, contracts.clone(), clock, channels.message_sender),
             timers,
-            directory: Directory::default(),
+            directory: ServerDirectory::default(),
             contracts,
             suspensions: Suspensions::default(),
             suspension_store,
--- a/crates/coordinator/src/pipeline/core/endpoints.rs
+++ b/crates/coordinator/src/pipeline/core/endpoints.rs
@@ -22,10 +22,10 @@
                 Counter::EndpointDeltas
             });
         }
-        let mut entries = self.directory.number(update);
+        let mut entries = self.directory.assign_ids(update);
         if self.suspension_store.is_some() {
             for (_, entry) in &entries {
-                self.suspensions.listed(&entry.id);
+                self.suspensions.record_listed(&entry.id);
             }
         }
         self.publish_endpoints(&mut entries, update.complete, cached);
@@ -42,16 +42,16 @@
         for (_, entry) in &mut *entries {
             (entry.state, entry.ready_at) =
                 self.suspensions
-                    .overlay(&entry.id, entry.state, entry.ready_at);
+                    .effective_state(&entry.id, entry.state, entry.ready_at);
         }
         self.pool.on_endpoint_list(entries, complete);
-        let update = discovery::list_news(entries, complete, cached);
+        let update = discovery::endpoint_update(entries, complete, cached);
         self.router.push(Event::Endpoints(update));
     }
 
     /// Publishes the listed state of these servers again, after their suspensions changed.
     pub(super) fn republish_endpoints(&mut self, ids: &[String]) {
-        let listed = ids.iter().filter_map(|id| self.directory.row(id));
+        let listed = ids.iter().filter_map(|id| self.directory.get(id));
         let mut entries: Vec<_> = listed.collect();
         self.publish_endpoints(&mut entries, false, false);
     }
@@ -61,11 +61,14 @@
         let Some(store) = &mut self.suspension_store else {
             return;
         };
-        for id in self.suspensions.expire(now, self.slow_start_duration) {
-            store.drop(&id);
+        for id in self
+            .suspensions
+            .remove_expired(now, self.slow_start_duration)
+        {
+            store.remove(&id);
         }
-        if let Some(stored) = store.look() {
-            let changed = self.suspensions.merge(&stored);
+        if let Some(stored) = store.load_all() {
+            let changed = self.suspensions.synchronize(&stored);
             if !changed.is_empty() {
                 tracing::info!(
                     servers = changed.join(", "),
