--- a/crates/coordinator/src/pipeline/core/admin_requests.rs
+++ b/crates/coordinator/src/pipeline/core/admin_requests.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use crate::messages::Phase;
-use cairnroad_admin::request::{AdminRequest, AdminResponse};
+use cairnroad_admin::request::{AdminRequest, AdminResponse, UnavailableReason};
 use cairnroad_admin::suspensions::Suspension;
 use cairnroad_types::Time;
 
@@ -15,7 +15,7 @@
     ) -> AdminResponse {
         let response = match &request {
             // The admin API answers these by itself.
-            AdminRequest::Ready | AdminRequest::Peers => AdminResponse::Yes,
+            AdminRequest::Readiness | AdminRequest::ClusterMembers => AdminResponse::Done,
             AdminRequest::Suspend(id) => self.suspend(now, id),
             AdminRequest::Resume(id) => self.resume(now, id),
             AdminRequest::Drain => self.drain(),
@@ -26,33 +26,33 @@
     }
 
     fn suspend(&mut self, now: Time, id: &str) -> AdminResponse {
-        if !self.suspensions.knows(id) {
-            return AdminResponse::Unknown;
+        if !self.suspensions.is_known(id) {
+            return AdminResponse::UnknownNode;
         }
-        if !self.suspensions.has_room(id) {
-            return AdminResponse::TooMany;
+        if !self.suspensions.has_capacity_for(id) {
+            return AdminResponse::TooManySuspensions;
         }
-        self.apply_suspension(id, self.suspensions.suspended(id, now));
-        AdminResponse::Yes
+        self.apply_suspension(id, self.suspensions.suspension_of(id, now));
+        AdminResponse::Done
     }
 
     fn resume(&mut self, now: Time, id: &str) -> AdminResponse {
-        if !self.suspensions.knows(id) {
-            return AdminResponse::Unknown;
+        if !self.suspensions.is_known(id) {
+            return AdminResponse::UnknownNode;
         }
-        if let Some(suspension) = self.suspensions.resumed(id, now) {
+        if let Some(suspension) = self.suspensions.resumption_of(id, now) {
             self.apply_suspension(id, suspension);
         }
-        AdminResponse::Yes
+        AdminResponse::Done
     }
 
     /// Puts a suspension, or its end, into force and stores it.
     fn apply_suspension(&mut self, id: &str, suspension: Suspension) {
-        if !self.suspensions.put(id, suspension) {
+        if !self.suspensions.apply(id, suspension) {
             return;
         }
         if let Some(store) = &mut self.suspension_store {
-            store.keep(id, suspension);
+            store.save(id, suspension);
         }
         self.republish_endpoints(&[id.to_string()]);
     }
@@ -73,11 +73,11 @@
     fn change_phase(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
         let current = *self.phase.borrow();
         if current.is_shutting_down() {
-            return AdminResponse::NotNow("the process was told to stop");
+            return AdminResponse::Unavailable(UnavailableReason::ShuttingDown);
         }
         if let Some(phase) = next(current) {
             self.phase.send_replace(phase);
         }
-        AdminResponse::Yes
+        AdminResponse::Done
     }
 }
--- a/crates/coordinator/src/pipeline/core/reconfiguration.rs
+++ b/crates/coordinator/src/pipeline/core/reconfiguration.rs
@@ -1,8 +1,8 @@
 //! Applies a reloaded configuration, between two ticks and whole or not at all.
 
 use super::Core;
-use crate::messages::{Index, ReconfigurationError, ServedConfiguration};
-use cairnroad_admin::reconfigure::{self, Reconfiguration};
+use crate::messages::{Index, ServedConfiguration};
+use cairnroad_admin::reconfigure::{self, Reconfiguration, ReconfigureError};
 use cairnroad_types::ClassId;
 use std::sync::Arc;
 
@@ -11,28 +11,27 @@
     pub(super) fn reconfigure(
         &mut self,
         fresh: ServedConfiguration,
-    ) -> Result<Arc<ServedConfiguration>, ReconfigurationError> {
+    ) -> Result<Arc<ServedConfiguration>, ReconfigureError> {
         let in_force = self.served_configuration.borrow().clone();
         let in_use = |class: ClassId| self.requests.has_request_of_class(usize::from(class.0));
         let Reconfiguration {
             deployment,
-            places,
-            renewed,
-            waiting,
-        } = reconfigure::retune(&in_force.deployment, &fresh.deployment, in_use)
-            .map_err(ReconfigurationError::Rejected)?;
-        if !waiting.is_empty() {
+            class_ids,
+            replaced,
+            requires_restart,
+        } = reconfigure::reconfigure(&in_force.deployment, &fresh.deployment, in_use)?;
+        if !requires_restart.is_empty() {
             tracing::warn!(
-                keys = waiting.join(", "),
+                keys = requires_restart.join(", "),
                 "reload: settings that take a restart stay as they were"
             );
         }
         self.requests.reconfigure(&deployment);
         self.pool.reconfigure(&deployment);
-        self.router.reconfigure(&deployment, &renewed, &places);
+        self.router.reconfigure(&deployment, &replaced, &class_ids);
         self.slow_start_duration = deployment.policy.slow_start_duration;
         let served = Arc::new(ServedConfiguration {
-            indices: renumber_classes(fresh.indices, &places),
+            indices: renumber_classes(fresh.indices, &class_ids),
             deployment,
         });
         self.served_configuration.send_replace(served.clone());
@@ -40,12 +39,12 @@
     }
 }
 
-/// The indices with their classes' places in the table in force; `places` maps the reloaded file's class numbers.
-fn renumber_classes(indices: Vec<Index>, places: &[ClassId]) -> Vec<Index> {
+/// The indices with their classes' slots in the table in force; `class_ids` maps the reloaded file's class numbers.
+fn renumber_classes(indices: Vec<Index>, class_ids: &[ClassId]) -> Vec<Index> {
     let renumbered = indices.into_iter().filter_map(|index| {
-        let place = places.get(index.class)?;
+        let class_id = class_ids.get(index.class)?;
         Some(Index {
-            class: usize::from(place.0),
+            class: usize::from(class_id.0),
             ..index
         })
     });
--- a/crates/coordinator/src/pipeline/router_driver.rs
+++ b/crates/coordinator/src/pipeline/router_driver.rs
@@ -41,7 +41,7 @@
     ) {
         self.latency_objectives = latency_objectives(&deployment.policy);
         self.router
-            .retune(deployment.policy.clone(), renewed, offered);
+            .reconfigure(deployment.policy.clone(), renewed, offered);
     }
 
     /// A class's latency objective, in seconds.
@@ -63,24 +63,24 @@
 
     /// What the router knows of the servers' health, for the log.
     pub fn health_summary(&self, now: Time) -> HealthSummary {
-        self.router.beliefs(now)
+        self.router.health_summary(now)
     }
 
     /// The servers that own attempts of the last `period` seconds show to be outliers.
     pub fn recent_outliers(&self, now: Time, period: Seconds) -> Vec<ServerId> {
-        self.router.doubted_lately(now, period)
+        self.router.recent_outliers(now, period)
     }
 
     /// Limits the deadlines of all open requests to `deadline`.
     pub fn finish_by(&mut self, deadline: Time) {
-        self.router.end_by(deadline);
+        self.router.finish_by(deadline);
         self.events.push(Event::TimerFired);
     }
 
     /// How many servers the router knows.
     #[cfg(test)]
     pub fn server_count(&self) -> usize {
-        self.router.servers()
+        self.router.server_count()
     }
 
     /// Whether events wait for the next call.
