--- a/crates/admin/src/reconfigure.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -44,7 +44,7 @@
     // Who is the same stays where it was, whatever the order of the file.
     for (at, (name, class)) in stated() {
         let same = in_force
-            .place(name)
+            .class_index(name)
             .filter(|&place| in_force.policy.classes[place] == *class);
         if let Some(place) = same.filter(|&place| names[place].is_empty()) {
             names[place] = name.clone();
@@ -97,9 +97,15 @@
             "registryMode",
             old.policy.max_poll_interval != new.policy.max_poll_interval,
         ),
-        ("caps.dialTimeoutS", old.dial_timeout != new.dial_timeout),
-        ("caps.keepaliveS", old.keepalive != new.keepalive),
-        ("caps.streamsPerConn", old.streams != new.streams),
+        (
+            "caps.dialTimeoutS",
+            old.connect_timeout != new.connect_timeout,
+        ),
+        ("caps.keepaliveS", old.idle_timeout != new.idle_timeout),
+        (
+            "caps.streamsPerConn",
+            old.max_parts_per_connection != new.max_parts_per_connection,
+        ),
     ];
     let mut policy = new.policy.clone();
     policy.classes = classes;
@@ -111,8 +117,8 @@
     let deployment = Deployment {
         policy,
         class_names: names,
-        open_cap: new.open_cap,
-        longest_advice: new.longest_advice,
+        max_in_flight: new.max_in_flight,
+        longest_retry_after: new.longest_retry_after,
         ..old.clone()
     };
     Ok(Reconfiguration {
--- a/crates/admin/src/reconfigure/tests.rs
+++ b/crates/admin/src/reconfigure/tests.rs
@@ -86,7 +86,7 @@
         fresh.policy.tick,
         fresh.policy.max_attempts,
         fresh.shards,
-        fresh.open_cap,
+        fresh.max_in_flight,
     ) = (0.01, 2, 9, 7);
     let got = retune(&old, &fresh, free).unwrap();
     assert_eq!(got.waiting, ["tickS", "extra.shards"]);
@@ -96,7 +96,7 @@
             now.policy.tick,
             now.shards,
             now.policy.max_attempts,
-            now.open_cap
+            now.max_in_flight
         ),
         (0.005, 0, 2, 7)
     );
@@ -134,7 +134,7 @@
                 .zip(&fresh.policy.classes)
                 .zip(&got.places)
                 .all(|((name, class), place)| {
-                    got.deployment.place(name) == Some(usize::from(place.0))
+                    got.deployment.class_index(name) == Some(usize::from(place.0))
                         && got.deployment.policy.classes[usize::from(place.0)] == *class
                 });
             // Eight names in two files in a row, and sixteen places that may be held for good.
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -155,8 +155,8 @@
     }
 }
 
-impl From<cairnroad_settings::Fault> for Fault {
-    fn from(fault: cairnroad_settings::Fault) -> Fault {
+impl From<cairnroad_settings::SettingsError> for Fault {
+    fn from(fault: cairnroad_settings::SettingsError) -> Fault {
         Fault::from(format!("{fault}: {}", fault.help()))
     }
 }
@@ -422,7 +422,7 @@
         return Err("settings: classes[].name is missing".into());
     }
     // Every refusal says when to come back, whether or not the simulator's clients are told.
-    let longest = deployment.longest_advice;
+    let longest = deployment.longest_retry_after;
     deployment.policy.max_retry_after.get_or_insert(longest);
     let seed = json.seed.unwrap_or_else(|| "0".into());
     let limits = json.limits.unwrap_or(JsonLimits {
@@ -729,8 +729,9 @@
             let class = self.offer.deployment.class_names.get(index.class);
             json!({"name": index.name, "class": class, "shards": [index.first, index.last]})
         };
-        let class = |(_, name, class): (usize, &str, &cairnroad_types::Class)| {
-            json!({"name": name, "aim_s": class.latency_objective, "deadline_s": class.deadline, "least_share": class.minimum_share,
+        let class = |offered: cairnroad_settings::OfferedClass| {
+            let class = offered.class;
+            json!({"name": offered.name, "aim_s": class.latency_objective, "deadline_s": class.deadline, "least_share": class.minimum_share,
                 "may_run_twice": class.idempotency != cairnroad_types::Idempotency::AtMostOnce})
         };
         let contract = |(interface, plan): &(Interface, Plan)| {
@@ -754,7 +755,7 @@
             "limits": {"clients": self.limits.clients, "kept": self.limits.kept, "accepted": self.limits.accepted,
                 "links": self.limits.links},
             "known": {"revision": self.known.revision, "servers": self.known.rows.len()},
-            "classes": self.offer.deployment.offered().map(class).collect::<Vec<_>>(),
+            "classes": self.offer.deployment.offered_classes().map(class).collect::<Vec<_>>(),
             "shards": self.offer.deployment.shards,
             "opensearch": {"listen": self.opensearch.map(|address| address.to_string()),
                 "indices": self.offer.indices.iter().map(index).collect::<Vec<_>>()},
--- a/crates/coordinator/src/connections/pool.rs
+++ b/crates/coordinator/src/connections/pool.rs
@@ -103,12 +103,12 @@
 
 /// Silence, in seconds, after which a connection gets nothing new.
 fn silent(deployment: &Deployment) -> f64 {
-    deployment.shortest_aim() * SILENT_SHARE
+    deployment.shortest_latency_objective() * SILENT_SHARE
 }
 
 /// Seconds between two sweeps of a pool.
 pub fn sweep_every(deployment: &Deployment) -> f64 {
-    SWEEP.min(SWEEP_SHARE * deployment.keepalive)
+    SWEEP.min(SWEEP_SHARE * deployment.idle_timeout)
 }
 
 pub struct Pool {
@@ -145,7 +145,10 @@
         let (streams, batch) = match config.backend {
             BackendKind::Frames => {
                 let batch = deployment.policy.max_parts_per_call as usize;
-                (deployment.streams, batch.min(deployment.streams))
+                (
+                    deployment.max_parts_per_connection,
+                    batch.min(deployment.max_parts_per_connection),
+                )
             }
             BackendKind::OpenSearch => (1, 1),
         };
@@ -154,8 +157,8 @@
             most_links: config.limits.links,
             streams,
             batch,
-            dial_timeout: deployment.dial_timeout,
-            idle: deployment.keepalive * IDLE_SHARE,
+            dial_timeout: deployment.connect_timeout,
+            idle: deployment.idle_timeout * IDLE_SHARE,
             silent: silent(deployment),
             report_names: deployment.report_names.clone().into(),
             contracts,
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -457,7 +457,7 @@
         .deployment
         .clone();
     for keepalive in [0.2, 1.0, 1.6, 15.0, 60.0] {
-        deployment.keepalive = keepalive;
+        deployment.idle_timeout = keepalive;
         assert!(
             IDLE_SHARE * keepalive + sweep_every(&deployment) <= 0.81 * keepalive,
             "{keepalive}"
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -3,7 +3,7 @@
 use crate::cluster;
 use cairnroad_cluster::{names, Dropped};
 use cairnroad_discovery_watch::Fault as Watch;
-use cairnroad_settings::Fault as Settings;
+use cairnroad_settings::SettingsError;
 
 /// How to make the page anew.
 const MADE_BY: &str = "UPDATE_ERRORS=1 cargo test -p cairnroad-coordinator errors_page";
@@ -23,42 +23,42 @@
 /// One of each cause. The matches below fail to compile when a cause is added that is not here.
 fn settings() -> Vec<Row> {
     let all = vec![
-        Settings::Form {
+        SettingsError::Malformed {
             key: "classes[0].aimS".into(),
             cause: "invalid type".into(),
         },
-        Settings::NotPositive {
+        SettingsError::NotPositive {
             key: "tickS".into(),
             value: 0.0,
         },
-        Settings::NoClasses,
-        Settings::Twice {
-            at: 1,
+        SettingsError::NoClasses,
+        SettingsError::DuplicateClass {
+            index: 1,
             name: "stock-search".into(),
         },
-        Settings::Lacks {
+        SettingsError::MissingClassEntry {
             key: "minShare",
-            at: 1,
+            index: 1,
         },
-        Settings::Unknown {
+        SettingsError::UnknownKeyword {
             key: "registryMode".into(),
-            word: "sometimes".into(),
+            keyword: "sometimes".into(),
         },
-        Settings::Missing {
+        SettingsError::MissingKey {
             key: "safety.mustAskInS",
         },
     ];
-    let place = |fault: &Settings| match fault {
-        Settings::Form { .. } => 0,
-        Settings::NotPositive { .. } => 1,
-        Settings::NoClasses => 2,
-        Settings::Twice { .. } => 3,
-        Settings::Lacks { .. } => 4,
-        Settings::Unknown { .. } => 5,
-        Settings::Missing { .. } => 6,
+    let place = |fault: &SettingsError| match fault {
+        SettingsError::Malformed { .. } => 0,
+        SettingsError::NotPositive { .. } => 1,
+        SettingsError::NoClasses => 2,
+        SettingsError::DuplicateClass { .. } => 3,
+        SettingsError::MissingClassEntry { .. } => 4,
+        SettingsError::UnknownKeyword { .. } => 5,
+        SettingsError::MissingKey { .. } => 6,
     };
     assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
-    rows(all, Settings::help)
+    rows(all, SettingsError::help)
 }
 
 fn watch() -> Vec<Row> {
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -51,7 +51,8 @@
 
     /// When a client may come back that this machine has no room for, in seconds.
     pub fn advice(&self) -> f64 {
-        FULL_ADVICE.min(FULL_ADVICE_AIMS * self.offer.borrow().deployment.shortest_aim())
+        FULL_ADVICE
+            .min(FULL_ADVICE_AIMS * self.offer.borrow().deployment.shortest_latency_objective())
     }
 
     /// A name for a request that brings none: unlike any other of this or another coordinator's.
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -78,7 +78,7 @@
         return Err("X-Request-Id is malformed".into());
     }
     let class = field("X-Class")?;
-    let class = deployment.place(class).ok_or("X-Class is unknown")?;
+    let class = deployment.class_index(class).ok_or("X-Class is unknown")?;
     let wait: f64 = field("X-Deadline")?
         .parse()
         .map_err(|_| "X-Deadline is not a number")?;
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -154,9 +154,10 @@
 }
 
 fn tell_classes(offer: &ServedConfiguration) {
-    for (_, name, class) in offer.deployment.offered() {
+    for offered in offer.deployment.offered_classes() {
+        let class = offered.class;
         tracing::info!(
-            class = name,
+            class = offered.name,
             aim_s = class.latency_objective,
             deadline_s = class.deadline,
             "class"
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -101,7 +101,7 @@
 
     /// Takes other settings. A place whose class is gone keeps its last name for the requests that hold it.
     pub fn retune(&mut self, deployment: &Deployment) {
-        self.cap = deployment.open_cap;
+        self.cap = deployment.max_in_flight;
         self.classes.resize(deployment.class_names.len(), "".into());
         let (policy, longest) = (&deployment.policy, deployment.longest_deadline());
         self.name_kept = NAME_KEPT.max(NAME_KEPT_DEADLINES * longest);
@@ -113,7 +113,10 @@
                 .then_some(class.dedup_window - margin)
         };
         self.windows = policy.classes.iter().map(window).collect();
-        for (place, name, _) in deployment.offered() {
+        for cairnroad_settings::OfferedClass {
+            index: place, name, ..
+        } in deployment.offered_classes()
+        {
             self.classes[place] = name.into();
         }
     }
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -22,14 +22,16 @@
         listen: config.listen.to_string(),
         query: config.opensearch.map(|address| address.to_string()),
         classes: deployment
-            .offered()
-            .map(|(_, name, class)| Class {
-                name: name.into(),
-                aim: class.latency_objective,
-                deadline: class.deadline,
-                repeatable: class.idempotency != Idempotency::AtMostOnce,
-                floor: class.minimum_share,
-            })
+            .offered_classes()
+            .map(
+                |cairnroad_settings::OfferedClass { name, class, .. }| Class {
+                    name: name.into(),
+                    aim: class.latency_objective,
+                    deadline: class.deadline,
+                    repeatable: class.idempotency != Idempotency::AtMostOnce,
+                    floor: class.minimum_share,
+                },
+            )
             .collect(),
         shards: deployment.shards,
         indices: config
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::parse;
+use cairnroad_types::Idempotency;
 
 const TEXT: &str = r#"{"classes": [{"aimS": 1.0, "deadlineS": 3.0, "effect": "deduplicated", "value": 2.0,
     "lateShare": 0.1, "dedupWindowS": 4.0}], "groupSize": 2, "registryMode": "on_request", "tickS": 0.005,
@@ -9,7 +10,7 @@
     "fallS": 1.5}, "unheardOf": 1}"#;
 
 #[test]
-fn settings_are_read_and_unknown_keys_ignored() {
+fn settings_are_parsed_and_unknown_keys_ignored() {
     let settings = parse(TEXT.as_bytes()).unwrap().policy;
     assert_eq!(
         settings.classes[0].idempotency,
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_the_faulty_key() {
     assert!(parse(b"{")
         .unwrap_err()
         .to_string()
@@ -45,14 +46,14 @@
             "{key}"
         );
     }
-    for (key, sound) in [("aimS", "1.0"), ("deadlineS", "3.0"), ("attemptsCap", "3")] {
-        for wrong in ["0", "-5"] {
+    for (key, valid) in [("aimS", "1.0"), ("deadlineS", "3.0"), ("attemptsCap", "3")] {
+        for invalid in ["0", "-5"] {
             let text = TEXT.replace(
-                &format!("\"{key}\": {sound}"),
-                &format!("\"{key}\": {wrong}"),
+                &format!("\"{key}\": {valid}"),
+                &format!("\"{key}\": {invalid}"),
             );
             assert_ne!(text, TEXT);
-            assert!(parse(text.as_bytes()).is_err(), "{key} {wrong}");
+            assert!(parse(text.as_bytes()).is_err(), "{key} {invalid}");
         }
     }
     let text = TEXT.replace("deduplicated", "sometimes");
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn probes_need_leave_and_a_count_of_requests_held() {
+fn health_checks_need_permission_and_an_in_flight_count_in_the_load_report() {
     assert_eq!(
         parse(TEXT.as_bytes()).unwrap().policy.health_check_value,
         None
@@ -83,7 +84,7 @@
     assert_eq!(
         parse(told.as_bytes()).unwrap().policy.health_check_value,
         None,
-        "not without leave"
+        "not without permission"
     );
     let allowed = told.replace("\"cancel\": true", "\"cancel\": true, \"probes\": true");
     assert_eq!(
