--- a/crates/simulator-host/src/frame/tests.rs
+++ b/crates/simulator-host/src/codec/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+use super::batch::{endpoint_update, parse_record, Batch, Record};
+use super::fields::Fields;
+use super::{read_frame, Reply};
+use cairnroad_types::{Action, Event, Outcome, RequestId, ServerId, ServerState, Time};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -8,7 +11,7 @@
         .collect()
 }
 
-/// A hand-worked batch: clock 1.5 s; a part of shard 2 for instance 3, its outcome, a wake.
+/// A hand-worked batch: clock 1.5 s; a part of shard 2 for instance 3, its outcome, a timer.
 const BATCH: &str = "03000000 70000000 000000000000f83f
     03 35000000 0300 0500000000000000 0100 00 00000040 0000000000000440 0000000000000000
        0000000000000000 0000003f 00000000 00000041
@@ -16,9 +19,9 @@
     07 0a000000 0300 0000000000000000";
 
 #[test]
-fn a_hand_worked_batch_is_read_whole() {
+fn a_hand_worked_batch_is_decoded() {
     let whole = bytes(BATCH);
-    let body = read(&mut &whole[..]).unwrap().unwrap();
+    let body = read_frame(&mut &whole[..]).unwrap().unwrap();
     let batch = Batch::parse(&body).unwrap();
     assert_eq!(batch.now, 1.5);
     let events: Vec<String> = batch
@@ -41,19 +44,22 @@
 }
 
 #[test]
-fn input_that_ends_early_or_holds_unknown_codes_is_named() {
+fn truncated_input_and_unknown_codes_are_reported() {
     let whole = bytes(BATCH);
-    assert!(read(&mut &whole[..0]).unwrap().is_none());
+    assert!(read_frame(&mut &whole[..0]).unwrap().is_none());
     for cut in 1..whole.len() {
         assert!(
-            read(&mut &whole[..cut]).unwrap_err().contains("truncated"),
+            read_frame(&mut &whole[..cut])
+                .unwrap_err()
+                .to_string()
+                .contains("truncated"),
             "cut at {cut}"
         );
     }
-    let mut body = read(&mut &whole[..]).unwrap().unwrap();
+    let mut body = read_frame(&mut &whole[..]).unwrap().unwrap();
     body[12] = 99;
     assert_eq!(
-        Batch::parse(&body).err().unwrap(),
+        Batch::parse(&body).err().unwrap().to_string(),
         "record 0, code 99: unknown event"
     );
     body[12] = 3;
@@ -61,11 +67,12 @@
     assert!(Batch::parse(&body)
         .err()
         .unwrap()
+        .to_string()
         .starts_with("record 0, truncated"));
 }
 
 #[test]
-fn actions_have_the_bytes_of_the_page() {
+fn actions_are_encoded_as_the_wire_page_states() {
     let mut reply = Reply::default();
     let until = Time::from_secs(1.5);
     reply.push(
@@ -90,29 +97,33 @@
             retry_after: Some(0.5),
         },
     );
-    let wanted = "46000000 03000000
+    let expected = "46000000 03000000
         01 16000000 0300 0500000000000000 07000000 000000000000f83f
         0d 0b000000 0300 0400000000000000 01
         02 12000000 0300 0400000000000000 000000000000e03f";
-    assert_eq!(reply.finish(), bytes(wanted));
+    assert_eq!(reply.finish(), bytes(expected));
 }
 
 #[test]
-fn a_list_row_is_read_and_absent_times_are_none() {
+fn an_endpoint_is_decoded_and_an_absent_time_is_none() {
     let page = bytes("02 01000000 0900000001000004000300008 03f0000000000000000");
-    let Record::Page { buffer: 2, rows } = parse_record(11, Fields(&page)).unwrap() else {
+    let Record::Page {
+        buffer: 2,
+        endpoints,
+    } = parse_record(11, Fields(&page)).unwrap()
+    else {
         panic!()
     };
-    assert_eq!(rows[0].server, ServerId(9));
+    assert_eq!(endpoints[0].server, ServerId(9));
     assert_eq!(
-        (rows[0].cell, rows[0].state, rows[0].ready_at),
+        (endpoints[0].cell, endpoints[0].state, endpoints[0].ready_at),
         (4, ServerState::Draining, None)
     );
-    assert!(list_news(3, None).is_none() && list_news(9, Some(rows)).is_none());
+    assert!(endpoint_update(3, None).is_none() && endpoint_update(9, Some(endpoints)).is_none());
 }
 
 #[test]
-fn probes_are_asked_for_and_their_reports_read() {
+fn health_checks_are_encoded_and_their_load_reports_decoded() {
     let mut reply = Reply::default();
     reply.push(3, &Action::HealthCheck(ServerId(7)));
     assert_eq!(
