--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -84,7 +84,10 @@
 }
 
 /// Begins to take part.
-pub async fn start(settings: &configuration::Peers, given: Given) -> Result<Peers, Fault> {
+pub async fn start(
+    settings: &configuration::ClusterSettings,
+    given: Given,
+) -> Result<Peers, Fault> {
     let fault = |cause| Fault::Listen {
         address: settings.listen,
         cause,
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -33,20 +33,22 @@
 
 /// `check-config`: the configuration with all descriptions that it names.
 pub fn check_config(output: Output) -> u8 {
-    let read = configuration::load(crate::variable).and_then(|config| {
-        let faulty = contract::read(&config.contracts, config.backend)
-            .into_iter()
-            .filter_map(|(interface, held)| {
-                let cause = held.err()?;
-                Some(format!("contract.{interface}: {cause}"))
-            });
-        let faulty: Vec<String> = faulty.collect();
-        if faulty.is_empty() {
-            Ok(config)
-        } else {
-            Err(faulty.join("\n"))
-        }
-    });
+    let read = configuration::load()
+        .map_err(|error| error.to_string())
+        .and_then(|config| {
+            let faulty = contract::read(&config.contracts, config.backend)
+                .into_iter()
+                .filter_map(|(interface, held)| {
+                    let cause = held.err()?;
+                    Some(format!("contract.{interface}: {cause}"))
+                });
+            let faulty: Vec<String> = faulty.collect();
+            if faulty.is_empty() {
+                Ok(config)
+            } else {
+                Err(faulty.join("\n"))
+            }
+        });
     match (read, output.json) {
         (Ok(config), true) => print(&format!(
             "{}\n",
@@ -136,7 +138,7 @@
 }
 
 fn show(kind: Kind, yaml: bool) -> u8 {
-    let config = match configuration::load(crate::variable) {
+    let config = match configuration::load().map_err(|error| error.to_string()) {
         Ok(config) => config,
         Err(text) => {
             complain(&text);
@@ -289,11 +291,13 @@
 }
 
 /// The roster's source in the configuration.
-fn source() -> Result<configuration::Source, (u8, String)> {
-    let config = configuration::load(crate::variable).map_err(|text| (UNREADABLE, text))?;
+fn source() -> Result<configuration::EndpointFilesSettings, (u8, String)> {
+    let config = configuration::load()
+        .map_err(|error| error.to_string())
+        .map_err(|text| (UNREADABLE, text))?;
     let cause =
         "'membership.source' is not \"files\" in the project's own file: there is no roster";
-    config.files.ok_or((UNREADABLE, cause.into()))
+    config.endpoint_files.ok_or((UNREADABLE, cause.into()))
 }
 
 fn read_roster(path: &Path) -> Result<Roster, (u8, String)> {
@@ -345,7 +349,7 @@
 fn show_roster(output: Output) -> Result<u8, (u8, String)> {
     let source = source()?;
     let cause = "'membership.state' is not set in the project's own file: no list is kept";
-    let folder = source.state.ok_or((UNREADABLE, cause.to_string()))?;
+    let folder = source.state_dir.ok_or((UNREADABLE, cause.to_string()))?;
     let (kept, wrong) = recover(&Folder(folder.clone()));
     wrong
         .iter()
@@ -373,7 +377,7 @@
     let mut roster = read_roster(new)?;
     // What is in force: the files as they stand or, where they are broken, what was kept.
     let kept = source
-        .state
+        .state_dir
         .clone()
         .and_then(|folder| recover(&Folder(folder)).0)
         .map(|kept| kept.roster);
@@ -384,7 +388,12 @@
         .max_by_key(|roster| roster.generation);
     roster.generation = old.as_ref().map_or(0, |old| old.generation) + 1;
     roster.allow_shrink |= allow_shrink;
-    if let Verdict::Refuse(faults) = judge(old.as_ref(), &roster, &source.layout, source.shrink) {
+    if let Verdict::Refuse(faults) = judge(
+        old.as_ref(),
+        &roster,
+        &source.layout,
+        source.max_removed_share,
+    ) {
         return Err((FAULTY, format!("nothing was written: {}", lines(&faults))));
     }
     let failed = |path: &Path, e: std::io::Error| (UNREADABLE, format!("{}: {e}", path.display()));
--- /dev/null
+++ b/crates/coordinator/src/configuration/cluster.rs
@@ -0,0 +1,153 @@
+//! `[peers]`: the group of coordinators that this one is a member of.
+
+use super::error::{ContentError, DeploymentFileError, ProjectFileError, ValueError};
+use super::project_file::ProjectFile;
+use cairnroad_cluster::facts::MOST_OFFERS;
+use cairnroad_cluster::names;
+use serde::Deserialize;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// The table as it stands in the file.
+#[derive(Default, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct ClusterTable {
+    #[serde(default)]
+    enabled: bool,
+    listen: Option<String>,
+    advertise: Option<String>,
+    cluster: Option<String>,
+    #[serde(default)]
+    room: String,
+    #[serde(default)]
+    offers: Vec<String>,
+    #[serde(default)]
+    group: Vec<String>,
+    #[serde(default)]
+    seeds: Vec<String>,
+}
+
+/// The group of coordinators that this one is a member of.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClusterSettings {
+    /// Where datagrams are received.
+    pub listen: SocketAddr,
+    /// The address that other members are told, where it differs from `listen`.
+    pub advertise: Option<SocketAddr>,
+    /// The group's name: two groups with different names never merge.
+    pub cluster: String,
+    /// The room that this coordinator stands in, told to other members.
+    pub room: String,
+    /// What this coordinator offers, told to other members.
+    pub offers: Vec<String>,
+    /// The names of all members.
+    pub group: BTreeSet<String>,
+    /// Addresses at which other members may be found at first.
+    pub seeds: Vec<SocketAddr>,
+}
+
+/// The group that the coordinator of this name is a member of; `None` if it is in none.
+pub fn cluster(
+    table: ClusterTable,
+    name: &str,
+    file: &ProjectFile,
+) -> Result<Option<ClusterSettings>, ContentError> {
+    if !table.enabled {
+        return Ok(None);
+    }
+    let listen = required("peers.listen", table.listen, file)?;
+    let listen = file.address("peers.listen", listen)?;
+    let advertise = advertised_address(table.advertise, file)?;
+    let cluster = cluster_name(table.cluster, file)?;
+    check_length("peers.room", &table.room, file)?;
+    check_offers(&table.offers, file)?;
+    let group = member_names(&table.group, name, file)?;
+    let seeds = table
+        .seeds
+        .into_iter()
+        .map(|seed| file.address("peers.seeds", seed))
+        .collect::<Result<_, _>>()?;
+    Ok(Some(ClusterSettings {
+        listen,
+        advertise,
+        cluster,
+        room: table.room,
+        offers: table.offers,
+        group,
+        seeds,
+    }))
+}
+
+fn required(
+    key: &str,
+    value: Option<String>,
+    file: &ProjectFile,
+) -> Result<String, ProjectFileError> {
+    value.ok_or_else(|| file.error(key, ValueError::RequiredBy("peers.enabled")))
+}
+
+fn advertised_address(
+    value: Option<String>,
+    file: &ProjectFile,
+) -> Result<Option<SocketAddr>, ProjectFileError> {
+    const KEY: &str = "peers.advertise";
+    let Some(value) = value else {
+        return Ok(None);
+    };
+    let address = file.address(KEY, value)?;
+    if address.port() == 0 {
+        return Err(file.error(KEY, ValueError::PortZero));
+    }
+    Ok(Some(address))
+}
+
+fn cluster_name(value: Option<String>, file: &ProjectFile) -> Result<String, ProjectFileError> {
+    const KEY: &str = "peers.cluster";
+    let name = required(KEY, value, file)?;
+    if !names::is_name(&name) {
+        let error = ValueError::InvalidClusterName(names::Fault::Name(name));
+        return Err(file.error(KEY, error));
+    }
+    Ok(name)
+}
+
+fn check_offers(offers: &[String], file: &ProjectFile) -> Result<(), ProjectFileError> {
+    const KEY: &str = "peers.offers";
+    for offer in offers {
+        check_length(KEY, offer, file)?;
+    }
+    if offers.len() > MOST_OFFERS {
+        let error = ValueError::TooManyOffers { limit: MOST_OFFERS };
+        return Err(file.error(KEY, error));
+    }
+    Ok(())
+}
+
+fn check_length(key: &str, value: &str, file: &ProjectFile) -> Result<(), ProjectFileError> {
+    if value.len() <= names::MOST_NAME {
+        return Ok(());
+    }
+    let error = ValueError::TooLong {
+        value: value.into(),
+        limit: names::MOST_NAME,
+    };
+    Err(file.error(key, error))
+}
+
+/// The names of all members, which have to include this coordinator's.
+fn member_names(
+    patterns: &[String],
+    name: &str,
+    file: &ProjectFile,
+) -> Result<BTreeSet<String>, ContentError> {
+    const KEY: &str = "peers.group";
+    let group = names::read(patterns)
+        .map_err(|error| file.error(KEY, ValueError::InvalidMemberNames(error)))?;
+    if !names::is_name(name) {
+        return Err(DeploymentFileError::InvalidMemberName(name.into()).into());
+    }
+    if !group.contains(name) {
+        return Err(file.error(KEY, ValueError::NotAMember(name.into())).into());
+    }
+    Ok(group)
+}
--- /dev/null
+++ b/crates/coordinator/src/configuration/contracts.rs
@@ -0,0 +1,83 @@
+//! `[contract.*]`: the interfaces whose traffic is checked against a description.
+
+use super::error::{ProjectFileError, ValueError};
+use super::project_file::ProjectFile;
+use cairnroad_contract::decide::Mode;
+use cairnroad_contract::drift::Interface;
+use serde::Deserialize;
+use std::path::PathBuf;
+
+/// The table as it stands in the file.
+#[derive(Default, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct ContractTable {
+    platform: Option<InterfaceTable>,
+    query: Option<InterfaceTable>,
+    servers: Option<InterfaceTable>,
+    discovery: Option<InterfaceTable>,
+}
+
+/// One interface's table.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct InterfaceTable {
+    #[serde(default)]
+    mode: Mode,
+    description: Option<PathBuf>,
+    share: Option<f64>,
+}
+
+/// How one interface's traffic is checked against its description.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ContractSettings {
+    /// Whether departures are counted or rejected.
+    pub mode: Mode,
+    /// The share of messages that is checked under `observe`, above 0 and at most 1.
+    pub share: f64,
+    /// The description's file.
+    pub path: PathBuf,
+}
+
+/// The interfaces that are checked, each with its settings.
+pub fn contracts(
+    table: ContractTable,
+    file: &ProjectFile,
+) -> Result<Vec<(Interface, ContractSettings)>, ProjectFileError> {
+    let interfaces = [
+        (Interface::Platform, table.platform),
+        (Interface::Query, table.query),
+        (Interface::Servers, table.servers),
+        (Interface::Discovery, table.discovery),
+    ];
+    let mut checked = Vec::new();
+    for (interface, table) in interfaces {
+        let Some(table) = table.filter(|table| table.mode != Mode::Off) else {
+            continue;
+        };
+        checked.push((interface, contract(interface, table, file)?));
+    }
+    Ok(checked)
+}
+
+fn contract(
+    interface: Interface,
+    table: InterfaceTable,
+    file: &ProjectFile,
+) -> Result<ContractSettings, ProjectFileError> {
+    let error = |key: &str, error| file.error(&format!("contract.{interface}.{key}"), error);
+    let Some(description) = table.description else {
+        return Err(error("description", ValueError::NoDescription));
+    };
+    let share = table.share.unwrap_or(1.0);
+    if !(share > 0.0 && share <= 1.0) {
+        return Err(error("share", ValueError::InvalidSampledShare(share)));
+    }
+    if interface == Interface::Discovery && table.mode == Mode::Enforce {
+        return Err(error("mode", ValueError::DiscoveryEnforced));
+    }
+    Ok(ContractSettings {
+        mode: table.mode,
+        share,
+        path: file.folder.join(description),
+    })
+}
--- /dev/null
+++ b/crates/coordinator/src/configuration/effective.rs
@@ -0,0 +1,118 @@
+//! The configuration in effect, as `check-config` prints it for people and programs.
+
+use super::config::Config;
+use super::{ClusterSettings, ContractSettings, EndpointFilesSettings};
+use crate::messages::Index;
+use cairnroad_contract::drift::Interface;
+use cairnroad_settings::OfferedClass;
+use cairnroad_types::Idempotency;
+use serde_json::{json, Map, Value};
+use std::fmt::Debug;
+use std::net::SocketAddr;
+
+impl Config {
+    /// All that takes effect. The keys are read by operators' programs.
+    pub fn effective(&self) -> Value {
+        let deployment = &self.served.deployment;
+        let classes = deployment.offered_classes().map(class).collect::<Vec<_>>();
+        json!({
+            "name": self.name,
+            "listen": self.listen.to_string(),
+            "inherited": self.inherited_listener,
+            "admin": address(self.admin_listen),
+            "discovery": address(self.discovery),
+            "membership": self.endpoint_files.as_ref().map(endpoint_files),
+            "limits": self.effective_limits(),
+            "known": {
+                "revision": self.known_endpoints.revision,
+                "servers": self.known_endpoints.rows.len(),
+            },
+            "classes": classes,
+            "shards": deployment.shards,
+            "opensearch": {
+                "listen": address(self.opensearch_listen),
+                "indices": self.effective_indices(),
+            },
+            "backend": keyword(&self.backend),
+            "log": {
+                "level": keyword(&self.log.level),
+                "format": keyword(&self.log.format),
+                "tally_s": self.log.metrics_interval_s,
+            },
+            "peers": self.cluster.as_ref().map(cluster),
+            "contract": self.contracts.iter().map(contract).collect::<Map<_, _>>(),
+        })
+    }
+
+    fn effective_limits(&self) -> Value {
+        json!({
+            "clients": self.limits.active_clients,
+            "kept": self.limits.idle_clients,
+            "accepted": self.limits.accepted_clients,
+            "links": self.limits.server_connections,
+        })
+    }
+
+    fn effective_indices(&self) -> Vec<Value> {
+        let class_names = &self.served.deployment.class_names;
+        let index = |index: &Index| {
+            json!({
+                "name": index.name,
+                "class": class_names.get(index.class),
+                "shards": [index.first, index.last],
+            })
+        };
+        self.served.indices.iter().map(index).collect()
+    }
+}
+
+fn class(offered: OfferedClass) -> Value {
+    let class = offered.class;
+    json!({
+        "name": offered.name,
+        "aim_s": class.latency_objective,
+        "deadline_s": class.deadline,
+        "least_share": class.minimum_share,
+        "may_run_twice": class.idempotency != Idempotency::AtMostOnce,
+    })
+}
+
+fn endpoint_files(settings: &EndpointFilesSettings) -> Value {
+    let state_dir = settings.state_dir.as_ref();
+    json!({
+        "path": settings.path.display().to_string(),
+        "state": state_dir.map(|path| path.display().to_string()),
+        "shrink": settings.max_removed_share,
+    })
+}
+
+fn cluster(settings: &ClusterSettings) -> Value {
+    let seeds = settings.seeds.iter().map(SocketAddr::to_string);
+    json!({
+        "listen": settings.listen.to_string(),
+        "advertise": address(settings.advertise),
+        "cluster": settings.cluster,
+        "room": settings.room,
+        "offers": settings.offers,
+        "group": settings.group.len(),
+        "seeds": seeds.collect::<Vec<_>>(),
+    })
+}
+
+fn contract((interface, settings): &(Interface, ContractSettings)) -> (String, Value) {
+    let description = json!({
+        "mode": settings.mode,
+        "share": settings.share,
+        "description": settings.path.display().to_string(),
+    });
+    (interface.to_string(), description)
+}
+
+fn address(address: Option<SocketAddr>) -> Option<String> {
+    address.map(|address| address.to_string())
+}
+
+/// An enum's value as the project's own file spells it.
+fn keyword(value: &dyn Debug) -> String {
+    format!("{value:?}").to_lowercase()
+}
--- /dev/null
+++ b/crates/coordinator/src/configuration/opensearch.rs
@@ -0,0 +1,112 @@
+//! `[opensearch]`: the second front and its indices.
+
+use super::error::{ProjectFileError, ValueError};
+use super::project_file::ProjectFile;
+use crate::messages::Index;
+use cairnroad_settings::Deployment;
+use serde::Deserialize;
+use std::net::SocketAddr;
+
+/// The table as it stands in the file.
+#[derive(Default, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct OpenSearchTable {
+    /// Whether the second front is on.
+    #[serde(default)]
+    pub enabled: bool,
+    /// Where it listens.
+    pub listen: Option<String>,
+    /// The indices; none: each class is one.
+    #[serde(default)]
+    pub index: Vec<IndexTable>,
+}
+
+/// One `[[opensearch.index]]`.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct IndexTable {
+    name: String,
+    class: String,
+    shards: Option<[u32; 2]>,
+}
+
+/// Where the second front listens; `None` if it is off.
+pub fn listen_address(
+    enabled: bool,
+    listen: Option<String>,
+    file: &ProjectFile,
+) -> Result<Option<SocketAddr>, ProjectFileError> {
+    const KEY: &str = "opensearch.listen";
+    if !enabled {
+        return Ok(None);
+    }
+    match listen {
+        Some(listen) => file.address(KEY, listen).map(Some),
+        None => Err(file.error(KEY, ValueError::RequiredBy("opensearch.enabled"))),
+    }
+}
+
+/// The indices that the file names; where it names none, each class is an index over all shards.
+pub fn indices(
+    tables: Vec<IndexTable>,
+    deployment: &Deployment,
+    file: &ProjectFile,
+) -> Result<Vec<Index>, ProjectFileError> {
+    let last_shard = deployment.shards.saturating_sub(1);
+    if tables.is_empty() {
+        let classes = deployment.class_names.iter().enumerate();
+        let index = |(class, name): (usize, &String)| Index {
+            name: name.clone(),
+            class,
+            first: 0,
+            last: last_shard,
+        };
+        return Ok(classes.map(index).collect());
+    }
+    tables
+        .into_iter()
+        .map(|table| index(table, last_shard, deployment, file))
+        .collect()
+}
+
+fn index(
+    table: IndexTable,
+    last_shard: u32,
+    deployment: &Deployment,
+    file: &ProjectFile,
+) -> Result<Index, ProjectFileError> {
+    let IndexTable {
+        name,
+        class,
+        shards,
+    } = table;
+    let Some(class) = deployment
+        .class_names
+        .iter()
+        .position(|other| *other == class)
+    else {
+        return Err(file.error("opensearch.index.class", ValueError::UnknownClass(class)));
+    };
+    let [first, last] = shards.unwrap_or([0, last_shard]);
+    if first > last || last > last_shard {
+        let error = ValueError::UnknownShards {
+            index: name,
+            last_shard,
+        };
+        return Err(file.error("opensearch.index.shards", error));
+    }
+    if !is_index_name(&name) {
+        return Err(file.error("opensearch.index.name", ValueError::InvalidIndexName(name)));
+    }
+    Ok(Index {
+        name,
+        class,
+        first,
+        last,
+    })
+}
+
+/// Paths, lists of indices, wildcards and the API's own names, which begin with `_`, can't be index names.
+fn is_index_name(name: &str) -> bool {
+    !name.is_empty() && !name.starts_with('_') && !name.contains(['/', ',', '*', '?'])
+}
--- /dev/null
+++ b/crates/coordinator/src/configuration/tests.rs
@@ -0,0 +1,190 @@
+//! Tests of the configuration, and samples of it for other modules' tests.
+
+use super::build::build;
+use super::error::ContentError;
+use super::limits::DEFAULT_SOCKETS;
+use super::project_file::ProjectFile;
+use super::{BackendKind, Config, ContractSettings, Limits};
+use cairnroad_contract::decide::Mode;
+use cairnroad_contract::drift::Interface;
+use std::path::Path;
+
+const SETTINGS: &str = r#"{"classes":[
+    {"name":"stock-search","aimS":1.0,"deadlineS":2.0,"effect":"idempotent","value":3.0,"lateShare":0.3},
+    {"name":"pick-confirm","aimS":1.0,"deadlineS":2.5,"effect":"at_most_once","value":1.0,"lateShare":0.3}],
+    "groupSize":1,"registryMode":"pushed","tickS":0.005,"report":{"how":"piggyback","names":["queue","latency_ms"]},
+    "extra":{"positions":2,"span":1,"shards":8,"partsACall":8,"needByClass":[1.0,1.0],"minShare":[0.8,1.0],
+    "partialEarns":[0.9,0.9],"fetchParts":[0,0]},"caps":{"attemptsCap":3,"cancel":true,"secondCopies":true,
+    "probes":true,"retryAfter":false,"maxRetryAfterS":2.0,"openCap":60,"dialTimeoutS":0.25,"keepaliveS":15.0,
+    "streamsPerConn":32},"safety":{"coldFrom":0.23,"warmUpS":16.0,"stopSendingWithinS":0.25,"fallMultiple":2.5,
+    "fallS":1.0}}"#;
+
+fn json(settings: &str) -> String {
+    format!(
+        r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ff","settings":{settings}}}"#
+    )
+}
+
+/// A configuration for other modules' tests.
+pub fn sample() -> Config {
+    with_project_file("")
+}
+
+/// The same with a project's own file, which stands in the folder `d`.
+pub fn with_project_file(text: &str) -> Config {
+    let folder = Path::new("d");
+    build_in(folder, &json(SETTINGS), text).unwrap()
+}
+
+fn build_in(
+    folder: &Path,
+    deployment_text: &str,
+    project_text: &str,
+) -> Result<Config, ContentError> {
+    let project_file = ProjectFile {
+        text: project_text,
+        folder,
+    };
+    build(deployment_text.as_bytes(), &project_file, &|_| None)
+}
+
+#[test]
+fn defaults_apply_to_keys_that_are_not_stated() {
+    let config = sample();
+    assert_eq!(
+        (config.seed, config.opensearch_listen, config.backend),
+        (255, None, BackendKind::Frames)
+    );
+    assert!(
+        config.limits.accepted_clients + config.limits.server_connections + 64 <= DEFAULT_SOCKETS
+    );
+    assert_eq!(
+        config.served.deployment.policy.max_retry_after,
+        Some(2.0),
+        "every rejection carries a Retry-After"
+    );
+}
+
+/// Guards against idle connections, used once, that take all descriptors of the clients.
+#[test]
+fn idle_connections_leave_descriptors_for_active_clients() {
+    for (sockets, memory) in [(256, 32), (384, 48), (1024, 128), (1024, 32)] {
+        let limits = Limits::new(memory, sockets);
+        assert!(limits.idle_clients * 3 / 2 <= sockets / 3, "{limits:?}");
+        assert!(
+            limits.accepted_clients + limits.server_connections + sockets / 16 <= sockets,
+            "{limits:?}"
+        );
+    }
+}
+
+/// Guards against a connection pool smaller than the fleet: deployments of 512 descriptors have up to 190 servers, and
+/// round robin over replicas uses all of them.
+#[test]
+fn a_coordinator_keeps_a_connection_to_each_server_of_a_large_fleet() {
+    for (sockets, servers) in [(512, 190), (1024, 380)] {
+        assert!(
+            Limits::new(64, sockets).server_connections >= servers,
+            "{:?}",
+            Limits::new(64, sockets)
+        );
+    }
+}
+
+#[test]
+fn keys_that_need_a_restart_are_named() {
+    let read = |text: String| build_in(Path::new(""), &text, "").unwrap();
+    let (old, text) = (sample(), json(SETTINGS));
+    assert!(old
+        .needs_restart(&read(text.replace("127.0.0.1:1", "127.0.0.1:2")))
+        .is_empty());
+    assert_eq!(
+        old.needs_restart(&read(text.replace("\"n1\"", "\"n2\""))),
+        ["name"]
+    );
+    // A key with a default may be left out of a first file, not of a later one.
+    let shortened = read(text.replace(r#""dialTimeoutS":0.25,"#, ""));
+    assert_eq!(
+        old.key_missing_in(&shortened).as_deref(),
+        Some("settings.caps.dialTimeoutS")
+    );
+    assert_eq!(
+        (
+            shortened.key_missing_in(&old),
+            old.key_missing_in(&sample())
+        ),
+        (None, None)
+    );
+}
+
+#[test]
+fn errors_name_the_key_and_its_line() {
+    let fault = |json: String, own: &str| {
+        let fault = build_in(Path::new(""), &json, own).unwrap_err();
+        let line = match &fault {
+            ContentError::Deployment(_) => None,
+            ContentError::Project(fault) => fault.line(),
+        };
+        format!("{}:{fault}", line.unwrap_or(0))
+    };
+    assert!(fault(json(SETTINGS).replace("127.0.0.1:0", "nowhere"), "").contains("'listen'"));
+    assert!(fault(json(SETTINGS).replace("\"ff\"", "\"xyz\""), "").contains("'seed'"));
+    assert!(fault(json(SETTINGS).replace("\"discovery\"", "\"d\""), "").contains("NODE_DISCOVERY"));
+    assert!(fault(json(&SETTINGS.replace("tickS", "tick")), "").contains("tickS"));
+    assert!(fault(json(SETTINGS), "[opensearch]\nenabled = true").contains("opensearch.listen"));
+    assert!(fault(json(SETTINGS), "[opensearch]\nport = 3").contains("port"));
+    assert!(fault(json(SETTINGS), "[backend]\nkind = \"soap\"").starts_with("2:"));
+    let own = "[contract.query]\nmode = \"observe\"\nshare = 1.5\ndescription = \"q.yaml\"";
+    let cause = "3:'contract.query.share': 1.5 is not above 0 and 1 at most";
+    assert_eq!(fault(json(SETTINGS), own), cause);
+    for (key, value, cause) in [
+        ("listen", "\"nowhere\"", "is not an address"),
+        ("advertise", "\"10.0.0.1:0\"", "nobody can send to port 0"),
+        ("cluster", "\"a b\"", "can't be a name"),
+        ("group", "[\"n[3-1]\"]", "a range is written as"),
+        ("group", "[\"n2\"]", "'n1', the name of this coordinator"),
+        ("group", "[]", "the group names nobody"),
+        ("seeds", "[\"x\"]", "is not an address"),
+        (
+            "offers",
+            "[\"1\",\"2\",\"3\",\"4\",\"5\",\"6\",\"7\",\"8\",\"9\"]",
+            "more than 8",
+        ),
+    ] {
+        let valid = [
+            ("listen", "\"127.0.0.1:0\""),
+            ("cluster", "\"c\""),
+            ("group", "[\"n[1-3]\"]"),
+        ];
+        let rest = valid.iter().filter(|(other, _)| *other != key);
+        let rest: String = rest
+            .map(|(key, value)| format!("{key} = {value}\n"))
+            .collect();
+        let own = format!("[peers]\nenabled = true\n{key} = {value}\n{rest}");
+        let message = fault(json(SETTINGS), &own);
+        assert!(
+            message.starts_with(&format!("3:'peers.{key}': ")) && message.contains(cause),
+            "{message}"
+        );
+    }
+    assert!(fault(json(SETTINGS), "[peers]\nenabled = true").starts_with("1:'peers.listen'"));
+    let own = "[log]\n\n[contract.servers]\nmode = \"enforce\"";
+    assert!(fault(json(SETTINGS), own).starts_with("3:'contract.servers.description'"));
+    let own = "[contract.discovery]\nmode = \"enforce\"\ndescription = \"d.yaml\"";
+    assert!(fault(json(SETTINGS), own).starts_with("2:'contract.discovery.mode'"));
+}
+
+#[test]
+fn a_description_path_is_relative_to_the_project_file() {
+    let config =
+        with_project_file("[contract.query]\nmode = \"observe\"\ndescription = \"q.yaml\"");
+    let settings = ContractSettings {
+        mode: Mode::Observe,
+        share: 1.0,
+        path: "d/q.yaml".into(),
+    };
+    assert_eq!(config.contracts, [(Interface::Query, settings)]);
+    assert!(with_project_file("[contract.query]\nmode = \"off\"")
+        .contracts
+        .is_empty());
+}
--- a/crates/coordinator/src/connections/pool.rs
+++ b/crates/coordinator/src/connections/pool.rs
@@ -140,7 +140,7 @@
         clock: Clock,
         core: mpsc::Sender<Message>,
     ) -> Self {
-        let deployment = &config.offer.deployment;
+        let deployment = &config.served.deployment;
         // HTTP/1.1 carries one request at a time, and a search is a request of its own.
         let (streams, batch) = match config.backend {
             BackendKind::Frames => {
@@ -154,7 +154,7 @@
         };
         Pool {
             kind: config.backend,
-            most_links: config.limits.links,
+            most_links: config.limits.server_connections,
             streams,
             batch,
             dial_timeout: deployment.connect_timeout,
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -453,7 +453,7 @@
 #[test]
 fn sweeps_and_silence_follow_from_the_settings() {
     let mut deployment = crate::configuration::tests::sample()
-        .offer
+        .served
         .deployment
         .clone();
     for keepalive in [0.2, 1.0, 1.6, 15.0, 60.0] {
--- a/crates/coordinator/src/contract.rs
+++ b/crates/coordinator/src/contract.rs
@@ -3,7 +3,7 @@
 //! under `enforce` in place, before anything is done with them.
 
 use crate::clock::Clock;
-use crate::configuration::{BackendKind, Plan};
+use crate::configuration::{BackendKind, ContractSettings};
 use crate::http;
 use crate::messages::{ContractsInForce, EndpointEntry};
 use cairnroad_contract::check::{Answered, Asked, Departure};
@@ -120,10 +120,10 @@
 
 /// Reads the descriptions that a configuration names. This takes files and time: not for the core's thread.
 pub fn read(
-    plans: &[(Interface, Plan)],
+    plans: &[(Interface, ContractSettings)],
     backend: BackendKind,
 ) -> Vec<(Interface, Result<Held, String>)> {
-    let one = |interface: Interface, plan: &Plan| {
+    let one = |interface: Interface, plan: &ContractSettings| {
         let description = Description::open(&plan.path).map_err(|faults| faults.to_string())?;
         let wanted = match (interface, backend) {
             (Interface::Platform | Interface::Query, _)
--- a/crates/coordinator/src/discovery/file_source.rs
+++ b/crates/coordinator/src/discovery/file_source.rs
@@ -1,7 +1,7 @@
 //! The list of servers from watched files: a thread of its own watches, reads and keeps; what is decided about it
 //! stands in `cairnroad_endpoint_files`. The core is told whole lists, as by discovery.
 
-use crate::configuration::Source;
+use crate::configuration::EndpointFilesSettings;
 use crate::messages::{EndpointEntry, EndpointListUpdate, Message};
 use cairnroad_endpoint_files::decide::{judge, Verdict};
 use cairnroad_endpoint_files::keep::{keep, recover, Folder, Kept};
@@ -108,7 +108,7 @@
 
 /// The thread's state.
 struct Keeper {
-    source: Source,
+    source: EndpointFilesSettings,
     core: mpsc::Sender<Message>,
     schedule: Schedule,
     in_force: Option<Roster>,
@@ -126,7 +126,7 @@
 }
 
 /// Starts the thread. It ends with the core.
-pub fn start(source: Source, core: mpsc::Sender<Message>) -> Result<(), String> {
+pub fn start(source: EndpointFilesSettings, core: mpsc::Sender<Message>) -> Result<(), String> {
     let keeper = Keeper {
         source,
         core,
@@ -200,7 +200,7 @@
 
     /// Finds the list that was kept.
     fn begin(&mut self) {
-        let Some(folder) = self.source.state.clone() else {
+        let Some(folder) = self.source.state_dir.clone() else {
             return;
         };
         let (kept, wrong) = recover(&Folder(folder.clone()));
@@ -226,7 +226,7 @@
                         Some(&roster),
                         &fresh,
                         &self.source.layout,
-                        self.source.shrink
+                        self.source.max_removed_share
                     ),
                     Verdict::Refuse(_)
                 ) => {}
@@ -264,7 +264,7 @@
                     self.in_force.as_ref(),
                     &roster,
                     &self.source.layout,
-                    self.source.shrink,
+                    self.source.max_removed_share,
                 );
                 if verdict == Verdict::Take {
                     self.clear = before;
@@ -312,7 +312,7 @@
             *started = server.started.or(*started);
         }
         self.started.retain(|id, _| roster.servers.contains_key(id));
-        if let Some(folder) = self.source.state.clone() {
+        if let Some(folder) = self.source.state_dir.clone() {
             match keep(&mut Folder(folder.clone()), self.slot, &roster, now) {
                 Ok(slot) => (self.slot, self.unkept) = (Some(slot), 0),
                 Err(e) => {
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -58,7 +58,7 @@
     let Ok(listener) = listener.into_std() else {
         return;
     };
-    while front.places.open() < front.limits.accepted {
+    while front.places.open() < front.limits.accepted_clients {
         let Ok((stream, _)) = listener.accept() else {
             return;
         };
@@ -73,7 +73,7 @@
 
 async fn accept(listener: &TcpListener, front: &Rc<Front>) {
     // At the hard limit nobody is accepted: what waits in the backlog is taken once one leaves.
-    while front.places.open() >= front.limits.accepted {
+    while front.places.open() >= front.limits.accepted_clients {
         front.places.make_room(front.clock.now());
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -91,7 +91,7 @@
     // Two leave for each that comes until there is room: one alone would never win back what was lost
     // while all were too young to leave.
     for _ in 0..2 {
-        if front.places.open() > front.limits.kept {
+        if front.places.open() > front.limits.idle_clients {
             front.places.make_room(front.clock.now());
         }
     }
@@ -132,7 +132,7 @@
             }
         };
         let (arrived, begun) = (front.clock.earliest_arrival(), Instant::now());
-        let crowded = front.places.busy() > front.limits.clients;
+        let crowded = front.places.busy() > front.limits.active_clients;
         let asked_to_close = request.close;
         let judge = front.contracts.current();
         let watched = hold_against(front, &judge, &request);
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -62,11 +62,11 @@
             .map_err(|e| format!("SIGTERM: {e}"))?;
         let hangups =
             signals::Kept::new(signal_hook::consts::SIGHUP).map_err(|e| format!("SIGHUP: {e}"))?;
-        let config = configuration::load(variable)?;
+        let config = configuration::load().map_err(|error| error.to_string())?;
         observability::log::start(config.log.level, config.log.format);
         // Before anything else opens a descriptor or starts a thread.
         let inherited = config
-            .inherited
+            .inherited_listener
             .map(socket_activation::listener)
             .transpose()?;
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -84,10 +84,6 @@
     }
 }
 
-fn variable(name: &str) -> Option<String> {
-    std::env::var(name).ok()
-}
-
 /// Rereads the configuration at each SIGHUP, whose default action would end the program, and passes on what
 /// takes effect live. A faulty file changes nothing.
 async fn reload(
@@ -98,14 +94,14 @@
     core: mpsc::Sender<Message>,
 ) {
     while hangups.recv().await.is_some() {
-        let fresh = match configuration::load(variable) {
+        let fresh = match configuration::load().map_err(|error| error.to_string()) {
             Ok(fresh) => fresh,
             Err(text) => {
                 tracing::error!(cause = text, "reload: the old settings stay");
                 continue;
             }
         };
-        if let Some(key) = config.lacked_by(&fresh) {
+        if let Some(key) = config.key_missing_in(&fresh) {
             tracing::error!(
                 key,
                 "reload: the file lacks a key that the one in force has: the old settings stay"
@@ -113,7 +109,7 @@
             continue;
         }
         match retune(&core, &fresh).await {
-            Ok(offer) => config.offer = offer,
+            Ok(offer) => config.served = offer,
             Err(cause) => {
                 tracing::error!(cause, "reload: the old settings stay");
                 continue;
@@ -134,7 +130,8 @@
         if let Err(text) = adopt(&contracts, &fresh).await {
             tracing::error!(cause = text, "reload: the descriptions in force stay");
         }
-        (config.discovery, config.stated) = (fresh.discovery, fresh.stated);
+        (config.discovery, config.deployment_document) =
+            (fresh.discovery, fresh.deployment_document);
     }
 }
 
@@ -144,7 +141,7 @@
     fresh: &configuration::Config,
 ) -> Result<Arc<ServedConfiguration>, String> {
     let (reply, taken) = oneshot::channel();
-    let offer = Box::new(ServedConfiguration::clone(&fresh.offer));
+    let offer = Box::new(ServedConfiguration::clone(&fresh.served));
     core.send(Message::Reconfigure(offer, reply))
         .await
         .map_err(|_| "the core ended")?;
@@ -180,7 +177,7 @@
 ) -> Result<(), String> {
     let mut stop = Signal::new(stop).map_err(|e| format!("SIGTERM: {e}"))?;
     let hangups = Signal::new(hangups).map_err(|e| format!("SIGHUP: {e}"))?;
-    let clock = Clock::new(config.offer.deployment.policy.tick);
+    let clock = Clock::new(config.served.deployment.policy.tick);
     let contracts = Rc::new(Contracts::new(
         clock.clone(),
         published_descriptions::pages(&config),
@@ -194,12 +191,12 @@
     let (deaf, deafs) = watch::channel(false);
     let phase = Rc::new(phase);
     let places = Rc::new(fronts::client_connections::ClientConnections::default());
-    let (offer, offers) = watch::channel(config.offer.clone());
+    let (offer, offers) = watch::channel(config.served.clone());
     let shared = inherited.is_some();
     let mut inherited = inherited;
     let addresses = [
         (Some(config.listen), Kind::Platform),
-        (config.opensearch, Kind::OpenSearch),
+        (config.opensearch_listen, Kind::OpenSearch),
     ];
     let mut listeners = Vec::new();
     for (address, kind) in addresses {
@@ -243,7 +240,7 @@
             fronts::listen(listener, Rc::new(front), deaf).await;
         }));
     }
-    tell_classes(&config.offer);
+    tell_classes(&config.served);
     let mut core = Core::new(
         &config,
         contracts.clone(),
@@ -253,7 +250,7 @@
         phase.clone(),
         offer,
     );
-    let peers = match &config.peers {
+    let peers = match &config.cluster {
         None => None,
         Some(settings) => {
             let (tell, doubts) = watch::channel((Vec::new(), 0));
@@ -275,7 +272,7 @@
             ))
         }
     };
-    if let Some(address) = config.admin {
+    if let Some(address) = config.admin_listen {
         let fault = |cause: std::io::Error| format!("admin: listen on {address}: {cause}");
         let listener = TcpListener::bind(address).await.map_err(fault)?;
         tracing::info!(address = %listener.local_addr().map_err(fault)?, "operators' calls are taken");
@@ -288,14 +285,14 @@
     }
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let (agent, agents) = watch::channel(config.discovery.unwrap_or(nowhere));
-    match config.files.clone() {
+    match config.endpoint_files.clone() {
         Some(source) => discovery::file_source::start(source, to_core.clone())?,
         None => {
             let watch = discovery::watch(agents, to_core.clone(), contracts.clone(), clock.clone());
             tokio::task::spawn_local(watch);
         }
     }
-    let core = tokio::task::spawn_local(core.run(config.offer.deployment.policy.tick));
+    let core = tokio::task::spawn_local(core.run(config.served.deployment.policy.tick));
     tokio::task::spawn_local(reload(hangups, config, agent, contracts, to_core.clone()));
     tokio::select! {
         _ = stop.recv() => {}
--- a/crates/coordinator/src/observability/log.rs
+++ b/crates/coordinator/src/observability/log.rs
@@ -17,7 +17,7 @@
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Form {
+pub enum LineFormat {
     #[default]
     Text,
     Json,
@@ -76,7 +76,7 @@
 /// A format whose lines are limited in rate.
 struct Limited<F> {
     inner: F,
-    form: Form,
+    form: LineFormat,
     bucket: Mutex<Bucket>,
 }
 
@@ -101,10 +101,10 @@
         match (admitted, self.form) {
             (None, _) => return Ok(()),
             (Some(0), _) => {}
-            (Some(held), Form::Text) => {
+            (Some(held), LineFormat::Text) => {
                 writeln!(writer, "held_back={held} lines before the next one")?
             }
-            (Some(held), Form::Json) => {
+            (Some(held), LineFormat::Json) => {
                 writeln!(writer, "{{\"level\":\"WARN\",\"held_back\":{held}}}")?
             }
         }
@@ -113,7 +113,7 @@
 }
 
 /// Sets the log up for the program's life. Events before this are written nowhere.
-pub fn start(level: Level, form: Form) {
+pub fn start(level: Level, form: LineFormat) {
     let bucket = || Mutex::new(Bucket::FULL);
     let build = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
@@ -121,7 +121,7 @@
         .with_ansi(false);
     // A second log in one process, as in tests, is none.
     let _ = match form {
-        Form::Text => {
+        LineFormat::Text => {
             let inner = Format::default().with_target(false).with_ansi(false);
             tracing::subscriber::set_global_default(
                 build
@@ -133,7 +133,7 @@
                     .finish(),
             )
         }
-        Form::Json => {
+        LineFormat::Json => {
             let inner = Format::default()
                 .json()
                 .flatten_event(true)
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -82,8 +82,8 @@
         offer: watch::Sender<Arc<ServedConfiguration>>,
     ) -> Self {
         let now = clock.now();
-        let mut wheel = TimerWheel::new(now, config.offer.deployment.policy.tick);
-        let sweep = pool::sweep_every(&config.offer.deployment);
+        let mut wheel = TimerWheel::new(now, config.served.deployment.policy.tick);
+        let sweep = pool::sweep_every(&config.served.deployment);
         wheel.insert(now + sweep, Timer::Sweep);
         let mut core = Core {
             clock: clock.clone(),
@@ -99,18 +99,18 @@
             offer,
             started: now,
             fresh_list: false,
-            tally: Metrics::new(f64::from(config.log.tally_s), now),
-            warm_up: config.offer.deployment.policy.slow_start_duration,
+            tally: Metrics::new(f64::from(config.log.metrics_interval_s), now),
+            warm_up: config.served.deployment.policy.slow_start_duration,
             sweep,
             bans: Suspensions::default(),
             shelf: config
-                .admin
-                .map(|_| SuspensionStore::new(config.passing.as_deref(), &config.name)),
+                .admin_listen
+                .map(|_| SuspensionStore::new(config.shared_dir.as_deref(), &config.name)),
             peers: None,
         };
         // Before any list: what an earlier process was told must hold from the first send on.
         core.look(now);
-        core.note_news(&config.known, true);
+        core.note_news(&config.known_endpoints, true);
         core
     }
 
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -95,7 +95,7 @@
             next: 1,
             ..RequestTable::default()
         };
-        book.retune(&config.offer.deployment);
+        book.retune(&config.served.deployment);
         book
     }
 
--- a/crates/coordinator/src/pipeline/request_table/tests.rs
+++ b/crates/coordinator/src/pipeline/request_table/tests.rs
@@ -6,7 +6,7 @@
 /// A table for a deployment whose classes all have this effect, window and deadline.
 fn book(effect: Idempotency, window: f64, deadline: f64) -> RequestTable {
     let config = crate::configuration::tests::sample();
-    let mut deployment = config.offer.deployment.clone();
+    let mut deployment = config.served.deployment.clone();
     for class in &mut deployment.policy.classes {
         (class.idempotency, class.dedup_window, class.deadline) = (effect, window, deadline);
     }
@@ -104,7 +104,7 @@
     for (tick, late, early) in [(0.005, 0.04, 0.06), (0.04, 0.18, 0.22)] {
         let start = Time::from_secs(100.0);
         let config = crate::configuration::tests::sample();
-        let mut deployment = config.offer.deployment.clone();
+        let mut deployment = config.served.deployment.clone();
         deployment.policy.tick = tick;
         let mut book = RequestTable::new(&config);
         book.retune(&deployment);
--- a/crates/coordinator/src/pipeline/routing.rs
+++ b/crates/coordinator/src/pipeline/routing.rs
@@ -14,7 +14,7 @@
 
 impl RoutingStage {
     pub fn new(config: &Config) -> Self {
-        let policy = config.offer.deployment.policy.clone();
+        let policy = config.served.deployment.policy.clone();
         let aims = policy
             .classes
             .iter()
--- a/crates/coordinator/src/pipeline/tests.rs
+++ b/crates/coordinator/src/pipeline/tests.rs
@@ -20,12 +20,12 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let config = crate::configuration::tests::sample();
         let (clock, (asks, asked)) = (
-            Clock::new(config.offer.deployment.policy.tick),
+            Clock::new(config.served.deployment.policy.tick),
             mpsc::channel(4),
         );
         let contracts = Rc::new(Contracts::new(clock.clone(), Default::default()));
         let phase = Rc::new(watch::channel(Phase::Starting).0);
-        let offer = watch::channel(config.offer.clone()).0;
+        let offer = watch::channel(config.served.clone()).0;
         let (messages, told) = mpsc::channel(64);
         let core = Core::new(
             &config,
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -9,7 +9,7 @@
 
 /// The surface of a configuration.
 pub fn of(config: &Config) -> Surface {
-    let deployment = &config.offer.deployment;
+    let deployment = &config.served.deployment;
     let class_name = |class: usize| {
         deployment
             .class_names
@@ -20,7 +20,7 @@
     Surface {
         version: env!("CARGO_PKG_VERSION").into(),
         listen: config.listen.to_string(),
-        query: config.opensearch.map(|address| address.to_string()),
+        query: config.opensearch_listen.map(|address| address.to_string()),
         classes: deployment
             .offered_classes()
             .map(
@@ -35,7 +35,7 @@
             .collect(),
         shards: deployment.shards,
         indices: config
-            .offer
+            .served
             .indices
             .iter()
             .map(|index| Index {
