--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -26,6 +26,7 @@
 pub use config::Config;
 pub use contracts::ContractSettings;
 pub use endpoint_files::EndpointFilesSettings;
+pub use error::ConfigError;
 pub use limits::Limits;
 pub use load::load;
 pub use project_file::{BackendKind, LogSettings};
--- /dev/null
+++ b/crates/coordinator/src/server/start.rs
@@ -0,0 +1,133 @@
+//! Construction of the program: each part is started by a function of its own, in the order of [`serve`].
+
+use super::context::{Context, CoreChannels};
+use super::error::{ServerError, Signal};
+use super::listeners::ClientListeners;
+use super::reload::{log_offered_classes, Reloader};
+use super::{descriptions, shutdown, Signals};
+use crate::clock::Clock;
+use crate::cluster::{self, Peers};
+use crate::configuration::Config;
+use crate::pipeline::Core;
+use crate::signals::SignalStream;
+use crate::{admin_api, discovery};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+
+/// Stands for the discovery agent's address where the endpoint list is read from files.
+const NO_AGENT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+
+/// Starts all parts, then waits for SIGTERM and shuts down.
+pub async fn serve(
+    config: Config,
+    inherited_listener: Option<std::net::TcpListener>,
+    signals: Signals,
+) -> Result<(), ServerError> {
+    let mut terminate = SignalStream::new(signals.terminate)
+        .map_err(|source| ServerError::signal(Signal::Terminate, source))?;
+    let hangups = SignalStream::new(signals.hangup)
+        .map_err(|source| ServerError::signal(Signal::Hangup, source))?;
+    let tick = config.served.deployment.policy.tick;
+    let clock = Clock::new(tick);
+    let contracts = descriptions::start(&config, &clock).await?;
+    let (context, core_channels) = Context::new(&config, clock, contracts);
+    let listeners = ClientListeners::start(&config, inherited_listener, &context).await?;
+    log_offered_classes(&config.served);
+    let mut core = build_core(&config, &context, core_channels);
+    let cluster = join_cluster(&config, &context, &mut core).await?;
+    start_admin_api(&config, &context, cluster.as_ref()).await?;
+    let agent = start_discovery(&config, &context)?;
+    let core = tokio::task::spawn_local(core.run(tick));
+    let reloader = Reloader::new(config, agent, &context);
+    tokio::task::spawn_local(reloader.run(hangups));
+    tokio::select! {
+        _ = terminate.recv() => {}
+        end = core => return Err(ServerError::CoreEnded(end)),
+    }
+    shutdown::shut_down(&context, &listeners).await;
+    if let Some(cluster) = cluster {
+        cluster.leave().await;
+    }
+    Ok(())
+}
+
+/// Builds the decision loop, which starts with the suspensions and the endpoint list of the previous incarnation.
+fn build_core(config: &Config, context: &Context, channels: CoreChannels) -> Core {
+    Core::new(
+        config,
+        context.contracts.clone(),
+        context.clock.clone(),
+        channels.requests,
+        (context.messages.clone(), channels.messages),
+        context.phase.clone(),
+        channels.served,
+    )
+}
+
+/// Becomes a member of the group of coordinators, if the configuration names one.
+async fn join_cluster(
+    config: &Config,
+    context: &Context,
+    core: &mut Core,
+) -> Result<Option<Rc<Peers>>, ServerError> {
+    let Some(settings) = &config.cluster else {
+        return Ok(None);
+    };
+    let (outliers, outlier_updates) = watch::channel((Vec::new(), 0));
+    core.tell_peers(outliers);
+    let given = cluster::Given {
+        name: config.name.clone(),
+        seed: config.seed,
+        clock: context.clock.clone(),
+        phases: context.phase.subscribe(),
+        doubts: outlier_updates,
+        core: context.messages.clone(),
+    };
+    let peers = cluster::start(settings, given).await?;
+    Ok(Some(Rc::new(peers)))
+}
+
+/// Starts the admin API, if the configuration says where.
+async fn start_admin_api(
+    config: &Config,
+    context: &Context,
+    cluster: Option<&Rc<Peers>>,
+) -> Result<(), ServerError> {
+    let Some(address) = config.admin_listen else {
+        return Ok(());
+    };
+    let error = |source| ServerError::AdminListen { address, source };
+    let listener = TcpListener::bind(address).await.map_err(error)?;
+    let bound = listener.local_addr().map_err(error)?;
+    tracing::info!(address = %bound, "admin API listening");
+    tokio::task::spawn_local(admin_api::listen(
+        listener,
+        context.messages.clone(),
+        context.phase.clone(),
+        cluster.cloned(),
+    ));
+    Ok(())
+}
+
+/// Starts to follow the endpoint list, from files or from the discovery agent. A reload sends the agent's new address
+/// through the returned channel.
+fn start_discovery(
+    config: &Config,
+    context: &Context,
+) -> Result<watch::Sender<SocketAddr>, ServerError> {
+    let agent = watch::Sender::new(config.discovery.unwrap_or(NO_AGENT));
+    let messages = context.messages.clone();
+    match config.endpoint_files.clone() {
+        Some(settings) => discovery::file_source::start(settings, messages)
+            .map_err(|cause| ServerError::EndpointFiles(cause.into()))?,
+        None => {
+            let contracts = context.contracts.clone();
+            let clock = context.clock.clone();
+            let watch = discovery::watch(agent.subscribe(), messages, contracts, clock);
+            tokio::task::spawn_local(watch);
+        }
+    }
+    Ok(agent)
+}
--- a/crates/coordinator/src/signals.rs
+++ b/crates/coordinator/src/signals.rs
@@ -1,42 +1,57 @@
-//! SIGTERM and SIGHUP without a Unix socket. The runtime's own signal driver makes a Unix socket pair at its first
-//! use, while the hosts of the fleet's test take TCP and UDP over IPv4 only, and the program's deployment allows no
-//! Unix socket. Each signal here writes a byte to a pipe of its own from its handler, and the program reads the
-//! pipe's other end when the runtime says it is readable.
+//! SIGTERM and SIGHUP without a Unix socket.
+//!
+//! The runtime's own signal driver makes a Unix socket pair at its first use, which the program's deployment does not
+//! allow: its hosts take TCP and UDP over IPv4 only. Here each signal's handler writes a byte to a pipe of its own,
+//! and the program reads the pipe's other end when the runtime says that it is readable.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use std::io::ErrorKind;
 use std::os::fd::OwnedFd;
 use tokio::net::unix::pipe;
 
-/// One signal's arrivals before there is a runtime to read them.
-pub struct Kept(OwnedFd);
+/// Arrivals read in one go; more make another read.
+const READ_BUFFER_BYTES: usize = 64;
+
+/// A signal that is caught before there is a runtime to wait for it.
+pub struct PendingSignal(OwnedFd);
 
-impl Kept {
-    /// Replaces the signal's default action (for both, the end of the program) by a byte into the pipe, from this moment
-    /// on: a signal that comes while the program starts must not end it. The write end does not block: a pipe that is
-    /// full already tells of an arrival that is not yet read.
-    pub fn new(number: i32) -> std::io::Result<Kept> {
+impl PendingSignal {
+    /// Replaces the signal's default action, which for both is to end the program, by a byte into the pipe.
+    ///
+    /// To be called first of all: a signal that arrives while the program starts must not end it. The write end does
+    /// not block; a pipe that is full already holds an arrival that is not yet read.
+    ///
+    /// # Errors
+    ///
+    /// The system allows no pipe or no handler.
+    pub fn register(number: i32) -> std::io::Result<PendingSignal> {
         let (arrivals, sender) = std::io::pipe()?;
         signal_hook::low_level::pipe::register(number, OwnedFd::from(sender))?;
-        Ok(Kept(arrivals.into()))
+        Ok(PendingSignal(arrivals.into()))
     }
 }
 
-/// One signal's arrivals, as bytes in a pipe.
-pub struct Signal {
+/// The arrivals of one signal.
+pub struct SignalStream {
     arrivals: pipe::Receiver,
 }
 
-impl Signal {
-    /// Reads on where what was kept begins.
-    pub fn new(kept: Kept) -> std::io::Result<Signal> {
-        Ok(Signal {
-            arrivals: pipe::Receiver::from_owned_fd(kept.0)?,
+impl SignalStream {
+    /// Continues with what arrived since the signal was registered. Needs a runtime.
+    ///
+    /// # Errors
+    ///
+    /// The runtime can't watch the pipe.
+    pub fn new(pending: PendingSignal) -> std::io::Result<SignalStream> {
+        Ok(SignalStream {
+            arrivals: pipe::Receiver::from_owned_fd(pending.0)?,
         })
     }
 
-    /// Waits for the next arrival; arrivals since the last call count as one. `None` once the pipe fails.
+    /// Waits for the next arrival; all since the last call count as one. `None` once the pipe fails.
     pub async fn recv(&mut self) -> Option<()> {
-        let mut bytes = [0; 64];
+        let mut bytes = [0; READ_BUFFER_BYTES];
         loop {
             if self.arrivals.readable().await.is_err() {
                 return None;
@@ -44,13 +59,13 @@
             match self.arrivals.try_read(&mut bytes) {
                 Ok(0) => return None,
                 Ok(_) => return Some(()),
-                Err(e)
-                    if e.kind() == ErrorKind::WouldBlock || e.kind() == ErrorKind::Interrupted =>
-                {
-                    continue
-                }
+                Err(error) if is_temporary(error.kind()) => {}
                 Err(_) => return None,
             }
         }
     }
 }
+
+fn is_temporary(kind: ErrorKind) -> bool {
+    kind == ErrorKind::WouldBlock || kind == ErrorKind::Interrupted
+}
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -783,8 +783,8 @@
                 let word = line.split(' ').find_map(|word| word.strip_prefix(name));
                 word.map(|word| word.trim_matches('"').to_string())
             };
-            if let Some(address) =
-                field("address=").filter(|_| line.contains("listening") || line.contains("calls"))
+            if let Some(address) = field("address=")
+                .filter(|_| line.contains("listening") || line.contains("admin API"))
             {
                 bound.insert(
                     field("front=").unwrap_or("admin".into()),
--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -496,7 +496,7 @@
     let path = rig.folder.join("servers.yaml");
     std::fs::write(&path, SERVERS.replace("maximum: 60000", "maximum: sixty")).unwrap();
     rig.signal("HUP");
-    rig.wait_for_line("the descriptions in force stay");
+    rig.wait_for_line("descriptions rejected");
     let before = drift(&rig, |_| true);
     assert_eq!(
         (
--- a/crates/coordinator/tests/operation.rs
+++ b/crates/coordinator/tests/operation.rs
@@ -503,7 +503,7 @@
     for cut in [0, 1, sound.len() / 2, sound.len() - 1] {
         std::fs::write(&path, &sound[..cut]).unwrap();
         rig.signal("HUP");
-        rig.wait_for_line("the old settings stay");
+        rig.wait_for_line("reload rejected");
     }
     let before = calls();
     rig.discovery.set_phase(0, "leaving");
--- a/crates/coordinator/tests/serving.rs
+++ b/crates/coordinator/tests/serving.rs
@@ -712,7 +712,7 @@
 fn no_descriptor_of_the_program_is_a_unix_socket() {
     let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Serve), 1000);
     rig.signal("HUP");
-    rig.wait_for_line("reload");
+    rig.wait_for_line("reload applied");
     let listed = std::fs::read_to_string("/proc/net/unix").unwrap();
     let unix: Vec<&str> = listed
         .lines()
--- a/crates/testbed/src/chaos/process.rs
+++ b/crates/testbed/src/chaos/process.rs
@@ -169,7 +169,7 @@
         };
         if line.contains("front=") {
             front = field("address=");
-        } else if line.contains("operators' calls") {
+        } else if line.contains("admin API listening") {
             door = field("address=");
         } else if line.contains("takes part") {
             peers = field("peers=");
