--- /dev/null
+++ b/crates/coordinator/src/commands/contract/diff.rs
@@ -0,0 +1,45 @@
+//! `contract diff`: prints what changed between two descriptions, and for whom it breaks.
+
+use super::open_description;
+use crate::cli::Output;
+use crate::commands::error::CommandError;
+use crate::commands::output::{print, print_json, report};
+use crate::commands::CommandStatus;
+use cairnroad_contract::diff::{self, Change, Weight};
+use cairnroad_contract::model::Description;
+use serde_json::json;
+use std::path::Path;
+
+/// Runs the command.
+pub fn diff(old: &Path, new: &Path, output: Output) -> Result<CommandStatus, CommandError> {
+    let (old, new) = open_both(old, new)?;
+    let changes =
+        diff::diff(&old, &new).map_err(|cause| CommandError::Incomparable(cause.into()))?;
+    print_changes(&changes, output);
+    let is_breaking = |change: &Change| change.weight == Weight::Breaking;
+    Ok(CommandStatus::of(changes.iter().any(is_breaking)))
+}
+
+/// Opens both descriptions. Where both are faulty, both errors are reported.
+fn open_both(old: &Path, new: &Path) -> Result<(Description, Description), CommandError> {
+    match (open_description(old), open_description(new)) {
+        (Err(old_error), Err(new_error)) => {
+            report(&old_error);
+            Err(new_error)
+        }
+        (old, new) => Ok((old?, new?)),
+    }
+}
+
+fn print_changes(changes: &[Change], output: Output) {
+    if output.json {
+        print_json(&json!({ "changes": changes }));
+        return;
+    }
+    if changes.is_empty() {
+        print("no difference\n");
+    }
+    for change in changes {
+        print(&format!("{change}\n"));
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -0,0 +1,125 @@
+//! `contract replay`: checks recorded traffic against a description.
+
+use super::open_description;
+use crate::cli::Output;
+use crate::commands::error::CommandError;
+use crate::commands::output::{print, print_json};
+use crate::commands::CommandStatus;
+use cairnroad_contract::replay::{self, Outcome, MOST_LINE};
+use serde_json::json;
+use std::fmt::Write;
+use std::fs::File;
+use std::io::{self, BufRead, BufReader, Read};
+use std::path::Path;
+
+/// Stands for standard input on the command line.
+const STANDARD_INPUT: &str = "-";
+
+/// Runs the command.
+pub fn replay(
+    description: &Path,
+    traffic: &Path,
+    output: Output,
+) -> Result<CommandStatus, CommandError> {
+    let description = open_description(description)?;
+    let mut lines = Lines {
+        reader: BufReader::new(open_traffic(traffic)?),
+        error: None,
+    };
+    let outcome = replay::replay(&description, &mut lines);
+    if let Some(source) = lines.error {
+        return Err(CommandError::file(traffic, source));
+    }
+    if output.json {
+        print_json(&json!(outcome));
+    } else {
+        print(&report_of(&outcome));
+    }
+    if !outcome.unreadable.is_empty() {
+        return Ok(CommandStatus::Unreadable);
+    }
+    Ok(CommandStatus::of(!outcome.departures.is_empty()))
+}
+
+fn open_traffic(path: &Path) -> Result<Box<dyn Read>, CommandError> {
+    if path.as_os_str() == STANDARD_INPUT {
+        return Ok(Box::new(io::stdin()));
+    }
+    match File::open(path) {
+        Ok(file) => Ok(Box::new(file)),
+        Err(source) => Err(CommandError::file(path, source)),
+    }
+}
+
+/// The lines of a recording. It ends at an error, which is kept.
+struct Lines<R> {
+    reader: R,
+    error: Option<io::Error>,
+}
+
+impl<R: BufRead> Iterator for Lines<R> {
+    type Item = Vec<u8>;
+
+    /// The next line, cut one byte above the limit, so that the replay sees that it is too long.
+    fn next(&mut self) -> Option<Vec<u8>> {
+        let limit = MOST_LINE as u64 + 1;
+        let mut line = Vec::new();
+        let mut limited = self.reader.by_ref().take(limit);
+        match limited.read_until(b'\n', &mut line) {
+            Ok(0) => None,
+            Ok(_) => Some(line),
+            Err(error) => {
+                self.error = Some(error);
+                None
+            }
+        }
+    }
+}
+
+/// The outcome as text: the counts, then each departure, then each line that can't be read.
+fn report_of(outcome: &Outcome) -> String {
+    let mut text = format!(
+        "{} messages, {} departures\n",
+        outcome.messages,
+        outcome.departures.len()
+    );
+    // Writing to a string can't fail.
+    let _ = write_counts(outcome, &mut text)
+        .and_then(|()| write_departures(outcome, &mut text))
+        .and_then(|()| write_unreadable_lines(outcome, &mut text));
+    text
+}
+
+fn write_counts(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
+    for ((operation, place, kind), count) in outcome.table() {
+        let kind = json!(kind);
+        let kind = kind.as_str().unwrap_or("");
+        writeln!(text, "{count:6}  {kind:14} {operation}, {place}")?;
+    }
+    Ok(())
+}
+
+fn write_departures(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
+    for found in &outcome.departures {
+        let departure = &found.departure;
+        writeln!(
+            text,
+            "line {}: {} {}, {}: wanted {}, found {} (see {})",
+            found.line,
+            found.operation,
+            found.side,
+            departure.place,
+            departure.expected,
+            departure.found,
+            departure.described
+        )?;
+    }
+    Ok(())
+}
+
+fn write_unreadable_lines(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
+    for (line, cause) in &outcome.unreadable {
+        writeln!(text, "line {line}: can't be read: {cause}")?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/coordinator/src/commands/contract/show.rs
@@ -0,0 +1,31 @@
+//! `contract show`: prints this coordinator's own description, as it is configured.
+
+use crate::cli::Kind;
+use crate::commands::error::CommandError;
+use crate::commands::output::print;
+use crate::commands::CommandStatus;
+use crate::{configuration, published_descriptions};
+use cairnroad_contract::publish;
+use cairnroad_contract::tree::to_yaml;
+use serde_json::Value;
+
+/// Runs the command.
+pub fn show(kind: Kind, yaml: bool) -> Result<CommandStatus, CommandError> {
+    let config = configuration::load()?;
+    let surface = published_descriptions::of(&config);
+    let document = match kind {
+        Kind::Openapi => publish::openapi(&surface),
+        Kind::Asyncapi => publish::asyncapi(&surface),
+    };
+    let text = match yaml {
+        true => to_yaml(&document),
+        false => indented_json(&document),
+    };
+    print(&text);
+    Ok(CommandStatus::Success)
+}
+
+fn indented_json(document: &Value) -> String {
+    // Every value has a text.
+    serde_json::to_string_pretty(document).unwrap_or_default() + "\n"
+}
--- /dev/null
+++ b/crates/coordinator/src/commands/roster/diff.rs
@@ -0,0 +1,24 @@
+//! `roster diff`: prints what one endpoint list would do in place of another.
+
+use super::{configured_files, read_roster};
+use crate::cli::Output;
+use crate::commands::error::CommandError;
+use crate::commands::output::{print, print_json};
+use crate::commands::CommandStatus;
+use cairnroad_endpoint_files::plan::plan;
+use serde_json::json;
+use std::path::Path;
+
+/// Runs the command; without an old list, on the configured files.
+pub fn diff(new: &Path, old: Option<&Path>, output: Output) -> Result<CommandStatus, CommandError> {
+    let configured = configured_files()?;
+    let old = read_roster(old.unwrap_or(&configured.path))?;
+    let new = read_roster(new)?;
+    let plan = plan(&old, &new, &configured.layout);
+    if output.json {
+        print_json(&json!(plan));
+    } else {
+        print(&plan.to_string());
+    }
+    Ok(CommandStatus::Success)
+}
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -35,9 +35,9 @@
 fn main() -> ExitCode {
     match Cli::parse().command {
         None | Some(Command::Serve) => serve(),
-        Some(Command::CheckConfig(output)) => ExitCode::from(commands::check_config(output)),
-        Some(Command::Roster(command)) => ExitCode::from(commands::roster(command)),
-        Some(Command::Contract(command)) => ExitCode::from(commands::contract(command)),
+        Some(Command::CheckConfig(output)) => commands::check_config(output).into(),
+        Some(Command::Roster(command)) => commands::roster(command).into(),
+        Some(Command::Contract(command)) => commands::contract(command).into(),
     }
 }
 
