--- a/crates/coordinator/src/commands/check_config.rs
+++ b/crates/coordinator/src/commands/check_config.rs
@@ -2,7 +2,7 @@
 
 use super::output::{print, print_json, report};
 use super::CommandStatus;
-use crate::cli::Output;
+use crate::cli::OutputOptions;
 use crate::configuration::{self, Config, ConfigError};
 use crate::contract;
 use cairnroad_contract::tree::to_yaml;
@@ -18,7 +18,7 @@
 }
 
 /// Runs the command.
-pub fn run(output: Output) -> CommandStatus {
+pub fn run(output: OutputOptions) -> CommandStatus {
     match (check(), output.json) {
         (Ok(config), true) => {
             print_json(&json!({"sound": true, "effective": config.effective()}));
--- a/crates/coordinator/src/commands/contract/check.rs
+++ b/crates/coordinator/src/commands/contract/check.rs
@@ -1,7 +1,7 @@
 //! `contract check`: reads descriptions and prints all their faults.
 
 use super::check_readable;
-use crate::cli::Output;
+use crate::cli::OutputOptions;
 use crate::commands::output::{print, print_json, report};
 use crate::commands::CommandStatus;
 use cairnroad_contract::fault::Faults;
@@ -10,13 +10,13 @@
 use std::path::{Path, PathBuf};
 
 /// Runs the command. All files are read, whatever is wrong with one of them; the worst status counts.
-pub fn check(files: &[PathBuf], output: Output) -> CommandStatus {
+pub fn check(files: &[PathBuf], output: OutputOptions) -> CommandStatus {
     files.iter().fold(CommandStatus::Success, |worst, path| {
         worst.or_worse(check_file(path, output))
     })
 }
 
-fn check_file(path: &Path, output: Output) -> CommandStatus {
+fn check_file(path: &Path, output: OutputOptions) -> CommandStatus {
     if let Err(error) = check_readable(path) {
         report(&error);
         return error.status();
@@ -33,7 +33,7 @@
     }
 }
 
-fn print_description(path: &Path, description: &Description, output: Output) {
+fn print_description(path: &Path, description: &Description, output: OutputOptions) {
     let operations = description.operations.len();
     let messages = description.messages.len();
     if output.json {
@@ -63,7 +63,7 @@
     ));
 }
 
-fn print_faults(path: &Path, faults: &Faults, output: Output) {
+fn print_faults(path: &Path, faults: &Faults, output: OutputOptions) {
     if output.json {
         let file = path.display().to_string();
         print_json(&json!({
--- a/crates/coordinator/src/commands/contract/diff.rs
+++ b/crates/coordinator/src/commands/contract/diff.rs
@@ -1,7 +1,7 @@
 //! `contract diff`: prints what changed between two descriptions, and for whom it breaks.
 
 use super::open_description;
-use crate::cli::Output;
+use crate::cli::OutputOptions;
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json, report};
 use crate::commands::CommandStatus;
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 /// Runs the command.
-pub fn diff(old: &Path, new: &Path, output: Output) -> Result<CommandStatus, CommandError> {
+pub fn diff(old: &Path, new: &Path, output: OutputOptions) -> Result<CommandStatus, CommandError> {
     let (old, new) = open_both(old, new)?;
     let changes =
         diff::diff(&old, &new).map_err(|cause| CommandError::Incomparable(cause.into()))?;
@@ -31,7 +31,7 @@
     }
 }
 
-fn print_changes(changes: &[Change], output: Output) {
+fn print_changes(changes: &[Change], output: OutputOptions) {
     if output.json {
         print_json(&json!({ "changes": changes }));
         return;
--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -1,7 +1,7 @@
 //! `contract replay`: checks recorded traffic against a description.
 
 use super::open_description;
-use crate::cli::Output;
+use crate::cli::OutputOptions;
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json};
 use crate::commands::CommandStatus;
@@ -19,7 +19,7 @@
 pub fn replay(
     description: &Path,
     traffic: &Path,
-    output: Output,
+    output: OutputOptions,
 ) -> Result<CommandStatus, CommandError> {
     let description = open_description(description)?;
     let mut lines = Lines {
--- a/crates/coordinator/src/commands/contract/show.rs
+++ b/crates/coordinator/src/commands/contract/show.rs
@@ -1,6 +1,6 @@
 //! `contract show`: prints this coordinator's own description, as it is configured.
 
-use crate::cli::Kind;
+use crate::cli::DescriptionKind;
 use crate::commands::error::CommandError;
 use crate::commands::output::print;
 use crate::commands::CommandStatus;
@@ -10,12 +10,12 @@
 use serde_json::Value;
 
 /// Runs the command.
-pub fn show(kind: Kind, yaml: bool) -> Result<CommandStatus, CommandError> {
+pub fn show(kind: DescriptionKind, yaml: bool) -> Result<CommandStatus, CommandError> {
     let config = configuration::load()?;
     let surface = published_descriptions::of(&config);
     let document = match kind {
-        Kind::Openapi => publish::openapi(&surface),
-        Kind::Asyncapi => publish::asyncapi(&surface),
+        DescriptionKind::Openapi => publish::openapi(&surface),
+        DescriptionKind::Asyncapi => publish::asyncapi(&surface),
     };
     let text = match yaml {
         true => to_yaml(&document),
--- a/crates/coordinator/src/commands/mod.rs
+++ b/crates/coordinator/src/commands/mod.rs
@@ -10,7 +10,7 @@
 mod output;
 mod roster;
 
-use crate::cli;
+use crate::cli::{ContractCommand, OutputOptions, RosterCommand};
 use error::CommandError;
 use std::process::ExitCode;
 
@@ -58,17 +58,17 @@
 }
 
 /// `check-config`
-pub fn check_config(output: cli::Output) -> CommandStatus {
+pub fn check_config(output: OutputOptions) -> CommandStatus {
     check_config::run(output)
 }
 
 /// `contract ...`
-pub fn contract(command: cli::Contract) -> CommandStatus {
+pub fn contract(command: ContractCommand) -> CommandStatus {
     status_of(match command {
-        cli::Contract::Check { files, output } => Ok(contract::check(&files, output)),
-        cli::Contract::Show { kind, yaml } => contract::show(kind, yaml),
-        cli::Contract::Diff { old, new, output } => contract::diff(&old, &new, output),
-        cli::Contract::Replay {
+        ContractCommand::Check { files, output } => Ok(contract::check(&files, output)),
+        ContractCommand::Show { kind, yaml } => contract::show(kind, yaml),
+        ContractCommand::Diff { old, new, output } => contract::diff(&old, &new, output),
+        ContractCommand::Replay {
             description,
             traffic,
             output,
@@ -77,12 +77,12 @@
 }
 
 /// `roster ...`
-pub fn roster(command: cli::Roster) -> CommandStatus {
+pub fn roster(command: RosterCommand) -> CommandStatus {
     status_of(match command {
-        cli::Roster::Check { path, output } => roster::check(path.as_deref(), output),
-        cli::Roster::Diff { new, old, output } => roster::diff(&new, old.as_deref(), output),
-        cli::Roster::Show(output) => roster::show(output),
-        cli::Roster::Apply { new, allow_shrink } => roster::apply(&new, allow_shrink),
+        RosterCommand::Check { path, output } => roster::check(path.as_deref(), output),
+        RosterCommand::Diff { new, old, output } => roster::diff(&new, old.as_deref(), output),
+        RosterCommand::Show(output) => roster::show(output),
+        RosterCommand::Apply { new, allow_shrink } => roster::apply(&new, allow_shrink),
     })
 }
 
--- a/crates/coordinator/src/commands/roster/check.rs
+++ b/crates/coordinator/src/commands/roster/check.rs
@@ -1,7 +1,7 @@
 //! `roster check`: reads an endpoint list and prints all its faults.
 
 use super::{check_exists, configured_files};
-use crate::cli::Output;
+use crate::cli::OutputOptions;
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json};
 use crate::commands::CommandStatus;
@@ -13,7 +13,7 @@
 use std::path::Path;
 
 /// Runs the command; without a path, on the configured files.
-pub fn check(path: Option<&Path>, output: Output) -> Result<CommandStatus, CommandError> {
+pub fn check(path: Option<&Path>, output: OutputOptions) -> Result<CommandStatus, CommandError> {
     let configured = configured_files()?;
     let path = path.unwrap_or(&configured.path);
     check_exists(path)?;
--- a/crates/coordinator/src/commands/roster/show.rs
+++ b/crates/coordinator/src/commands/roster/show.rs
@@ -1,7 +1,7 @@
 //! `roster show`: prints the endpoint list that was kept last.
 
 use super::configured_files;
-use crate::cli::Output;
+use crate::cli::OutputOptions;
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json, report};
 use crate::commands::CommandStatus;
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 /// Runs the command. A snapshot that can't be used is reported; the other one may be good.
-pub fn show(output: Output) -> Result<CommandStatus, CommandError> {
+pub fn show(output: OutputOptions) -> Result<CommandStatus, CommandError> {
     let state_dir = configured_files()?.state_dir;
     let state_dir = state_dir.ok_or(CommandError::NoStateDir)?;
     let (snapshot, faults) = recover(&Folder(state_dir.clone()));
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -1,27 +1,34 @@
-//! `docs/ERRORS.md` is made from the errors' types; the test here fails when it is stale.
+//! Generates `docs/ERRORS.md` from the error types; the test here fails when the page is stale.
 
 use crate::cluster;
 use cairnroad_cluster::{names, Dropped};
-use cairnroad_discovery_watch::Fault as Watch;
+use cairnroad_discovery_watch::Fault as WatchError;
 use cairnroad_settings::SettingsError;
 
-/// How to make the page anew.
-const MADE_BY: &str = "UPDATE_ERRORS=1 cargo test -p cairnroad-coordinator errors_page";
+/// The command that generates the page.
+const GENERATED_BY: &str = "UPDATE_ERRORS=1 cargo test -p cairnroad-coordinator errors_page";
 
-type Row = (String, &'static str);
+/// A row of the page: an example of one cause, and what an operator can do.
+struct Row {
+    message: String,
+    help: &'static str,
+}
 
 fn rows<T: std::fmt::Display>(all: Vec<T>, help: impl Fn(&T) -> &'static str) -> Vec<Row> {
     all.iter()
-        .map(|fault| (fault.to_string(), help(fault)))
+        .map(|error| Row {
+            message: error.to_string(),
+            help: help(error),
+        })
         .collect()
 }
 
-fn io() -> std::io::Error {
+fn address_in_use() -> std::io::Error {
     std::io::Error::from(std::io::ErrorKind::AddrInUse)
 }
 
-/// One of each cause. The matches below fail to compile when a cause is added that is not here.
-fn settings() -> Vec<Row> {
+/// One error of each variant. The matches here and below fail to compile when a variant is added that is not listed.
+fn settings_errors() -> Vec<Row> {
     let all = vec![
         SettingsError::Malformed {
             key: "classes[0].aimS".into(),
@@ -48,7 +55,7 @@
             key: "safety.mustAskInS",
         },
     ];
-    let place = |fault: &SettingsError| match fault {
+    let variant = |error: &SettingsError| match error {
         SettingsError::Malformed { .. } => 0,
         SettingsError::NotPositive { .. } => 1,
         SettingsError::NoClasses => 2,
@@ -57,34 +64,40 @@
         SettingsError::UnknownKeyword { .. } => 5,
         SettingsError::MissingKey { .. } => 6,
     };
-    assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
+    assert!(all
+        .iter()
+        .enumerate()
+        .all(|(index, error)| variant(error) == index));
     rows(all, SettingsError::help)
 }
 
-fn watch() -> Vec<Row> {
+fn watch_errors() -> Vec<Row> {
     let all = vec![
-        Watch::NoConnection { secs: 0.5 },
-        Watch::Io(io()),
-        Watch::Silent { secs: 3.0 },
-        Watch::Closed,
-        Watch::Status(410),
-        Watch::Unreadable("the head is too large"),
-        Watch::NoList("expected value".into()),
+        WatchError::NoConnection { secs: 0.5 },
+        WatchError::Io(address_in_use()),
+        WatchError::Silent { secs: 3.0 },
+        WatchError::Closed,
+        WatchError::Status(410),
+        WatchError::Unreadable("the head is too large"),
+        WatchError::NoList("expected value".into()),
     ];
-    let place = |fault: &Watch| match fault {
-        Watch::NoConnection { .. } => 0,
-        Watch::Io(_) => 1,
-        Watch::Silent { .. } => 2,
-        Watch::Closed => 3,
-        Watch::Status(_) => 4,
-        Watch::Unreadable(_) => 5,
-        Watch::NoList(_) => 6,
+    let variant = |error: &WatchError| match error {
+        WatchError::NoConnection { .. } => 0,
+        WatchError::Io(_) => 1,
+        WatchError::Silent { .. } => 2,
+        WatchError::Closed => 3,
+        WatchError::Status(_) => 4,
+        WatchError::Unreadable(_) => 5,
+        WatchError::NoList(_) => 6,
     };
-    assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
-    rows(all, Watch::help)
+    assert!(all
+        .iter()
+        .enumerate()
+        .all(|(index, error)| variant(error) == index));
+    rows(all, WatchError::help)
 }
 
-fn group() -> Vec<Row> {
+fn member_name_errors() -> Vec<Row> {
     let all = vec![
         names::Fault::Empty,
         names::Fault::Name("a b".into()),
@@ -92,18 +105,21 @@
         names::Fault::Twice("n2".into()),
         names::Fault::TooMany,
     ];
-    let place = |fault: &names::Fault| match fault {
+    let variant = |error: &names::Fault| match error {
         names::Fault::Empty => 0,
         names::Fault::Name(_) => 1,
         names::Fault::Range(_) => 2,
         names::Fault::Twice(_) => 3,
         names::Fault::TooMany => 4,
     };
-    assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
+    assert!(all
+        .iter()
+        .enumerate()
+        .all(|(index, error)| variant(error) == index));
     rows(all, names::Fault::help)
 }
 
-fn dropped() -> Vec<Row> {
+fn dropped_datagrams() -> Vec<Row> {
     let all = vec![
         Dropped::Garbage,
         Dropped::Version,
@@ -111,58 +127,77 @@
         Dropped::Misdirected,
         Dropped::Full,
     ];
-    let place = |fault: &Dropped| match fault {
+    let variant = |error: &Dropped| match error {
         Dropped::Garbage => 0,
         Dropped::Version => 1,
         Dropped::Cluster => 2,
         Dropped::Misdirected => 3,
         Dropped::Full => 4,
     };
-    assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
+    assert!(all
+        .iter()
+        .enumerate()
+        .all(|(index, error)| variant(error) == index));
     rows(all, Dropped::help)
 }
 
-fn part() -> Vec<Row> {
+fn cluster_errors() -> Vec<Row> {
     let all = vec![cluster::Fault::Listen {
         address: ([127, 0, 0, 1], 7400).into(),
-        cause: io(),
+        cause: address_in_use(),
     }];
-    let place = |fault: &cluster::Fault| match fault {
+    let variant = |error: &cluster::Fault| match error {
         cluster::Fault::Listen { .. } => 0,
     };
-    assert!(all.iter().enumerate().all(|(at, fault)| place(fault) == at));
+    assert!(all
+        .iter()
+        .enumerate()
+        .all(|(index, error)| variant(error) == index));
     rows(all, cluster::Fault::help)
 }
 
 fn page() -> String {
     let mut page = format!(
-        "# Errors\n\nWhat goes wrong, as it is told with an example of each cause, and what an operator can do. The page is made\n\
-         from the errors' types (`{MADE_BY}`); a test fails when it is stale.\n"
+        "# Errors\n\nWhat can go wrong: an example of each message, and what an operator can do. The page is generated from the error\n\
+         types (`{GENERATED_BY}`); a test fails when it is stale.\n"
     );
     let sections = [
-        ("Settings of the deployment (start, SIGHUP)", settings()),
-        ("The watch of the list of servers (log)", watch()),
-        ("The names of a group (`peers.group`)", group()),
-        ("Taking part in a group (start)", part()),
-        ("Datagrams that are dropped (`GET /v1/peers`)", dropped()),
+        (
+            "Settings of the deployment (start, SIGHUP)",
+            settings_errors(),
+        ),
+        ("The watch of the endpoint list (log)", watch_errors()),
+        (
+            "Member names of a group of coordinators (`peers.group`)",
+            member_name_errors(),
+        ),
+        (
+            "Membership in a group of coordinators (start)",
+            cluster_errors(),
+        ),
+        (
+            "Datagrams that are dropped (`GET /v1/peers`)",
+            dropped_datagrams(),
+        ),
     ];
     for (title, rows) in sections {
         page.push_str(&format!(
-            "\n## {title}\n\n| told as | what to do |\n| --- | --- |\n"
+            "\n## {title}\n\n| message | what to do |\n| --- | --- |\n"
         ));
-        for (told, help) in rows {
-            page.push_str(&format!("| {} | {help} |\n", told.replace('|', "\\|")));
+        for Row { message, help } in rows {
+            let message = message.replace('|', "\\|");
+            page.push_str(&format!("| {message} | {help} |\n"));
         }
     }
     page
 }
 
 #[test]
-fn the_page_of_errors_is_not_stale() {
+fn the_errors_page_is_up_to_date() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/ERRORS.md");
     if std::env::var("UPDATE_ERRORS").is_ok() {
         std::fs::write(path, page()).unwrap();
     }
-    let kept = std::fs::read_to_string(path).unwrap_or_default();
-    assert!(kept == page(), "docs/ERRORS.md is stale: {MADE_BY}");
+    let current = std::fs::read_to_string(path).unwrap_or_default();
+    assert!(current == page(), "docs/ERRORS.md is stale: {GENERATED_BY}");
 }
--- a/crates/coordinator/src/observability/log.rs
+++ b/crates/coordinator/src/observability/log.rs
@@ -1,5 +1,9 @@
-//! The log: events with fields, as text or JSON lines on standard error. At most a few lines a second are written, so
-//! that a fault that repeats cannot drown the machine; what was held back is counted on the next line.
+//! The log: events with fields, as text or JSON lines on standard error.
+//!
+//! Lines are limited in rate, so that a repeating fault can't overload the machine; a line that follows suppressed ones
+//! says how many they were.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use serde::Deserialize;
 use std::fmt;
@@ -10,27 +14,34 @@
 use tracing_subscriber::fmt::FmtContext;
 use tracing_subscriber::registry::LookupSpan;
 
-/// Lines a second, and how many may come at once.
-const RATE: f64 = 5.0;
-const BURST: f64 = 40.0;
+/// Lines a second in the long run.
+const LINES_PER_SECOND: f64 = 5.0;
+/// Lines that may be written at once.
+const BURST_LINES: f64 = 40.0;
 
-/// How lines are written.
+/// The form of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LineFormat {
+    /// Text with `field=value` pairs.
     #[default]
     Text,
+    /// One JSON object.
     Json,
 }
 
-/// The least weight of what is written.
+/// The least severity that is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
+    /// Errors only.
     Error,
+    /// Warnings, too.
     Warn,
+    /// Changes of state, too.
     #[default]
     Info,
+    /// Details, too.
     Debug,
 }
 
@@ -45,42 +56,63 @@
     }
 }
 
-/// How many lines may still be written, as of when, and how many were held back since the last one.
-struct Bucket {
-    left: f64,
-    at: Option<Instant>,
-    held: u64,
+/// A token bucket that limits the rate of lines and counts the suppressed ones.
+struct TokenBucket {
+    tokens: f64,
+    /// When tokens were last added.
+    refilled_at: Option<Instant>,
+    /// Lines suppressed since the last one that was written.
+    suppressed: u64,
 }
 
-impl Bucket {
-    const FULL: Bucket = Bucket {
-        left: BURST,
-        at: None,
-        held: 0,
+impl TokenBucket {
+    const FULL: TokenBucket = TokenBucket {
+        tokens: BURST_LINES,
+        refilled_at: None,
+        suppressed: 0,
     };
 
-    /// Whether a line may be written now, and how many were held back since the last one.
+    /// Takes a token for a line, and returns how many lines were suppressed since the last one; `None`: this line is
+    /// suppressed, too.
     fn admit(&mut self, now: Instant) -> Option<u64> {
-        let earned = self.at.map_or(0.0, |at| (now - at).as_secs_f64() * RATE);
-        self.left = (self.left + earned).min(BURST);
-        self.at = Some(now);
-        if self.left >= 1.0 {
-            self.left -= 1.0;
-            return Some(std::mem::take(&mut self.held));
+        let earned = self
+            .refilled_at
+            .map_or(0.0, |at| (now - at).as_secs_f64() * LINES_PER_SECOND);
+        self.tokens = (self.tokens + earned).min(BURST_LINES);
+        self.refilled_at = Some(now);
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
+            return Some(std::mem::take(&mut self.suppressed));
         }
-        self.held += 1;
+        self.suppressed += 1;
         None
     }
 }
 
 /// A format whose lines are limited in rate.
-struct Limited<F> {
+struct RateLimited<F> {
     inner: F,
     form: LineFormat,
-    bucket: Mutex<Bucket>,
+    bucket: Mutex<TokenBucket>,
+}
+
+impl<F> RateLimited<F> {
+    fn new(inner: F, form: LineFormat) -> RateLimited<F> {
+        RateLimited {
+            inner,
+            form,
+            bucket: Mutex::new(TokenBucket::FULL),
+        }
+    }
+
+    fn admit(&self) -> Option<u64> {
+        // The lock is poisoned only by a panic, which ends the program.
+        let mut bucket = self.bucket.lock().ok()?;
+        bucket.admit(Instant::now())
+    }
 }
 
-impl<S, N, F> FormatEvent<S, N> for Limited<F>
+impl<S, N, F> FormatEvent<S, N> for RateLimited<F>
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -92,62 +124,39 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        // A panic while the bucket was held would have ended the program.
-        let admitted = self
-            .bucket
-            .lock()
-            .ok()
-            .and_then(|mut bucket| bucket.admit(Instant::now()));
-        match (admitted, self.form) {
-            (None, _) => return Ok(()),
-            (Some(0), _) => {}
-            (Some(held), LineFormat::Text) => {
-                writeln!(writer, "held_back={held} lines before the next one")?
+        let Some(suppressed) = self.admit() else {
+            return Ok(());
+        };
+        match self.form {
+            _ if suppressed == 0 => {}
+            LineFormat::Text => {
+                writeln!(writer, "held_back={suppressed} lines before the next one")?
             }
-            (Some(held), LineFormat::Json) => {
-                writeln!(writer, "{{\"level\":\"WARN\",\"held_back\":{held}}}")?
+            LineFormat::Json => {
+                writeln!(writer, "{{\"level\":\"WARN\",\"held_back\":{suppressed}}}")?
             }
         }
         self.inner.format_event(context, writer, event)
     }
 }
 
-/// Sets the log up for the program's life. Events before this are written nowhere.
+/// Starts the log for the program's life. Events before this are dropped.
 pub fn start(level: Level, form: LineFormat) {
-    let bucket = || Mutex::new(Bucket::FULL);
     let build = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(tracing::Level::from(level))
         .with_ansi(false);
-    // A second log in one process, as in tests, is none.
+    let format = Format::default().with_target(false).with_ansi(false);
+    // A process has one log: a second start, as in tests, changes nothing.
     let _ = match form {
         LineFormat::Text => {
-            let inner = Format::default().with_target(false).with_ansi(false);
-            tracing::subscriber::set_global_default(
-                build
-                    .event_format(Limited {
-                        inner,
-                        form,
-                        bucket: bucket(),
-                    })
-                    .finish(),
-            )
+            let limited = RateLimited::new(format, form);
+            tracing::subscriber::set_global_default(build.event_format(limited).finish())
         }
         LineFormat::Json => {
-            let inner = Format::default()
-                .json()
-                .flatten_event(true)
-                .with_target(false);
+            let limited = RateLimited::new(format.json().flatten_event(true), form);
             let build = build.fmt_fields(JsonFields::new());
-            tracing::subscriber::set_global_default(
-                build
-                    .event_format(Limited {
-                        inner,
-                        form,
-                        bucket: bucket(),
-                    })
-                    .finish(),
-            )
+            tracing::subscriber::set_global_default(build.event_format(limited).finish())
         }
     };
 }
