--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// The lines of a recording. It ends at an error, which is kept.
+/// The lines of a recording. They end at an error, which is stored.
 struct Lines<R> {
     reader: R,
     error: Option<io::Error>,
--- a/crates/coordinator/src/commands/roster/show.rs
+++ b/crates/coordinator/src/commands/roster/show.rs
@@ -1,4 +1,4 @@
-//! `roster show`: prints the endpoint list that was kept last.
+//! `roster show`: prints the latest snapshot of the endpoint list.
 
 use super::configured_files;
 use crate::cli::OutputOptions;
--- a/crates/coordinator/src/configuration/build.rs
+++ b/crates/coordinator/src/configuration/build.rs
@@ -82,7 +82,7 @@
     file: &DeploymentFile,
     environment: Environment,
 ) -> Result<SocketAddr, DeploymentFileError> {
-    let value = stated("listen", NODE_LISTEN, file.listen.clone(), environment)?;
+    let value = required("listen", NODE_LISTEN, file.listen.clone(), environment)?;
     address("listen", value)
 }
 
@@ -94,7 +94,7 @@
     if endpoint_files.is_some() {
         return Ok(None);
     }
-    let value = stated(
+    let value = required(
         "discovery",
         NODE_DISCOVERY,
         file.discovery.clone(),
@@ -112,7 +112,7 @@
 }
 
 /// A value of the file or else, since the platform states it in both, of the environment.
-fn stated(
+fn required(
     key: &'static str,
     variable: &'static str,
     value: Option<String>,
--- a/crates/coordinator/src/configuration/cluster.rs
+++ b/crates/coordinator/src/configuration/cluster.rs
@@ -32,13 +32,13 @@
 pub struct ClusterSettings {
     /// Where datagrams are received.
     pub listen: SocketAddr,
-    /// The address that other members are told, where it differs from `listen`.
+    /// The address announced to other members, where it differs from `listen`.
     pub advertise: Option<SocketAddr>,
     /// The group's name: two groups with different names never merge.
     pub cluster: String,
-    /// The room that this coordinator stands in, told to other members.
+    /// The room of this coordinator, announced to other members.
     pub room: String,
-    /// What this coordinator offers, told to other members.
+    /// What this coordinator offers, announced to other members.
     pub offers: Vec<String>,
     /// The names of all members.
     pub group: BTreeSet<String>,
--- a/crates/coordinator/src/configuration/error.rs
+++ b/crates/coordinator/src/configuration/error.rs
@@ -123,7 +123,7 @@
 }
 
 impl ProjectFileError {
-    /// The line at fault, from 1, where one is known.
+    /// The faulty line, from 1, where one is known.
     pub fn line(&self) -> Option<usize> {
         match self {
             ProjectFileError::Malformed { line, .. } => Some(*line),
--- a/crates/coordinator/src/configuration/tests.rs
+++ b/crates/coordinator/src/configuration/tests.rs
@@ -119,24 +119,29 @@
 
 #[test]
 fn errors_name_the_key_and_its_line() {
-    let fault = |json: String, own: &str| {
-        let fault = build_in(Path::new(""), &json, own).unwrap_err();
-        let line = match &fault {
+    let error_text = |json: String, project_text: &str| {
+        let error = build_in(Path::new(""), &json, project_text).unwrap_err();
+        let line = match &error {
             ContentError::Deployment(_) => None,
-            ContentError::Project(fault) => fault.line(),
+            ContentError::Project(error) => error.line(),
         };
-        format!("{}:{fault}", line.unwrap_or(0))
+        format!("{}:{error}", line.unwrap_or(0))
     };
-    assert!(fault(json(SETTINGS).replace("127.0.0.1:0", "nowhere"), "").contains("'listen'"));
-    assert!(fault(json(SETTINGS).replace("\"ff\"", "\"xyz\""), "").contains("'seed'"));
-    assert!(fault(json(SETTINGS).replace("\"discovery\"", "\"d\""), "").contains("NODE_DISCOVERY"));
-    assert!(fault(json(&SETTINGS.replace("tickS", "tick")), "").contains("tickS"));
-    assert!(fault(json(SETTINGS), "[opensearch]\nenabled = true").contains("opensearch.listen"));
-    assert!(fault(json(SETTINGS), "[opensearch]\nport = 3").contains("port"));
-    assert!(fault(json(SETTINGS), "[backend]\nkind = \"soap\"").starts_with("2:"));
-    let own = "[contract.query]\nmode = \"observe\"\nshare = 1.5\ndescription = \"q.yaml\"";
-    let cause = "3:'contract.query.share': 1.5 is not above 0 and 1 at most";
-    assert_eq!(fault(json(SETTINGS), own), cause);
+    assert!(error_text(json(SETTINGS).replace("127.0.0.1:0", "nowhere"), "").contains("'listen'"));
+    assert!(error_text(json(SETTINGS).replace("\"ff\"", "\"xyz\""), "").contains("'seed'"));
+    assert!(
+        error_text(json(SETTINGS).replace("\"discovery\"", "\"d\""), "").contains("NODE_DISCOVERY")
+    );
+    assert!(error_text(json(&SETTINGS.replace("tickS", "tick")), "").contains("tickS"));
+    assert!(
+        error_text(json(SETTINGS), "[opensearch]\nenabled = true").contains("opensearch.listen")
+    );
+    assert!(error_text(json(SETTINGS), "[opensearch]\nport = 3").contains("port"));
+    assert!(error_text(json(SETTINGS), "[backend]\nkind = \"soap\"").starts_with("2:"));
+    let project_text =
+        "[contract.query]\nmode = \"observe\"\nshare = 1.5\ndescription = \"q.yaml\"";
+    let expected = "3:'contract.query.share': 1.5 is not above 0 and 1 at most";
+    assert_eq!(error_text(json(SETTINGS), project_text), expected);
     for (key, value, cause) in [
         ("listen", "\"nowhere\"", "is not an address"),
         ("advertise", "\"10.0.0.1:0\"", "nobody can send to port 0"),
@@ -160,18 +165,20 @@
         let rest: String = rest
             .map(|(key, value)| format!("{key} = {value}\n"))
             .collect();
-        let own = format!("[peers]\nenabled = true\n{key} = {value}\n{rest}");
-        let message = fault(json(SETTINGS), &own);
+        let project_text = format!("[peers]\nenabled = true\n{key} = {value}\n{rest}");
+        let message = error_text(json(SETTINGS), &project_text);
         assert!(
             message.starts_with(&format!("3:'peers.{key}': ")) && message.contains(cause),
             "{message}"
         );
     }
-    assert!(fault(json(SETTINGS), "[peers]\nenabled = true").starts_with("1:'peers.listen'"));
-    let own = "[log]\n\n[contract.servers]\nmode = \"enforce\"";
-    assert!(fault(json(SETTINGS), own).starts_with("3:'contract.servers.description'"));
-    let own = "[contract.discovery]\nmode = \"enforce\"\ndescription = \"d.yaml\"";
-    assert!(fault(json(SETTINGS), own).starts_with("2:'contract.discovery.mode'"));
+    assert!(error_text(json(SETTINGS), "[peers]\nenabled = true").starts_with("1:'peers.listen'"));
+    let project_text = "[log]\n\n[contract.servers]\nmode = \"enforce\"";
+    assert!(
+        error_text(json(SETTINGS), project_text).starts_with("3:'contract.servers.description'")
+    );
+    let project_text = "[contract.discovery]\nmode = \"enforce\"\ndescription = \"d.yaml\"";
+    assert!(error_text(json(SETTINGS), project_text).starts_with("2:'contract.discovery.mode'"));
 }
 
 #[test]
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -59,7 +59,7 @@
     pub fn help(&self) -> &'static str {
         match self {
             SettingsError::Malformed { .. } => {
-                "compare the key with the deployment's page; api/sample/config.json is a sound file"
+                "compare the key with the deployment's page; api/sample/config.json is a valid file"
             }
             SettingsError::NotPositive { .. } => "give a figure above 0; times are in seconds",
             SettingsError::NoClasses => "name at least one class of query",
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -80,13 +80,16 @@
         None
     );
     let names = r#""report": {"how": "pull", "names": ["util", "inflight"]}, "unheardOf""#;
-    let told = TEXT.replace("\"unheardOf\"", names);
+    let with_report = TEXT.replace("\"unheardOf\"", names);
     assert_eq!(
-        parse(told.as_bytes()).unwrap().policy.health_check_value,
+        parse(with_report.as_bytes())
+            .unwrap()
+            .policy
+            .health_check_value,
         None,
         "not without permission"
     );
-    let allowed = told.replace("\"cancel\": true", "\"cancel\": true, \"probes\": true");
+    let allowed = with_report.replace("\"cancel\": true", "\"cancel\": true, \"probes\": true");
     assert_eq!(
         parse(allowed.as_bytes()).unwrap().policy.health_check_value,
         Some(1)
