--- a/crates/coordinator/src/configuration/effective.rs
+++ b/crates/coordinator/src/configuration/effective.rs
@@ -59,7 +59,7 @@
             json!({
                 "name": index.name,
                 "class": class_names.get(index.class),
-                "shards": [index.first, index.last],
+                "shards": [index.first_shard, index.last_shard],
             })
         };
         self.served.indices.iter().map(index).collect()
--- a/crates/coordinator/src/configuration/opensearch.rs
+++ b/crates/coordinator/src/configuration/opensearch.rs
@@ -58,8 +58,8 @@
         let index = |(class, name): (usize, &String)| Index {
             name: name.clone(),
             class,
-            first: 0,
-            last: last_shard,
+            first_shard: 0,
+            last_shard,
         };
         return Ok(classes.map(index).collect());
     }
@@ -71,7 +71,7 @@
 
 fn index(
     table: IndexTable,
-    last_shard: u32,
+    last_of_deployment: u32,
     deployment: &Deployment,
     file: &ProjectFile,
 ) -> Result<Index, ProjectFileError> {
@@ -87,11 +87,11 @@
     else {
         return Err(file.error("opensearch.index.class", ValueError::UnknownClass(class)));
     };
-    let [first, last] = shards.unwrap_or([0, last_shard]);
-    if first > last || last > last_shard {
+    let [first_shard, last_shard] = shards.unwrap_or([0, last_of_deployment]);
+    if first_shard > last_shard || last_shard > last_of_deployment {
         let error = ValueError::UnknownShards {
             index: name,
-            last_shard,
+            last_shard: last_of_deployment,
         };
         return Err(file.error("opensearch.index.shards", error));
     }
@@ -101,8 +101,8 @@
     Ok(Index {
         name,
         class,
-        first,
-        last,
+        first_shard,
+        last_shard,
     })
 }
 
--- a/crates/coordinator/src/server/context.rs
+++ b/crates/coordinator/src/server/context.rs
@@ -5,7 +5,8 @@
 use crate::contract::Contracts;
 use crate::fronts::client_connections::ClientConnections;
 use crate::messages::{ClientRequest, Message, Phase, ServedConfiguration};
-use crate::pipeline::request_queue;
+use crate::pipeline::request_queue::REQUEST_QUEUE_CAPACITY;
+use crate::pipeline::CoreChannels;
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -33,37 +34,30 @@
     pub connections: Rc<ClientConnections>,
 }
 
-/// The ends of the channels that the decision loop owns.
-pub struct CoreChannels {
-    /// Clients' requests.
-    pub requests: mpsc::Receiver<ClientRequest>,
-    /// All other messages.
-    pub messages: mpsc::Receiver<Message>,
-    /// Publishes what clients may ask for.
-    pub served: watch::Sender<Arc<ServedConfiguration>>,
-}
-
 impl Context {
-    /// Opens the channels.
+    /// Opens the channels. The decision loop owns the second part.
     pub fn new(config: &Config, clock: Clock, contracts: Rc<Contracts>) -> (Context, CoreChannels) {
-        let (request_sender, requests) = mpsc::channel(request_queue::QUEUE);
+        let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
         let (message_sender, messages) = mpsc::channel(MESSAGE_QUEUE);
         let (served_sender, served) = watch::channel(config.served.clone());
+        let phase = Rc::new(watch::Sender::new(Phase::Starting));
+        let core = CoreChannels {
+            requests,
+            messages,
+            message_sender: message_sender.clone(),
+            phase: phase.clone(),
+            served_configuration: served_sender,
+        };
         let context = Context {
             clock,
             contracts,
             requests: request_sender,
             messages: message_sender,
-            phase: Rc::new(watch::Sender::new(Phase::Starting)),
+            phase,
             listeners_closed: watch::Sender::new(false),
             served,
             connections: Rc::default(),
         };
-        let core = CoreChannels {
-            requests,
-            messages,
-            served: served_sender,
-        };
         (context, core)
     }
 }
--- a/crates/coordinator/src/server/reload.rs
+++ b/crates/coordinator/src/server/reload.rs
@@ -75,7 +75,10 @@
     fresh: &ServedConfiguration,
 ) -> Result<Arc<ServedConfiguration>, ReloadError> {
     let (reply, result) = oneshot::channel();
-    let message = Message::Reconfigure(Box::new(fresh.clone()), reply);
+    let message = Message::Reconfigure {
+        configuration: Box::new(fresh.clone()),
+        reply,
+    };
     let sent = messages.send(message).await;
     sent.map_err(|_| ReloadError::CoreEnded)?;
     let served = result
--- a/crates/coordinator/src/server/shutdown.rs
+++ b/crates/coordinator/src/server/shutdown.rs
@@ -38,9 +38,9 @@
 
 fn phase_of(step: ShutdownPhase) -> Phase {
     match step {
-        ShutdownPhase::Serving => Phase::Stopping,
-        ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::Closing,
-        ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::Refusing,
+        ShutdownPhase::Serving => Phase::ShuttingDown,
+        ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::IdleConnectionsClosing,
+        ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::PartialRequestsRejected,
     }
 }
 
--- a/crates/coordinator/src/server/start.rs
+++ b/crates/coordinator/src/server/start.rs
@@ -1,6 +1,6 @@
 //! Construction of the program: each part is started by a function of its own, in the order of [`serve`].
 
-use super::context::{Context, CoreChannels};
+use super::context::Context;
 use super::error::{ServerError, Signal};
 use super::listeners::ClientListeners;
 use super::reload::{log_offered_classes, Reloader};
@@ -8,6 +8,7 @@
 use crate::clock::Clock;
 use crate::cluster::{self, Peers};
 use crate::configuration::Config;
+use crate::messages::LocalOutliers;
 use crate::pipeline::Core;
 use crate::signals::SignalStream;
 use crate::{admin_api, discovery};
@@ -35,7 +36,13 @@
     let (context, core_channels) = Context::new(&config, clock, contracts);
     let listeners = ClientListeners::start(&config, inherited_listener, &context).await?;
     log_offered_classes(&config.served);
-    let mut core = build_core(&config, &context, core_channels);
+    // It starts with the suspensions and the endpoint list of the previous incarnation.
+    let mut core = Core::new(
+        &config,
+        context.contracts.clone(),
+        context.clock.clone(),
+        core_channels,
+    );
     let cluster = join_cluster(&config, &context, &mut core).await?;
     start_admin_api(&config, &context, cluster.as_ref()).await?;
     let agent = start_discovery(&config, &context)?;
@@ -53,19 +60,6 @@
     Ok(())
 }
 
-/// Builds the decision loop, which starts with the suspensions and the endpoint list of the previous incarnation.
-fn build_core(config: &Config, context: &Context, channels: CoreChannels) -> Core {
-    Core::new(
-        config,
-        context.contracts.clone(),
-        context.clock.clone(),
-        channels.requests,
-        (context.messages.clone(), channels.messages),
-        context.phase.clone(),
-        channels.served,
-    )
-}
-
 /// Becomes a member of the group of coordinators, if the configuration names one.
 async fn join_cluster(
     config: &Config,
@@ -75,8 +69,8 @@
     let Some(settings) = &config.cluster else {
         return Ok(None);
     };
-    let (outliers, outlier_updates) = watch::channel((Vec::new(), 0));
-    core.tell_peers(outliers);
+    let (outliers, outlier_updates) = watch::channel(LocalOutliers::default());
+    core.publish_outliers_to(outliers);
     let given = cluster::Given {
         name: config.name.clone(),
         seed: config.seed,
