--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -1,7 +1,7 @@
 //! The one place where configuration is read, validated and given defaults.
 //!
 //! Three sources make one [`Config`]: the deployment's JSON file that `NODE_CONFIG` names, this project's own TOML file
-//! under `deploy/` (or where `CAIRNROAD_FILE` says), and the environment. [`load`] is the entry point; errors name the
+//! under `deploy/` (or where `CAIRNROAD_FILE` says), and the environment. [`load()`] is the entry point; errors name the
 //! file, the key and, for the project's file, the line.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
--- a/crates/coordinator/src/messages/mod.rs
+++ b/crates/coordinator/src/messages/mod.rs
@@ -16,7 +16,7 @@
 
 pub use answer::{Answer, PartAnswer, PartFailure, Value};
 pub use attempt::{Attempt, AttemptResult, OutboundAttempt};
-pub use connection_event::{ConnectionEvent, ConnectionReport};
+pub use connection_event::{ConnectionEvent, ConnectionId, ConnectionReport};
 pub use core_message::{LocalOutliers, Message, ReconfigurationError};
 pub use endpoint_list::{EndpointEntry, EndpointListUpdate};
 pub use request::{ClientRequest, ContractsInForce, PartSpec, Request, Text};
--- a/crates/coordinator/src/pipeline/core/reconfiguration.rs
+++ b/crates/coordinator/src/pipeline/core/reconfiguration.rs
@@ -28,7 +28,7 @@
             );
         }
         self.requests.reconfigure(&deployment);
-        self.pool.retune(&deployment);
+        self.pool.reconfigure(&deployment);
         self.router.reconfigure(&deployment, &renewed, &places);
         self.slow_start_duration = deployment.policy.slow_start_duration;
         let served = Arc::new(ServedConfiguration {
