--- a/crates/admin/src/suspensions.rs
+++ b/crates/admin/src/suspensions.rs
@@ -1,151 +1,164 @@
-//! Which data nodes operators leave out. A ban holds whatever the list says, until the call back; after it the node
-//! counts as started anew, for it was restarted at some moment in between.
+//! The data nodes that operators suspended for maintenance.
+//!
+//! A suspension holds whatever the endpoint list says, until the node is resumed. From then on the node counts as
+//! just started, since it was restarted at some moment in between.
 
-use cairnroad_types::{ServerState, Time};
+use cairnroad_types::{Seconds, ServerState, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most data nodes that are left out or just back.
-pub const MOST_BANS: usize = 512;
-/// Ids once listed that are remembered, to tell a wrong id from one that is gone. On a long day nodes are replaced
-/// under new ids without end.
-const MOST_SEEN: usize = 16_384;
+/// Upper limit of data nodes that are suspended or were resumed lately.
+pub const MAX_SUSPENSIONS: usize = 512;
+/// Upper limit of listed ids that are remembered, to tell a wrong id from one that is gone. Over a long time nodes are
+/// replaced under ever new ids.
+const MAX_KNOWN_NODES: usize = 16_384;
 
-/// One data node's maintenance, as it is kept for the next process.
+/// One data node's maintenance, as it is stored for other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspension {
-    /// When it was suspended, in microseconds of Unix time.
-    pub since_us: i64,
-    /// When it was called back; `null` while it is left out.
-    pub back_us: Option<i64>,
+    /// When the node was suspended, in microseconds of Unix time.
+    #[serde(rename = "since_us")]
+    pub suspended_at_us: i64,
+    /// When the node was resumed, in microseconds of Unix time; `None` while it is suspended.
+    #[serde(rename = "back_us")]
+    pub resumed_at_us: Option<i64>,
 }
 
 impl Suspension {
-    fn holds(&self) -> bool {
-        self.back_us.is_none()
+    fn is_active(&self) -> bool {
+        self.resumed_at_us.is_none()
     }
 }
 
-/// All bans, and which ids were ever listed.
+/// All suspensions, and the ids that were ever listed.
 #[derive(Debug, Default)]
 pub struct Suspensions {
-    bans: BTreeMap<String, Suspension>,
-    seen: BTreeSet<String>,
-    order: VecDeque<String>,
+    by_node: BTreeMap<String, Suspension>,
+    known_nodes: BTreeSet<String>,
+    /// The known ids, the longest known first.
+    known_order: VecDeque<String>,
 }
 
 impl Suspensions {
-    /// Notes that the list names a data node.
-    pub fn listed(&mut self, id: &str) {
-        if self.seen.contains(id) {
+    /// Records that an endpoint list names a data node.
+    pub fn record_listed(&mut self, id: &str) {
+        if self.known_nodes.contains(id) {
             return;
         }
-        if self.order.len() >= MOST_SEEN {
-            if let Some(oldest) = self.order.pop_front() {
-                self.seen.remove(&oldest);
+        if self.known_order.len() >= MAX_KNOWN_NODES {
+            if let Some(oldest) = self.known_order.pop_front() {
+                self.known_nodes.remove(&oldest);
             }
         }
-        self.seen.insert(id.into());
-        self.order.push_back(id.into());
+        self.known_nodes.insert(id.into());
+        self.known_order.push_back(id.into());
     }
 
-    /// Whether a data node was ever listed, as far as this process knows.
-    pub fn knows(&self, id: &str) -> bool {
-        self.seen.contains(id) || self.bans.contains_key(id)
+    /// Returns whether a data node was ever listed, as far as this process knows.
+    pub fn is_known(&self, id: &str) -> bool {
+        self.known_nodes.contains(id) || self.by_node.contains_key(id)
     }
 
-    /// Whether another ban finds room.
-    pub fn has_room(&self, id: &str) -> bool {
-        self.bans.len() < MOST_BANS || self.bans.contains_key(id)
+    /// Returns whether a suspension of this data node stays within the limit.
+    pub fn has_capacity_for(&self, id: &str) -> bool {
+        self.by_node.len() < MAX_SUSPENSIONS || self.by_node.contains_key(id)
     }
 
-    /// The ban that a call to suspend leaves in force. A repeated call changes nothing.
-    pub fn suspended(&self, id: &str, now: Time) -> Suspension {
-        match self.bans.get(id) {
-            Some(ban) if ban.holds() => *ban,
+    /// Returns the suspension after a request to suspend. A repeated request changes nothing.
+    pub fn suspension_of(&self, id: &str, now: Time) -> Suspension {
+        match self.by_node.get(id) {
+            Some(suspension) if suspension.is_active() => *suspension,
             _ => Suspension {
-                since_us: now.0,
-                back_us: None,
+                suspended_at_us: now.0,
+                resumed_at_us: None,
             },
         }
     }
 
-    /// What a call back leaves, if the data node was left out.
-    pub fn resumed(&self, id: &str, now: Time) -> Option<Suspension> {
-        let ban = self.bans.get(id).filter(|ban| ban.holds())?;
+    /// Returns the suspension after a request to resume; `None` if the data node is not suspended.
+    pub fn resumption_of(&self, id: &str, now: Time) -> Option<Suspension> {
+        let suspension = self
+            .by_node
+            .get(id)
+            .filter(|suspension| suspension.is_active())?;
         Some(Suspension {
-            back_us: Some(now.0),
-            ..*ban
+            resumed_at_us: Some(now.0),
+            ..*suspension
         })
     }
 
-    /// Puts a ban, or its end, into force. Whether that changes anything.
-    pub fn put(&mut self, id: &str, ban: Suspension) -> bool {
-        self.has_room(id) && self.bans.insert(id.into(), ban) != Some(ban)
+    /// Puts a suspension, or its end, into force. Returns whether that changes anything.
+    pub fn apply(&mut self, id: &str, suspension: Suspension) -> bool {
+        if !self.has_capacity_for(id) {
+            return false;
+        }
+        let previous = self.by_node.insert(id.into(), suspension);
+        previous != Some(suspension)
     }
 
-    /// Takes in all that is kept, which another process may have changed. Returns the ids that changed. One that is
-    /// kept no more was called back long ago.
-    pub fn merge(&mut self, kept: &BTreeMap<String, Suspension>) -> Vec<String> {
-        let dropped = self
-            .bans
+    /// Takes over all stored suspensions, which another process may have changed. Returns the ids that changed.
+    ///
+    /// A suspension that is stored no more was resumed long ago and is removed here too.
+    pub fn synchronize(&mut self, stored: &BTreeMap<String, Suspension>) -> Vec<String> {
+        let mut changed: Vec<String> = self
+            .by_node
             .keys()
-            .filter(|id| !kept.contains_key(*id))
-            .cloned();
-        let mut changed: Vec<String> = dropped.collect();
+            .filter(|id| !stored.contains_key(*id))
+            .cloned()
+            .collect();
         for id in &changed {
-            self.bans.remove(id);
+            self.by_node.remove(id);
         }
-        for (id, ban) in kept {
-            if self.put(id, *ban) {
+        for (id, suspension) in stored {
+            if self.apply(id, *suspension) {
                 changed.push(id.clone());
             }
         }
         changed
     }
 
-    /// Ends the memory of those that were called back so long ago that they are warm; their ids.
-    pub fn expire(&mut self, now: Time, warm_up: f64) -> Vec<String> {
-        let warm = |ban: &Suspension| ban.back_us.is_some_and(|at| now - Time(at) > warm_up);
-        let over: Vec<String> = self
-            .bans
+    /// Removes data nodes that were resumed longer ago than a slow start takes. Returns their ids.
+    pub fn remove_expired(&mut self, now: Time, slow_start_duration: Seconds) -> Vec<String> {
+        let is_expired = |suspension: &Suspension| {
+            suspension
+                .resumed_at_us
+                .is_some_and(|resumed_at| now - Time(resumed_at) > slow_start_duration)
+        };
+        let expired: Vec<String> = self
+            .by_node
             .iter()
-            .filter(|(_, ban)| warm(ban))
+            .filter(|(_, suspension)| is_expired(suspension))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &over {
-            self.bans.remove(id);
+        for id in &expired {
+            self.by_node.remove(id);
         }
-        over
+        expired
     }
 
-    /// What the decisions are told of a data node that the list calls so and that started then.
-    pub fn overlay(
+    /// Returns the state and start that count for a data node with this listed state and start.
+    ///
+    /// A suspended node that is listed as ready drains; a resumed one started at its resumption, unless the list
+    /// states a start since the suspension.
+    pub fn effective_state(
         &self,
         id: &str,
-        state: ServerState,
-        started: Option<Time>,
+        listed_state: ServerState,
+        listed_start: Option<Time>,
     ) -> (ServerState, Option<Time>) {
-        let Some(ban) = self.bans.get(id) else {
-            return (state, started);
+        let Some(suspension) = self.by_node.get(id) else {
+            return (listed_state, listed_start);
         };
-        match (ban.back_us, state) {
-            (None, ServerState::Ready) => (ServerState::Draining, started),
-            (Some(back), ServerState::Ready) => {
-                // A start that the list tells of since then is the true one.
-                let told = started.filter(|at| *at > Time(ban.since_us));
-                (state, Some(told.unwrap_or(Time(back))))
-            }
-            _ => (state, started),
+        if listed_state != ServerState::Ready {
+            return (listed_state, listed_start);
         }
-    }
-
-    /// The data nodes that are left out.
-    pub fn held(&self) -> impl Iterator<Item = &str> {
-        self.bans
-            .iter()
-            .filter(|(_, ban)| ban.holds())
-            .map(|(id, _)| id.as_str())
+        let Some(resumed_at) = suspension.resumed_at_us else {
+            return (ServerState::Draining, listed_start);
+        };
+        let start_since_suspension =
+            listed_start.filter(|start| *start > Time(suspension.suspended_at_us));
+        let started_at = start_since_suspension.unwrap_or(Time(resumed_at));
+        (ServerState::Ready, Some(started_at))
     }
 }
 
--- a/crates/coordinator/src/configuration/build.rs
+++ b/crates/coordinator/src/configuration/build.rs
@@ -11,7 +11,7 @@
 use super::limits::Limits;
 use super::project_file::ProjectFile;
 use super::{cluster, contracts, opensearch};
-use crate::discovery::endpoint_list::Page;
+use crate::discovery::endpoint_list::EndpointListPage;
 use crate::messages::ServedConfiguration;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -54,7 +54,10 @@
         limits: Limits::for_deployment(deployment_file.limits.unwrap_or_default(), processes),
         name,
         endpoint_files,
-        known_endpoints: deployment_file.known.map(Page::news).unwrap_or_default(),
+        known_endpoints: deployment_file
+            .known
+            .map(EndpointListPage::into_update)
+            .unwrap_or_default(),
         served: Arc::new(ServedConfiguration {
             deployment,
             indices,
--- a/crates/coordinator/src/configuration/config.rs
+++ b/crates/coordinator/src/configuration/config.rs
@@ -4,6 +4,7 @@
     BackendKind, ClusterSettings, ContractSettings, EndpointFilesSettings, Limits, LogSettings,
 };
 use crate::messages::{EndpointListUpdate, ServedConfiguration};
+use cairnroad_admin::reconfigure::first_missing_key;
 use cairnroad_contract::drift::Interface;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -51,7 +52,7 @@
 impl Config {
     /// The first key that this configuration's file has and another's lacks.
     pub fn key_missing_in(&self, other: &Config) -> Option<String> {
-        cairnroad_admin::reconfigure::lacks(&self.deployment_document, &other.deployment_document)
+        first_missing_key(&self.deployment_document, &other.deployment_document)
     }
 
     /// The keys that differ in another configuration and take effect only at a restart.
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster;
 use cairnroad_cluster::{names, Dropped};
-use cairnroad_discovery_watch::Fault as WatchError;
+use cairnroad_discovery_watch::WatchError;
 use cairnroad_settings::SettingsError;
 
 /// The command that generates the page.
@@ -73,22 +73,22 @@
 
 fn watch_errors() -> Vec<Row> {
     let all = vec![
-        WatchError::NoConnection { secs: 0.5 },
-        WatchError::Io(address_in_use()),
-        WatchError::Silent { secs: 3.0 },
-        WatchError::Closed,
-        WatchError::Status(410),
-        WatchError::Unreadable("the head is too large"),
-        WatchError::NoList("expected value".into()),
+        WatchError::ConnectTimeout { secs: 0.5 },
+        WatchError::Connection(address_in_use()),
+        WatchError::ResponseTimeout { secs: 3.0 },
+        WatchError::ConnectionClosed,
+        WatchError::UnexpectedStatus(410),
+        WatchError::MalformedResponse("the head is too large"),
+        WatchError::InvalidEndpointList(serde_json::from_str::<bool>("?").unwrap_err()),
     ];
     let variant = |error: &WatchError| match error {
-        WatchError::NoConnection { .. } => 0,
-        WatchError::Io(_) => 1,
-        WatchError::Silent { .. } => 2,
-        WatchError::Closed => 3,
-        WatchError::Status(_) => 4,
-        WatchError::Unreadable(_) => 5,
-        WatchError::NoList(_) => 6,
+        WatchError::ConnectTimeout { .. } => 0,
+        WatchError::Connection(_) => 1,
+        WatchError::ResponseTimeout { .. } => 2,
+        WatchError::ConnectionClosed => 3,
+        WatchError::UnexpectedStatus(_) => 4,
+        WatchError::MalformedResponse(_) => 5,
+        WatchError::InvalidEndpointList(_) => 6,
     };
     assert!(all
         .iter()
--- a/crates/coordinator/src/messages/core_message.rs
+++ b/crates/coordinator/src/messages/core_message.rs
@@ -1,10 +1,10 @@
 //! Messages to the core from other tasks, and what the core publishes for the cluster.
 
 use super::{ConnectionReport, EndpointListUpdate, ServedConfiguration};
+use cairnroad_admin::reconfigure::ReconfigureError;
 use cairnroad_admin::request::{AdminRequest, AdminResponse};
 use cairnroad_types::Time;
 use std::sync::Arc;
-use thiserror::Error;
 use tokio::sync::oneshot;
 
 /// A message to the core. The core reads all that are queued at the start of each tick.
@@ -29,18 +29,10 @@
         /// The configuration to apply.
         configuration: Box<ServedConfiguration>,
         /// Receives the configuration in force afterwards, or why it did not change.
-        reply: oneshot::Sender<Result<Arc<ServedConfiguration>, ReconfigurationError>>,
+        reply: oneshot::Sender<Result<Arc<ServedConfiguration>, ReconfigureError>>,
     },
 }
 
-/// Why a reloaded configuration was not applied. The one in force stays in force, whole.
-#[derive(Debug, Error)]
-pub enum ReconfigurationError {
-    /// The class table has no room for the new classes while open requests hold the old ones.
-    #[error("{0}")]
-    Rejected(String),
-}
-
 /// The outliers that this coordinator found by its own attempts, published for gossip.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LocalOutliers {
--- a/crates/coordinator/src/messages/mod.rs
+++ b/crates/coordinator/src/messages/mod.rs
@@ -17,7 +17,7 @@
 pub use answer::{Answer, PartAnswer, PartFailure, Value};
 pub use attempt::{Attempt, AttemptResult, OutboundAttempt};
 pub use connection_event::{ConnectionEvent, ConnectionId, ConnectionReport};
-pub use core_message::{LocalOutliers, Message, ReconfigurationError};
+pub use core_message::{LocalOutliers, Message};
 pub use endpoint_list::{EndpointEntry, EndpointListUpdate};
 pub use request::{ClientRequest, ContractsInForce, PartSpec, Request, Text};
 pub use served_configuration::{Index, ServedConfiguration};
--- a/crates/coordinator/src/server/shutdown.rs
+++ b/crates/coordinator/src/server/shutdown.rs
@@ -18,18 +18,18 @@
     listeners.hand_over();
     let longest_deadline = context.served.borrow().deployment.longest_deadline();
     let mut shutdown = GracefulShutdown::new(context.clock.now(), longest_deadline);
-    context.connections.answer_by(shutdown.answered_by());
+    context.connections.answer_by(shutdown.answer_deadline());
     // Requests that are in flight already may have a later deadline.
-    let finish = Message::FinishBy(shutdown.answered_by());
+    let finish = Message::FinishBy(shutdown.answer_deadline());
     // A decision loop that is gone has no request in flight.
     let _ = context.messages.send(finish).await;
     loop {
-        let step = shutdown.step(context.clock.now(), context.connections.seen());
+        let step = shutdown.advance(context.clock.now(), context.connections.seen());
         set_phase(context, phase_of(step));
-        if step >= ShutdownPhase::Deaf {
+        if step >= ShutdownPhase::ListenerClosed {
             context.listeners_closed.send_replace(true);
         }
-        if step == ShutdownPhase::Over {
+        if step == ShutdownPhase::Finished {
             return;
         }
         tokio::time::sleep(SHUTDOWN_TICK).await;
@@ -39,8 +39,10 @@
 fn phase_of(step: ShutdownPhase) -> Phase {
     match step {
         ShutdownPhase::Serving => Phase::ShuttingDown,
-        ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::IdleConnectionsClosing,
-        ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::PartialRequestsRejected,
+        ShutdownPhase::IdleConnectionsClosed | ShutdownPhase::ListenerClosed => {
+            Phase::IdleConnectionsClosing
+        }
+        ShutdownPhase::Rejecting | ShutdownPhase::Finished => Phase::PartialRequestsRejected,
     }
 }
 
--- a/crates/coordinator/src/server/start.rs
+++ b/crates/coordinator/src/server/start.rs
@@ -119,7 +119,7 @@
         None => {
             let contracts = context.contracts.clone();
             let clock = context.clock.clone();
-            let watch = discovery::watch(agent.subscribe(), messages, contracts, clock);
+            let watch = discovery::watch_endpoints(agent.subscribe(), messages, contracts, clock);
             tokio::task::spawn_local(watch);
         }
     }
