--- a/crates/coordinator/src/connections/pool/limits.rs
+++ b/crates/coordinator/src/connections/pool/limits.rs
@@ -40,8 +40,8 @@
 
 impl Limits {
     pub(super) fn new(config: &Config) -> Self {
-        let deployment = &config.offer.deployment;
-        let streams = deployment.streams;
+        let deployment = &config.served.deployment;
+        let streams = deployment.max_parts_per_connection;
         let (max_parts_per_connection, max_parts_per_call) = match config.backend {
             BackendKind::Frames => {
                 let max_parts_per_call = deployment.policy.max_parts_per_call as usize;
@@ -51,11 +51,11 @@
             BackendKind::OpenSearch => (1, 1),
         };
         Limits {
-            max_connections: config.limits.links,
+            max_connections: config.limits.server_connections,
             max_parts_per_connection,
             max_parts_per_call,
-            dial_timeout: deployment.dial_timeout,
-            idle_timeout: deployment.keepalive * IDLE_SHARE,
+            dial_timeout: deployment.connect_timeout,
+            idle_timeout: deployment.idle_timeout * IDLE_SHARE,
             silence: silence_limit(deployment),
         }
     }
@@ -63,10 +63,10 @@
 
 /// Returns the silence after which a connection gets nothing new.
 pub(super) fn silence_limit(deployment: &Deployment) -> Seconds {
-    deployment.shortest_aim() * SILENCE_SHARE
+    deployment.shortest_latency_objective() * SILENCE_SHARE
 }
 
 /// Returns the time between two sweeps of a pool.
 pub fn sweep_interval(deployment: &Deployment) -> Seconds {
-    MAX_SWEEP_INTERVAL.min(SWEEP_SHARE * deployment.keepalive)
+    MAX_SWEEP_INTERVAL.min(SWEEP_SHARE * deployment.idle_timeout)
 }
--- a/crates/coordinator/src/pipeline/request_table/tests.rs
+++ b/crates/coordinator/src/pipeline/request_table/tests.rs
@@ -15,7 +15,7 @@
 /// A table for a deployment whose classes all have this idempotency, deduplication window and deadline.
 fn table(idempotency: Idempotency, dedup_window: Seconds, deadline: Seconds) -> RequestTable {
     let config = crate::configuration::tests::sample();
-    let mut deployment = config.offer.deployment.clone();
+    let mut deployment = config.served.deployment.clone();
     for class in &mut deployment.policy.classes {
         class.idempotency = idempotency;
         class.dedup_window = dedup_window;
@@ -109,7 +109,7 @@
     for (tick, late, early) in [(0.005, 0.04, 0.06), (0.04, 0.18, 0.22)] {
         let start = start();
         let config = crate::configuration::tests::sample();
-        let mut deployment = config.offer.deployment.clone();
+        let mut deployment = config.served.deployment.clone();
         deployment.policy.tick = tick;
         let mut table = RequestTable::new(&config);
         table.reconfigure(&deployment);
--- a/crates/testbed/src/chaos/process.rs
+++ b/crates/testbed/src/chaos/process.rs
@@ -25,7 +25,7 @@
 /// How long an admin request may take.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Log lines that name the admin address, of this program and of earlier ones.
-const ADMIN_LISTENING: [&str; 1] = ["operators' calls"];
+const ADMIN_LISTENING: [&str; 1] = ["admin API listening"];
 /// Log lines that name the cluster's address, of this program and of earlier ones.
 const CLUSTER_JOINED: [&str; 1] = ["takes part"];
 
