--- a/crates/admin/src/reconfigure.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -65,8 +65,8 @@
     let deployment = Deployment {
         policy,
         class_names,
-        open_cap: new.open_cap,
-        longest_advice: new.longest_advice,
+        max_in_flight: new.max_in_flight,
+        longest_retry_after: new.longest_retry_after,
         ..in_force.clone()
     };
     Ok(Reconfiguration {
@@ -114,10 +114,13 @@
         ),
         (
             "caps.dialTimeoutS",
-            in_force.dial_timeout != new.dial_timeout,
+            in_force.connect_timeout != new.connect_timeout,
+        ),
+        ("caps.keepaliveS", in_force.idle_timeout != new.idle_timeout),
+        (
+            "caps.streamsPerConn",
+            in_force.max_parts_per_connection != new.max_parts_per_connection,
         ),
-        ("caps.keepaliveS", in_force.keepalive != new.keepalive),
-        ("caps.streamsPerConn", in_force.streams != new.streams),
     ];
     differences
         .into_iter()
--- a/crates/admin/src/reconfigure/tests.rs
+++ b/crates/admin/src/reconfigure/tests.rs
@@ -90,7 +90,7 @@
         fresh.policy.tick,
         fresh.policy.max_attempts,
         fresh.shards,
-        fresh.open_cap,
+        fresh.max_in_flight,
     ) = (0.01, 2, 9, 7);
     let got = reconfigure(&old, &fresh, nothing_in_use).unwrap();
     assert_eq!(got.requires_restart, ["tickS", "extra.shards"]);
@@ -100,7 +100,7 @@
             now.policy.tick,
             now.shards,
             now.policy.max_attempts,
-            now.open_cap
+            now.max_in_flight
         ),
         (0.005, 0, 2, 7)
     );
@@ -138,7 +138,7 @@
                 .zip(&fresh.policy.classes)
                 .zip(&got.class_ids)
                 .all(|((name, class), slot)| {
-                    got.deployment.place(name) == Some(usize::from(slot.0))
+                    got.deployment.class_index(name) == Some(usize::from(slot.0))
                         && got.deployment.policy.classes[usize::from(slot.0)] == *class
                 });
             // Eight names in two files in a row, and sixteen slots that may stay in use.
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -109,7 +109,7 @@
 /// Binds the socket and spawns the cluster task on the current thread. The task ends with
 /// [`ClusterHandle::leave`].
 pub async fn start(
-    settings: &configuration::Peers,
+    settings: &configuration::ClusterSettings,
     dependencies: ClusterDependencies,
 ) -> Result<ClusterHandle, ClusterError> {
     let listen_error = |source| ClusterError::Listen {
--- a/crates/coordinator/src/pipeline/core.rs
+++ b/crates/coordinator/src/pipeline/core.rs
@@ -89,13 +89,13 @@
         channels: CoreChannels,
     ) -> Self {
         let now = clock.now();
-        let deployment = &config.offer.deployment;
+        let deployment = &config.served.deployment;
         let sweep_interval = pool::sweep_interval(deployment);
         let mut timers = TimerWheel::new(now, deployment.policy.tick);
         timers.insert(now + sweep_interval, Timer::ConnectionSweep);
         let suspension_store = config
-            .admin
-            .map(|_| SuspensionStore::new(config.passing.as_deref(), &config.name));
+            .admin_listen
+            .map(|_| SuspensionStore::new(config.shared_dir.as_deref(), &config.name));
         let mut core = Core {
             clock: clock.clone(),
             request_queue: RequestReceiver::new(channels.requests),
@@ -111,7 +111,7 @@
             contracts,
             suspensions: Suspensions::default(),
             suspension_store,
-            metrics: Metrics::new(f64::from(config.log.tally_s), now),
+            metrics: Metrics::new(f64::from(config.log.metrics_interval_s), now),
             started: now,
             fresh_list: false,
             slow_start_duration: deployment.policy.slow_start_duration,
@@ -119,7 +119,7 @@
         };
         // Before any list: suspensions that an earlier process took must hold from the first attempt on.
         core.poll_suspensions(now);
-        core.on_endpoint_update(&config.known, true);
+        core.on_endpoint_update(&config.known_endpoints, true);
         core
     }
 
--- a/crates/coordinator/src/pipeline/core/tests.rs
+++ b/crates/coordinator/src/pipeline/core/tests.rs
@@ -22,11 +22,11 @@
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let config = crate::configuration::tests::sample();
-        let clock = Clock::new(config.offer.deployment.policy.tick);
+        let clock = Clock::new(config.served.deployment.policy.tick);
         let (requests, request_receiver) = mpsc::channel(4);
         let contracts = Rc::new(Contracts::new(clock.clone(), Default::default()));
         let phase = Rc::new(watch::channel(Phase::Starting).0);
-        let served_configuration = watch::channel(config.offer.clone()).0;
+        let served_configuration = watch::channel(config.served.clone()).0;
         let (messages, message_receiver) = mpsc::channel(64);
         let core = Core::new(
             &config,
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -9,7 +9,7 @@
 
 /// The surface of a configuration.
 pub fn of(config: &Config) -> Surface {
-    let deployment = &config.offer.deployment;
+    let deployment = &config.served.deployment;
     let class_name = |class: usize| {
         deployment
             .class_names
@@ -20,20 +20,22 @@
     Surface {
         version: env!("CARGO_PKG_VERSION").into(),
         listen: config.listen.to_string(),
-        query: config.opensearch.map(|address| address.to_string()),
+        query: config.opensearch_listen.map(|address| address.to_string()),
         classes: deployment
-            .offered()
-            .map(|(_, name, class)| Class {
-                name: name.into(),
-                aim: class.latency_objective,
-                deadline: class.deadline,
-                repeatable: class.idempotency != Idempotency::AtMostOnce,
-                floor: class.minimum_share,
-            })
+            .offered_classes()
+            .map(
+                |cairnroad_settings::OfferedClass { name, class, .. }| Class {
+                    name: name.into(),
+                    aim: class.latency_objective,
+                    deadline: class.deadline,
+                    repeatable: class.idempotency != Idempotency::AtMostOnce,
+                    floor: class.minimum_share,
+                },
+            )
             .collect(),
         shards: deployment.shards,
         indices: config
-            .offer
+            .served
             .indices
             .iter()
             .map(|index| Index {
