--- a/crates/coordinator/src/configuration/cluster.rs
+++ b/crates/coordinator/src/configuration/cluster.rs
@@ -2,8 +2,8 @@
 
 use super::error::{ContentError, DeploymentFileError, ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
-use cairnroad_cluster::facts::MOST_OFFERS;
-use cairnroad_cluster::names;
+use cairnroad_cluster::gossip_state::MAX_OFFERS;
+use cairnroad_cluster::member_names::{self, MemberNamesError};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     let cluster = cluster_name(table.cluster, file)?;
     check_length("peers.room", &table.room, file)?;
     check_offers(&table.offers, file)?;
-    let group = member_names(&table.group, name, file)?;
+    let group = read_member_names(&table.group, name, file)?;
     let seeds = table
         .seeds
         .into_iter()
@@ -104,8 +104,8 @@
 fn cluster_name(value: Option<String>, file: &ProjectFile) -> Result<String, ProjectFileError> {
     const KEY: &str = "peers.cluster";
     let name = required(KEY, value, file)?;
-    if !names::is_name(&name) {
-        let error = ValueError::InvalidClusterName(names::Fault::Name(name));
+    if !member_names::is_valid_name(&name) {
+        let error = ValueError::InvalidClusterName(MemberNamesError::InvalidName(name));
         return Err(file.error(KEY, error));
     }
     Ok(name)
@@ -116,34 +116,34 @@
     for offer in offers {
         check_length(KEY, offer, file)?;
     }
-    if offers.len() > MOST_OFFERS {
-        let error = ValueError::TooManyOffers { limit: MOST_OFFERS };
+    if offers.len() > MAX_OFFERS {
+        let error = ValueError::TooManyOffers { limit: MAX_OFFERS };
         return Err(file.error(KEY, error));
     }
     Ok(())
 }
 
 fn check_length(key: &str, value: &str, file: &ProjectFile) -> Result<(), ProjectFileError> {
-    if value.len() <= names::MOST_NAME {
+    if value.len() <= member_names::MAX_NAME_BYTES {
         return Ok(());
     }
     let error = ValueError::TooLong {
         value: value.into(),
-        limit: names::MOST_NAME,
+        limit: member_names::MAX_NAME_BYTES,
     };
     Err(file.error(key, error))
 }
 
 /// The names of all members, which have to include this coordinator's.
-fn member_names(
+fn read_member_names(
     patterns: &[String],
     name: &str,
     file: &ProjectFile,
 ) -> Result<BTreeSet<String>, ContentError> {
     const KEY: &str = "peers.group";
-    let group = names::read(patterns)
+    let group = member_names::parse(patterns)
         .map_err(|error| file.error(KEY, ValueError::InvalidMemberNames(error)))?;
-    if !names::is_name(name) {
+    if !member_names::is_valid_name(name) {
         return Err(DeploymentFileError::InvalidMemberName(name.into()).into());
     }
     if !group.contains(name) {
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -1,7 +1,8 @@
 //! Generates `docs/ERRORS.md` from the error types; the test here fails when the page is stale.
 
 use crate::cluster;
-use cairnroad_cluster::{names, Dropped};
+use cairnroad_cluster::member_names::MemberNamesError;
+use cairnroad_cluster::DatagramError;
 use cairnroad_discovery_watch::WatchError;
 use cairnroad_settings::SettingsError;
 
@@ -99,61 +100,61 @@
 
 fn member_name_errors() -> Vec<Row> {
     let all = vec![
-        names::Fault::Empty,
-        names::Fault::Name("a b".into()),
-        names::Fault::Range("n[3-1]".into()),
-        names::Fault::Twice("n2".into()),
-        names::Fault::TooMany,
+        MemberNamesError::Empty,
+        MemberNamesError::InvalidName("a b".into()),
+        MemberNamesError::InvalidRange("n[3-1]".into()),
+        MemberNamesError::DuplicateName("n2".into()),
+        MemberNamesError::TooManyNames,
     ];
-    let variant = |error: &names::Fault| match error {
-        names::Fault::Empty => 0,
-        names::Fault::Name(_) => 1,
-        names::Fault::Range(_) => 2,
-        names::Fault::Twice(_) => 3,
-        names::Fault::TooMany => 4,
+    let variant = |error: &MemberNamesError| match error {
+        MemberNamesError::Empty => 0,
+        MemberNamesError::InvalidName(_) => 1,
+        MemberNamesError::InvalidRange(_) => 2,
+        MemberNamesError::DuplicateName(_) => 3,
+        MemberNamesError::TooManyNames => 4,
     };
     assert!(all
         .iter()
         .enumerate()
         .all(|(index, error)| variant(error) == index));
-    rows(all, names::Fault::help)
+    rows(all, MemberNamesError::help)
 }
 
 fn dropped_datagrams() -> Vec<Row> {
     let all = vec![
-        Dropped::Garbage,
-        Dropped::Version,
-        Dropped::Cluster,
-        Dropped::Misdirected,
-        Dropped::Full,
+        DatagramError::Malformed,
+        DatagramError::ForeignVersion,
+        DatagramError::ForeignCluster,
+        DatagramError::Misdirected,
+        DatagramError::TooManyMembers,
     ];
-    let variant = |error: &Dropped| match error {
-        Dropped::Garbage => 0,
-        Dropped::Version => 1,
-        Dropped::Cluster => 2,
-        Dropped::Misdirected => 3,
-        Dropped::Full => 4,
+    let variant = |error: &DatagramError| match error {
+        DatagramError::Malformed => 0,
+        DatagramError::ForeignVersion => 1,
+        DatagramError::ForeignCluster => 2,
+        DatagramError::Misdirected => 3,
+        DatagramError::TooManyMembers => 4,
     };
     assert!(all
         .iter()
         .enumerate()
         .all(|(index, error)| variant(error) == index));
-    rows(all, Dropped::help)
+    rows(all, DatagramError::help)
 }
 
 fn cluster_errors() -> Vec<Row> {
-    let all = vec![cluster::Fault::Listen {
+    let all = vec![cluster::ClusterError::Listen {
         address: ([127, 0, 0, 1], 7400).into(),
-        cause: address_in_use(),
+        source: address_in_use(),
     }];
-    let variant = |error: &cluster::Fault| match error {
-        cluster::Fault::Listen { .. } => 0,
+    let variant = |error: &cluster::ClusterError| match error {
+        cluster::ClusterError::Listen { .. } => 0,
     };
     assert!(all
         .iter()
         .enumerate()
         .all(|(index, error)| variant(error) == index));
-    rows(all, cluster::Fault::help)
+    rows(all, cluster::ClusterError::help)
 }
 
 fn page() -> String {
--- a/crates/coordinator/src/server/start.rs
+++ b/crates/coordinator/src/server/start.rs
@@ -6,7 +6,7 @@
 use super::reload::{log_offered_classes, Reloader};
 use super::{descriptions, shutdown, Signals};
 use crate::clock::Clock;
-use crate::cluster::{self, Peers};
+use crate::cluster::{self, ClusterDependencies, ClusterHandle};
 use crate::configuration::Config;
 use crate::messages::LocalOutliers;
 use crate::pipeline::Core;
@@ -65,29 +65,29 @@
     config: &Config,
     context: &Context,
     core: &mut Core,
-) -> Result<Option<Rc<Peers>>, ServerError> {
+) -> Result<Option<Rc<ClusterHandle>>, ServerError> {
     let Some(settings) = &config.cluster else {
         return Ok(None);
     };
     let (outliers, outlier_updates) = watch::channel(LocalOutliers::default());
     core.publish_outliers_to(outliers);
-    let given = cluster::Given {
+    let dependencies = ClusterDependencies {
         name: config.name.clone(),
         seed: config.seed,
         clock: context.clock.clone(),
         phases: context.phase.subscribe(),
-        doubts: outlier_updates,
+        local_outliers: outlier_updates,
         core: context.messages.clone(),
     };
-    let peers = cluster::start(settings, given).await?;
-    Ok(Some(Rc::new(peers)))
+    let cluster = cluster::start(settings, dependencies).await?;
+    Ok(Some(Rc::new(cluster)))
 }
 
 /// Starts the admin API, if the configuration says where.
 async fn start_admin_api(
     config: &Config,
     context: &Context,
-    cluster: Option<&Rc<Peers>>,
+    cluster: Option<&Rc<ClusterHandle>>,
 ) -> Result<(), ServerError> {
     let Some(address) = config.admin_listen else {
         return Ok(());
