--- a/crates/coordinator/src/fronts/client_connections.rs
+++ b/crates/coordinator/src/fronts/client_connections.rs
@@ -1,95 +1,136 @@
-//! The places that client connections take up, of all fronts together. One that idles is told to leave when its
-//! place is needed, so that clients who ask nothing don't keep out those who do.
+//! Accounting of client connections, over all fronts together.
+//!
+//! Counts what is open, in flight and lingering, and evicts the connection that has been idle for longest when its slot
+//! is needed, so that clients that send nothing don't keep out those that do.
 
 use cairnroad_admin::shutdown::Seen;
-use cairnroad_types::Time;
+use cairnroad_types::{Seconds, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A connection that idles for less isn't told to leave: its request may be on its way. The first one on a connection
-/// has failed if the connection is closed under it; a later one comes again on a new connection, and a client that
-/// comes back to its connection does so soon where many ask.
-const YOUNG: f64 = 0.25;
-const YOUNG_USED: f64 = 0.05;
+/// Shortest idle time before a connection that has sent no request may be evicted. Its first request may be on its
+/// way, and clients count that one as failed if the connection is closed under it.
+const MIN_IDLE_BEFORE_FIRST_REQUEST: Seconds = 0.25;
+/// The same once a request was received. Clients send a later request again on a new connection, and where many
+/// requests come, a client returns to its connection soon.
+const MIN_IDLE_AFTER_REQUEST: Seconds = 0.05;
+
+/// Identifies an idle connection; ordered by how long it has been idle, the longest first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleKey {
+    since: Time,
+    id: u64,
+}
+
+/// An idle connection that may be evicted.
+struct IdleConnection {
+    min_idle: Seconds,
+    evict: Rc<Notify>,
+}
 
-/// Who waits for a request, the longest idle first, and how long each may.
-type Idle = BTreeMap<(Time, u64), (f64, Rc<Notify>)>;
+/// A count of things under way. Each is represented by a guard, so that the count can't be left too high.
+#[derive(Clone, Default)]
+struct Gauge(Rc<Cell<usize>>);
 
+impl Gauge {
+    fn get(&self) -> usize {
+        self.0.get()
+    }
+
+    fn enter(&self) -> GaugeGuard {
+        self.0.set(self.0.get() + 1);
+        GaugeGuard(self.0.clone())
+    }
+}
+
+/// One unit of a [`Gauge`], given back when dropped.
+struct GaugeGuard(Rc<Cell<usize>>);
+
+impl Drop for GaugeGuard {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+/// The client connections of all fronts.
 #[derive(Default)]
 pub struct ClientConnections {
-    open: Cell<usize>,
-    /// Requests that came in and aren't answered, and when the last one came.
-    serving: Cell<usize>,
-    last_asked: Cell<Time>,
-    last_answered: Cell<Time>,
-    /// Connections whose clients were told of the end, and that are only read and dropped.
-    parted: Cell<usize>,
-    /// The moment by which all is answered, once the program was told to stop.
-    answered_by: Cell<Option<Time>>,
-    next: Cell<u64>,
-    idle: RefCell<Idle>,
+    open: Gauge,
+    /// Requests that were received and aren't answered.
+    in_flight: Gauge,
+    /// Connections that were half-closed and are only drained.
+    lingering: Gauge,
+    last_request_at: Cell<Time>,
+    last_answer_at: Cell<Time>,
+    /// When every request has to be answered, once a graceful shutdown has begun.
+    answer_deadline: Cell<Option<Time>>,
+    next_id: Cell<u64>,
+    idle: RefCell<BTreeMap<IdleKey, IdleConnection>>,
 }
 
 impl ClientConnections {
-    pub fn take(self: &Rc<Self>) -> ClientConnection {
-        self.open.set(self.open.get() + 1);
-        let id = self.next.replace(self.next.get() + 1);
-        let (used, serving, parted) = (Cell::new(false), Cell::new(false), Cell::new(false));
+    /// Takes a slot for a connection that was just accepted. The slot is given back when the result is dropped.
+    pub fn register(self: &Rc<Self>) -> ClientConnection {
+        let id = self.next_id.replace(self.next_id.get() + 1);
         ClientConnection {
-            places: self.clone(),
+            _open: self.open.enter(),
+            in_flight: RefCell::default(),
+            lingering: RefCell::default(),
             id,
             idle_since: Cell::new(None),
-            used,
-            serving,
-            parted,
-            leave: Rc::default(),
+            received_request: Cell::new(false),
+            evict: Rc::default(),
+            connections: self.clone(),
         }
     }
 
-    pub fn open(&self) -> usize {
+    /// Number of open connections, whatever they do.
+    pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
-    /// Connections that stand in the middle of a request, and what else a stop goes by.
-    pub fn seen(&self) -> Seen {
-        let (last_asked, last_answered) = (self.last_asked.get(), self.last_answered.get());
-        let (serving, staying) = (self.serving.get(), self.open.get() - self.parted.get());
-        Seen {
-            last_asked,
-            last_answered,
-            coming_in: self.busy().saturating_sub(serving),
-            serving,
-            staying,
-        }
+    /// Number of connections with a request in flight or partly received.
+    pub fn busy_count(&self) -> usize {
+        self.open.get() - self.idle.borrow().len()
     }
 
-    /// From now on no request gets longer than up to this moment.
-    pub fn answer_by(&self, moment: Time) {
-        self.answered_by.set(Some(moment));
+    /// What a graceful shutdown decides by.
+    pub fn shutdown_observation(&self) -> Seen {
+        let in_flight = self.in_flight.get();
+        Seen {
+            last_asked: self.last_request_at.get(),
+            last_answered: self.last_answer_at.get(),
+            coming_in: self.busy_count().saturating_sub(in_flight),
+            serving: in_flight,
+            staying: self.open.get() - self.lingering.get(),
+        }
     }
 
-    /// When a request that is due then has to have its answer.
-    pub fn due(&self, due: Time) -> Time {
-        self.answered_by.get().map_or(due, |end| end.min(due))
+    /// Limits the deadlines of all requests from now on to this moment.
+    pub fn set_answer_deadline(&self, moment: Time) {
+        self.answer_deadline.set(Some(moment));
     }
 
-    /// Connections that have a request open or coming in.
-    pub fn busy(&self) -> usize {
-        self.open.get() - self.idle.borrow().len()
+    /// A request's deadline, limited by a graceful shutdown where one has begun.
+    pub fn cap_deadline(&self, deadline: Time) -> Time {
+        self.answer_deadline
+            .get()
+            .map_or(deadline, |end| end.min(deadline))
     }
 
-    /// Tells the connection that has been idle for longest to leave; whether there was one.
-    pub fn make_room(&self, now: Time) -> bool {
+    /// Evicts the connection that has been idle for longest, of those that may be evicted. Returns whether there was
+    /// one.
+    pub fn evict_longest_idle(&self, now: Time) -> bool {
         let mut idle = self.idle.borrow_mut();
         let longest = idle
             .iter()
-            .find(|((since, _), (least, _))| now - *since >= *least)
+            .find(|(key, connection)| now - key.since >= connection.min_idle)
             .map(|(&key, _)| key);
         match longest.and_then(|key| idle.remove(&key)) {
-            Some((_, leave)) => {
-                leave.notify_one();
+            Some(connection) => {
+                connection.evict.notify_one();
                 true
             }
             None => false,
@@ -97,90 +138,88 @@
     }
 }
 
-/// One connection's place, given back when it is dropped.
+/// One connection's slot. Dropping it gives back all that it is counted in.
 pub struct ClientConnection {
-    places: Rc<ClientConnections>,
+    _open: GaugeGuard,
+    /// Present from a request, or a rejection that is due, until the answer was written.
+    in_flight: RefCell<Option<GaugeGuard>>,
+    /// Present once the connection was half-closed.
+    lingering: RefCell<Option<GaugeGuard>>,
     id: u64,
     idle_since: Cell<Option<Time>>,
-    /// A request has come in on it.
-    used: Cell<bool>,
-    /// It isn't answered yet.
-    serving: Cell<bool>,
-    /// Its client was told of the end.
-    parted: Cell<bool>,
-    leave: Rc<Notify>,
+    received_request: Cell<bool>,
+    evict: Rc<Notify>,
+    connections: Rc<ClientConnections>,
 }
 
 impl ClientConnection {
-    /// From `now` on the connection waits, until it is busy again.
-    pub fn idle(&self, now: Time) {
-        if self.idle_since.get().is_none() {
-            self.idle_since.set(Some(now));
-            let least = if self.used.get() { YOUNG_USED } else { YOUNG };
-            self.places
-                .idle
-                .borrow_mut()
-                .insert((now, self.id), (least, self.leave.clone()));
+    /// Marks the connection as idle from `now` on, if it isn't already: it may be evicted.
+    pub fn mark_idle(&self, now: Time) {
+        if self.idle_since.get().is_some() {
+            return;
         }
-    }
-
-    /// A request has come in.
-    pub fn asked(&self, now: Time) {
-        self.used.set(true);
-        self.busy();
-        self.places.last_asked.set(now);
-        self.refuses();
-    }
-
-    /// An answer is owed, be it a refusal of what came in part.
-    pub fn refuses(&self) {
-        if !self.serving.replace(true) {
-            self.places.serving.set(self.places.serving.get() + 1);
+        self.idle_since.set(Some(now));
+        let key = IdleKey {
+            since: now,
+            id: self.id,
+        };
+        let idle = IdleConnection {
+            min_idle: match self.received_request.get() {
+                true => MIN_IDLE_AFTER_REQUEST,
+                false => MIN_IDLE_BEFORE_FIRST_REQUEST,
+            },
+            evict: self.evict.clone(),
+        };
+        self.connections.idle.borrow_mut().insert(key, idle);
+    }
+
+    /// Marks the connection as busy: it can't be evicted.
+    pub fn mark_busy(&self) {
+        if let Some(since) = self.idle_since.take() {
+            let key = IdleKey { since, id: self.id };
+            self.connections.idle.borrow_mut().remove(&key);
         }
     }
 
-    /// It is answered.
-    pub fn answered(&self, now: Time) {
-        self.places.last_answered.set(now);
-        self.released();
+    /// Records that a whole request was received.
+    pub fn request_received(&self, now: Time) {
+        self.received_request.set(true);
+        self.mark_busy();
+        self.connections.last_request_at.set(now);
+        self.expect_answer();
     }
 
-    /// Its client was told of the end: what still comes is read and dropped, as long as the place isn't needed.
-    pub fn part(&self, now: Time) {
-        self.busy();
-        self.idle(now);
-        if !self.parted.replace(true) {
-            self.places.parted.set(self.places.parted.get() + 1);
-        }
+    /// Counts an answer as owed, be it the rejection of a request that was received in part.
+    pub fn expect_answer(&self) {
+        self.in_flight
+            .borrow_mut()
+            .get_or_insert_with(|| self.connections.in_flight.enter());
     }
 
-    /// It is answered, or its client is gone.
-    fn released(&self) {
-        if self.serving.replace(false) {
-            self.places.serving.set(self.places.serving.get() - 1);
-        }
+    /// Records that the answer was written.
+    pub fn answer_sent(&self, now: Time) {
+        self.connections.last_answer_at.set(now);
+        self.in_flight.take();
     }
 
-    pub fn busy(&self) {
-        if let Some(since) = self.idle_since.take() {
-            self.places.idle.borrow_mut().remove(&(since, self.id));
-        }
+    /// Records that the connection was half-closed. What still comes is drained, until the slot is needed.
+    pub fn begin_linger(&self, now: Time) {
+        self.mark_busy();
+        self.mark_idle(now);
+        self.lingering
+            .borrow_mut()
+            .get_or_insert_with(|| self.connections.lingering.enter());
     }
 
-    /// Resolves once the place is needed.
-    pub async fn needed(&self) {
-        self.leave.notified().await;
+    /// Resolves once the slot is needed and the connection should be closed.
+    pub async fn evicted(&self) {
+        self.evict.notified().await;
     }
 }
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.busy();
-        self.released();
-        if self.parted.get() {
-            self.places.parted.set(self.places.parted.get() - 1);
-        }
-        self.places.open.set(self.places.open.get() - 1);
+        self.mark_busy();
     }
 }
 
--- a/crates/coordinator/src/fronts/client_connections/tests.rs
+++ b/crates/coordinator/src/fronts/client_connections/tests.rs
@@ -1,70 +1,76 @@
-//! Who leaves when a place is needed, and what a stop goes by.
+//! Which connection is evicted, and what a graceful shutdown observes.
 
 use super::*;
 
 #[test]
-fn the_longest_idle_leaves_first_and_neither_the_young_nor_the_busy() {
-    let places = Rc::new(ClientConnections::default());
+fn the_longest_idle_is_evicted_first_and_neither_recent_nor_busy_connections_are() {
+    let connections = Rc::new(ClientConnections::default());
     let at = Time::from_secs;
-    let held: Vec<ClientConnection> = (0..4).map(|_| places.take()).collect();
-    assert!(!places.make_room(at(9.0)), "nobody idles");
-    for (place, since) in held.iter().zip([3.0, 1.0, 2.0, 9.0]) {
-        place.idle(at(since));
+    let held: Vec<ClientConnection> = (0..4).map(|_| connections.register()).collect();
+    assert!(!connections.evict_longest_idle(at(9.0)), "nobody idles");
+    for (connection, since) in held.iter().zip([3.0, 1.0, 2.0, 9.0]) {
+        connection.mark_idle(at(since));
     }
-    held[1].busy();
-    assert_eq!((places.open(), places.busy()), (4, 1));
+    held[1].mark_busy();
+    assert_eq!((connections.open_count(), connections.busy_count()), (4, 1));
     let left = |now: f64| {
-        places.make_room(at(now));
-        let idle = places.idle.borrow();
-        idle.keys().map(|(_, id)| *id).collect::<Vec<_>>()
+        connections.evict_longest_idle(at(now));
+        let idle = connections.idle.borrow();
+        idle.keys().map(|key| key.id).collect::<Vec<_>>()
     };
     assert_eq!(
         (left(9.1), left(9.1), left(9.1)),
         (vec![0, 3], vec![3], vec![3])
     );
     assert_eq!(left(9.3), Vec::<u64>::new());
-    // Of two that idle since the same moment, the one that was answered may leave sooner.
-    held[2].busy();
-    held[2].idle(at(10.0));
-    held[1].asked(at(9.9));
+    // Of two that are idle since the same moment, the one that sent a request may be evicted sooner.
+    held[2].mark_busy();
+    held[2].mark_idle(at(10.0));
+    held[1].request_received(at(9.9));
     assert_eq!(
-        (places.seen().serving, places.seen().last_asked),
+        (
+            connections.shutdown_observation().serving,
+            connections.shutdown_observation().last_asked
+        ),
         (1, at(9.9))
     );
-    held[1].answered(at(9.9));
-    assert_eq!(places.seen().serving, 0);
-    held[1].idle(at(10.0));
+    held[1].answer_sent(at(9.9));
+    assert_eq!(connections.shutdown_observation().serving, 0);
+    held[1].mark_idle(at(10.0));
     assert_eq!((left(10.04), left(10.06)), (vec![1, 2], vec![2]));
-    held[1].busy();
-    held[2].busy();
+    held[1].mark_busy();
+    held[2].mark_busy();
     drop(held);
-    assert_eq!((places.open(), places.busy()), (0, 0));
+    assert_eq!((connections.open_count(), connections.busy_count()), (0, 0));
 }
 
-/// Guards against connections that are only read and dropped being taken for requests that come in, or for clients that
-/// have not been told of the end, or keeping others out.
+/// Guards against connections that only linger being counted as requests that are being received, or as clients that
+/// still expect service, or keeping others out.
 #[test]
-fn a_connection_that_was_told_of_the_end_counts_for_nothing_but_its_place() {
-    let places = Rc::new(ClientConnections::default());
-    let held: Vec<ClientConnection> = (0..3).map(|_| places.take()).collect();
-    held[0].idle(Time::from_secs(1.0));
-    let seen = |places: &ClientConnections| {
+fn a_lingering_connection_counts_only_as_open() {
+    let connections = Rc::new(ClientConnections::default());
+    let held: Vec<ClientConnection> = (0..3).map(|_| connections.register()).collect();
+    held[0].mark_idle(Time::from_secs(1.0));
+    let seen = |connections: &ClientConnections| {
         (
-            places.open(),
-            places.busy(),
-            places.seen().coming_in,
-            places.seen().staying,
+            connections.open_count(),
+            connections.busy_count(),
+            connections.shutdown_observation().coming_in,
+            connections.shutdown_observation().staying,
         )
     };
-    assert_eq!(seen(&places), (3, 2, 2, 3));
-    assert!(places.make_room(Time::from_secs(9.0)));
+    assert_eq!(seen(&connections), (3, 2, 2, 3));
+    assert!(connections.evict_longest_idle(Time::from_secs(9.0)));
     for _ in 0..2 {
-        held[0].part(Time::from_secs(9.0));
-        held[1].part(Time::from_secs(9.0));
+        held[0].begin_linger(Time::from_secs(9.0));
+        held[1].begin_linger(Time::from_secs(9.0));
     }
-    assert_eq!(seen(&places), (3, 1, 1, 1));
-    assert!(places.make_room(Time::from_secs(9.5)) && places.make_room(Time::from_secs(9.5)));
-    assert!(!places.make_room(Time::from_secs(9.5)));
+    assert_eq!(seen(&connections), (3, 1, 1, 1));
+    assert!(
+        connections.evict_longest_idle(Time::from_secs(9.5))
+            && connections.evict_longest_idle(Time::from_secs(9.5))
+    );
+    assert!(!connections.evict_longest_idle(Time::from_secs(9.5)));
     drop(held);
-    assert_eq!(seen(&places), (0, 0, 0, 0));
+    assert_eq!(seen(&connections), (0, 0, 0, 0));
 }
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -18,53 +18,54 @@
 use tokio::sync::{mpsc, watch};
 
 /// What a client may send ahead while its answer is made. Clients send one request at a time.
-const MOST_AHEAD: usize = 16 * 1024;
+const MAX_PIPELINED_BYTES: usize = 16 * 1024;
 /// What is dropped of a client's bytes at a go, and the pause after that: a flood must not take the whole core.
-const DROPPED: usize = 256 * 1024;
-const DROP_PAUSE: Duration = Duration::from_millis(5);
+const DISCARD_BURST: usize = 256 * 1024;
+const DISCARD_PAUSE: Duration = Duration::from_millis(5);
 /// Advice where this machine is full or ends, in seconds, and in shortest aims if that is less: a client that is to come
 /// back after its time does not come at all.
-const FULL_ADVICE: f64 = 1.0;
-const FULL_ADVICE_AIMS: f64 = 1.0;
+const OVERLOAD_RETRY_AFTER: f64 = 1.0;
+const OVERLOAD_RETRY_AFTER_OBJECTIVES: f64 = 1.0;
 
 /// What every connection of a front holds.
 pub struct Front {
     /// What clients may ask for; it changes with the settings.
-    pub offer: watch::Receiver<Arc<ServedConfiguration>>,
-    pub core: mpsc::Sender<ClientRequest>,
+    pub served: watch::Receiver<Arc<ServedConfiguration>>,
+    pub requests: mpsc::Sender<ClientRequest>,
     pub clock: Clock,
     pub phase: watch::Receiver<Phase>,
     pub limits: Limits,
     /// Where the connections of all fronts are counted.
-    pub places: Rc<ClientConnections>,
-    pub kind: Kind,
+    pub connections: Rc<ClientConnections>,
+    pub kind: FrontKind,
     /// Names for requests that bring none.
-    pub names: Cell<u64>,
+    pub request_names: Cell<u64>,
     pub contracts: Rc<Contracts>,
 }
 
 impl Front {
     /// What clients may ask for now.
-    pub fn offer(&self) -> Arc<ServedConfiguration> {
-        self.offer.borrow().clone()
+    pub fn served(&self) -> Arc<ServedConfiguration> {
+        self.served.borrow().clone()
     }
 
     /// When a client may come back that this machine has no room for, in seconds.
-    pub fn advice(&self) -> f64 {
-        FULL_ADVICE.min(FULL_ADVICE_AIMS * self.offer.borrow().deployment.shortest_aim())
+    pub fn retry_after(&self) -> f64 {
+        OVERLOAD_RETRY_AFTER
+            .min(OVERLOAD_RETRY_AFTER_OBJECTIVES * self.served.borrow().deployment.shortest_aim())
     }
 
     /// A name for a request that brings none: unlike any other of this or another coordinator's.
-    pub fn fresh_name(&self) -> String {
-        let number = self.names.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
-        self.names.set(number);
+    pub fn generate_request_name(&self) -> String {
+        let number = self.request_names.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.request_names.set(number);
         let mixed = (number ^ (number >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         format!("{:016x}", mixed ^ (mixed >> 29))
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrontKind {
     Platform,
     OpenSearch,
 }
@@ -101,18 +102,18 @@
     /// More was sent ahead than is kept: what lies behind the buffer is lost.
     pub overrun: &'a mut bool,
     /// What was in force when the request came.
-    pub judge: ContractsInForce,
+    pub contracts: ContractsInForce,
 }
 
 impl Exchange<'_> {
     /// Hands the requests to the core together and waits for their final answers. A client that closes its
     /// connection meanwhile has gone away, which withdraws them.
-    pub async fn ask(&mut self, requests: Vec<Request>) -> Result<Vec<Answer>, ()> {
-        let advice = self.front.advice();
+    pub async fn submit(&mut self, requests: Vec<Request>) -> Result<Vec<Answer>, ()> {
+        let advice = self.front.retry_after();
         let handed = requests.into_iter().map(|mut request| {
-            request.judge = self.judge.clone();
-            request.due = self.front.places.due(request.due);
-            request_queue::hand_over(&self.front.core, request, advice)
+            request.judge = self.contracts.clone();
+            request.due = self.front.connections.cap_deadline(request.due);
+            request_queue::hand_over(&self.front.requests, request, advice)
         });
         let waiting: Vec<_> = handed.collect();
         let answers = async {
@@ -124,7 +125,7 @@
         };
         tokio::pin!(answers);
         loop {
-            *self.overrun |= self.buffer.len() >= MOST_AHEAD;
+            *self.overrun |= self.buffer.len() >= MAX_PIPELINED_BYTES;
             if *self.overrun {
                 // It is read all the same: the client's end lies behind what it sent.
                 tokio::select! {
@@ -149,18 +150,18 @@
 pub async fn discard(stream: &mut TcpStream) {
     let mut dropped = vec![0; 16 * 1024];
     loop {
-        let mut left = DROPPED;
+        let mut left = DISCARD_BURST;
         while left > 0 {
             match stream.read(&mut dropped).await {
                 Ok(bytes) if bytes > 0 => left = left.saturating_sub(bytes),
                 _ => return,
             }
         }
-        tokio::time::sleep(DROP_PAUSE).await;
+        tokio::time::sleep(DISCARD_PAUSE).await;
     }
 }
 
 /// Seconds of advice, to the millisecond.
-pub fn decimal(secs: f64) -> String {
+pub fn decimal_seconds(secs: f64) -> String {
     format!("{:.3}", secs.max(0.001))
 }
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -12,7 +12,7 @@
 use crate::messages::{ContractsInForce, Phase};
 use cairnroad_contract::drift::Interface;
 use client_connections::ClientConnection;
-use exchange::{Exchange, Front, Kind, Reply};
+use exchange::{Exchange, Front, FrontKind, Reply};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,45 +20,49 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a connection may idle between two requests. Clients that stay for good would take up all places;
+/// How long a connection may idle between two requests. Clients that stay for good would take up all connections;
 /// one that comes back later pays for a new connection.
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a request may take to come in, from its first byte; for a connection's first request, from the start
 /// of the connection. A client that says nothing, or half of something, is owed an end within 3 s of connecting,
 /// and it may have lain unaccepted for some of that.
-pub const SLOW: Duration = Duration::from_secs(2);
+pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a client that still sends is read after its answer, so that the answer isn't cut off by a reset. The
 /// end is owed within 6 s where 60 MB come.
-const LINGER: Duration = Duration::from_millis(2500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The same for a client that idled: what crosses the end is read, so that no reset overtakes an answer it has not read.
-const PARTING: Duration = Duration::from_millis(250);
+const IDLE_LINGER_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a client may take to read an answer.
-const UNREAD: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long an idle connection is still read once the program closes.
-const LAST_GRACE: Duration = Duration::from_millis(100);
+const SHUTDOWN_IDLE_GRACE: Duration = Duration::from_millis(100);
 /// How long an idle connection stays open before that once operators send clients away: the front asks for health ten
 /// times a second and sends nobody new 0.2 s after a no, and those who are there may still ask and learn to leave.
-const DRAINED_IDLE: Duration = Duration::from_millis(500);
+const DRAINED_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// For how long a client that sends ahead of its answers is served one by one. Hundreds of requests at once are
 /// owed an end within 3 s; what wasn't read by then is refused, and never ran.
-const AHEAD: Duration = Duration::from_secs(2);
+const PIPELINING_TIMEOUT: Duration = Duration::from_secs(2);
 /// A buffer of more is given back when its connection idles.
-const KEPT_BUFFER: usize = 4 * 1024;
+const IDLE_BUFFER_CAPACITY: usize = 4 * 1024;
 
-/// Accepts until the program turns deaf. Whoever has connected by then is accepted yet: closing a listener resets all
+/// Accepts until the program turns listener_closed. Whoever has connected by then is accepted yet: closing a listener resets all
 /// that wait there.
-pub async fn listen(listener: TcpListener, front: Rc<Front>, mut deaf: watch::Receiver<bool>) {
+pub async fn listen(
+    listener: TcpListener,
+    front: Rc<Front>,
+    mut listener_closed: watch::Receiver<bool>,
+) {
     loop {
         tokio::select! {
             biased;
-            _ = deaf.wait_for(|deaf| *deaf) => break,
+            _ = listener_closed.wait_for(|listener_closed| *listener_closed) => break,
             () = accept(&listener, &front) => {}
         }
     }
     let Ok(listener) = listener.into_std() else {
         return;
     };
-    while front.places.open() < front.limits.accepted {
+    while front.connections.open_count() < front.limits.accepted {
         let Ok((stream, _)) = listener.accept() else {
             return;
         };
@@ -66,19 +70,19 @@
             .set_nonblocking(true)
             .and_then(|()| TcpStream::from_std(stream))
         {
-            take(stream, &front);
+            spawn_session(stream, &front);
         }
     }
 }
 
 async fn accept(listener: &TcpListener, front: &Rc<Front>) {
     // At the hard limit nobody is accepted: what waits in the backlog is taken once one leaves.
-    while front.places.open() >= front.limits.accepted {
-        front.places.make_room(front.clock.now());
+    while front.connections.open_count() >= front.limits.accepted {
+        front.connections.evict_longest_idle(front.clock.now());
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     match listener.accept().await {
-        Ok((stream, _)) => take(stream, front),
+        Ok((stream, _)) => spawn_session(stream, front),
         Err(e) => {
             tracing::warn!(cause = %e, "a client was not accepted");
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -86,141 +90,145 @@
     }
 }
 
-fn take(stream: TcpStream, front: &Rc<Front>) {
-    let place = front.places.take();
+fn spawn_session(stream: TcpStream, front: &Rc<Front>) {
+    let connection = front.connections.register();
     // Two leave for each that comes until there is room: one alone would never win back what was lost
     // while all were too young to leave.
     for _ in 0..2 {
-        if front.places.open() > front.limits.kept {
-            front.places.make_room(front.clock.now());
+        if front.connections.open_count() > front.limits.kept {
+            front.connections.evict_longest_idle(front.clock.now());
         }
     }
     let front = front.clone();
-    tokio::task::spawn_local(async move { serve(stream, &front, place).await });
+    tokio::task::spawn_local(async move { serve(stream, &front, connection).await });
 }
 
 /// A connection's life: one request after another.
-async fn serve(mut stream: TcpStream, front: &Front, place: ClientConnection) {
+async fn serve(mut stream: TcpStream, front: &Front, connection: ClientConnection) {
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
-    let mut first = Some(Instant::now() + SLOW);
-    let mut ahead = None;
+    let mut first = Some(Instant::now() + REQUEST_READ_TIMEOUT);
+    let mut pipelining_since = None;
     let mut overrun = false;
     loop {
-        let request = match next(
+        let request = match next_request(
             front,
             &mut stream,
             &mut buffer,
-            &place,
+            &connection,
             first.take(),
             overrun,
         )
         .await
         {
-            Ok(Next::Request(request)) => request,
-            Ok(Next::Gone) => return,
-            Ok(Next::Rests) => return linger(front, &mut stream, &place, PARTING).await,
+            Ok(NextRequest::Received(request)) => request,
+            Ok(NextRequest::ClientGone) => return,
+            Ok(NextRequest::IdleEnd) => {
+                return linger(front, &mut stream, &connection, IDLE_LINGER_TIMEOUT).await
+            }
             Err(bad) => {
-                place.refuses();
+                connection.expect_answer();
                 let reply = match bad.passes() {
-                    true => later(front, bad.status(), bad.text()),
-                    false => refusal_of(front, bad.status(), bad.text()),
+                    true => retry_later(front, bad.status(), bad.text()),
+                    false => rejection(front, bad.status(), bad.text()),
                 };
                 let _ = write(&mut stream, reply, true).await;
-                place.answered(front.clock.now());
-                return linger(front, &mut stream, &place, LINGER).await;
+                connection.answer_sent(front.clock.now());
+                return linger(front, &mut stream, &connection, LINGER_TIMEOUT).await;
             }
         };
-        let (arrived, begun) = (front.clock.earliest_arrival(), Instant::now());
-        let crowded = front.places.busy() > front.limits.clients;
+        let (arrived, received_at) = (front.clock.earliest_arrival(), Instant::now());
+        let overloaded = front.connections.busy_count() > front.limits.clients;
         let asked_to_close = request.close;
-        let judge = front.contracts.current();
-        let watched = hold_against(front, &judge, &request);
+        let contracts = front.contracts.current();
+        let checked = check_contract(front, &contracts, &request);
         let (stream, buffer, overrun) = (&mut stream, &mut buffer, &mut overrun);
         let mut exchange = Exchange {
             front,
             stream,
             buffer,
             overrun,
-            judge,
+            contracts,
         };
         let path = request.target.split('?').next().unwrap_or("");
-        let reply = match (crowded, front.kind) {
+        let reply = match (overloaded, front.kind) {
             _ if path == "/_health" => Ok(health(front, &request.method)),
-            (false, _) if watched.is_err() => {
-                let reason = watched.as_ref().err().map_or("", String::as_str);
-                Ok(refusal_of(front, 400, reason))
+            (false, _) if checked.is_err() => {
+                let reason = checked.as_ref().err().map_or("", String::as_str);
+                Ok(rejection(front, 400, reason))
             }
-            (true, _) => Ok(later(front, 503, "too many connections")),
-            (false, Kind::Platform) => {
+            (true, _) => Ok(retry_later(front, 503, "too many connections")),
+            (false, FrontKind::Platform) => {
                 platform::answer(front, &request, arrived, &mut exchange).await
             }
-            (false, Kind::OpenSearch) => {
+            (false, FrontKind::OpenSearch) => {
                 opensearch::answer(front, &request, arrived, &mut exchange).await
             }
         };
         let Ok(reply) = reply else { return };
-        if let Ok(Some(watched)) = watched {
+        if let Ok(Some(checked)) = checked {
             front
                 .contracts
-                .answered(watched, reply.status, reply.kind, &reply.extra, &reply.body);
+                .answered(checked, reply.status, reply.kind, &reply.extra, &reply.body);
         }
-        let close = asked_to_close || crowded || stopping(*front.phase.borrow());
+        let close = asked_to_close || overloaded || is_stopping(*front.phase.borrow());
         if !write(stream, reply, close).await {
             return;
         }
-        place.answered(front.clock.now());
+        connection.answer_sent(front.clock.now());
         // Line ends behind a body are no request.
         let more = buffer.iter().any(|byte| !b"\r\n".contains(byte));
-        ahead = ahead.filter(|_| more).or(more.then_some(begun));
-        if !close && ahead.is_some_and(|since| since.elapsed() > AHEAD) {
-            let reply = later(front, http::Bad::Ahead.status(), http::Bad::Ahead.text());
+        pipelining_since = pipelining_since
+            .filter(|_| more)
+            .or(more.then_some(received_at));
+        if !close && pipelining_since.is_some_and(|since| since.elapsed() > PIPELINING_TIMEOUT) {
+            let reply = retry_later(front, http::Bad::Ahead.status(), http::Bad::Ahead.text());
             let _ = write(stream, reply, true).await;
-            return linger(front, stream, &place, LINGER).await;
+            return linger(front, stream, &connection, LINGER_TIMEOUT).await;
         }
         if close {
             // Closing with bytes unread would reset the connection under the answer. A client that didn't ask for the
             // end may have sent more.
             if !asked_to_close || !buffer.is_empty() {
-                linger(front, stream, &place, LINGER).await;
+                linger(front, stream, &connection, LINGER_TIMEOUT).await;
             }
             return;
         }
     }
 }
 
-fn refusal_of(front: &Front, status: u16, text: &str) -> Reply {
+fn rejection(front: &Front, status: u16, text: &str) -> Reply {
     match front.kind {
-        Kind::Platform => platform::error(status, text),
-        Kind::OpenSearch => opensearch::error(status, "illegal_argument_exception", text),
+        FrontKind::Platform => platform::error(status, text),
+        FrontKind::OpenSearch => opensearch::error(status, "illegal_argument_exception", text),
     }
 }
 
 /// A refusal that says when to come back.
-fn later(front: &Front, status: u16, text: &str) -> Reply {
+fn retry_later(front: &Front, status: u16, text: &str) -> Reply {
     match front.kind {
-        Kind::Platform => platform::later(status, text, front.advice()),
-        Kind::OpenSearch => opensearch::later(status, text, front.advice()),
+        FrontKind::Platform => platform::retry_later(status, text, front.retry_after()),
+        FrontKind::OpenSearch => opensearch::retry_later(status, text, front.retry_after()),
     }
 }
 
 /// Holds a request against its front's description, if one is in force. `Err`: it must not be served.
-fn hold_against(
+fn check_contract(
     front: &Front,
-    judge: &ContractsInForce,
+    contracts: &ContractsInForce,
     request: &http::Request,
 ) -> Result<Option<Watched>, String> {
-    let Some(in_force) = judge else {
+    let Some(in_force) = contracts else {
         return Ok(None);
     };
     let interface = match front.kind {
-        Kind::Platform => Interface::Platform,
-        Kind::OpenSearch => Interface::Query,
+        FrontKind::Platform => Interface::Platform,
+        FrontKind::OpenSearch => Interface::Query,
     };
     front.contracts.request(in_force, interface, request)
 }
 
-fn stopping(phase: Phase) -> bool {
+fn is_stopping(phase: Phase) -> bool {
     matches!(
         phase,
         Phase::Drained | Phase::Stopping | Phase::Closing | Phase::Refusing
@@ -228,32 +236,32 @@
 }
 
 /// How a wait for a connection's next request ended.
-enum Next {
-    Request(http::Request),
+enum NextRequest {
+    Received(http::Request),
     /// Its client closed it.
-    Gone,
-    /// Nothing came for too long, its place is needed or the program closes: it is told of the end.
-    Rests,
+    ClientGone,
+    /// Nothing came for too long, its slot is needed or the program closes: it is told of the end.
+    IdleEnd,
 }
 
 /// The connection's next request. A first request has until `first` to come in. What lies behind the buffer was
 /// lost where there was an `overrun`.
-async fn next(
+async fn next_request(
     front: &Front,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    place: &ClientConnection,
+    connection: &ClientConnection,
     first: Option<Instant>,
     overrun: bool,
-) -> Result<Next, http::Bad> {
+) -> Result<NextRequest, http::Bad> {
     let (mut phase, mut last_phase) = (front.phase.clone(), front.phase.clone());
     let mut continued = false;
-    let (mut begun, rest) = (None, Instant::now() + IDLE);
+    let (mut received_at, rest) = (None, Instant::now() + IDLE_TIMEOUT);
     loop {
         if let Some((request, used)) = http::request(buffer)? {
-            place.asked(front.clock.now());
+            connection.request_received(front.clock.now());
             buffer.drain(..used);
-            return Ok(Next::Request(request));
+            return Ok(NextRequest::Received(request));
         }
         if overrun {
             return Err(http::Bad::Ahead);
@@ -265,25 +273,25 @@
                 .await
                 .is_err()
             {
-                return Ok(Next::Gone);
+                return Ok(NextRequest::ClientGone);
             }
         }
         let idle = buffer.is_empty();
         if idle {
-            buffer.shrink_to(KEPT_BUFFER);
-            place.idle(front.clock.now());
+            buffer.shrink_to(IDLE_BUFFER_CAPACITY);
+            connection.mark_idle(front.clock.now());
         } else {
-            place.busy();
+            connection.mark_busy();
         }
         // A connection that came late in the closing gets the time for its request to follow.
         let closing = async {
             let ends = phase
-                .wait_for(|phase| stopping(*phase) && *phase != Phase::Stopping)
+                .wait_for(|phase| is_stopping(*phase) && *phase != Phase::Stopping)
                 .await;
             if ends.is_ok_and(|phase| *phase == Phase::Drained) {
-                tokio::time::sleep(DRAINED_IDLE).await;
+                tokio::time::sleep(DRAINED_IDLE_TIMEOUT).await;
             }
-            tokio::time::sleep(LAST_GRACE).await;
+            tokio::time::sleep(SHUTDOWN_IDLE_GRACE).await;
         };
         let ending = async {
             if last_phase
@@ -297,24 +305,24 @@
         // From its first byte on a request has one span for all of it: bytes that trickle in don't renew it.
         let end = first.unwrap_or_else(|| match idle {
             true => rest,
-            false => *begun.get_or_insert_with(Instant::now) + SLOW,
+            false => *received_at.get_or_insert_with(Instant::now) + REQUEST_READ_TIMEOUT,
         });
         let bad = tokio::select! {
             biased;
             read = stream.read_buf(buffer) => match read {
-                Ok(0) | Err(_) => return Ok(Next::Gone),
+                Ok(0) | Err(_) => return Ok(NextRequest::ClientGone),
                 Ok(_) => continue,
             },
             () = closing, if idle => None,
             () = ending, if !idle => Some(http::Bad::Ending),
             () = tokio::time::sleep_until(end) => (!idle).then_some(http::Bad::TooSlow),
-            () = place.needed(), if idle => None,
+            () = connection.evicted(), if idle => None,
         };
         // A request that is there already is served first; what comes from now on crosses the end.
         let came = connection::look(stream, buffer);
         match bad {
             Some(bad) if !came || http::request(buffer)?.is_none() => return Err(bad),
-            None if !came => return Ok(Next::Rests),
+            None if !came => return Ok(NextRequest::IdleEnd),
             _ => {}
         }
     }
@@ -323,19 +331,24 @@
 async fn write(stream: &mut TcpStream, reply: Reply, close: bool) -> bool {
     let bytes = http::write_response(reply.status, reply.kind, &reply.extra, close, &reply.body);
     matches!(
-        tokio::time::timeout(UNREAD, stream.write_all(&bytes)).await,
+        tokio::time::timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await,
         Ok(Ok(()))
     )
 }
 
-/// Tells a client of the end, then reads and drops what it still sends, for a while or until its place is needed:
+/// Tells a client of the end, then reads and drops what it still sends, for a while or until its slot is needed:
 /// closing with bytes unread would reset the connection under the answer. Nothing that is read from here on is served.
-async fn linger(front: &Front, stream: &mut TcpStream, place: &ClientConnection, most: Duration) {
+async fn linger(
+    front: &Front,
+    stream: &mut TcpStream,
+    connection: &ClientConnection,
+    most: Duration,
+) {
     let _ = stream.shutdown().await;
-    place.part(front.clock.now());
+    connection.begin_linger(front.clock.now());
     tokio::select! {
         () = exchange::discard(stream) => {}
-        () = place.needed() => {}
+        () = connection.evicted() => {}
         () = tokio::time::sleep(most) => {}
     }
 }
@@ -344,7 +357,7 @@
 fn health(front: &Front, method: &str) -> Reply {
     match (method, *front.phase.borrow()) {
         ("GET", Phase::Serving) => Reply::json(200, b"{\"status\":\"ready\"}".to_vec()),
-        ("GET", _) => refusal_of(front, 503, "not ready").with("Retry-After", "1".into()),
-        _ => refusal_of(front, 405, "only GET is answered here").with("Allow", "GET".into()),
+        ("GET", _) => rejection(front, 503, "not ready").with("Retry-After", "1".into()),
+        _ => rejection(front, 405, "only GET is answered here").with("Allow", "GET".into()),
     }
 }
--- a/crates/coordinator/src/fronts/opensearch.rs
+++ b/crates/coordinator/src/fronts/opensearch.rs
@@ -5,7 +5,7 @@
 use crate::http;
 use crate::messages::Index;
 use crate::messages::{Answer, PartAnswer, PartSpec, Request, Text, Value};
-use cairnroad_types::Time;
+use cairnroad_types::{Seconds, Time};
 use serde::{Deserialize, Serialize};
 use serde_json::value::{to_raw_value, RawValue};
 use serde_json::{json, Map, Value as Json};
@@ -13,11 +13,11 @@
 
 /// The API's own default and limit on hits.
 const DEFAULT_SIZE: usize = 10;
-pub const MOST_WINDOW: usize = 10_000;
+pub const MAX_RESULT_WINDOW: usize = 10_000;
 /// Most searches in one `_msearch`.
-pub const MOST_SEARCHES: usize = 64;
-/// Terms that change nothing here: they lay a reply out, which is free, or steer what one named index has not.
-const HARMLESS: [&str; 11] = [
+pub const MAX_SEARCHES: usize = 64;
+/// SearchParameters that change nothing here: they lay a reply out, which is free, or steer what one named index has not.
+const IGNORED_PARAMETERS: [&str; 11] = [
     "pretty",
     "human",
     "error_trace",
@@ -33,14 +33,14 @@
 
 /// A fault that ends a search before it is asked: status, type, reason.
 #[derive(Debug, PartialEq)]
-pub struct Fault(u16, &'static str, String);
+pub struct QueryError(u16, &'static str, String);
 
-fn illegal(reason: impl Into<String>) -> Fault {
-    Fault(400, "illegal_argument_exception", reason.into())
+fn illegal_argument(reason: impl Into<String>) -> QueryError {
+    QueryError(400, "illegal_argument_exception", reason.into())
 }
 
-fn malformed(reason: impl Into<String>) -> Fault {
-    Fault(400, "parsing_exception", reason.into())
+fn parsing_error(reason: impl Into<String>) -> QueryError {
+    QueryError(400, "parsing_exception", reason.into())
 }
 
 /// One search, understood.
@@ -51,17 +51,17 @@
     from: usize,
     size: usize,
     /// The client's own limit, in seconds.
-    limit: Option<f64>,
+    timeout: Option<Seconds>,
     partial: bool,
     text: String,
 }
 
 /// What a path, its parameters and an `_msearch` header line say of a search.
 #[derive(Clone, Default)]
-struct Terms {
+struct SearchParameters {
     index: Option<String>,
     preference: Option<String>,
-    limit: Option<f64>,
+    timeout: Option<Seconds>,
     partial: Option<bool>,
     from: Option<usize>,
     size: Option<usize>,
@@ -99,7 +99,11 @@
         [index, "_search"] if !index.starts_with('_') => (Some(*index), false),
         ["_msearch"] => (None, true),
         [index, "_msearch"] if !index.starts_with('_') => (Some(*index), true),
-        ["_search"] => return Ok(reply_to(illegal("an index is needed: /{index}/_search"))),
+        ["_search"] => {
+            return Ok(error_reply(illegal_argument(
+                "an index is needed: /{index}/_search",
+            )))
+        }
         _ => {
             return Ok(error(
                 404,
@@ -116,55 +120,55 @@
         );
         return Ok(reply.with("Allow", "GET, POST".into()));
     }
-    let terms = match parameters(query) {
-        Ok(terms) => Terms {
+    let parameters = match parameters(query) {
+        Ok(parameters) => SearchParameters {
             index: index.map(|i| decode(i).unwrap_or_else(|| i.into())),
-            ..terms
+            ..parameters
         },
-        Err(fault) => return Ok(reply_to(fault)),
+        Err(fault) => return Ok(error_reply(fault)),
     };
     if many {
-        multi(front, request, terms, arrived, exchange).await
+        answer_multi_search(front, request, parameters, arrived, exchange).await
     } else {
-        let search = match read(front, &request.body, terms) {
+        let search = match parse_search(front, &request.body, parameters) {
             Ok(search) => search,
-            Err(fault) => return Ok(reply_to(fault)),
+            Err(fault) => return Ok(error_reply(fault)),
         };
-        let asked = asked(front, &search, arrived);
-        let answers = exchange.ask(vec![asked]).await?;
+        let core_request = core_request(front, &search, arrived);
+        let answers = exchange.submit(vec![core_request]).await?;
         let took = front.clock.now() - arrived;
         Ok(match answers.into_iter().next() {
-            Some(answer) => word(&search, answer, took),
+            Some(answer) => reply_to_answer(&search, answer, took),
             None => error(500, "search_phase_execution_exception", "no answer"),
         })
     }
 }
 
 /// `_msearch`: all searches are asked at once, each with its own final answer, in the order of the request.
-async fn multi(
+async fn answer_multi_search(
     front: &Front,
     request: &http::Request,
-    terms: Terms,
+    parameters: SearchParameters,
     arrived: Time,
     exchange: &mut Exchange<'_>,
 ) -> Result<Reply, ()> {
-    let read = match read_many(front, &request.body, &terms) {
+    let read = match parse_multi_search(front, &request.body, &parameters) {
         Ok(read) => read,
-        Err(fault) => return Ok(reply_to(fault)),
+        Err(fault) => return Ok(error_reply(fault)),
     };
     let requests = read
         .iter()
         .flatten()
-        .map(|search| asked(front, search, arrived))
+        .map(|search| core_request(front, search, arrived))
         .collect();
-    let mut answers = exchange.ask(requests).await?.into_iter();
+    let mut answers = exchange.submit(requests).await?.into_iter();
     let took = front.clock.now() - arrived;
     let replies: Vec<Reply> = read
         .into_iter()
         .map(|item| match item {
-            Err(fault) => reply_to(fault),
+            Err(fault) => error_reply(fault),
             Ok(search) => match answers.next() {
-                Some(answer) => word(&search, answer, took),
+                Some(answer) => reply_to_answer(&search, answer, took),
                 None => error(500, "search_phase_execution_exception", "no answer"),
             },
         })
@@ -198,13 +202,13 @@
 }
 
 /// The request that a search stands for: one part for each shard, all of the same weight.
-fn asked(front: &Front, search: &Search, arrived: Time) -> Request {
-    let deadline = front.offer().deployment.policy.classes[search.index.class].deadline;
+fn core_request(front: &Front, search: &Search, arrived: Time) -> Request {
+    let deadline = front.served().deployment.policy.classes[search.index.class].deadline;
     let weight = 1.0 / search.shards.len() as f64;
     Request {
-        name: front.fresh_name().into(),
+        name: front.generate_request_name().into(),
         class: search.index.class,
-        due: arrived + search.limit.map_or(deadline, |limit| limit.min(deadline)),
+        due: arrived + search.timeout.map_or(deadline, |limit| limit.min(deadline)),
         repeat: false,
         work: None,
         parts: search
@@ -219,29 +223,29 @@
 
 // ---- Reading ----------------------------------------------------------------------------------------------
 
-fn parameters(query: &str) -> Result<Terms, Fault> {
-    let mut terms = Terms::default();
+fn parameters(query: &str) -> Result<SearchParameters, QueryError> {
+    let mut parameters = SearchParameters::default();
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        let value =
-            decode(value).ok_or_else(|| illegal(format!("parameter [{name}] is malformed")))?;
-        terms.set(name, value)?;
+        let value = decode(value)
+            .ok_or_else(|| illegal_argument(format!("parameter [{name}] is malformed")))?;
+        parameters.set(name, value)?;
     }
-    Ok(terms)
+    Ok(parameters)
 }
 
-impl Terms {
+impl SearchParameters {
     /// Takes in one term, whether a parameter or a key of a header line says it.
-    fn set(&mut self, name: &str, value: String) -> Result<(), Fault> {
+    fn set(&mut self, name: &str, value: String) -> Result<(), QueryError> {
         let number = || {
             value
                 .parse::<usize>()
-                .map_err(|_| illegal(format!("[{name}] is not a whole number")))
+                .map_err(|_| illegal_argument(format!("[{name}] is not a whole number")))
         };
         match name {
             "preference" => self.preference = Some(value),
             "timeout" | "cancel_after_time_interval" => {
-                tighten(&mut self.limit, duration(name, &value)?)
+                limit_to_shorter(&mut self.timeout, duration(name, &value)?)
             }
             "allow_partial_search_results" => self.partial = Some(flag(name, &value)?),
             "from" => self.from = Some(number()?),
@@ -251,12 +255,13 @@
                 let parsed = serde_json::from_str(&value)
                     .ok()
                     .filter(|v: &Json| v.is_boolean() || v.is_u64());
-                self.track_total_hits =
-                    Some(parsed.ok_or_else(|| illegal("[track_total_hits] is malformed"))?);
+                self.track_total_hits = Some(
+                    parsed.ok_or_else(|| illegal_argument("[track_total_hits] is malformed"))?,
+                );
             }
             "search_type" if value == "query_then_fetch" => {}
-            name if HARMLESS.contains(&name) => {}
-            _ => return Err(illegal(format!("[{name}] is not supported"))),
+            name if IGNORED_PARAMETERS.contains(&name) => {}
+            _ => return Err(illegal_argument(format!("[{name}] is not supported"))),
         }
         Ok(())
     }
@@ -267,16 +272,18 @@
     cairnroad_contract::source::decode(&text.replace('+', " "))
 }
 
-fn flag(name: &str, value: &str) -> Result<bool, Fault> {
+fn flag(name: &str, value: &str) -> Result<bool, QueryError> {
     match value {
         "true" | "" => Ok(true),
         "false" => Ok(false),
-        _ => Err(illegal(format!("[{name}] is neither true nor false"))),
+        _ => Err(illegal_argument(format!(
+            "[{name}] is neither true nor false"
+        ))),
     }
 }
 
 /// A time value of the API, such as `500ms`, in seconds; `None` for -1, which sets no limit.
-fn duration(name: &str, value: &str) -> Result<Option<f64>, Fault> {
+fn duration(name: &str, value: &str) -> Result<Option<f64>, QueryError> {
     if value == "-1" {
         return Ok(None);
     }
@@ -289,61 +296,71 @@
         "m" => 60.0,
         "h" => 3600.0,
         "d" => 86400.0,
-        _ => return Err(illegal(format!("[{name}] is not a time value: [{value}]"))),
+        _ => {
+            return Err(illegal_argument(format!(
+                "[{name}] is not a time value: [{value}]"
+            )))
+        }
     };
     let count: f64 = value[..digits]
         .parse()
-        .map_err(|_| illegal(format!("[{name}] is not a time value: [{value}]")))?;
+        .map_err(|_| illegal_argument(format!("[{name}] is not a time value: [{value}]")))?;
     Ok(Some(count * unit))
 }
 
-fn tighten(limit: &mut Option<f64>, other: Option<f64>) {
+fn limit_to_shorter(limit: &mut Option<f64>, other: Option<f64>) {
     if let Some(secs) = other {
         *limit = Some(limit.map_or(secs, |old| old.min(secs)));
     }
 }
 
-/// A search's body with its terms. The clauses that are understood go on to the servers; any other is a fault,
+/// A search's body with its parameters. The clauses that are understood go on to the servers; any other is a fault,
 /// for an answer that silently left one out would be a wrong answer.
-fn read(front: &Front, body: &[u8], terms: Terms) -> Result<Search, Fault> {
-    let name = terms
+fn parse_search(
+    front: &Front,
+    body: &[u8],
+    parameters: SearchParameters,
+) -> Result<Search, QueryError> {
+    let name = parameters
         .index
         .as_deref()
-        .ok_or_else(|| malformed("an index is missing"))?;
+        .ok_or_else(|| parsing_error("an index is missing"))?;
     if name.contains([',', '*']) || name == "_all" {
-        return Err(illegal(format!(
+        return Err(illegal_argument(format!(
             "[{name}]: one index at a time is supported"
         )));
     }
     let unknown = || {
-        Fault(
+        QueryError(
             404,
             "index_not_found_exception",
             format!("no such index [{name}]"),
         )
     };
     let index = front
-        .offer()
+        .served()
         .indices
         .iter()
         .find(|index| index.name == name)
         .ok_or_else(unknown)?
         .clone();
-    let shards = shards(&index, terms.preference.as_deref())?;
+    let shards = shards(&index, parameters.preference.as_deref())?;
     let blank = body.iter().all(u8::is_ascii_whitespace);
     let clauses: BTreeMap<String, Box<RawValue>> = match blank {
         true => BTreeMap::new(),
-        false => serde_json::from_slice(body).map_err(|e| malformed(format!("the body: {e}")))?,
+        false => {
+            serde_json::from_slice(body).map_err(|e| parsing_error(format!("the body: {e}")))?
+        }
     };
-    let (mut from, mut size, mut limit) = (terms.from, terms.size, terms.limit);
-    let mut onward: Vec<(&str, Box<RawValue>)> = Vec::new();
+    let (mut from, mut size, mut limit) = (parameters.from, parameters.size, parameters.timeout);
+    let mut forwarded: Vec<(&str, Box<RawValue>)> = Vec::new();
     let mut source: Option<Box<RawValue>> = None;
-    let mut track: Option<Box<RawValue>> = terms
+    let mut track: Option<Box<RawValue>> = parameters
         .track_total_hits
         .as_ref()
         .and_then(|value| to_raw_value(value).ok());
     for (clause, value) in clauses {
-        let bad = |wanted: &str| malformed(format!("[{clause}] must be {wanted}"));
+        let bad = |wanted: &str| parsing_error(format!("[{clause}] must be {wanted}"));
         match clause.as_str() {
             "query" => {
                 let query: Map<String, Json> = serde_json::from_str(value.get())
@@ -351,7 +368,7 @@
                 if query.len() != 1 {
                     return Err(bad("an object with one query clause"));
                 }
-                onward.push(("query", value));
+                forwarded.push(("query", value));
             }
             "from" => {
                 from = from.or(Some(
@@ -366,29 +383,38 @@
             "timeout" => {
                 let text: String =
                     serde_json::from_str(value.get()).map_err(|_| bad("a time value"))?;
-                tighten(&mut limit, duration("timeout", &text)?);
+                limit_to_shorter(&mut limit, duration("timeout", &text)?);
             }
             "_source" => source = Some(value),
             "track_total_hits" => track = track.or(Some(value)),
-            _ => return Err(malformed(format!("the clause [{clause}] is not supported"))),
+            _ => {
+                return Err(parsing_error(format!(
+                    "the clause [{clause}] is not supported"
+                )))
+            }
         }
     }
-    if let Some(q) = terms.q {
-        if !onward.is_empty() {
-            return Err(illegal("a query is given both as [q] and in the body"));
+    if let Some(q) = parameters.q {
+        if !forwarded.is_empty() {
+            return Err(illegal_argument(
+                "a query is given both as [q] and in the body",
+            ));
         }
         let query = to_raw_value(&json!({"query_string": {"query": q}}))
-            .map_err(|e| malformed(e.to_string()))?;
-        onward.push(("query", query));
+            .map_err(|e| parsing_error(e.to_string()))?;
+        forwarded.push(("query", query));
     }
     let (from, size) = (from.unwrap_or(0), size.unwrap_or(DEFAULT_SIZE));
     let window = from
         .checked_add(size)
-        .filter(|&window| window <= MOST_WINDOW);
-    let window =
-        window.ok_or_else(|| illegal(format!("[from] + [size] must be {MOST_WINDOW} at most")))?;
+        .filter(|&window| window <= MAX_RESULT_WINDOW);
+    let window = window.ok_or_else(|| {
+        illegal_argument(format!(
+            "[from] + [size] must be {MAX_RESULT_WINDOW} at most"
+        ))
+    })?;
     if limit.is_some_and(|secs| secs <= 0.0) {
-        return Err(illegal("[timeout] must be above 0"));
+        return Err(illegal_argument("[timeout] must be above 0"));
     }
     // Any hit of the merged window may come from any one shard.
     let mut text = format!("{{\"from\":0,\"size\":{window}");
@@ -396,7 +422,7 @@
     let rest = rest
         .into_iter()
         .filter_map(|(clause, value)| Some((clause, value?)));
-    for (clause, value) in onward.into_iter().chain(rest) {
+    for (clause, value) in forwarded.into_iter().chain(rest) {
         text.push_str(&format!(",\"{clause}\":{}", value.get()));
     }
     text.push('}');
@@ -405,14 +431,14 @@
         shards,
         from,
         size,
-        limit,
-        partial: terms.partial.unwrap_or(true),
+        timeout: limit,
+        partial: parameters.partial.unwrap_or(true),
         text,
     })
 }
 
 /// The shards that a search asks: its index's, or those that `preference=_shards:` names.
-fn shards(index: &Index, preference: Option<&str>) -> Result<Vec<u32>, Fault> {
+fn shards(index: &Index, preference: Option<&str>) -> Result<Vec<u32>, QueryError> {
     let all = || (index.first..=index.last).collect();
     let Some(preference) = preference else {
         return Ok(all());
@@ -420,7 +446,7 @@
     let Some(list) = preference.strip_prefix("_shards:") else {
         // Any other word only says which copies to ask; that is the coordinator's own choice.
         return match preference.starts_with('_') {
-            true => Err(illegal(format!(
+            true => Err(illegal_argument(format!(
                 "preference [{preference}] is not supported"
             ))),
             false => Ok(all()),
@@ -428,12 +454,11 @@
     };
     let mut named = BTreeSet::new();
     for word in list.split(',') {
-        let shard: u32 = word
-            .trim()
-            .parse()
-            .map_err(|_| illegal(format!("preference: [{word}] is not a shard's number")))?;
+        let shard: u32 = word.trim().parse().map_err(|_| {
+            illegal_argument(format!("preference: [{word}] is not a shard's number"))
+        })?;
         if !(index.first..=index.last).contains(&shard) {
-            return Err(illegal(format!(
+            return Err(illegal_argument(format!(
                 "preference: index [{}] has no shard [{shard}]",
                 index.name
             )));
@@ -445,46 +470,48 @@
 
 /// An `_msearch` body: pairs of lines. A body that isn't is a fault of the whole; a search that is faulty in
 /// itself is one of its own.
-fn read_many(
+fn parse_multi_search(
     front: &Front,
     body: &[u8],
-    terms: &Terms,
-) -> Result<Vec<Result<Search, Fault>>, Fault> {
-    let body = std::str::from_utf8(body).map_err(|_| malformed("the body is not text"))?;
+    parameters: &SearchParameters,
+) -> Result<Vec<Result<Search, QueryError>>, QueryError> {
+    let body = std::str::from_utf8(body).map_err(|_| parsing_error("the body is not text"))?;
     if !body.ends_with('\n') {
-        return Err(malformed("the body must end in a newline"));
+        return Err(parsing_error("the body must end in a newline"));
     }
     let lines: Vec<&str> = body.lines().collect();
     if lines.is_empty() || lines.len() % 2 == 1 {
-        return Err(malformed(
+        return Err(parsing_error(
             "the body must hold pairs of lines: a header, then a search",
         ));
     }
-    if lines.len() / 2 > MOST_SEARCHES {
-        return Err(illegal(format!(
-            "at most {MOST_SEARCHES} searches are taken at once"
+    if lines.len() / 2 > MAX_SEARCHES {
+        return Err(illegal_argument(format!(
+            "at most {MAX_SEARCHES} searches are taken at once"
         )));
     }
     let pair = |pair: &[&str]| {
         let blank = pair[0].trim().is_empty();
         let header = if blank { "{}" } else { pair[0] };
         let header: Map<String, Json> =
-            serde_json::from_str(header).map_err(|e| malformed(format!("a header: {e}")))?;
-        let mut terms = terms.clone();
+            serde_json::from_str(header).map_err(|e| parsing_error(format!("a header: {e}")))?;
+        let mut parameters = parameters.clone();
         for (name, value) in header {
             let value = match value {
                 Json::String(text) => text,
                 Json::Array(_) | Json::Object(_) | Json::Null => {
-                    return Err(illegal(format!("a header: [{name}] must be one value")));
+                    return Err(illegal_argument(format!(
+                        "a header: [{name}] must be one value"
+                    )));
                 }
                 plain => plain.to_string(),
             };
             match name.as_str() {
-                "index" => terms.index = Some(value),
-                _ => terms.set(&name, value)?,
+                "index" => parameters.index = Some(value),
+                _ => parameters.set(&name, value)?,
             }
         }
-        read(front, pair[1].as_bytes(), terms)
+        parse_search(front, pair[1].as_bytes(), parameters)
     };
     Ok(lines.chunks(2).map(pair).collect())
 }
@@ -507,13 +534,13 @@
 }
 
 #[derive(Deserialize)]
-struct Scored {
+struct HitScore {
     #[serde(rename = "_score", default)]
     score: Option<f64>,
 }
 
 /// The final answer in this API's words.
-fn word(search: &Search, answer: Answer, took: f64) -> Reply {
+fn reply_to_answer(search: &Search, answer: Answer, took: f64) -> Reply {
     match answer {
         Answer::Served {
             complete: whole,
@@ -526,7 +553,7 @@
                 (503, "unavailable_shards_exception")
             };
             error(status, kind, "refused: trying again is harmless")
-                .with("Retry-After", whole_secs(retry_after))
+                .with("Retry-After", whole_seconds(retry_after))
         }
         Answer::DuplicateName => error(
             409,
@@ -612,7 +639,7 @@
                     serde_json::from_str(text).map_err(|e| format!("a hits object: {e}"))?;
                 count(part.total);
                 for hit in part.hits {
-                    let scored: Scored =
+                    let scored: HitScore =
                         serde_json::from_str(hit.get()).map_err(|e| format!("a hit: {e}"))?;
                     hits.push((scored.score, hit.get().into()));
                 }
@@ -644,17 +671,18 @@
 }
 
 /// Advice in whole seconds, as HTTP has it, and never under a second.
-fn whole_secs(secs: f64) -> String {
+fn whole_seconds(secs: f64) -> String {
     format!("{}", secs.ceil().max(1.0) as u64)
 }
 
-fn reply_to(fault: Fault) -> Reply {
+fn error_reply(fault: QueryError) -> Reply {
     error(fault.0, fault.1, &fault.2)
 }
 
 /// A refusal for want of room, or of time to come in.
-pub fn later(status: u16, text: &str, advice: f64) -> Reply {
-    error(status, "rejected_execution_exception", text).with("Retry-After", whole_secs(advice))
+pub fn retry_later(status: u16, text: &str, retry_after: f64) -> Reply {
+    error(status, "rejected_execution_exception", text)
+        .with("Retry-After", whole_seconds(retry_after))
 }
 
 pub fn error(status: u16, kind: &str, reason: &str) -> Reply {
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's own protocol: `POST /api` with the class and the deadline in header fields.
 
-use super::exchange::{decimal, Exchange, Front, Reply};
+use super::exchange::{decimal_seconds, Exchange, Front, Reply};
 use crate::http;
 use crate::messages::{Answer, PartSpec, Request, Text, Value};
 use cairnroad_settings::Deployment;
@@ -9,25 +9,25 @@
 use std::collections::BTreeSet;
 
 /// What a client is thought to have spent on the way, in seconds.
-const ON_THE_WAY: f64 = 0.003;
+const CLIENT_NETWORK_DELAY: f64 = 0.003;
 /// The longest name of a request.
-const MOST_NAME: usize = 128;
+const MAX_REQUEST_ID_LENGTH: usize = 128;
 
 #[derive(Deserialize)]
-struct Body {
-    shards: Vec<Shard>,
+struct RequestBody {
+    shards: Vec<RequestedShard>,
     q: String,
 }
 
 #[derive(Deserialize)]
-struct Shard {
+struct RequestedShard {
     shard: u32,
     weight: f64,
     cost: Option<f64>,
 }
 
 #[derive(Serialize)]
-struct Whole<'a> {
+struct ServedBody<'a> {
     complete: bool,
     hits: Vec<Hit<'a>>,
 }
@@ -53,20 +53,20 @@
         }
         _ => return Ok(error(404, "there is nothing at this path")),
     }
-    match read(&front.offer().deployment, request, arrived) {
+    match parse_request(&front.served().deployment, request, arrived) {
         Err(text) => Ok(error(400, &text)),
-        Ok(asked) => {
-            let answers = exchange.ask(vec![asked]).await?;
+        Ok(core_request) => {
+            let answers = exchange.submit(vec![core_request]).await?;
             Ok(answers
                 .into_iter()
                 .next()
-                .map_or_else(|| error(500, "no answer"), word))
+                .map_or_else(|| error(500, "no answer"), reply_to_answer))
         }
     }
 }
 
 /// The request that the message stands for; the error says what is wrong with it.
-pub fn read(
+pub fn parse_request(
     deployment: &Deployment,
     message: &http::Request,
     arrived: Time,
@@ -74,7 +74,7 @@
     let field = |name: &str| message.fields.get(name).ok_or(format!("{name} is missing"));
     let name = field("X-Request-Id")?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-    if name.is_empty() || name.len() > MOST_NAME || !name.bytes().all(plain) {
+    if name.is_empty() || name.len() > MAX_REQUEST_ID_LENGTH || !name.bytes().all(plain) {
         return Err("X-Request-Id is malformed".into());
     }
     let class = field("X-Class")?;
@@ -85,7 +85,8 @@
     if !(wait.is_finite() && wait > 0.0 && wait < 1e6) {
         return Err("X-Deadline is out of bounds".into());
     }
-    let body: Body = serde_json::from_slice(&message.body).map_err(|e| format!("the body: {e}"))?;
+    let body: RequestBody =
+        serde_json::from_slice(&message.body).map_err(|e| format!("the body: {e}"))?;
     let parts: Vec<_> = body
         .shards
         .iter()
@@ -99,7 +100,7 @@
     Ok(Request {
         name: name.into(),
         class,
-        due: arrived + (wait - ON_THE_WAY),
+        due: arrived + (wait - CLIENT_NETWORK_DELAY),
         repeat: message.fields.get("X-Retry") == Some("1"),
         work: costs.map(|micros| micros / 1e6),
         parts,
@@ -136,7 +137,7 @@
 }
 
 /// The final answer in this protocol's words.
-fn word(answer: Answer) -> Reply {
+fn reply_to_answer(answer: Answer) -> Reply {
     match answer {
         Answer::Served {
             complete: whole,
@@ -158,7 +159,7 @@
                     doc,
                 });
             }
-            let body = serde_json::to_vec(&Whole {
+            let body = serde_json::to_vec(&ServedBody {
                 complete: whole,
                 hits,
             })
@@ -168,7 +169,7 @@
         Answer::Rejected { retry_after, busy } => {
             let status = if busy { 429 } else { 503 };
             error(status, "refused: trying again is harmless")
-                .with("Retry-After", decimal(retry_after))
+                .with("Retry-After", decimal_seconds(retry_after))
         }
         Answer::DuplicateName => error(409, "X-Request-Id was used before"),
         Answer::Failed { late: true } => error(504, "failed: no answer in time"),
@@ -177,8 +178,8 @@
 }
 
 /// A refusal for want of room, or of time to come in.
-pub fn later(status: u16, text: &str, advice: f64) -> Reply {
-    error(status, text).with("Retry-After", decimal(advice))
+pub fn retry_later(status: u16, text: &str, retry_after: f64) -> Reply {
+    error(status, text).with("Retry-After", decimal_seconds(retry_after))
 }
 
 pub fn error(status: u16, text: &str) -> Reply {
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -29,7 +29,7 @@
 use clap::Parser;
 use clock::Clock;
 use contract::Contracts;
-use fronts::exchange::{Front, Kind};
+use fronts::exchange::{Front, FrontKind};
 use messages::{Message, Phase, ServedConfiguration};
 use pipeline::Core;
 use signals::Signal;
@@ -192,18 +192,18 @@
     let (phase, phases) = watch::channel(Phase::Starting);
     let (deaf, deafs) = watch::channel(false);
     let phase = Rc::new(phase);
-    let places = Rc::new(fronts::client_connections::ClientConnections::default());
+    let client_connections = Rc::new(fronts::client_connections::ClientConnections::default());
     let (offer, offers) = watch::channel(config.offer.clone());
     let shared = inherited.is_some();
     let mut inherited = inherited;
     let addresses = [
-        (Some(config.listen), Kind::Platform),
-        (config.opensearch, Kind::OpenSearch),
+        (Some(config.listen), FrontKind::Platform),
+        (config.opensearch, FrontKind::OpenSearch),
     ];
     let mut listeners = Vec::new();
     for (address, kind) in addresses {
         let Some(address) = address else { continue };
-        let listener = match inherited.take_if(|_| kind == Kind::Platform) {
+        let listener = match inherited.take_if(|_| kind == FrontKind::Platform) {
             Some(listener) => TcpListener::from_std(listener),
             None => TcpListener::bind(address).await,
         };
@@ -211,21 +211,21 @@
         let bound = listener
             .local_addr()
             .map_err(|e| format!("listen on {address}: {e}"))?;
-        let front = if kind == Kind::Platform {
+        let front = if kind == FrontKind::Platform {
             "platform"
         } else {
             "opensearch"
         };
         tracing::info!(name = config.name, front, address = %bound, "listening");
         let front = Front {
-            offer: offers.clone(),
-            core: asks.clone(),
+            served: offers.clone(),
+            requests: asks.clone(),
             clock: clock.clone(),
             phase: phases.clone(),
             limits: config.limits,
-            places: places.clone(),
+            connections: client_connections.clone(),
             kind,
-            names: Cell::new(config.seed),
+            request_names: Cell::new(config.seed),
             contracts: contracts.clone(),
         };
         let (mut phases, deaf) = (phases.clone(), deafs.clone());
@@ -307,11 +307,11 @@
     }
     let longest = offers.borrow().deployment.longest_deadline();
     let mut stop = GracefulShutdown::new(clock.now(), longest);
-    places.answer_by(stop.answered_by());
+    client_connections.set_answer_deadline(stop.answered_by());
     // What is open already may have longer than that.
     let _ = to_core.send(Message::FinishBy(stop.answered_by())).await;
     loop {
-        let step = stop.step(clock.now(), places.seen());
+        let step = stop.step(clock.now(), client_connections.shutdown_observation());
         let next = match step {
             ShutdownPhase::Serving => Phase::Stopping,
             ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::Closing,
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -48,9 +48,9 @@
             body: http::MOST_BODY,
             head: http::MOST_HEAD,
             fields: http::MOST_FIELDS,
-            slow: fronts::SLOW.as_secs_f64(),
-            window: opensearch::MOST_WINDOW,
-            searches: opensearch::MOST_SEARCHES,
+            slow: fronts::REQUEST_READ_TIMEOUT.as_secs_f64(),
+            window: opensearch::MAX_RESULT_WINDOW,
+            searches: opensearch::MAX_SEARCHES,
         },
     }
 }
