--- a/crates/coordinator/benches/contract.rs
+++ b/crates/coordinator/benches/contract.rs
@@ -88,9 +88,9 @@
     p99_ms: f64,
 }
 
-fn round(wire: Wire, mode: &str) -> Figures {
-    let stage = Stage::new(|_, _, _| Act::Serve);
-    let members = members(wire, &stage);
+fn round(wire: WireFormat, mode: &str) -> Figures {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
+    let members = start_data_nodes(wire, &data_nodes);
     let own = match mode {
         "off" => String::new(),
         mode => ["platform", "servers"]
@@ -99,24 +99,24 @@
             })
             .concat(),
     };
-    let servers = if wire == Wire::OpenSearch {
+    let servers = if wire == WireFormat::OpenSearch {
         SEARCH
     } else {
         FRAMES
     };
     let files = [("platform.yaml", PLATFORM), ("servers.yaml", servers)];
-    let rig = Arc::new(Rig::start_own(
+    let coordinator = Arc::new(TestCoordinator::start_with_files(
         wire,
-        stage,
+        data_nodes,
         (1000, 1024),
         members,
         &own,
         &files,
     ));
-    let pid = rig.child.id();
+    let pid = coordinator.child.id();
     let start = Instant::now();
     let client = |number: usize| {
-        let to = rig.platform;
+        let to = coordinator.platform;
         thread::spawn(move || {
             let mut stream = TcpStream::connect(to).unwrap();
             stream.set_nodelay(true).unwrap();
@@ -143,8 +143,8 @@
                     body.len()
                 );
                 stream.write_all(head.as_bytes()).unwrap();
-                let told = response(&mut reader);
-                assert_eq!(told.status, 200, "{}", told.json);
+                let answer = read_response(&mut reader);
+                assert_eq!(answer.status, 200, "{}", answer.json);
                 if due > start + WARM {
                     // From when it was due: a client that is held up by one answer still counts what it missed.
                     seen.record(due.elapsed().as_micros() as u64).unwrap();
@@ -179,7 +179,7 @@
     println!(
         "{RATE} queries a second of three parts, {rounds} rounds in turns: median (least to most)"
     );
-    for wire in [Wire::Platform, Wire::OpenSearch] {
+    for wire in [WireFormat::Platform, WireFormat::OpenSearch] {
         let modes = ["off", "observe", "enforce"];
         let mut all: Vec<Vec<Figures>> = modes.iter().map(|_| Vec::new()).collect();
         for _ in 0..rounds {
--- a/crates/coordinator/benches/membership.rs
+++ b/crates/coordinator/benches/membership.rs
@@ -36,17 +36,24 @@
 }
 
 fn main() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let own = "[membership]\nsource = \"files\"\npath = \"servers.toml\"\nstate = \"state\"\n";
     let files = [("servers.toml", roster(1)), ("state/.keep", String::new())];
     let files: Vec<(&str, &str)> = files
         .iter()
         .map(|(name, text)| (*name, text.as_str()))
         .collect();
-    let rig = Rig::start_own(Wire::Platform, stage, (1000, 1024), Vec::new(), own, &files);
-    rig.wait_for_line("roster in force generation=1 ");
+    let coordinator = TestCoordinator::start_with_files(
+        WireFormat::Platform,
+        data_nodes,
+        (1000, 1024),
+        Vec::new(),
+        own,
+        &files,
+    );
+    coordinator.wait_for_log_line("roster in force generation=1 ");
     let stop = Arc::new(AtomicBool::new(false));
-    let (to, done) = (rig.platform, stop.clone());
+    let (to, done) = (coordinator.platform, stop.clone());
     // Health is answered by the core's thread: what it is late by is what the thread was held up.
     let pings = thread::spawn(move || {
         let mut stream = TcpStream::connect(to).unwrap();
@@ -58,7 +65,7 @@
             stream
                 .write_all(b"GET /_health HTTP/1.1\r\nHost: b\r\n\r\n")
                 .unwrap();
-            assert_eq!(response(&mut reader).status, 200);
+            assert_eq!(read_response(&mut reader).status, 200);
             seen.record(start.elapsed().as_micros() as u64).unwrap();
             thread::sleep(Duration::from_micros(200));
         }
@@ -67,18 +74,19 @@
     let mut took = Vec::new();
     for generation in 2..2 + CHANGES {
         let text = roster(generation);
-        let path = rig.folder.join("servers.toml");
+        let path = coordinator.folder.join("servers.toml");
         std::fs::write(path.with_extension("tmp"), text).unwrap();
         let start = Instant::now();
         std::fs::rename(path.with_extension("tmp"), path).unwrap();
-        rig.wait_for_line(&format!("roster in force generation={generation} "));
+        coordinator.wait_for_log_line(&format!("roster in force generation={generation} "));
         took.push(start.elapsed().as_secs_f64() * 1000.0);
         thread::sleep(Duration::from_millis(700));
     }
     stop.store(true, Ordering::Relaxed);
     let seen = pings.join().unwrap();
     took.sort_by(f64::total_cmp);
-    let status = std::fs::read_to_string(format!("/proc/{}/status", rig.child.id())).unwrap();
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", coordinator.child.id())).unwrap();
     let memory = status
         .lines()
         .find(|line| line.starts_with("VmHWM"))
--- /dev/null
+++ b/crates/coordinator/tests/common/coordinator.rs
@@ -0,0 +1,385 @@
+//! The coordinator's process, started as an operator would, with its stand-ins around it.
+
+use super::client::{send_request, Response};
+use super::configuration::{own_configuration, platform_configuration};
+use super::data_nodes::{start_data_nodes, DataNodes, WireFormat};
+use super::discovery::FakeDiscovery;
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::OwnedFd;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::{channel, Receiver};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+const DEFAULT_MAX_IN_FLIGHT: usize = 1000;
+const DEFAULT_SOCKETS: usize = 1024;
+
+/// A running coordinator with all that is around it. Dropping it kills the process and removes its folder.
+pub struct TestCoordinator {
+    pub child: Child,
+    pub platform: SocketAddr,
+    pub opensearch: SocketAddr,
+    /// Where the admin API listens, if the environment has one.
+    pub admin: Option<SocketAddr>,
+    pub discovery: FakeDiscovery,
+    pub data_nodes: Arc<DataNodes>,
+    pub folder: PathBuf,
+    /// What the program wrote to its log after its start.
+    pub log: Mutex<Receiver<String>>,
+}
+
+/// What the platform gives to the process beside its configuration.
+#[derive(Clone, Copy, Default)]
+pub struct Environment<'a> {
+    /// An admin API, and a folder that all processes share.
+    pub admin_api: bool,
+    /// The clients' listening socket, inherited as descriptor 5.
+    pub inherited_socket: Option<&'a TcpListener>,
+    /// How many descriptors the process may hold.
+    pub descriptor_limit: Option<usize>,
+}
+
+/// All that a test may set before the start.
+struct Setup<'a> {
+    wire: WireFormat,
+    data_nodes: Arc<DataNodes>,
+    members: Vec<Value>,
+    max_in_flight: usize,
+    sockets: usize,
+    /// Further sections of the project's own file.
+    own_sections: &'a str,
+    /// Further files in the process's folder, by their relative path.
+    files: &'a [(&'a str, &'a str)],
+    environment: Environment<'a>,
+}
+
+impl Setup<'_> {
+    fn new(wire: WireFormat, data_nodes: Arc<DataNodes>, members: Vec<Value>) -> Self {
+        Setup {
+            wire,
+            data_nodes,
+            members,
+            max_in_flight: DEFAULT_MAX_IN_FLIGHT,
+            sockets: DEFAULT_SOCKETS,
+            own_sections: "",
+            files: &[],
+            environment: Environment::default(),
+        }
+    }
+}
+
+/// A process that has begun to listen.
+struct StartedProcess {
+    child: Child,
+    platform: SocketAddr,
+    opensearch: SocketAddr,
+    admin: Option<SocketAddr>,
+    log: Receiver<String>,
+}
+
+static STARTED_COORDINATORS: AtomicU64 = AtomicU64::new(0);
+
+impl TestCoordinator {
+    /// Starts the program before data nodes that speak `wire`.
+    pub fn start(
+        wire: WireFormat,
+        data_nodes: Arc<DataNodes>,
+        max_in_flight: usize,
+    ) -> TestCoordinator {
+        let members = start_data_nodes(wire, &data_nodes);
+        Self::start_with_members(wire, data_nodes, max_in_flight, DEFAULT_SOCKETS, members)
+    }
+
+    /// The same with this endpoint list, and within so many sockets.
+    pub fn start_with_members(
+        wire: WireFormat,
+        data_nodes: Arc<DataNodes>,
+        max_in_flight: usize,
+        sockets: usize,
+        members: Vec<Value>,
+    ) -> TestCoordinator {
+        let limits = (max_in_flight, sockets);
+        Self::start_with_files(wire, data_nodes, limits, members, "", &[])
+    }
+
+    /// With further sections in the project's own file, and further files beside it.
+    pub fn start_with_files(
+        wire: WireFormat,
+        data_nodes: Arc<DataNodes>,
+        (max_in_flight, sockets): (usize, usize),
+        members: Vec<Value>,
+        own_sections: &str,
+        files: &[(&str, &str)],
+    ) -> TestCoordinator {
+        let setup = Setup {
+            max_in_flight,
+            sockets,
+            own_sections,
+            files,
+            ..Setup::new(wire, data_nodes, members)
+        };
+        Self::start_setup(setup, |_| ())
+    }
+
+    /// With what the platform gives to operated processes.
+    pub fn with_environment(
+        data_nodes: Arc<DataNodes>,
+        environment: Environment,
+    ) -> TestCoordinator {
+        let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+        let setup = Setup {
+            environment,
+            ..Setup::new(WireFormat::Platform, data_nodes, members)
+        };
+        Self::start_setup(setup, |_| ())
+    }
+
+    /// With a changed configuration, as another deployment has it.
+    pub fn with_config(
+        data_nodes: Arc<DataNodes>,
+        members: Vec<Value>,
+        change: impl FnOnce(&mut Value),
+    ) -> TestCoordinator {
+        Self::start_setup(
+            Setup::new(WireFormat::Platform, data_nodes, members),
+            change,
+        )
+    }
+
+    /// Within so many descriptors.
+    pub fn with_descriptor_limit(
+        data_nodes: Arc<DataNodes>,
+        members: Vec<Value>,
+        descriptors: usize,
+    ) -> TestCoordinator {
+        let environment = Environment {
+            descriptor_limit: Some(descriptors),
+            ..Environment::default()
+        };
+        let setup = Setup {
+            sockets: descriptors,
+            environment,
+            ..Setup::new(WireFormat::Platform, data_nodes, members)
+        };
+        Self::start_setup(setup, |_| ())
+    }
+
+    fn start_setup(setup: Setup, change: impl FnOnce(&mut Value)) -> TestCoordinator {
+        let discovery = FakeDiscovery::new(setup.members);
+        let number = STARTED_COORDINATORS.fetch_add(1, Ordering::Relaxed);
+        let folder =
+            std::env::temp_dir().join(format!("cairnroad-test-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&folder).unwrap();
+        let mut config =
+            platform_configuration(discovery.address, setup.max_in_flight, setup.sockets);
+        change(&mut config);
+        std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
+        for (name, text) in setup.files {
+            std::fs::create_dir_all(folder.join(name).parent().unwrap()).unwrap();
+            std::fs::write(folder.join(name), text).unwrap();
+        }
+        let own = own_configuration(setup.wire, setup.own_sections);
+        std::fs::write(folder.join("own.toml"), own).unwrap();
+        let process = StartedProcess::launch(&folder, setup.environment);
+        let coordinator = TestCoordinator {
+            child: process.child,
+            platform: process.platform,
+            opensearch: process.opensearch,
+            admin: process.admin,
+            discovery,
+            data_nodes: setup.data_nodes,
+            folder,
+            log: Mutex::new(process.log),
+        };
+        coordinator.wait_until_ready();
+        coordinator
+    }
+
+    pub fn wait_until_ready(&self) {
+        while self.call(self.platform, "GET /_health", &[], "").status != 200 {
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    /// Starts the program again, after its end.
+    pub fn restart(&mut self) {
+        self.child = self.start_another(Environment::default());
+        self.wait_until_ready();
+    }
+
+    /// Starts the program again beside the running one, and turns to the new process. Returns the old one.
+    pub fn replace(&mut self, environment: Environment) -> Child {
+        let new = self.start_another(environment);
+        std::mem::replace(&mut self.child, new)
+    }
+
+    fn start_another(&mut self, environment: Environment) -> Child {
+        let process = StartedProcess::launch(&self.folder, environment);
+        self.platform = process.platform;
+        self.opensearch = process.opensearch;
+        self.admin = process.admin;
+        self.log = Mutex::new(process.log);
+        process.child
+    }
+
+    /// Sends an admin request; its status.
+    pub fn admin_status(&self, line: &str) -> u16 {
+        self.call(self.admin.unwrap(), line, &[], "").status
+    }
+
+    /// Sends one request on a connection of its own.
+    pub fn call(
+        &self,
+        to: SocketAddr,
+        line: &str,
+        fields: &[(&str, &str)],
+        body: &str,
+    ) -> Response {
+        send_request(to, line, fields, body)
+    }
+
+    /// Sends a request of the platform's protocol, all parts of the same weight.
+    pub fn post_api(
+        &self,
+        id: &str,
+        class: &str,
+        deadline: &str,
+        shards: &[u32],
+        query: &str,
+    ) -> Response {
+        let weight = 1.0 / shards.len() as f64;
+        let shards: Vec<Value> = shards
+            .iter()
+            .map(|shard| json!({"shard": shard, "weight": weight}))
+            .collect();
+        let body = json!({"shards": shards, "q": query}).to_string();
+        let fields = [
+            ("X-Request-Id", id),
+            ("X-Class", class),
+            ("X-Deadline", deadline),
+        ];
+        self.call(self.platform, "POST /api", &fields, &body)
+    }
+
+    /// Sends a request of the query API.
+    pub fn search(&self, target: &str, body: Value) -> Response {
+        let body = match body.is_null() {
+            true => String::new(),
+            false => body.to_string(),
+        };
+        self.call(self.opensearch, &format!("POST {target}"), &[], &body)
+    }
+
+    pub fn signal(&self, name: &str) {
+        signal(&self.child, name);
+    }
+
+    /// Replaces the configuration's file and has the program reread it.
+    pub fn reconfigure(&self, change: impl FnOnce(&mut Value)) {
+        let path = self.folder.join("config.json");
+        let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
+        change(&mut config);
+        std::fs::write(&path, config.to_string()).unwrap();
+        self.signal("HUP");
+    }
+
+    /// Waits for a line of the log that holds this text.
+    pub fn wait_for_log_line(&self, text: &str) {
+        let log = self.log.lock().unwrap();
+        let end = Instant::now() + Duration::from_secs(20);
+        // Other lines that keep coming must not put the end off.
+        let left = || end.saturating_duration_since(Instant::now());
+        while !log.recv_timeout(left()).expect(text).contains(text) {}
+    }
+}
+
+impl Drop for TestCoordinator {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+impl StartedProcess {
+    /// Starts the program and waits until it listens.
+    fn launch(folder: &Path, environment: Environment) -> StartedProcess {
+        let mut child = command(environment, folder)
+            .env("NODE_CONFIG", folder.join("config.json"))
+            .env("CAIRNROAD_FILE", folder.join("own.toml"))
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
+        let (lines, log) = channel();
+        let errors = BufReader::new(child.stderr.take().unwrap());
+        thread::spawn(move || {
+            for line in errors.lines().map_while(Result::ok) {
+                let _ = lines.send(line);
+            }
+        });
+        // The program says where it listens; with port 0 nobody else knows.
+        let mut bound = BTreeMap::new();
+        while bound.len() < 2 + usize::from(environment.admin_api) {
+            let line = log.recv().expect("the program ended at its start");
+            bound.extend(bound_address(&line));
+        }
+        StartedProcess {
+            child,
+            platform: bound["platform"],
+            opensearch: bound["opensearch"],
+            admin: bound.get("admin").copied(),
+            log,
+        }
+    }
+}
+
+fn command(environment: Environment, folder: &Path) -> Command {
+    let program = env!("CARGO_BIN_EXE_cairnroad");
+    let mut command = Command::new(program);
+    if let Some(socket) = environment.inherited_socket {
+        // A shell moves the socket from descriptor 0 to 5.
+        command = Command::new("sh");
+        command
+            .args(["-c", "exec 5<&0 </dev/null; exec \"$0\"", program])
+            .env("NODE_INHERITED_FD", "5");
+        command.stdin(Stdio::from(OwnedFd::from(socket.try_clone().unwrap())));
+    }
+    if let Some(most) = environment.descriptor_limit {
+        command = Command::new("sh");
+        command.args(["-c", &format!("ulimit -n {most}; exec \"$0\""), program]);
+    }
+    if environment.admin_api {
+        command
+            .env("NODE_ADMIN", "127.0.0.1:0")
+            .env("TMPDIR", folder);
+    }
+    command
+}
+
+/// The listener's name and address, where a log line tells of one.
+fn bound_address(line: &str) -> Option<(String, SocketAddr)> {
+    let field = |name: &str| {
+        let word = line.split(' ').find_map(|word| word.strip_prefix(name));
+        word.map(|word| word.trim_matches('"').to_string())
+    };
+    if !(line.contains("listening") || line.contains("calls")) {
+        return None;
+    }
+    let address = field("address=")?.parse().unwrap();
+    Some((field("front=").unwrap_or("admin".into()), address))
+}
+
+/// Sends a signal by its name, such as `TERM`.
+pub fn signal(child: &Child, name: &str) {
+    let sent = Command::new("kill")
+        .arg(format!("-{name}"))
+        .arg(child.id().to_string())
+        .status();
+    assert!(sent.unwrap().success());
+}
--- /dev/null
+++ b/crates/coordinator/tests/common/data_nodes.rs
@@ -0,0 +1,118 @@
+//! The stand-in data nodes of one test: what they do, and what they received.
+
+use super::behavior::Behavior;
+use super::frame_node::start_frame_node;
+use super::search_node::start_search_node;
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+use std::sync::atomic::AtomicBool;
+use std::sync::{Arc, Mutex};
+use std::time::Instant;
+
+pub const SHARDS: u32 = 8;
+/// Number of cells, and of data nodes in each.
+pub const CELLS: u32 = 2;
+pub const REPLICAS: usize = 2;
+
+/// The protocol of a front or of data nodes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum WireFormat {
+    /// HTTP with the platform's headers for clients, frames for data nodes.
+    Platform,
+    /// The query API.
+    OpenSearch,
+}
+
+/// One part as it reached a data node.
+#[derive(Clone, Debug)]
+pub struct ReceivedPart {
+    pub server: usize,
+    pub query: String,
+    pub shard: u32,
+    pub behavior: Behavior,
+    pub cancelled: Arc<AtomicBool>,
+    pub received_at: Instant,
+}
+
+/// What a data node does, by the query's marker, the shard, and how many attempts of that part came before.
+type Plan = Box<dyn Fn(u64, u32, usize) -> Behavior + Send + Sync>;
+
+/// What all data nodes of a test share.
+pub struct DataNodes {
+    plan: Plan,
+    /// What single data nodes do instead of the plan.
+    pub overrides: Mutex<BTreeMap<usize, Behavior>>,
+    pub received: Mutex<Vec<ReceivedPart>>,
+    /// The text of every frame or request line that came, for tests of the published descriptions.
+    pub raw_messages: Mutex<Vec<String>>,
+}
+
+impl DataNodes {
+    pub fn new(plan: impl Fn(u64, u32, usize) -> Behavior + Send + Sync + 'static) -> Arc<Self> {
+        Arc::new(DataNodes {
+            plan: Box::new(plan),
+            overrides: Mutex::default(),
+            received: Mutex::default(),
+            raw_messages: Mutex::default(),
+        })
+    }
+
+    /// Records a part and says what its data node does with it.
+    pub fn receive(&self, server: usize, query: &str, shard: u32) -> ReceivedPart {
+        let mut received = self.received.lock().unwrap();
+        let marker = marker(query);
+        let earlier_attempts = received
+            .iter()
+            .filter(|part| self::marker(&part.query) == marker && part.shard == shard)
+            .count();
+        let overridden = self.overrides.lock().unwrap().get(&server).copied();
+        let behavior = overridden.unwrap_or_else(|| (self.plan)(marker, shard, earlier_attempts));
+        let part = ReceivedPart {
+            server,
+            query: query.into(),
+            shard,
+            behavior,
+            cancelled: Arc::default(),
+            received_at: Instant::now(),
+        };
+        received.push(part.clone());
+        part
+    }
+
+    /// How often each part of each query ran, by marker and shard.
+    pub fn execution_counts(&self) -> BTreeMap<(u64, u32), usize> {
+        let mut counts = BTreeMap::new();
+        let received = self.received.lock().unwrap();
+        for part in received.iter().filter(|part| part.behavior.executes()) {
+            *counts.entry((marker(&part.query), part.shard)).or_default() += 1;
+        }
+        counts
+    }
+}
+
+/// The number that a query carries between two tildes, whatever is around it.
+pub fn marker(query: &str) -> u64 {
+    query
+        .split('~')
+        .nth(1)
+        .and_then(|number| number.parse().ok())
+        .unwrap_or(0)
+}
+
+/// The value that a data node gives for a part, on either wire.
+pub fn part_value(marker: u64, shard: u32) -> String {
+    format!("value {marker}/{shard} \"quoted\" \u{96ea}")
+}
+
+/// Starts all data nodes; the endpoint list's entries for them.
+pub fn start_data_nodes(wire: WireFormat, data_nodes: &Arc<DataNodes>) -> Vec<Value> {
+    let member = |number: usize| {
+        let address = match wire {
+            WireFormat::Platform => start_frame_node(number, data_nodes.clone()),
+            WireFormat::OpenSearch => start_search_node(number, data_nodes.clone()),
+        };
+        json!({"id": format!("s-{number}"), "host_port": address.to_string(), "locality": "a",
+            "flavor": "m", "cell": number as u32 % CELLS, "phase": "active", "size": 1.0, "up_since_ms": 0})
+    };
+    (0..CELLS as usize * REPLICAS).map(member).collect()
+}
--- /dev/null
+++ b/crates/coordinator/tests/common/frame_node.rs
@@ -0,0 +1,143 @@
+//! A stand-in data node that speaks frames.
+
+use super::behavior::{Behavior, Irregularity, Malformation};
+use super::data_nodes::{marker, part_value, DataNodes, ReceivedPart};
+use super::http_message::read_exact;
+use std::collections::BTreeMap;
+use std::io::Write;
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Duration;
+
+/// Starts the data node with this number.
+pub fn start_frame_node(number: usize, data_nodes: Arc<DataNodes>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let data_nodes = data_nodes.clone();
+            thread::spawn(move || serve_connection(stream, number, &data_nodes));
+        }
+    });
+    address
+}
+
+fn serve_connection(
+    mut stream: TcpStream,
+    number: usize,
+    data_nodes: &Arc<DataNodes>,
+) -> Option<()> {
+    stream.set_nodelay(true).ok()?;
+    let writer = Arc::new(Mutex::new(stream.try_clone().ok()?));
+    let mut in_flight: BTreeMap<String, Arc<AtomicBool>> = BTreeMap::new();
+    loop {
+        let length = u32::from_be_bytes(read_exact(&mut stream, 4)?.try_into().ok()?) as usize;
+        let body = read_exact(&mut stream, length)?;
+        let text = String::from_utf8(body[1..].to_vec()).unwrap();
+        data_nodes
+            .raw_messages
+            .lock()
+            .unwrap()
+            .push(format!("{}{text}", body[0] as char));
+        match body[0] {
+            b'X' => {
+                if let Some(cancelled) = in_flight.get(&text) {
+                    cancelled.store(true, Ordering::Relaxed);
+                }
+            }
+            b'Q' => {
+                for (id, shard, query) in calls(&text) {
+                    let part = data_nodes.receive(number, query, shard);
+                    in_flight.insert(id.clone(), part.cancelled.clone());
+                    let writer = writer.clone();
+                    thread::spawn(move || answer(&writer, &id, &part));
+                }
+            }
+            _ => {
+                let echo = frame(body[0], b"-");
+                writer.lock().unwrap().write_all(&echo).ok()?;
+            }
+        }
+    }
+}
+
+/// The calls in a `Q` frame: id, shard and query of each.
+fn calls(mut text: &str) -> Vec<(String, u32, &str)> {
+    let mut calls = Vec::new();
+    while !text.is_empty() {
+        let (line, after) = text.split_once('\n').unwrap();
+        let words: Vec<&str> = line.split(' ').collect();
+        let length: usize = words[3].parse().unwrap();
+        let (query, rest) = after.split_at(length);
+        calls.push((words[0].to_string(), words[1].parse().unwrap(), query));
+        text = rest;
+    }
+    calls
+}
+
+fn answer(writer: &Mutex<TcpStream>, id: &str, part: &ReceivedPart) {
+    let outcome = match part.behavior {
+        Behavior::NoAnswer => return,
+        Behavior::Delay(millis) => {
+            thread::sleep(Duration::from_millis(millis));
+            "ok"
+        }
+        Behavior::Serve
+        | Behavior::Irregular(_)
+        | Behavior::Malformed(_)
+        | Behavior::Respond(..) => "ok",
+        Behavior::Busy => "busy",
+        Behavior::Fail | Behavior::MidStreamError => "err",
+        Behavior::CloseMidAnswer => {
+            let stream = writer.lock().unwrap();
+            let _ = (&*stream).write_all(&[0, 0, 0, 90, b'A']);
+            let _ = stream.shutdown(Shutdown::Both);
+            return;
+        }
+    };
+    let value = match (part.behavior, outcome) {
+        (Behavior::Respond(_, _, body), _) => body.to_string(),
+        (_, "ok") => part_value(marker(&part.query), part.shard),
+        _ => String::new(),
+    };
+    let bytes = answer_frame(part.behavior, id, outcome, &value);
+    let _ = writer.lock().unwrap().write_all(&bytes);
+}
+
+/// An answer's bytes, with whatever is wrong with them.
+fn answer_frame(behavior: Behavior, id: &str, outcome: &str, value: &str) -> Vec<u8> {
+    let line = match behavior {
+        Behavior::Malformed(Malformation::WrongId) => "other.1 ok 1 -\n".into(),
+        Behavior::Malformed(Malformation::UnknownOutcome) => format!("{id} fine 1 -\n"),
+        Behavior::Malformed(Malformation::HeaderLine) => "\u{1}\n".into(),
+        Behavior::Malformed(Malformation::UnterminatedLine) => "x".repeat(4000),
+        _ => format!("{id} {outcome} 1 queue=1,latency_ms=9.5\n"),
+    };
+    let mut bytes = frame(b'A', format!("{line}{value}").as_bytes());
+    match behavior {
+        Behavior::Malformed(Malformation::FrameType) => bytes[4] = b'Z',
+        Behavior::Malformed(Malformation::HugeLength) => {
+            bytes[..4].copy_from_slice(&3_000_000_000_u32.to_be_bytes())
+        }
+        // Nothing more comes, so only the length and a time-out show it.
+        Behavior::Malformed(Malformation::UnterminatedLine) => bytes[2] += 1,
+        Behavior::Malformed(Malformation::TruncatedBody) => bytes[3] += 1,
+        Behavior::Irregular(Irregularity::RepeatedAnswer) => bytes.extend_from_within(..),
+        Behavior::Irregular(Irregularity::TrailingBytes) => bytes.extend_from_slice(b"\0\0\0"),
+        Behavior::Irregular(Irregularity::UnreadableReport) => {
+            let line = [id.as_bytes(), b" ok 1 \xff=\xfe ,,\n"].concat();
+            bytes = frame(b'A', &[&line, value.as_bytes()].concat());
+        }
+        _ => {}
+    }
+    bytes
+}
+
+fn frame(frame_type: u8, payload: &[u8]) -> Vec<u8> {
+    let mut frame = (payload.len() as u32 + 1).to_be_bytes().to_vec();
+    frame.push(frame_type);
+    frame.extend_from_slice(payload);
+    frame
+}
--- /dev/null
+++ b/crates/coordinator/tests/common/scripted_discovery.rs
@@ -0,0 +1,123 @@
+//! A stand-in for discovery that answers as the test says, at the moment the test says.
+
+use super::http_message::read_message;
+use serde_json::{json, Value};
+use socket2::SockRef;
+use std::io::{BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// What the stand-in does with a call.
+pub enum ScriptedReply {
+    /// These bytes, and the connection goes on.
+    Send(Vec<u8>),
+    /// These bytes, then the connection's end.
+    Close(Vec<u8>),
+    /// These bytes, then a reset.
+    Reset(Vec<u8>),
+    /// These bytes and nothing more, on a connection that stays open.
+    Stall(Vec<u8>),
+}
+
+/// A call as it came.
+#[derive(Clone, Debug)]
+pub struct DiscoveryCall {
+    pub at: Instant,
+    pub connection: usize,
+    pub target: String,
+}
+
+impl DiscoveryCall {
+    /// The revision after which changes are asked for; `None` where the full list is.
+    pub fn from(&self) -> Option<u64> {
+        self.target
+            .split("from=")
+            .nth(1)?
+            .split('&')
+            .next()?
+            .parse()
+            .ok()
+    }
+}
+
+/// Answers each call as a script says. The script may wait, and so hold an answer back.
+pub struct ScriptedDiscovery {
+    pub address: SocketAddr,
+    pub calls: Arc<Mutex<Vec<DiscoveryCall>>>,
+}
+
+impl ScriptedDiscovery {
+    pub fn new(
+        script: impl Fn(&DiscoveryCall) -> ScriptedReply + Send + Sync + 'static,
+    ) -> ScriptedDiscovery {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let calls: Arc<Mutex<Vec<DiscoveryCall>>> = Arc::default();
+        let (received, script) = (calls.clone(), Arc::new(script));
+        thread::spawn(move || {
+            for (connection, stream) in listener.incoming().flatten().enumerate() {
+                let (received, script) = (received.clone(), script.clone());
+                thread::spawn(move || {
+                    Self::serve_connection(stream, connection, &received, &*script)
+                });
+            }
+        });
+        ScriptedDiscovery { address, calls }
+    }
+
+    fn serve_connection(
+        mut stream: TcpStream,
+        connection: usize,
+        received: &Mutex<Vec<DiscoveryCall>>,
+        script: &dyn Fn(&DiscoveryCall) -> ScriptedReply,
+    ) -> Option<()> {
+        let mut reader = BufReader::new(stream.try_clone().ok()?);
+        loop {
+            let line = read_message(&mut reader)?.line;
+            let target = line.split(' ').nth(1)?.to_string();
+            let call = DiscoveryCall {
+                at: Instant::now(),
+                connection,
+                target,
+            };
+            received.lock().unwrap().push(call.clone());
+            match script(&call) {
+                ScriptedReply::Send(bytes) => stream.write_all(&bytes).ok()?,
+                ScriptedReply::Close(bytes) => return stream.write_all(&bytes).ok(),
+                ScriptedReply::Reset(bytes) => {
+                    stream.write_all(&bytes).ok()?;
+                    // What was sent is there before the reset is.
+                    thread::sleep(Duration::from_millis(20));
+                    return SockRef::from(&stream).set_linger(Some(Duration::ZERO)).ok();
+                }
+                ScriptedReply::Stall(bytes) => {
+                    stream.write_all(&bytes).ok()?;
+                    let mut rest = Vec::new();
+                    reader.read_to_end(&mut rest).ok()?;
+                    return None;
+                }
+            }
+        }
+    }
+}
+
+/// The body of an endpoint list.
+pub fn member_list(revision: u64, complete: bool, members: &[Value]) -> String {
+    json!({"revision": revision, "complete": complete, "members": members}).to_string()
+}
+
+/// A complete answer with this body.
+pub fn http_ok(body: &str) -> Vec<u8> {
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
+}
+
+/// The same without a length: the body ends with the connection.
+pub fn http_ok_until_close(body: &str) -> Vec<u8> {
+    format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{body}").into_bytes()
+}
--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -1,5 +1,5 @@
-//! Descriptions in force: servers and clients that depart from them, in every way and on both wires, while the
-//! program serves.
+//! Contract checks: data nodes and clients that violate the descriptions in force, in every way and on both wires, while
+//! the program serves.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-/// What stand-in servers of the query API promise, stricter than the program itself asks for.
+/// The description of stand-in data nodes of the query API, stricter than what the program requires.
 const SERVERS: &str = r##"
 openapi: 3.1.0
 info: {title: stand-in servers, version: "1"}
@@ -45,7 +45,7 @@
         _source: {type: object, required: [doc], properties: {doc: {type: string}, pin: {type: string, format: password}}}
 "##;
 
-/// The same for servers that speak frames.
+/// The same for data nodes that speak frames.
 const FRAMES: &str = r#"
 asyncapi: 3.0.0
 info: {title: stand-in servers, version: "1"}
@@ -65,21 +65,30 @@
         payload: {type: string, pattern: "^(value .*)?$"}
 "#;
 
-fn rig(wire: Wire, mode: &str, stage: std::sync::Arc<Stage>) -> Rig {
-    let members = members(wire, &stage);
-    with_members(wire, mode, stage, members)
+fn coordinator(
+    wire: WireFormat,
+    mode: &str,
+    data_nodes: std::sync::Arc<DataNodes>,
+) -> TestCoordinator {
+    let members = start_data_nodes(wire, &data_nodes);
+    with_members(wire, mode, data_nodes, members)
 }
 
-fn with_members(wire: Wire, mode: &str, stage: std::sync::Arc<Stage>, members: Vec<Value>) -> Rig {
+fn with_members(
+    wire: WireFormat,
+    mode: &str,
+    data_nodes: std::sync::Arc<DataNodes>,
+    members: Vec<Value>,
+) -> TestCoordinator {
     let own = format!("[contract.servers]\nmode = \"{mode}\"\ndescription = \"servers.yaml\"\n");
-    let text = if wire == Wire::OpenSearch {
+    let text = if wire == WireFormat::OpenSearch {
         SERVERS
     } else {
         FRAMES
     };
-    Rig::start_own(
+    TestCoordinator::start_with_files(
         wire,
-        stage,
+        data_nodes,
         (1000, 1024),
         members,
         &own,
@@ -87,11 +96,13 @@
     )
 }
 
-/// The drift ledger, once it shows what is waited for.
-fn drift(rig: &Rig, shows: impl Fn(&Value) -> bool) -> Value {
+/// The drift report, once it shows what is waited for.
+fn drift(coordinator: &TestCoordinator, shows: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(20);
     loop {
-        let drift = rig.call(rig.opensearch, "GET /_contract", &[], "").json;
+        let drift = coordinator
+            .call(coordinator.opensearch, "GET /_contract", &[], "")
+            .json;
         if shows(&drift) {
             return drift;
         }
@@ -113,7 +124,7 @@
 /// A hits object whose one hit is given.
 macro_rules! found {
     ($hit:literal) => {
-        Act::Say(
+        Behavior::Respond(
             "200 OK",
             "application/json",
             concat!(
@@ -125,8 +136,8 @@
     };
 }
 
-/// Each way to depart: what the server says, and where and how it is reported.
-fn departing() -> Vec<(Act, &'static str, &'static str)> {
+/// Each kind of violation: what the data node answers, and where and how it is reported.
+fn violating_answers() -> Vec<(Behavior, &'static str, &'static str)> {
     vec![
         (
             found!(r#"{"_id":"1","_score":1,"_source":{"doc":7}}"#),
@@ -149,7 +160,7 @@
             "enum",
         ),
         (
-            Act::Say(
+            Behavior::Respond(
                 "200 OK",
                 "application/json",
                 r#"{"took":70000,"hits":{"hits":[]}}"#,
@@ -158,49 +169,58 @@
             "bounds",
         ),
         (
-            Act::Say("200 OK", "text/html", r#"{"took":1,"hits":{"hits":[]}}"#),
+            Behavior::Respond("200 OK", "text/html", r#"{"took":1,"hits":{"hits":[]}}"#),
             "header Content-Type",
             "media-type",
         ),
         (
-            Act::Say("418 Teapot", "application/json", "{}"),
+            Behavior::Respond("418 Teapot", "application/json", "{}"),
             "status",
             "status",
         ),
         (
-            Act::Say("200 OK", "application/json", r#"{"took":1,"hits":}"#),
+            Behavior::Respond("200 OK", "application/json", r#"{"took":1,"hits":}"#),
             "body",
             "not-json",
         ),
-        (Act::Spoilt(Spoil::Half), "body", "truncated"),
-        (Act::Cut, "body", "truncated"),
+        (
+            Behavior::Malformed(Malformation::TruncatedBody),
+            "body",
+            "truncated",
+        ),
+        (Behavior::CloseMidAnswer, "body", "truncated"),
     ]
 }
 
 /// Guards against a departure that crashes the program, goes unreported, or (under `observe`) changes anything.
 #[test]
-fn every_way_to_depart_is_reported_with_its_path_and_the_program_goes_on() {
+fn every_contract_violation_is_reported_with_its_path() {
     let plan = |marker: u64, _, _| {
-        departing()
+        violating_answers()
             .get(marker as usize)
-            .map_or(Act::Serve, |(act, ..)| *act)
+            .map_or(Behavior::Serve, |(behavior, ..)| *behavior)
     };
-    let rig = rig(Wire::OpenSearch, "observe", Stage::new(plan));
-    for (marker, (act, place, kind)) in departing().into_iter().enumerate() {
+    let coordinator = coordinator(WireFormat::OpenSearch, "observe", DataNodes::new(plan));
+    for (marker, (behavior, place, kind)) in violating_answers().into_iter().enumerate() {
         let body = json!({"query": {"match": {"text": format!("~{marker}~")}}});
-        let told = rig.search("/pick-confirm/_search?preference=_shards:2", body);
+        let answer = coordinator.search("/pick-confirm/_search?preference=_shards:2", body);
         // Observed only: what could be served before still is.
-        let serves = matches!(act, Act::Say("200 OK", ..)) && kind != "not-json";
-        assert_eq!(told.status == 200, serves, "{act:?}: {}", told.json);
+        let serves = matches!(behavior, Behavior::Respond("200 OK", ..)) && kind != "not-json";
+        assert_eq!(
+            answer.status == 200,
+            serves,
+            "{behavior:?}: {}",
+            answer.json
+        );
         let shown = |drift: &Value| entries(drift).contains(&(place.into(), kind.into()));
-        drift(&rig, shown);
+        drift(&coordinator, shown);
     }
-    let told = rig.search(
+    let answer = coordinator.search(
         "/pick-confirm/_search?preference=_shards:2",
         json!({"query": {"match": {"text": "~99~"}}}),
     );
-    assert_eq!(told.status, 200, "the program goes on");
-    let all = drift(&rig, |_| true);
+    assert_eq!(answer.status, 200, "the program keeps serving");
+    let all = drift(&coordinator, |_| true);
     let entry = all["entries"]
         .as_array()
         .unwrap()
@@ -222,44 +242,45 @@
 /// Guards against a departing value that reaches a client, and against a part that may not run twice and does because
 /// its answer was not believed.
 #[test]
-fn under_enforce_no_departing_value_is_served_and_no_unsafe_part_runs_twice() {
+fn enforcement_serves_no_violating_value_and_runs_no_unsafe_part_twice() {
     // Odd markers depart at the first attempt of each part only; a safe part then gets a good answer.
-    let plan = |marker: u64, _, before| match departing().get(marker as usize / 2) {
-        Some((act, ..)) if before == 0 => *act,
-        _ => Act::Serve,
+    let plan = |marker: u64, _, before| match violating_answers().get(marker as usize / 2) {
+        Some((behavior, ..)) if before == 0 => *behavior,
+        _ => Behavior::Serve,
     };
-    let stage = Stage::new(plan);
-    let rig = rig(Wire::OpenSearch, "enforce", stage.clone());
-    for marker in 0..2 * departing().len() as u64 {
+    let data_nodes = DataNodes::new(plan);
+    let coordinator = coordinator(WireFormat::OpenSearch, "enforce", data_nodes.clone());
+    for marker in 0..2 * violating_answers().len() as u64 {
         let class = if marker % 2 == 0 {
             "stock-search"
         } else {
             "pick-confirm"
         };
         let body = json!({"query": {"match": {"text": format!("~{marker}~")}}});
-        // Good answers between: servers that only fail are not asked any more.
+        // Good answers between: data nodes that only fail get no more parts.
         for good in 0..8 {
             let body =
                 json!({"query": {"match": {"text": format!("~{}~", 1000 + 10 * marker + good)}}});
             assert_eq!(
-                rig.search("/stock-search/_search?preference=_shards:2", body)
+                coordinator
+                    .search("/stock-search/_search?preference=_shards:2", body)
                     .status,
                 200
             );
         }
-        let told = rig.search(&format!("/{class}/_search?preference=_shards:2"), body);
+        let answer = coordinator.search(&format!("/{class}/_search?preference=_shards:2"), body);
         match class {
             "stock-search" => {
-                assert_eq!(told.status, 200, "{marker}: {}", told.json);
+                assert_eq!(answer.status, 200, "{marker}: {}", answer.json);
                 assert_eq!(
-                    told.json["hits"]["hits"][0]["_source"]["doc"],
-                    json!(value(marker, 2))
+                    answer.json["hits"]["hits"][0]["_source"]["doc"],
+                    json!(part_value(marker, 2))
                 );
             }
-            _ => assert_eq!(told.status, 500, "{marker}: {}", told.json),
+            _ => assert_eq!(answer.status, 500, "{marker}: {}", answer.json),
         }
     }
-    for ((marker, shard), runs) in stage.runs() {
+    for ((marker, shard), runs) in data_nodes.execution_counts() {
         assert!(
             marker >= 1000 || marker % 2 == 0 || runs == 1,
             "part {shard} of the pick-confirm {marker} ran {runs} times"
@@ -269,39 +290,51 @@
 
 /// The same on frames, where a value is text and a report may depart.
 #[test]
-fn frames_are_held_against_their_description() {
+fn frames_are_checked_against_their_description() {
     let plan = |marker: u64, _, before| match marker {
-        1..=2 if before == 0 => Act::Say("", "", "no value at all"),
-        3 if before == 0 => Act::More(More::Report),
-        _ => Act::Serve,
+        1..=2 if before == 0 => Behavior::Respond("", "", "no value at all"),
+        3 if before == 0 => Behavior::Irregular(Irregularity::UnreadableReport),
+        _ => Behavior::Serve,
     };
-    let stage = Stage::new(plan);
-    let rig = rig(Wire::Platform, "enforce", stage.clone());
+    let data_nodes = DataNodes::new(plan);
+    let coordinator = coordinator(WireFormat::Platform, "enforce", data_nodes.clone());
     assert_eq!(
-        rig.api("f-1", "stock-search", "2.0", &[2], "~1~").status,
+        coordinator
+            .post_api("f-1", "stock-search", "2.0", &[2], "~1~")
+            .status,
         200
     );
     assert_eq!(
-        rig.api("f-2", "pick-confirm", "2.0", &[2], "~2~").status,
+        coordinator
+            .post_api("f-2", "pick-confirm", "2.0", &[2], "~2~")
+            .status,
         500
     );
     assert_eq!(
-        rig.api("f-3", "stock-search", "2.0", &[2], "~3~").status,
+        coordinator
+            .post_api("f-3", "stock-search", "2.0", &[2], "~3~")
+            .status,
         200
     );
-    let found = drift(&rig, |drift| entries(drift).len() >= 2);
+    let found = drift(&coordinator, |drift| entries(drift).len() >= 2);
     let wanted = [
         ("body".to_string(), "pattern".to_string()),
         ("head /report/queue".into(), "missing".into()),
     ];
     assert_eq!(entries(&found), wanted.into());
-    assert!(stage.runs().values().all(|&runs| runs <= 2) && stage.runs()[&(2, 2)] == 1);
+    assert!(
+        data_nodes
+            .execution_counts()
+            .values()
+            .all(|&runs| runs <= 2)
+            && data_nodes.execution_counts()[&(2, 2)] == 1
+    );
 }
 
 /// Guards against a request that departs and is sent on all the same, on both fronts.
 #[test]
-fn under_enforce_a_departing_request_is_refused_before_anything_is_sent() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
+fn enforcement_rejects_a_violating_request_before_sending_parts() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let own = "[contract.platform]\nmode = \"enforce\"\ndescription = \"api.yaml\"\n\
         [contract.query]\nmode = \"enforce\"\ndescription = \"api.yaml\"\n";
     let api = r#"
@@ -327,48 +360,56 @@
         - {name: size, in: query, required: true, schema: {type: integer, maximum: 5}}
       responses: {default: {description: Anything.}}
 "#;
-    let members = members(Wire::Platform, &stage);
-    let rig = Rig::start_own(
-        Wire::Platform,
-        stage.clone(),
+    let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+    let coordinator = TestCoordinator::start_with_files(
+        WireFormat::Platform,
+        data_nodes.clone(),
         (1000, 1024),
         members,
         own,
         &[("api.yaml", api)],
     );
-    let told = rig.api("e-1", "stock-search", "2.0", &[1], "~1~");
-    assert_eq!(told.status, 400);
+    let answer = coordinator.post_api("e-1", "stock-search", "2.0", &[1], "~1~");
+    assert_eq!(answer.status, 400);
     let cause = "header X-Class: wanted one of [\"pick-confirm\"], found \"stock-search\"";
-    assert_eq!(told.json["error"], cause);
-    let told = rig.api("e-2", "pick-confirm", "2.0", &[1], "longer than eight");
+    assert_eq!(answer.json["error"], cause);
+    let answer = coordinator.post_api("e-2", "pick-confirm", "2.0", &[1], "longer than eight");
     assert_eq!(
-        told.json["error"],
+        answer.json["error"],
         "body /q: wanted 8 characters or less, found \"longer than eight\""
     );
-    let told = rig.search("/stock-search/_search?size=6", json!({}));
+    let answer = coordinator.search("/stock-search/_search?size=6", json!({}));
     assert_eq!(
-        told.json["error"]["reason"],
+        answer.json["error"]["reason"],
         "query size: wanted 5 or less, found 6"
     );
     assert_eq!(
-        rig.search("/stock-search/_search", json!({})).status,
+        coordinator
+            .search("/stock-search/_search", json!({}))
+            .status,
         400,
         "a required parameter is missing"
     );
     assert!(
-        stage.seen.lock().unwrap().is_empty(),
+        data_nodes.received.lock().unwrap().is_empty(),
         "nothing was sent for any of them"
     );
     assert_eq!(
-        rig.api("e-3", "pick-confirm", "2.0", &[1], "~1~").status,
+        coordinator
+            .post_api("e-3", "pick-confirm", "2.0", &[1], "~1~")
+            .status,
         200
     );
     assert_eq!(
-        rig.search("/stock-search/_search?size=5", json!({})).status,
+        coordinator
+            .search("/stock-search/_search?size=5", json!({}))
+            .status,
         200
     );
     assert_eq!(
-        rig.call(rig.platform, "GET /_health", &[], "").status,
+        coordinator
+            .call(coordinator.platform, "GET /_health", &[], "")
+            .status,
         200,
         "what is not described is served"
     );
@@ -378,54 +419,59 @@
         ("X-Class", "pick-confirm"),
         ("X-Deadline", "2.0"),
     ];
-    let told = rig.call(rig.platform, "POST /api", &fields, secret);
+    let answer = coordinator.call(coordinator.platform, "POST /api", &fields, secret);
     assert_eq!(
-        told.json["error"],
+        answer.json["error"],
         "body /secret: wanted the type integer, found (left out)"
     );
 }
 
-/// 12 servers, of which 3 newer ones change their answers' form under load.
+/// 12 data nodes, of which 3 newer ones change the form of their answers under load.
 #[test]
-fn a_rollout_is_told_by_its_servers_its_field_and_its_moment() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
+fn contract_drift_names_servers_field_and_time() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let start = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
         .as_millis() as i64;
     // The three started last; all long enough ago to be warm.
     let member = |number: usize| {
-        let address = search_server(number, stage.clone());
+        let address = start_search_node(number, data_nodes.clone());
         let up = start - if number >= 9 { 60_000 } else { 3_600_000 };
         json!({"id": format!("s-{number:02}"), "host_port": address.to_string(), "locality": "a", "flavor": "m",
             "cell": number as u32 % CELLS, "phase": "active", "size": 1.0, "up_since_ms": up})
     };
     let members: Vec<Value> = (0..12).map(member).collect();
-    let rig = with_members(Wire::OpenSearch, "enforce", stage.clone(), members);
+    let coordinator = with_members(
+        WireFormat::OpenSearch,
+        "enforce",
+        data_nodes.clone(),
+        members,
+    );
     let wrong = found!(r#"{"_id":"1","_score":1,"_source":{"doc":17}}"#);
     let (mut answered, mut marker) = (0, 0);
     let mut ask = |class: &str, shards: &str| {
         marker += 1;
         let body = json!({"query": {"match": {"text": format!("~{marker}~")}}});
-        let told = rig.search(
+        let answer = coordinator.search(
             &format!("/{class}/_search?preference=_shards:{shards}"),
             body,
         );
         answered += 1;
-        for hit in told.json["hits"]["hits"].as_array().into_iter().flatten() {
+        for hit in answer.json["hits"]["hits"].as_array().into_iter().flatten() {
             assert_ne!(
                 hit["_source"]["doc"],
                 json!(17),
                 "a departing value reached a client"
             );
         }
-        told.status
+        answer.status
     };
     for _ in 0..10 {
         assert_eq!(ask("stock-search", "0,1,2,3,4,5,6,7"), 200);
     }
     for number in 9..12 {
-        stage.switched.lock().unwrap().insert(number, wrong);
+        data_nodes.overrides.lock().unwrap().insert(number, wrong);
     }
     let mut failed = 0;
     for round in 0..40 {
@@ -439,19 +485,19 @@
     );
     assert_eq!(answered, 90, "every query got its one answer");
     // Queries of one part at a time, by marker: those of the second class may run once only.
-    let seen = stage.seen.lock().unwrap();
+    let seen = data_nodes.received.lock().unwrap();
     let confirms = seen
         .iter()
-        .filter(|seen| marker_of(&seen.text) > 10 && marker_of(&seen.text).is_multiple_of(2));
+        .filter(|seen| marker_of(&seen.query) > 10 && marker_of(&seen.query).is_multiple_of(2));
     let mut once = BTreeSet::new();
     for part in confirms {
         assert!(
-            once.insert((marker_of(&part.text), part.shard)),
+            once.insert((marker_of(&part.query), part.shard)),
             "a pick-confirm's part ran twice: {part:?}"
         );
     }
     drop(seen);
-    let found = drift(&rig, |drift| drift["entries"][0]["of"][0] == 3);
+    let found = drift(&coordinator, |drift| drift["entries"][0]["of"][0] == 3);
     let entry = &found["entries"][0];
     let parties: BTreeSet<&str> = entry["parties"]
         .as_array()
@@ -476,9 +522,9 @@
         "{words}"
     );
     assert!(words.contains(") began to depart at "), "{words}");
-    // A server that is replaced is forgotten.
-    rig.discovery.set_phase(9, "left");
-    drift(&rig, |drift| drift["entries"][0]["of"][0] == 2);
+    // A data node that is replaced is forgotten.
+    coordinator.discovery.set_phase(9, "left");
+    drift(&coordinator, |drift| drift["entries"][0]["of"][0] == 2);
 }
 
 fn marker_of(text: &str) -> u64 {
@@ -487,17 +533,17 @@
 
 /// Guards against a faulty description that takes the good one's place, at a start and at SIGHUP.
 #[test]
-fn a_faulty_description_stops_a_start_and_changes_nothing_later() {
-    let rig = rig(
-        Wire::OpenSearch,
+fn an_invalid_description_fails_startup_and_is_ignored_on_reload() {
+    let coordinator = coordinator(
+        WireFormat::OpenSearch,
         "observe",
-        Stage::new(|_, _, _| Act::Serve),
+        DataNodes::new(|_, _, _| Behavior::Serve),
     );
-    let path = rig.folder.join("servers.yaml");
+    let path = coordinator.folder.join("servers.yaml");
     std::fs::write(&path, SERVERS.replace("maximum: 60000", "maximum: sixty")).unwrap();
-    rig.signal("HUP");
-    rig.wait_for_line("the descriptions in force stay");
-    let before = drift(&rig, |_| true);
+    coordinator.signal("HUP");
+    coordinator.wait_for_log_line("the descriptions in force stay");
+    let before = drift(&coordinator, |_| true);
     assert_eq!(
         (
             &before["generation"],
@@ -505,32 +551,32 @@
         ),
         (&json!(1), &json!("observe"))
     );
-    let told = Command::new(env!("CARGO_BIN_EXE_cairnroad"))
-        .env("NODE_CONFIG", rig.folder.join("config.json"))
-        .env("CAIRNROAD_FILE", rig.folder.join("own.toml"))
+    let output = Command::new(env!("CARGO_BIN_EXE_cairnroad"))
+        .env("NODE_CONFIG", coordinator.folder.join("config.json"))
+        .env("CAIRNROAD_FILE", coordinator.folder.join("own.toml"))
         .output()
         .unwrap();
-    let words = String::from_utf8_lossy(&told.stderr);
-    assert_eq!(told.status.code(), Some(1), "{words}");
+    let words = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{words}");
     assert!(
         words.contains("servers.yaml:23:")
             && words.contains("/components/schemas/Found/properties/took/maximum"),
         "{words}"
     );
     std::fs::write(&path, SERVERS.replace("maximum: 60000", "maximum: 1")).unwrap();
-    rig.signal("HUP");
-    drift(&rig, |drift| drift["generation"] == 2);
-    rig.search(
+    coordinator.signal("HUP");
+    drift(&coordinator, |drift| drift["generation"] == 2);
+    coordinator.search(
         "/stock-search/_search?preference=_shards:1",
         json!({"query": {"match": {"text": "~1~"}}}),
     );
-    drift(&rig, |drift| {
+    drift(&coordinator, |drift| {
         entries(drift).contains(&("body /took".into(), "bounds".into()))
     });
-    // The drift of the old description is no longer told once another is in force.
+    // The drift of the old description is no longer reported once another is in force.
     std::fs::write(&path, SERVERS).unwrap();
-    rig.signal("HUP");
-    drift(&rig, |drift| {
+    coordinator.signal("HUP");
+    drift(&coordinator, |drift| {
         drift["generation"] == 3 && drift["entries"] == json!([])
     });
 }
@@ -546,7 +592,7 @@
 
 /// The commands' exit codes and outputs, as a user meets them.
 #[test]
-fn commands_say_what_is_wrong_and_end_with_its_code() {
+fn contract_commands_report_errors_with_exit_codes() {
     let folder = std::env::temp_dir().join(format!("cairnroad-cli-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = |name: &str, text: &str| {
@@ -573,10 +619,10 @@
          \"application/json\"},\"body\":{\"took\":1}}}\n",
     );
     let check = |args: &[&str], code: i32, words: &[&str]| {
-        let told = cairnroad(args);
+        let output = cairnroad(args);
         let text =
-            String::from_utf8(told.stdout).unwrap() + &String::from_utf8(told.stderr).unwrap();
-        assert_eq!(told.status.code(), Some(code), "{args:?}: {text}");
+            String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(code), "{args:?}: {text}");
         for word in words {
             assert!(text.contains(word), "{args:?}: {word} is not in {text}");
         }
--- a/crates/coordinator/tests/customers.rs
+++ b/crates/coordinator/tests/deployment_settings.rs
@@ -1,4 +1,5 @@
-//! Settings that belong to another customer: what a stop goes by, and signals at any moment of a process's life.
+//! Deployments with other settings: what a graceful shutdown derives from them, and signals at any moment of a process's
+//! life.
 
 mod common;
 
@@ -11,31 +12,35 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Sets all classes' aims and deadlines.
-fn deadlines(config: &mut Value, aim: f64, deadline: f64) {
+/// Sets all classes' latency objectives and deadlines, in seconds.
+fn set_deadlines(config: &mut Value, objective: f64, deadline: f64) {
     for class in config["settings"]["classes"].as_array_mut().unwrap() {
-        (class["aimS"], class["deadlineS"]) = (json!(aim), json!(deadline));
+        (class["aimS"], class["deadlineS"]) = (json!(objective), json!(deadline));
     }
 }
 
-fn ended_within(rig: &mut Rig, since: Instant, most: f64) {
-    wait_for("the end", || rig.child.try_wait().unwrap().is_some());
+fn assert_ended_within(coordinator: &mut TestCoordinator, since: Instant, most: f64) {
+    wait_for("the end", || {
+        coordinator.child.try_wait().unwrap().is_some()
+    });
     let took = since.elapsed().as_secs_f64();
-    assert!(rig.child.wait().unwrap().success());
+    assert!(coordinator.child.wait().unwrap().success());
     assert!(
         took < most,
         "it ended after {took:.2} s, and the kill may come after {most:.2} s"
     );
 }
 
-/// Guards against a stop whose phases are fitted to deadlines of seconds: with short ones the kill comes 0.7 s and one
-/// deadline after the order, and whatever is unanswered then is lost.
+/// Guards against a shutdown whose phases are fitted to deadlines of seconds: with short ones the kill comes 0.7 s and one
+/// deadline after SIGTERM, and whatever is unanswered then is lost.
 #[test]
-fn with_short_deadlines_a_stop_is_over_before_the_kill() {
-    let stage = Stage::new(|_, _, _| Act::Late(20));
-    let members = members(Wire::Platform, &stage);
-    let mut rig = Rig::tuned(stage, members, |config| deadlines(config, 0.2, 0.4));
-    let (address, ended) = (rig.platform, AtomicBool::new(false));
+fn with_short_deadlines_shutdown_finishes_before_the_kill() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Delay(20));
+    let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+    let mut coordinator = TestCoordinator::with_config(data_nodes, members, |config| {
+        set_deadlines(config, 0.2, 0.4)
+    });
+    let (address, ended) = (coordinator.platform, AtomicBool::new(false));
     let (counts, took) = thread::scope(|scope| {
         let client = |number: usize| {
             let ended = &ended;
@@ -52,18 +57,22 @@
                     let mut stream = BufReader::new(stream);
                     loop {
                         asked += 1;
-                        let text =
-                            one_part(&format!("c{number}-{asked}"), "pick-confirm", 0.4, "~1~");
+                        let text = one_part_request(
+                            &format!("c{number}-{asked}"),
+                            "pick-confirm",
+                            0.4,
+                            "~1~",
+                        );
                         if stream.get_mut().write_all(text.as_bytes()).is_err() {
                             break;
                         }
-                        let told = response(&mut stream);
-                        match told.status {
+                        let answer = read_response(&mut stream);
+                        match answer.status {
                             0 => half += 1,
                             _ => answered += 1,
                         }
-                        if told.status == 0
-                            || told
+                        if answer.status == 0
+                            || answer
                                 .fields
                                 .get("connection")
                                 .is_some_and(|word| word == "close")
@@ -79,8 +88,10 @@
         let clients: Vec<_> = (0..8).map(|number| scope.spawn(client(number))).collect();
         thread::sleep(Duration::from_millis(200));
         let since = Instant::now();
-        rig.signal("TERM");
-        wait_for("the end", || rig.child.try_wait().unwrap().is_some());
+        coordinator.signal("TERM");
+        wait_for("the end", || {
+            coordinator.child.try_wait().unwrap().is_some()
+        });
         let took = since.elapsed().as_secs_f64();
         ended.store(true, Ordering::Relaxed);
         let counts: Vec<(usize, usize)> = clients
@@ -89,7 +100,7 @@
             .collect();
         (counts, took)
     });
-    assert!(rig.child.wait().unwrap().success());
+    assert!(coordinator.child.wait().unwrap().success());
     assert!(
         took < 1.1,
         "it ended after {took:.2} s, and the kill may come after 1.10 s"
@@ -102,49 +113,52 @@
     );
 }
 
-/// Guards against requests that were open before the order to stop and have longer than the kill leaves: a deadline
-/// counts for 3 s at the most there.
+/// Guards against requests that were in flight before SIGTERM and have longer than the kill leaves: a deadline counts for
+/// 3 s at most there.
 #[test]
-fn with_long_deadlines_what_is_open_is_answered_before_the_kill() {
-    let stage = Stage::new(|_, _, _| Act::Silent);
-    let members = members(Wire::Platform, &stage);
-    let mut rig = Rig::tuned(stage, members, |config| deadlines(config, 5.0, 12.0));
+fn with_long_deadlines_in_flight_requests_are_answered_before_the_kill() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::NoAnswer);
+    let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+    let mut coordinator = TestCoordinator::with_config(data_nodes, members, |config| {
+        set_deadlines(config, 5.0, 12.0)
+    });
     let mut clients: Vec<_> = ["stock-search", "pick-confirm"]
         .iter()
         .map(|class| {
-            let mut stream = TcpStream::connect(rig.platform).unwrap();
+            let mut stream = TcpStream::connect(coordinator.platform).unwrap();
             stream
                 .set_read_timeout(Some(Duration::from_secs(20)))
                 .unwrap();
             stream
-                .write_all(one_part(class, class, 12.0, "~1~").as_bytes())
+                .write_all(one_part_request(class, class, 12.0, "~1~").as_bytes())
                 .unwrap();
             BufReader::new(stream)
         })
         .collect();
-    wait_for("the parts", || rig.stage.seen.lock().unwrap().len() >= 2);
+    wait_for("the parts", || {
+        coordinator.data_nodes.received.lock().unwrap().len() >= 2
+    });
     let since = Instant::now();
-    rig.signal("TERM");
-    let told: Vec<u16> = clients
+    coordinator.signal("TERM");
+    let statuses: Vec<u16> = clients
         .iter_mut()
-        .map(|client| response(client).status)
+        .map(|client| read_response(client).status)
         .collect();
     assert!(
         since.elapsed() < Duration::from_millis(3_700),
-        "{told:?} after {:?}",
+        "{statuses:?} after {:?}",
         since.elapsed()
     );
     assert!(
-        [429, 503].contains(&told[0]) && [500, 504].contains(&told[1]),
-        "what may have run isn't refused: {told:?}"
+        [429, 503].contains(&statuses[0]) && [500, 504].contains(&statuses[1]),
+        "a possibly executed request isn't rejected: {statuses:?}"
     );
-    ended_within(&mut rig, since, 3.7);
+    assert_ended_within(&mut coordinator, since, 3.7);
 }
 
-/// Guards against a signal's default action, which ends the program, for as long as it starts; and against one order to
-/// stop too many.
+/// Guards against a signal's default action, which ends the program, during startup; and against repeated SIGTERM.
 #[test]
-fn a_signal_at_any_moment_of_a_start_is_heeded() {
+fn signals_during_startup_are_handled() {
     let folder = std::env::temp_dir().join(format!("cairnroad-signals-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let pipe = folder.join("config.json");
@@ -193,33 +207,35 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Guards against an order to stop that comes before there is any server, and against a change of settings in a stop.
+/// Guards against a SIGTERM that comes before there is any data node, and against a reload during a shutdown.
 #[test]
-fn a_stop_goes_on_through_signals() {
-    let stage = Stage::new(|_, _, _| Act::Late(600));
-    let members = members(Wire::Platform, &stage);
-    let mut rig = Rig::tuned(stage, members, |_| ());
-    let mut client = BufReader::new(TcpStream::connect(rig.platform).unwrap());
+fn shutdown_continues_through_further_signals() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Delay(600));
+    let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+    let mut coordinator = TestCoordinator::with_config(data_nodes, members, |_| ());
+    let mut client = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
     client
         .get_mut()
-        .write_all(one_part("open", "pick-confirm", 2.5, "~1~").as_bytes())
+        .write_all(one_part_request("open", "pick-confirm", 2.5, "~1~").as_bytes())
         .unwrap();
-    wait_for("the part", || !rig.stage.seen.lock().unwrap().is_empty());
+    wait_for("the part", || {
+        !coordinator.data_nodes.received.lock().unwrap().is_empty()
+    });
     let since = Instant::now();
-    rig.signal("TERM");
+    coordinator.signal("TERM");
     for _ in 0..5 {
-        rig.reconfigure(|config| deadlines(config, 1.0, 2.0));
-        rig.signal("TERM");
+        coordinator.reconfigure(|config| set_deadlines(config, 1.0, 2.0));
+        coordinator.signal("TERM");
         thread::sleep(Duration::from_millis(60));
     }
-    assert_eq!(response(&mut client).status, 200);
-    ended_within(&mut rig, since, 3.2);
+    assert_eq!(read_response(&mut client).status, 200);
+    assert_ended_within(&mut coordinator, since, 3.2);
 }
 
-/// Guards against anything that takes this customer's settings for granted: a list of classes of another length, other
-/// names and effects, deadlines under half a second and over three, windows, ticks.
+/// Guards against code that takes one deployment's settings for granted: a list of classes of another length, other
+/// names and idempotency, deadlines under half a second and over three, deduplication windows, ticks.
 #[test]
-fn a_file_that_is_merely_unlike_this_customers_works() {
+fn unusual_but_valid_settings_work() {
     let class = |name: &str, aim: f64, deadline: f64, effect: &str| {
         json!({"name": name, "aimS": aim, "deadlineS": deadline, "effect": effect, "value": 2.0, "lateShare": 0.2,
             "dedupWindowS": 0.5})
@@ -236,9 +252,9 @@
         (&many[2..3], 0.002),
         (&[class("f", 4.0, 12.0, "deduplicated")], 0.005),
     ] {
-        let stage = Stage::new(|_, _, _| Act::Serve);
-        let members = members(Wire::Platform, &stage);
-        let mut rig = Rig::tuned(stage, members, |config| {
+        let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
+        let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+        let mut coordinator = TestCoordinator::with_config(data_nodes, members, |config| {
             let settings = &mut config["settings"];
             (settings["classes"], settings["tickS"]) = (json!(classes), json!(tick));
             for key in ["needByClass", "minShare", "partialEarns"] {
@@ -248,51 +264,53 @@
         });
         for class in classes {
             let name = class["name"].as_str().unwrap();
-            let told = rig.api(
+            let answer = coordinator.post_api(
                 name,
                 name,
                 &class["deadlineS"].to_string(),
                 &[1, 2, 3],
                 "~1~",
             );
-            assert_eq!(told.status, 200, "{name}: {}", told.json);
+            assert_eq!(answer.status, 200, "{name}: {}", answer.json);
         }
         let since = Instant::now();
-        rig.signal("TERM");
-        ended_within(&mut rig, since, 1.5);
+        coordinator.signal("TERM");
+        assert_ended_within(&mut coordinator, since, 1.5);
     }
 }
 
-/// Guards against advice that sends a client away for longer than it would wait.
+/// Guards against a Retry-After that is longer than the client would wait.
 #[test]
-fn a_client_is_not_told_to_come_back_after_its_time() {
-    let stage = Stage::new(|_, _, _| Act::Late(10));
-    let members = members(Wire::Platform, &stage);
-    let rig = Rig::tuned(stage, members, |config| deadlines(config, 0.2, 0.4));
-    let mut client = BufReader::new(TcpStream::connect(rig.platform).unwrap());
+fn retry_after_does_not_exceed_the_latency_objective() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Delay(10));
+    let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+    let coordinator = TestCoordinator::with_config(data_nodes, members, |config| {
+        set_deadlines(config, 0.2, 0.4)
+    });
+    let mut client = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
     let all: String = (0..400)
-        .map(|number| one_part(&format!("p{number}"), "stock-search", 0.4, "~1~"))
+        .map(|number| one_part_request(&format!("p{number}"), "stock-search", 0.4, "~1~"))
         .collect();
     client.get_mut().write_all(all.as_bytes()).unwrap();
-    let refused = std::iter::repeat_with(|| response(&mut client))
-        .find(|told| told.status != 200)
+    let rejected = std::iter::repeat_with(|| read_response(&mut client))
+        .find(|answer| answer.status != 200)
         .unwrap();
-    assert_eq!(refused.status, 429);
+    assert_eq!(rejected.status, 429);
     assert!(
-        refused.fields["retry-after"].parse::<f64>().unwrap() <= 0.2,
+        rejected.fields["retry-after"].parse::<f64>().unwrap() <= 0.2,
         "{:?}",
-        refused.fields
+        rejected.fields
     );
 }
 
-/// Guards against a query of many parts that is never whole: its weights are rounded by whoever wrote them, and add up to
+/// Guards against a query of many parts that is never complete: its weights are rounded by whoever wrote them, and add up to
 /// less than 1 the more parts there are.
 #[test]
-fn rounded_weights_of_many_parts_make_a_whole() {
+fn rounded_weights_of_many_parts_make_a_complete_answer() {
     for parts in [7, 94, 150] {
-        let stage = Stage::new(|_, _, _| Act::Serve);
-        let members = members(Wire::Platform, &stage);
-        let rig = Rig::tuned(stage, members, |config| {
+        let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
+        let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+        let coordinator = TestCoordinator::with_config(data_nodes, members, |config| {
             config["settings"]["extra"]["shards"] = json!(parts)
         });
         // As many digits as the platform's clients write, and the last of them cut off.
@@ -308,15 +326,15 @@
                 ("X-Class", class),
                 ("X-Deadline", "2.0"),
             ];
-            let told = rig.call(rig.platform, "POST /api", &fields, &body);
+            let answer = coordinator.call(coordinator.platform, "POST /api", &fields, &body);
             assert_eq!(
-                (told.status, &told.json["complete"]),
+                (answer.status, &answer.json["complete"]),
                 (200, &json!(true)),
                 "{id}: {}",
-                told.json
+                answer.json
             );
             assert_eq!(
-                told.json["hits"].as_array().unwrap().len(),
+                answer.json["hits"].as_array().unwrap().len(),
                 parts as usize,
                 "{id}"
             );
--- a/crates/coordinator/tests/membership.rs
+++ b/crates/coordinator/tests/endpoint_files.rs
@@ -1,4 +1,4 @@
-//! The list of servers in files, rewritten in every way while the program serves, and found again after a kill.
+//! Endpoint lists from files: rewritten in every way while the program serves, and restored after a kill.
 
 mod common;
 
@@ -13,9 +13,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const OWN: &str = "[membership]\nsource = \"files\"\npath = \"servers.d\"\nstate = \"state\"\n";
+const FILE_SOURCE: &str =
+    "[membership]\nsource = \"files\"\npath = \"servers.d\"\nstate = \"state\"\n";
 
-/// A roster's text: the servers of these numbers, warm.
+/// A roster file with these data nodes, past their slow start.
 fn roster(generation: u64, servers: &[(usize, SocketAddr)]) -> String {
     let one = |(number, address): &(usize, SocketAddr)| {
         format!(
@@ -29,7 +30,7 @@
     )
 }
 
-/// How often something is done: less in CI than in a long run that a variable asks for.
+/// A repetition count: lower in CI than in a long run, which a variable asks for.
 fn times(variable: &str, usual: usize) -> usize {
     std::env::var(variable)
         .ok()
@@ -37,14 +38,14 @@
         .unwrap_or(usual)
 }
 
-fn start(stage: &Arc<Stage>, files: &[(&str, &str)]) -> Rig {
+fn start(data_nodes: &Arc<DataNodes>, files: &[(&str, &str)]) -> TestCoordinator {
     let files: Vec<(&str, &str)> = files.iter().copied().chain([("state/.keep", "")]).collect();
-    Rig::start_own(
-        Wire::Platform,
-        stage.clone(),
+    TestCoordinator::start_with_files(
+        WireFormat::Platform,
+        data_nodes.clone(),
         (1000, 1024),
         Vec::new(),
-        OWN,
+        FILE_SOURCE,
         &files,
     )
 }
@@ -81,7 +82,7 @@
     }
 }
 
-/// Texts that must leave the old list in force.
+/// Invalid texts, which must leave the list in force.
 fn broken(kind: usize, text: &str) -> String {
     match kind % 6 {
         0 => text[..text.len() - 8].to_string(),
@@ -95,16 +96,16 @@
     }
 }
 
-/// Guards against a query that sees two lists, a removed server that goes on getting work, a broken file that takes
-/// anything away, and a change that costs a query its answer.
+/// Guards against a query that is routed by two lists, a removed data node that still gets parts, an invalid file that
+/// removes anything, and a change that fails a query.
 #[test]
-fn files_rewritten_in_every_way_under_load_never_make_a_mixed_list() {
+fn files_rewritten_under_load_never_yield_a_mixed_list() {
     let rewrites = times("CAIRNROAD_REWRITES", 36);
-    let stage = Stage::new(|_, _, _| Act::Late(15));
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Delay(15));
     let all: Vec<(usize, SocketAddr)> = (0..8)
-        .map(|number| (number, frame_server(number, stage.clone())))
+        .map(|number| (number, start_frame_node(number, data_nodes.clone())))
         .collect();
-    // Lists take turns between two fleets that have no server in common.
+    // Lists take turns between two fleets that have no data node in common.
     let fleet = |turn: usize| {
         if turn.is_multiple_of(2) {
             &all[..4]
@@ -112,13 +113,13 @@
             &all[4..]
         }
     };
-    let rig = Arc::new(start(
-        &stage,
+    let coordinator = Arc::new(start(
+        &data_nodes,
         &[("servers.d/servers.toml", &roster(1, fleet(0)))],
     ));
     let stop = Arc::new(AtomicBool::new(false));
     let client = |number: u64| {
-        let (rig, stop) = (rig.clone(), stop.clone());
+        let (coordinator, stop) = (coordinator.clone(), stop.clone());
         thread::spawn(move || {
             let mut statuses: BTreeMap<u16, usize> = BTreeMap::new();
             for turn in 0.. {
@@ -130,21 +131,21 @@
                     0 => ("pick-confirm", vec![1, 2]),
                     _ => ("stock-search", (0..8).collect::<Vec<u32>>()),
                 };
-                let told = rig.api(
+                let answer = coordinator.post_api(
                     &format!("m{marker}"),
                     class,
                     "2.0",
                     &shards,
                     &format!("~{marker}~"),
                 );
-                *statuses.entry(told.status).or_default() += 1;
+                *statuses.entry(answer.status).or_default() += 1;
                 thread::sleep(Duration::from_millis(5));
             }
             statuses
         })
     };
     let clients: Vec<_> = (0..4).map(client).collect();
-    let path = rig.folder.join("servers.d/servers.toml");
+    let path = coordinator.folder.join("servers.d/servers.toml");
     let (mut generation, mut turn) = (1, 0);
     // When each fleet was written out of the list, and in again.
     let mut switches: Vec<(Instant, usize)> = vec![(Instant::now(), 0)];
@@ -165,7 +166,9 @@
         switches.push((Instant::now(), turn));
         // A long run writes faster than the log tells.
         match rewrites <= 36 {
-            true => rig.wait_for_line(&format!("roster in force generation={generation} ")),
+            true => {
+                coordinator.wait_for_log_line(&format!("roster in force generation={generation} "))
+            }
             false => thread::sleep(Duration::from_millis(60)),
         }
         slowest = slowest.max(begun.elapsed());
@@ -180,7 +183,7 @@
             .into_iter()
             .for_each(|(status, count)| *statuses.entry(status).or_default() += count);
     }
-    // Every call came back with one answer; a confirm whose server left with it under way may have failed.
+    // Every request got one answer; a confirm whose data node was removed while it ran may have failed.
     assert!(
         statuses
             .keys()
@@ -189,23 +192,23 @@
     );
     let served = statuses[&200] as f64 / statuses.values().sum::<usize>() as f64;
     assert!(served > 0.9, "{statuses:?}");
-    let seen = stage.seen.lock().unwrap();
+    let seen = data_nodes.received.lock().unwrap();
     let mut fleets: BTreeMap<u64, BTreeSet<usize>> = BTreeMap::new();
     let mut latest = Duration::ZERO;
     for part in seen.iter() {
         fleets
-            .entry(marker(&part.text))
+            .entry(marker(&part.query))
             .or_default()
             .insert(part.server / 4);
         // The list in force a quarter of a second before this part came, and those since.
         let allowed: BTreeSet<usize> = {
             let since = switches
                 .iter()
-                .rposition(|(at, _)| *at + Duration::from_millis(250) <= part.at)
+                .rposition(|(at, _)| *at + Duration::from_millis(250) <= part.received_at)
                 .unwrap_or(0);
             switches[since..]
                 .iter()
-                .filter(|(at, _)| *at <= part.at + Duration::from_millis(100))
+                .filter(|(at, _)| *at <= part.received_at + Duration::from_millis(100))
                 .map(|(_, turn)| turn % 2)
                 .collect()
         };
@@ -216,14 +219,14 @@
         if let Some((gone, _)) = switches
             .iter()
             .rev()
-            .find(|(at, turn)| *at <= part.at && turn % 2 != part.server / 4)
+            .find(|(at, turn)| *at <= part.received_at && turn % 2 != part.server / 4)
         {
             let back = switches
                 .iter()
                 .rev()
-                .find(|(at, turn)| *at <= part.at && turn % 2 == part.server / 4);
+                .find(|(at, turn)| *at <= part.received_at && turn % 2 == part.server / 4);
             if back.is_none_or(|(back, _)| back < gone) {
-                latest = latest.max(part.at - *gone);
+                latest = latest.max(part.received_at - *gone);
             }
         }
     }
@@ -239,121 +242,134 @@
     );
     drop(seen);
     // No part of a class that may not run twice did.
-    let confirms = stage
-        .runs()
+    let confirms = data_nodes
+        .execution_counts()
         .into_iter()
         .filter(|((marker, _), _)| ((marker - 1) % 1_000_000).is_multiple_of(3));
     assert!(confirms.into_iter().all(|(_, runs)| runs == 1));
 }
 
-fn cairnroad(rig: &Path, args: &[&str]) -> Output {
+fn cairnroad(coordinator: &Path, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_cairnroad"))
         .args(args)
-        .env("NODE_CONFIG", rig.join("config.json"))
-        .env("CAIRNROAD_FILE", rig.join("own.toml"))
+        .env("NODE_CONFIG", coordinator.join("config.json"))
+        .env("CAIRNROAD_FILE", coordinator.join("own.toml"))
         .output()
         .unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn printed(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// Guards against a start without a list, or on one that nobody meant, after a kill at any moment.
+/// Guards against a start without a list, or with an unintended one, after a kill at any moment.
 #[test]
-fn after_a_kill_at_any_moment_the_newest_or_the_one_before_it_is_found() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
+fn after_a_kill_the_newest_or_previous_snapshot_is_restored() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let all: Vec<(usize, SocketAddr)> = (0..4)
-        .map(|number| (number, frame_server(number, stage.clone())))
+        .map(|number| (number, start_frame_node(number, data_nodes.clone())))
         .collect();
-    let mut rig = start(&stage, &[("servers.d/servers.toml", &roster(1, &all))]);
-    let path = rig.folder.join("servers.d/servers.toml");
+    let mut coordinator = start(&data_nodes, &[("servers.d/servers.toml", &roster(1, &all))]);
+    let path = coordinator.folder.join("servers.d/servers.toml");
     let mut newest = 1;
     for round in 0..times("CAIRNROAD_KILLS", 12) as u64 {
-        // Lists change faster than they are kept; the kill comes at some moment of that.
+        // Lists change faster than they are stored; the kill comes at some moment of that.
         let kill_at = Instant::now() + Duration::from_millis(40 + (round * 7919) % 160);
-        let mut told = newest;
+        let mut written = newest;
         while Instant::now() < kill_at {
             newest += 1;
             write(0, &path, &roster(newest, &all));
             thread::sleep(Duration::from_millis(35 + round % 3 * 10));
-            told = newest;
+            written = newest;
         }
-        rig.child.kill().unwrap();
-        rig.child.wait().unwrap();
-        let kept: Value =
-            serde_json::from_slice(&cairnroad(&rig.folder, &["roster", "show", "--json"]).stdout)
-                .unwrap();
-        let kept = kept["roster"]["generation"].as_u64().unwrap();
+        coordinator.child.kill().unwrap();
+        coordinator.child.wait().unwrap();
+        let stored: Value = serde_json::from_slice(
+            &cairnroad(&coordinator.folder, &["roster", "show", "--json"]).stdout,
+        )
+        .unwrap();
+        let stored = stored["roster"]["generation"].as_u64().unwrap();
         assert!(
-            kept <= newest && kept + 4 >= told,
-            "round {round}: generation {kept} of {newest}"
+            stored <= newest && stored + 4 >= written,
+            "round {round}: generation {stored} of {newest}"
         );
-        // With broken files the program starts on what was kept, and says so.
+        // With invalid files the program starts on what was stored, and logs it.
         std::fs::write(&path, "generation = ").unwrap();
-        rig.restart();
-        rig.wait_for_line(&format!(
-            "the list kept last is in force generation={kept} "
+        coordinator.restart();
+        coordinator.wait_for_log_line(&format!(
+            "the list kept last is in force generation={stored} "
         ));
-        let told = rig.api(&format!("k{round}"), "stock-search", "2.0", &[1, 2], "~1~");
-        assert_eq!(told.status, 200, "{}", told.json);
-        newest = newest.max(kept) + 1;
+        let answer =
+            coordinator.post_api(&format!("k{round}"), "stock-search", "2.0", &[1, 2], "~1~");
+        assert_eq!(answer.status, 200, "{}", answer.json);
+        newest = newest.max(stored) + 1;
         write(0, &path, &roster(newest, &all));
-        rig.wait_for_line(&format!("roster in force generation={newest} "));
+        coordinator.wait_for_log_line(&format!("roster in force generation={newest} "));
     }
 }
 
-/// What was a torn or damaged list is passed over for the one before it.
+/// Guards against a start on a torn or corrupt snapshot instead of the one before it.
 #[test]
-fn a_damaged_kept_list_is_passed_over() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
+fn a_corrupt_snapshot_is_skipped() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let all: Vec<(usize, SocketAddr)> = (0..4)
-        .map(|number| (number, frame_server(number, stage.clone())))
+        .map(|number| (number, start_frame_node(number, data_nodes.clone())))
         .collect();
-    let mut rig = start(&stage, &[("servers.d/servers.toml", &roster(1, &all))]);
-    let path = rig.folder.join("servers.d/servers.toml");
+    let mut coordinator = start(&data_nodes, &[("servers.d/servers.toml", &roster(1, &all))]);
+    let path = coordinator.folder.join("servers.d/servers.toml");
     write(0, &path, &roster(2, &all));
-    rig.wait_for_line("roster in force generation=2 ");
-    rig.child.kill().unwrap();
-    rig.child.wait().unwrap();
-    let slot = rig.folder.join("state/roster.b");
+    coordinator.wait_for_log_line("roster in force generation=2 ");
+    coordinator.child.kill().unwrap();
+    coordinator.child.wait().unwrap();
+    let slot = coordinator.folder.join("state/roster.b");
     let mut bytes = std::fs::read(&slot).unwrap();
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     std::fs::write(&slot, bytes).unwrap();
     std::fs::write(&path, "").unwrap();
-    rig.restart();
-    rig.wait_for_line("roster.b: its checksum is wrong");
-    rig.wait_for_line("the list kept last is in force generation=1 ");
+    coordinator.restart();
+    coordinator.wait_for_log_line("roster.b: its checksum is wrong");
+    coordinator.wait_for_log_line("the list kept last is in force generation=1 ");
     assert_eq!(
-        rig.api("d-1", "stock-search", "2.0", &[1], "~1~").status,
+        coordinator
+            .post_api("d-1", "stock-search", "2.0", &[1], "~1~")
+            .status,
         200
     );
 }
 
-/// The commands as staff use them before a storm.
+/// The roster commands as operators use them before a planned change.
 #[test]
-fn staff_check_compare_and_apply_a_roster() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
+fn roster_commands_check_compare_and_apply() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let all: Vec<(usize, SocketAddr)> = (0..6)
-        .map(|number| (number, frame_server(number, stage.clone())))
+        .map(|number| (number, start_frame_node(number, data_nodes.clone())))
         .collect();
-    let rig = start(
-        &stage,
+    let coordinator = start(
+        &data_nodes,
         &[
             ("servers.d/kita.toml", &roster(1, &all[..2])),
             ("servers.d/minami.toml", &roster(1, &all[2..4])),
         ],
     );
-    rig.wait_for_line("roster in force generation=1 ");
+    coordinator.wait_for_log_line("roster in force generation=1 ");
     let run = |args: &[&str], code: i32, words: &str| {
-        let told = cairnroad(&rig.folder, args);
-        assert_eq!(told.status.code(), Some(code), "{args:?}: {}", said(&told));
-        assert!(said(&told).contains(words), "{args:?}: {}", said(&told));
+        let output = cairnroad(&coordinator.folder, args);
+        assert_eq!(
+            output.status.code(),
+            Some(code),
+            "{args:?}: {}",
+            printed(&output)
+        );
+        assert!(
+            printed(&output).contains(words),
+            "{args:?}: {}",
+            printed(&output)
+        );
     };
     let file = |name: &str, text: &str| {
-        std::fs::write(rig.folder.join(name), text).unwrap();
-        rig.folder.join(name).to_str().unwrap().to_string()
+        std::fs::write(coordinator.folder.join(name), text).unwrap();
+        coordinator.folder.join(name).to_str().unwrap().to_string()
     };
     run(
         &["roster", "check"],
@@ -387,26 +403,34 @@
         "nowhere.toml: No such file",
     );
     run(&["roster", "apply", &storm], 0, "generation 2 written to");
-    rig.wait_for_line("roster in force generation=2 added=2 removed=0");
+    coordinator.wait_for_log_line("roster in force generation=2 added=2 removed=0");
     run(&["roster", "show"], 0, "generation = 2");
     run(
         &["roster", "apply", &small, "--allow-shrink"],
         0,
         "remove: s-2, s-3, s-4, s-5",
     );
-    rig.wait_for_line("roster in force generation=3 added=0 removed=4");
+    coordinator.wait_for_log_line("roster in force generation=3 added=0 removed=4");
     assert_eq!(
-        rig.api("s-1", "stock-search", "2.0", &[1, 2], "~1~").status,
+        coordinator
+            .post_api("s-1", "stock-search", "2.0", &[1, 2], "~1~")
+            .status,
         200
     );
-    let effective = cairnroad(&rig.folder, &["check-config", "--json"]);
+    let effective = cairnroad(&coordinator.folder, &["check-config", "--json"]);
     let effective: Value = serde_json::from_slice(&effective.stdout).unwrap();
     assert_eq!(effective["effective"]["discovery"], json!(null));
-    // A folder that vanishes leaves the list in force.
-    std::fs::rename(rig.folder.join("servers.d"), rig.folder.join("elsewhere")).unwrap();
-    rig.wait_for_line("the files are refused, the list in force stays");
+    // A removed folder leaves the list in force.
+    std::fs::rename(
+        coordinator.folder.join("servers.d"),
+        coordinator.folder.join("elsewhere"),
+    )
+    .unwrap();
+    coordinator.wait_for_log_line("the files are refused, the list in force stays");
     assert_eq!(
-        rig.api("s-2", "stock-search", "2.0", &[1, 2], "~2~").status,
+        coordinator
+            .post_api("s-2", "stock-search", "2.0", &[1, 2], "~2~")
+            .status,
         200
     );
 }
--- a/crates/coordinator/tests/pairs.rs
+++ b/crates/coordinator/tests/front_backend_matrix.rs
@@ -1,5 +1,5 @@
-//! A replayed mixed load over every pair of front and backend, with faults of all kinds among the servers: no
-//! rule may break on any of them.
+//! A mixed load over every pair of front and backend, with faults of all kinds among the data nodes: no rule may break
+//! on any of them.
 
 mod common;
 
@@ -12,77 +12,79 @@
 const CLIENTS: u64 = 6;
 const REQUESTS_EACH: u64 = 14;
 
-/// A fixed shuffle of small numbers.
-fn mixed(number: u64, shard: u64) -> u64 {
+/// A fixed hash of small numbers.
+fn hash(number: u64, shard: u64) -> u64 {
     let x = (number * 0x9e37_79b9 + shard * 0x85eb_ca6b + 7).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     (x ^ (x >> 29)) >> 8
 }
 
-/// Most parts are served; one in six meets a fault, of each kind by turns. Further attempts are served.
-fn plan(marker: u64, shard: u32, before: usize) -> Act {
+/// Most parts are served; one in six meets a fault, of each kind in turn. Retries are served.
+fn plan(marker: u64, shard: u32, before: usize) -> Behavior {
     let faults = [
-        Act::Busy,
-        Act::Fail,
-        Act::Cut,
-        Act::MidStreamError,
-        Act::Silent,
-        Act::Late(700),
+        Behavior::Busy,
+        Behavior::Fail,
+        Behavior::CloseMidAnswer,
+        Behavior::MidStreamError,
+        Behavior::NoAnswer,
+        Behavior::Delay(700),
     ];
-    match mixed(marker, u64::from(shard)) % 60 {
+    match hash(marker, u64::from(shard)) % 60 {
         n if n < 10 && before == 0 => faults[(n % 6) as usize],
-        n if n < 30 => Act::Late(10),
-        _ => Act::Serve,
+        n if n < 30 => Behavior::Delay(10),
+        _ => Behavior::Serve,
     }
 }
 
-struct Told {
+struct ReceivedAnswer {
     class: &'static str,
     shards: Vec<u32>,
     response: Response,
 }
 
-fn ask(rig: &Rig, front: Wire, number: u64) -> Told {
-    let search = mixed(number, 99).is_multiple_of(2);
+fn ask(coordinator: &TestCoordinator, front: WireFormat, number: u64) -> ReceivedAnswer {
+    let search = hash(number, 99).is_multiple_of(2);
     let class = if search {
         "stock-search"
     } else {
         "pick-confirm"
     };
-    let first = (mixed(number, 98) % 4) as u32;
+    let first = (hash(number, 98) % 4) as u32;
     let shards: Vec<u32> =
         (first..first + if search { 5 } else { 1 + (number % 2) as u32 }).collect();
     let text = format!("needle ~{number}~");
     let response = match front {
-        Wire::Platform => rig.api(&format!("r{number}"), class, "2.0", &shards, &text),
-        Wire::OpenSearch => {
+        WireFormat::Platform => {
+            coordinator.post_api(&format!("r{number}"), class, "2.0", &shards, &text)
+        }
+        WireFormat::OpenSearch => {
             let list: Vec<String> = shards.iter().map(u32::to_string).collect();
             let target = format!(
                 "/{class}/_search?preference=_shards:{}&timeout=2s",
                 list.join(",")
             );
-            rig.search(
+            coordinator.search(
                 &target,
                 json!({"query": {"match": {"text": text}}, "size": 100}),
             )
         }
     };
-    Told {
+    ReceivedAnswer {
         class,
         shards,
         response,
     }
 }
 
-/// The values in an answer by shard, and whether it is marked whole.
-fn values(front: Wire, servers: Wire, body: &Value) -> (BTreeMap<u32, String>, bool) {
+/// The values in an answer by shard, and whether it is marked complete.
+fn values(front: WireFormat, servers: WireFormat, body: &Value) -> (BTreeMap<u32, String>, bool) {
     let mut found = BTreeMap::new();
-    let whole = match front {
-        Wire::Platform => {
+    let complete = match front {
+        WireFormat::Platform => {
             for hit in body["hits"].as_array().unwrap() {
                 let doc = hit["doc"].as_str().unwrap();
                 let doc = match servers {
-                    Wire::Platform => doc.to_string(),
-                    Wire::OpenSearch => {
+                    WireFormat::Platform => doc.to_string(),
+                    WireFormat::OpenSearch => {
                         let hits: Value = serde_json::from_str(doc).unwrap();
                         hits["hits"][0]["_source"]["doc"]
                             .as_str()
@@ -99,7 +101,7 @@
             }
             body["complete"].as_bool().unwrap()
         }
-        Wire::OpenSearch => {
+        WireFormat::OpenSearch => {
             for hit in body["hits"]["hits"].as_array().unwrap() {
                 let shard = hit["_id"].as_str().unwrap().parse().unwrap();
                 let doc = hit["_source"]["doc"].as_str().unwrap().to_string();
@@ -117,126 +119,123 @@
             !body["timed_out"].as_bool().unwrap()
         }
     };
-    (found, whole)
+    (found, complete)
 }
 
-fn replay(front: Wire, servers: Wire) {
-    let stage = Stage::new(plan);
-    let rig = Arc::new(Rig::start(servers, stage.clone(), 1000));
+fn run_mixed_load(front: WireFormat, servers: WireFormat) {
+    let data_nodes = DataNodes::new(plan);
+    let coordinator = Arc::new(TestCoordinator::start(servers, data_nodes.clone(), 1000));
     let clients: Vec<_> = (0..CLIENTS)
         .map(|client| {
-            let rig = rig.clone();
+            let coordinator = coordinator.clone();
             thread::spawn(move || {
                 let numbers = (0..REQUESTS_EACH).map(|n| 1 + client * REQUESTS_EACH + n);
                 numbers
-                    .map(|number| (number, ask(&rig, front, number)))
+                    .map(|number| (number, ask(&coordinator, front, number)))
                     .collect::<Vec<_>>()
             })
         })
         .collect();
-    let told: BTreeMap<u64, Told> = clients
+    let answers: BTreeMap<u64, ReceivedAnswer> = clients
         .into_iter()
         .flat_map(|client| client.join().unwrap())
         .collect();
-    let runs = stage.runs();
-    let (mut whole_answers, mut statuses) = (0, BTreeSet::new());
-    for (number, told) in &told {
+    let runs = data_nodes.execution_counts();
+    let (mut complete_answers, mut statuses) = (0, BTreeSet::new());
+    for (number, answer) in &answers {
         let at = format!(
             "{front:?} over {servers:?}, request {number} ({})",
-            told.class
+            answer.class
         );
-        let status = told.response.status;
+        let status = answer.response.status;
         statuses.insert(status);
-        let unsafe_class = told.class == "pick-confirm";
-        let ran = told
+        let unsafe_class = answer.class == "pick-confirm";
+        let ran = answer
             .shards
             .iter()
             .any(|&shard| runs.contains_key(&(*number, shard)));
         match status {
             200 => {
-                let (values, whole) = values(front, servers, &told.response.json);
+                let (values, complete) = values(front, servers, &answer.response.json);
                 for (shard, value) in &values {
                     assert_eq!(
                         *value,
-                        common::value(*number, *shard),
+                        common::part_value(*number, *shard),
                         "{at}: a value changed on its way"
                     );
-                    assert!(
-                        told.shards.contains(shard),
-                        "{at}: a part that nobody asked for"
-                    );
+                    assert!(answer.shards.contains(shard), "{at}: an unsolicited part");
                 }
                 assert_eq!(
-                    whole,
-                    values.len() == told.shards.len(),
-                    "{at}: whole only if whole"
+                    complete,
+                    values.len() == answer.shards.len(),
+                    "{at}: marked complete only if complete"
                 );
                 let floor = if unsafe_class { 1.0 } else { 0.8 };
-                let share = values.len() as f64 / told.shards.len() as f64;
+                let share = values.len() as f64 / answer.shards.len() as f64;
                 assert!(share >= floor - 1e-9, "{at}: {share} is under the floor");
-                whole_answers += usize::from(whole);
+                complete_answers += usize::from(complete);
             }
             429 | 503 => {
                 assert!(
-                    told.response.fields.contains_key("retry-after"),
-                    "{at}: no word on when to return"
+                    answer.response.fields.contains_key("retry-after"),
+                    "{at}: no Retry-After"
                 );
                 assert!(
                     !(unsafe_class && ran),
-                    "{at}: refused though a part may have run"
+                    "{at}: rejected though a part may have run"
                 );
             }
             500 | 504 => {}
-            other => panic!("{at}: {other} is no final answer: {}", told.response.json),
+            other => panic!("{at}: {other} is no final answer: {}", answer.response.json),
         }
     }
     for ((number, shard), count) in &runs {
-        let told = &told[number];
+        let answer = &answers[number];
         assert!(
-            told.shards.contains(shard),
+            answer.shards.contains(shard),
             "request {number}: shard {shard} was never asked for"
         );
-        if told.class == "pick-confirm" {
+        if answer.class == "pick-confirm" {
             assert_eq!(
                 *count, 1,
                 "{front:?} over {servers:?}: part {number}.{shard} ran {count} times"
             );
         }
     }
-    for seen in stage.seen.lock().unwrap().iter() {
+    for seen in data_nodes.received.lock().unwrap().iter() {
         assert_eq!(
             seen.server as u32 % CELLS,
             seen.shard % CELLS,
-            "a server that does not hold the shard"
+            "a data node that does not hold the shard"
         );
     }
     assert_eq!(
-        told.len() as u64,
+        answers.len() as u64,
         CLIENTS * REQUESTS_EACH,
         "one final answer each"
     );
     assert!(
-        whole_answers > 20 && statuses.len() > 1,
-        "{whole_answers} whole, statuses {statuses:?}"
+        complete_answers > 20 && statuses.len() > 1,
+        "{complete_answers} complete, statuses {statuses:?}"
     );
 }
 
 #[test]
-fn platform_clients_reach_frame_servers() {
-    replay(Wire::Platform, Wire::Platform);
+fn platform_clients_reach_frame_data_nodes() {
+    run_mixed_load(WireFormat::Platform, WireFormat::Platform);
 }
 
 #[test]
-fn platform_clients_reach_search_servers() {
-    replay(Wire::Platform, Wire::OpenSearch);
+fn platform_clients_reach_search_data_nodes() {
+    run_mixed_load(WireFormat::Platform, WireFormat::OpenSearch);
 }
 
 #[test]
-fn query_clients_reach_frame_servers() {
-    replay(Wire::OpenSearch, Wire::Platform);
+fn query_clients_reach_frame_data_nodes() {
+    run_mixed_load(WireFormat::OpenSearch, WireFormat::Platform);
 }
 
 #[test]
-fn query_clients_reach_search_servers() {
-    replay(Wire::OpenSearch, Wire::OpenSearch);
+fn query_clients_reach_search_data_nodes() {
+    run_mixed_load(WireFormat::OpenSearch, WireFormat::OpenSearch);
 }
--- /dev/null
+++ b/crates/coordinator/tests/graceful_shutdown.rs
@@ -0,0 +1,182 @@
+//! Graceful shutdown with open connections: clients send on every connection that stays open, up to the kill.
+
+mod common;
+
+use common::*;
+use std::io::{BufReader, ErrorKind, Read, Write};
+use std::net::TcpStream;
+use std::thread;
+use std::time::{Duration, Instant};
+
+fn api_request(id: &str, marker: u32) -> String {
+    one_part_request(id, "pick-confirm", 2.5, &format!("~{marker}~"))
+}
+
+fn connect(coordinator: &TestCoordinator) -> BufReader<TcpStream> {
+    let stream = TcpStream::connect(coordinator.platform).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
+    BufReader::new(stream)
+}
+
+/// Waits until no connection is accepted any more.
+fn wait_until_listener_closes(coordinator: &TestCoordinator) {
+    let since = Instant::now();
+    while TcpStream::connect(coordinator.platform).is_ok() {
+        assert!(since.elapsed() < Duration::from_secs(10));
+        thread::sleep(Duration::from_millis(2));
+    }
+}
+
+/// Guards against a shutdown that cuts off a partly received request: it was begun on a connection that stayed open, so
+/// it is answered, or rejected where the rest doesn't come.
+#[test]
+fn partly_received_requests_are_answered_or_rejected_at_shutdown() {
+    let mut coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Delay(50)),
+        1000,
+    );
+    let text = api_request("half", 1);
+    let (first, rest) = text.split_at(text.len() - 9);
+    let (mut finished, mut never) = (connect(&coordinator), connect(&coordinator));
+    finished.get_mut().write_all(first.as_bytes()).unwrap();
+    let silent = connect(&coordinator);
+    coordinator.signal("TERM");
+    thread::sleep(Duration::from_millis(300));
+    never
+        .get_mut()
+        .write_all(&api_request("never", 2).as_bytes()[..40])
+        .unwrap();
+    wait_until_listener_closes(&coordinator);
+    finished.get_mut().write_all(rest.as_bytes()).unwrap();
+    let answer = read_response(&mut finished);
+    assert_eq!(
+        (answer.status, answer.fields["connection"].as_str()),
+        (200, "close")
+    );
+    let answer = read_response(&mut never);
+    assert_eq!(
+        (answer.status, answer.fields["connection"].as_str()),
+        (503, "close")
+    );
+    assert!(answer.fields.contains_key("retry-after"));
+    assert!(coordinator.child.wait().unwrap().success());
+    drop(silent);
+    assert_eq!(
+        coordinator.data_nodes.execution_counts().len(),
+        1,
+        "the rejected request reached no data node"
+    );
+}
+
+/// Guards against an answer that a reset cuts off since its client had pipelined further requests.
+#[test]
+fn a_pipelining_client_gets_its_complete_answer_at_shutdown() {
+    let mut coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Delay(400)),
+        1000,
+    );
+    let mut client = connect(&coordinator);
+    client
+        .get_mut()
+        .write_all(api_request("first", 1).as_bytes())
+        .unwrap();
+    thread::sleep(Duration::from_millis(50));
+    coordinator.signal("TERM");
+    thread::sleep(Duration::from_millis(100));
+    client
+        .get_mut()
+        .write_all((api_request("second", 2) + &api_request("third", 3)).as_bytes())
+        .unwrap();
+    let answer = read_response(&mut client);
+    assert_eq!(
+        (answer.status, answer.fields["connection"].as_str()),
+        (200, "close")
+    );
+    assert_eq!(
+        client.read(&mut [0]).unwrap(),
+        0,
+        "the connection ends, and the rest was never read"
+    );
+    assert!(coordinator.child.wait().unwrap().success());
+    assert_eq!(coordinator.data_nodes.execution_counts().len(), 1);
+}
+
+/// Clients that keep their connections and send on them as long as these stay open: each request that was written gets
+/// its answer, or its connection was closed before the request could be read, and it may go again.
+#[test]
+fn no_accepted_request_is_lost_at_shutdown_under_load() {
+    let mut coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Delay(30)),
+        1000,
+    );
+    let address = coordinator.platform;
+    let clients: Vec<_> = (0..20)
+        .map(|client| {
+            thread::spawn(move || {
+                let (mut answered, mut cut) = (0, 0);
+                let Ok(stream) = TcpStream::connect(address) else {
+                    return (0, 0, 0);
+                };
+                stream
+                    .set_read_timeout(Some(Duration::from_secs(10)))
+                    .unwrap();
+                let mut stream = BufReader::new(stream);
+                for number in 0..10_000 {
+                    let text =
+                        api_request(&format!("c{client}-{number}"), client * 10_000 + number);
+                    if stream.get_mut().write_all(text.as_bytes()).is_err() {
+                        break;
+                    }
+                    let answer = read_response(&mut stream);
+                    match answer.status {
+                        200 => answered += 1,
+                        // Closed between two requests: what was not read is sent again on a new connection.
+                        0 => cut += 1,
+                        other => panic!("{other}"),
+                    }
+                    if answer.status == 0
+                        || answer
+                            .fields
+                            .get("connection")
+                            .is_some_and(|word| word == "close")
+                    {
+                        break;
+                    }
+                }
+                // The connection is at its end: nothing more comes on it.
+                let end = stream.read(&mut [0]).map_err(|e| e.kind());
+                (
+                    answered,
+                    cut,
+                    usize::from(!matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset))),
+                )
+            })
+        })
+        .collect();
+    thread::sleep(Duration::from_millis(500));
+    coordinator.signal("TERM");
+    let ends: Vec<(usize, usize, usize)> = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .collect();
+    assert!(coordinator.child.wait().unwrap().success());
+    assert!(
+        ends.iter()
+            .all(|&(answered, cut, more)| answered > 2 && cut == 0 && more == 0),
+        "{ends:?}"
+    );
+    // The data nodes ran each request exactly as often as its client got an answer.
+    let answered: usize = ends.iter().map(|end| end.0).sum();
+    assert_eq!(
+        (
+            coordinator.data_nodes.execution_counts().len(),
+            coordinator.data_nodes.execution_counts().values().max()
+        ),
+        (answered, Some(&1))
+    );
+}
--- a/crates/coordinator/tests/descriptions.rs
+++ b/crates/coordinator/tests/published_descriptions.rs
@@ -17,22 +17,22 @@
 
 /// The files under `api/` are what the program prints for the configuration beside them.
 #[test]
-fn the_files_are_what_the_program_prints() {
+fn description_files_match_the_programs_output() {
     for kind in ["openapi", "asyncapi"] {
-        let told = Command::new(env!("CARGO_BIN_EXE_cairnroad"))
+        let output = Command::new(env!("CARGO_BIN_EXE_cairnroad"))
             .args(["contract", "show", "--kind", kind])
             .env("NODE_CONFIG", root("api/sample/config.json"))
             .env("CAIRNROAD_FILE", root("api/sample/cairnroad.toml"))
             .output()
             .unwrap();
         assert!(
-            told.status.success(),
+            output.status.success(),
             "{}",
-            String::from_utf8_lossy(&told.stderr)
+            String::from_utf8_lossy(&output.stderr)
         );
         let kept = std::fs::read_to_string(root(&format!("api/{kind}.json"))).unwrap();
         assert_eq!(
-            String::from_utf8(told.stdout).unwrap(),
+            String::from_utf8(output.stdout).unwrap(),
             kept,
             "api/{kind}.json differs from `contract show --kind {kind}` for api/sample"
         );
@@ -116,22 +116,24 @@
 
 /// What an instance serves is held against the description that the same instance publishes.
 #[test]
-fn what_is_served_is_what_openapi_says() {
+fn served_answers_match_openapi() {
     let plan = |_, shard, _| match shard {
-        7 => Act::Silent,
-        6 => Act::Busy,
-        _ => Act::Serve,
+        7 => Behavior::NoAnswer,
+        6 => Behavior::Busy,
+        _ => Behavior::Serve,
     };
-    let rig = Rig::start(Wire::Platform, Stage::new(plan), 1000);
-    let own = rig.call(rig.opensearch, "GET /openapi.json", &[], "").json;
+    let coordinator = TestCoordinator::start(WireFormat::Platform, DataNodes::new(plan), 1000);
+    let own = coordinator
+        .call(coordinator.opensearch, "GET /openapi.json", &[], "")
+        .json;
     let document = Description::from_text("openapi.json", &own.to_string()).unwrap();
     let mut called = BTreeSet::new();
     for (number, case) in cases().into_iter().enumerate() {
         let at = format!("{} {}", case.method, case.target);
         let to = if case.platform {
-            rig.platform
+            coordinator.platform
         } else {
-            rig.opensearch
+            coordinator.opensearch
         };
         let id = format!("d{number}");
         let kind = if case.target.contains("_msearch") {
@@ -148,13 +150,13 @@
                 ("X-Deadline", deadline),
             ]);
         }
-        let told = rig.call(
+        let answer = coordinator.call(
             to,
             &format!("{} {}", case.method, case.target),
             &fields,
             &case.body,
         );
-        assert_eq!(told.status, case.status, "{at}: {}", told.json);
+        assert_eq!(answer.status, case.status, "{at}: {}", answer.json);
         let owned: Vec<_> = fields
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
@@ -169,13 +171,13 @@
         let number = request
             .number
             .unwrap_or_else(|| panic!("{at} is not described"));
-        if told.status == 200 {
+        if answer.status == 200 {
             assert_eq!(request.departures, [], "{at}");
         }
-        let fields: Vec<_> = told.fields.into_iter().collect();
-        let body = told.json.to_string();
+        let fields: Vec<_> = answer.fields.into_iter().collect();
+        let body = answer.json.to_string();
         let answered = Answered {
-            status: told.status,
+            status: answer.status,
             fields: &fields,
             body: body.as_bytes(),
             whole: true,
@@ -208,22 +210,34 @@
     );
 }
 
-/// Frames and the watch as they were on the wire, held against the published description.
+/// Frames and the watch as they were on the wire, checked against the published description.
 #[test]
-fn what_is_sent_is_what_asyncapi_says() {
-    let plan = |_, shard, _| if shard == 7 { Act::Silent } else { Act::Serve };
-    let rig = Rig::start(Wire::Platform, Stage::new(plan), 1000);
-    let own = rig.call(rig.opensearch, "GET /asyncapi.json", &[], "").json;
+fn sent_frames_match_asyncapi() {
+    let plan = |_, shard, _| {
+        if shard == 7 {
+            Behavior::NoAnswer
+        } else {
+            Behavior::Serve
+        }
+    };
+    let coordinator = TestCoordinator::start(WireFormat::Platform, DataNodes::new(plan), 1000);
+    let own = coordinator
+        .call(coordinator.opensearch, "GET /asyncapi.json", &[], "")
+        .json;
     let document = Description::from_text("asyncapi.json", &own.to_string()).unwrap();
     assert_eq!(
-        rig.api("a-1", "stock-search", "0.5", &[1, 3], "~1~").status,
+        coordinator
+            .post_api("a-1", "stock-search", "0.5", &[1, 3], "~1~")
+            .status,
         200
     );
     assert_eq!(
-        rig.api("a-2", "pick-confirm", "0.3", &[7], "~2~").status,
+        coordinator
+            .post_api("a-2", "pick-confirm", "0.3", &[7], "~2~")
+            .status,
         504
     );
-    let frames = rig.stage.wire.lock().unwrap().clone();
+    let frames = coordinator.data_nodes.raw_messages.lock().unwrap().clone();
     let mut letters = BTreeSet::new();
     let mut judge = |channel: &str, word: &str, head: Value, payload: &[u8]| {
         letters.insert(word.to_string());
@@ -248,7 +262,7 @@
             (other, _) => panic!("a frame {other} was sent"),
         }
     }
-    for line in rig.discovery.calls.lock().unwrap().iter() {
+    for line in coordinator.discovery.calls.lock().unwrap().iter() {
         let target = line.split(' ').nth(1).unwrap();
         let pairs = target
             .split_once('?')
@@ -266,8 +280,13 @@
             b"",
         );
     }
-    let list = rig
-        .call(rig.discovery.address, "GET /catalog/members", &[], "")
+    let list = coordinator
+        .call(
+            coordinator.discovery.address,
+            "GET /catalog/members",
+            &[],
+            "",
+        )
         .json;
     judge("watch", "list", json!({}), list.to_string().as_bytes());
     assert_eq!(
--- a/crates/coordinator/tests/serving.rs
+++ b/crates/coordinator/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The program on its sockets: what a client, a drained server and an operator who stops it see.
+//! The program on its sockets, as seen by clients, draining data nodes and an operator who stops it.
 
 mod common;
 
@@ -11,8 +11,12 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn bad_requests_are_told_apart() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Serve), 1000);
+fn malformed_requests_get_the_status_of_their_error() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Serve),
+        1000,
+    );
     let good = json!({"shards": [{"shard": 1, "weight": 1.0}], "q": "~1~"}).to_string();
     let with = |class: &str, deadline: &str, body: &str| {
         let fields = [
@@ -20,7 +24,9 @@
             ("X-Class", class),
             ("X-Deadline", deadline),
         ];
-        rig.call(rig.platform, "POST /api", &fields, body).status
+        coordinator
+            .call(coordinator.platform, "POST /api", &fields, body)
+            .status
     };
     assert_eq!(with("stock-search", "1.5", &good), 200);
     assert_eq!(with("no-such", "1.5", &good), 400);
@@ -38,10 +44,25 @@
         );
     }
     assert_eq!(with("stock-search", "1.5", &"x".repeat(70_000)), 413);
-    assert_eq!(rig.call(rig.platform, "GET /api", &[], "").status, 405);
-    assert_eq!(rig.call(rig.platform, "GET /nothing", &[], "").status, 404);
-    assert_eq!(rig.call(rig.platform, "POST", &[], "").status, 400);
-    let search = |target: &str, body| rig.search(target, body);
+    assert_eq!(
+        coordinator
+            .call(coordinator.platform, "GET /api", &[], "")
+            .status,
+        405
+    );
+    assert_eq!(
+        coordinator
+            .call(coordinator.platform, "GET /nothing", &[], "")
+            .status,
+        404
+    );
+    assert_eq!(
+        coordinator
+            .call(coordinator.platform, "POST", &[], "")
+            .status,
+        400
+    );
+    let search = |target: &str, body| coordinator.search(target, body);
     let query = json!({"query": {"match": {"text": "~2~"}}});
     assert_eq!(search("/stock-search/_search", query.clone()).status, 200);
     let missing = search("/no-such/_search", query.clone());
@@ -81,24 +102,35 @@
     );
     assert_eq!(search("/a,b/_search", query).status, 400);
     assert_eq!(
-        rig.call(rig.opensearch, "DELETE /stock-search/_search", &[], "")
+        coordinator
+            .call(
+                coordinator.opensearch,
+                "DELETE /stock-search/_search",
+                &[],
+                ""
+            )
             .status,
         405
     );
     assert_eq!(
-        rig.call(rig.opensearch, "GET /_cat/indices", &[], "")
+        coordinator
+            .call(coordinator.opensearch, "GET /_cat/indices", &[], "")
             .status,
         404
     );
 }
 
 #[test]
-fn the_cap_on_open_work_refuses_at_once_and_says_when_to_return() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Serve), 4);
-    let refused = rig.api("big", "stock-search", "1.5", &[0, 1, 2, 3, 4], "~1~");
+fn requests_over_the_in_flight_cap_are_rejected_with_retry_after() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Serve),
+        4,
+    );
+    let refused = coordinator.post_api("big", "stock-search", "1.5", &[0, 1, 2, 3, 4], "~1~");
     assert_eq!(refused.status, 429);
     assert!(refused.fields["retry-after"].parse::<f64>().unwrap() > 0.0);
-    let refused = rig.search(
+    let refused = coordinator.search(
         "/stock-search/_search",
         json!({"query": {"match": {"text": "~2~"}}}),
     );
@@ -111,30 +143,41 @@
         "whole seconds on this front"
     );
     assert_eq!(
-        rig.api("small", "stock-search", "1.5", &[0, 1], "~3~")
+        coordinator
+            .post_api("small", "stock-search", "1.5", &[0, 1], "~3~")
             .status,
         200
     );
     assert!(
-        rig.stage.runs().keys().all(|(marker, _)| *marker == 3),
-        "a refused query reached a server"
+        coordinator
+            .data_nodes
+            .execution_counts()
+            .keys()
+            .all(|(marker, _)| *marker == 3),
+        "a rejected query reached a data node"
     );
 }
 
 #[test]
-fn silence_ends_as_late_and_partial_answers_need_leave() {
-    // Shard 7 never answers; four of five parts are the class's least share.
-    let plan = |_, shard, _| if shard == 7 { Act::Silent } else { Act::Serve };
-    for servers in [Wire::Platform, Wire::OpenSearch] {
-        let rig = Rig::start(servers, Stage::new(plan), 1000);
-        let partial = rig.api("p", "stock-search", "1.2", &[3, 4, 5, 6, 7], "~1~");
+fn an_unanswered_part_times_out_and_partial_results_must_be_allowed() {
+    // Shard 7 never answers; four of five parts are the class's minimum share.
+    let plan = |_, shard, _| {
+        if shard == 7 {
+            Behavior::NoAnswer
+        } else {
+            Behavior::Serve
+        }
+    };
+    for servers in [WireFormat::Platform, WireFormat::OpenSearch] {
+        let coordinator = TestCoordinator::start(servers, DataNodes::new(plan), 1000);
+        let partial = coordinator.post_api("p", "stock-search", "1.2", &[3, 4, 5, 6, 7], "~1~");
         assert_eq!(
             (partial.status, &partial.json["complete"]),
             (200, &json!(false))
         );
         let body = json!({"query": {"match": {"text": "~2~"}}});
         let target = "/stock-search/_search?preference=_shards:3,4,5,6,7&timeout=1200ms";
-        let partial = rig.search(target, body.clone());
+        let partial = coordinator.search(target, body.clone());
         assert_eq!(
             (partial.status, &partial.json["timed_out"]),
             (200, &json!(true)),
@@ -142,7 +185,7 @@
             partial.json
         );
         assert_eq!(partial.json["_shards"]["failures"][0]["shard"], json!(7));
-        let forbidden = rig.search(
+        let forbidden = coordinator.search(
             &format!("{target}&allow_partial_search_results=false"),
             body.clone(),
         );
@@ -150,19 +193,19 @@
     }
 }
 
-/// Guards against answers that can't be read: waited for until the time-out, served, or taken as proof that the
-/// part never ran. A failure that isn't late (500, not 504) shows that nobody waited.
+/// Guards against malformed answers that are waited for until the time-out, served, or taken as proof that the part
+/// never ran. A failure that isn't a time-out (500, not 504) shows that nobody waited.
 #[test]
-fn a_spoilt_answer_may_have_run_and_is_never_served() {
-    for servers in [Wire::Platform, Wire::OpenSearch] {
+fn a_malformed_answer_counts_as_possibly_executed_and_is_never_served() {
+    for servers in [WireFormat::Platform, WireFormat::OpenSearch] {
         let plan = |marker: u64, _, before| match marker as usize % 10 {
-            kind if before == 0 => Act::Spoilt(SPOILT[kind]),
-            _ => Act::Serve,
+            kind if before == 0 => Behavior::Malformed(MALFORMATIONS[kind]),
+            _ => Behavior::Serve,
         };
-        for kind in 0..SPOILT.len() as u64 {
-            let rig = Rig::start(servers, Stage::new(plan), 1000);
+        for kind in 0..MALFORMATIONS.len() as u64 {
+            let coordinator = TestCoordinator::start(servers, DataNodes::new(plan), 1000);
             let (safe, once) = (10 + kind, 20 + kind);
-            let served = rig.api(
+            let served = coordinator.post_api(
                 &format!("s{kind}"),
                 "stock-search",
                 "2.0",
@@ -172,14 +215,14 @@
             assert_eq!(
                 served.status, 200,
                 "{servers:?} {:?}",
-                SPOILT[kind as usize]
+                MALFORMATIONS[kind as usize]
             );
             assert!(
                 served.json.to_string().contains(&format!("value {safe}/1")),
                 "{}",
                 served.json
             );
-            let failed = rig.api(
+            let failed = coordinator.post_api(
                 &format!("o{kind}"),
                 "pick-confirm",
                 "2.5",
@@ -189,53 +232,62 @@
             assert_eq!(
                 failed.status, 500,
                 "{servers:?} {:?}",
-                SPOILT[kind as usize]
+                MALFORMATIONS[kind as usize]
             );
             assert_eq!(
-                rig.stage.runs()[&(once, 1)],
+                coordinator.data_nodes.execution_counts()[&(once, 1)],
                 1,
                 "{servers:?} {:?}",
-                SPOILT[kind as usize]
+                MALFORMATIONS[kind as usize]
             );
         }
     }
 }
 
-/// Guards against the next call on a connection that brought more than its answer: it would be given what is left
-/// there, or be lost with it.
+/// Guards against reuse of a connection that carried bytes beyond its answer: the next call would be given these, or
+/// be lost with them.
 #[test]
-fn more_than_an_answer_costs_its_connection_and_nobody_else() {
-    for servers in [Wire::Platform, Wire::OpenSearch] {
+fn bytes_after_an_answer_close_only_that_connection() {
+    for servers in [WireFormat::Platform, WireFormat::OpenSearch] {
         let plan = |marker: u64, _, _| match marker % 4 {
-            0 => Act::More(More::Twice),
-            1 => Act::More(More::Noise),
-            2 => Act::More(More::Report),
-            _ => Act::Serve,
+            0 => Behavior::Irregular(Irregularity::RepeatedAnswer),
+            1 => Behavior::Irregular(Irregularity::TrailingBytes),
+            2 => Behavior::Irregular(Irregularity::UnreadableReport),
+            _ => Behavior::Serve,
         };
-        let rig = Rig::start(servers, Stage::new(plan), 1000);
+        let coordinator = TestCoordinator::start(servers, DataNodes::new(plan), 1000);
         for marker in 0..40 {
-            let told = rig.api(
+            let answer = coordinator.post_api(
                 &format!("m{marker}"),
                 "pick-confirm",
                 "2.5",
                 &[1, 2],
                 &format!("~{marker}~"),
             );
-            assert_eq!(told.status, 200, "{servers:?} {marker}: {}", told.json);
+            assert_eq!(answer.status, 200, "{servers:?} {marker}: {}", answer.json);
             assert!(
-                told.json.to_string().contains(&format!("value {marker}/2")),
+                answer
+                    .json
+                    .to_string()
+                    .contains(&format!("value {marker}/2")),
                 "{}",
-                told.json
+                answer.json
             );
         }
     }
 }
 
 #[test]
-fn a_part_that_may_have_run_is_failed_and_not_refused() {
-    let plan = |_, shard, _| if shard == 7 { Act::Silent } else { Act::Serve };
-    for servers in [Wire::Platform, Wire::OpenSearch] {
-        let fresh = || Rig::start(servers, Stage::new(plan), 1000);
+fn a_possibly_executed_part_fails_instead_of_being_rejected() {
+    let plan = |_, shard, _| {
+        if shard == 7 {
+            Behavior::NoAnswer
+        } else {
+            Behavior::Serve
+        }
+    };
+    for servers in [WireFormat::Platform, WireFormat::OpenSearch] {
+        let fresh = || TestCoordinator::start(servers, DataNodes::new(plan), 1000);
         let body = json!({"query": {"match": {"text": "~1~"}}});
         let late = fresh().search(
             "/pick-confirm/_search?preference=_shards:6,7&timeout=600ms",
@@ -247,7 +299,7 @@
         );
         assert_eq!(
             fresh()
-                .api("l", "pick-confirm", "0.6", &[6, 7], "~2~")
+                .post_api("l", "pick-confirm", "0.6", &[6, 7], "~2~")
                 .status,
             504
         );
@@ -256,7 +308,11 @@
 
 #[test]
 fn msearch_answers_each_search_in_order_with_its_own_status() {
-    let rig = Rig::start(Wire::OpenSearch, Stage::new(|_, _, _| Act::Serve), 1000);
+    let coordinator = TestCoordinator::start(
+        WireFormat::OpenSearch,
+        DataNodes::new(|_, _, _| Behavior::Serve),
+        1000,
+    );
     let search = |index: &str, number: u64| {
         format!(
             "{{\"index\":\"{index}\"}}\n{{\"query\":{{\"match\":{{\"text\":\"~{number}~\"}}}},\"size\":3}}\n"
@@ -268,13 +324,13 @@
         search("stock-search", 3),
     ]
     .concat();
-    let told = rig.call(rig.opensearch, "POST /_msearch", &[], &body);
-    assert_eq!(told.status, 200);
+    let answer = coordinator.call(coordinator.opensearch, "POST /_msearch", &[], &body);
+    assert_eq!(answer.status, 200);
     let statuses: Vec<_> = (0..3)
-        .map(|at| told.json["responses"][at]["status"].as_u64().unwrap())
+        .map(|at| answer.json["responses"][at]["status"].as_u64().unwrap())
         .collect();
-    assert_eq!(statuses, [200, 404, 200], "{}", told.json);
-    let hits = &told.json["responses"][2]["hits"];
+    assert_eq!(statuses, [200, 404, 200], "{}", answer.json);
+    let hits = &answer.json["responses"][2]["hits"];
     // The best of all shards, best first, cut to the size asked for; all are counted.
     assert_eq!(
         (
@@ -288,32 +344,44 @@
         (Some(8.0), Some("7"))
     );
     assert_eq!(
-        rig.call(rig.opensearch, "POST /_msearch", &[], body.trim_end())
+        coordinator
+            .call(
+                coordinator.opensearch,
+                "POST /_msearch",
+                &[],
+                body.trim_end()
+            )
             .status,
         400
     );
     let odd = body.replacen("{\"index\"", "{\"scroll\":\"1m\",\"index\"", 1);
-    let told = rig.call(rig.opensearch, "POST /_msearch", &[], &odd);
+    let answer = coordinator.call(coordinator.opensearch, "POST /_msearch", &[], &odd);
     assert_eq!(
-        told.json["responses"][0]["status"],
+        answer.json["responses"][0]["status"],
         json!(400),
-        "an unsupported term is its own search's fault"
+        "an unsupported term is an error of its own search"
     );
 }
 
 #[test]
-fn a_drained_server_gets_nothing_new() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Serve), 1000);
+fn a_draining_data_node_gets_no_new_parts() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Serve),
+        1000,
+    );
     for number in 0..8 {
         assert_eq!(
-            rig.api(&format!("a{number}"), "pick-confirm", "2.0", &[0, 2], "~1~")
+            coordinator
+                .post_api(&format!("a{number}"), "pick-confirm", "2.0", &[0, 2], "~1~")
                 .status,
             200
         );
     }
     let to_first = || {
-        rig.stage
-            .seen
+        coordinator
+            .data_nodes
+            .received
             .lock()
             .unwrap()
             .iter()
@@ -321,37 +389,40 @@
             .count()
     };
     assert!(to_first() > 0, "both replicas take turns");
-    let watches = || rig.discovery.calls.lock().unwrap().len();
+    let watches = || coordinator.discovery.calls.lock().unwrap().len();
     let before = watches();
-    rig.discovery.set_phase(0, "leaving");
+    coordinator.discovery.set_phase(0, "leaving");
     // The next watch comes once the answer before it was read and understood.
     wait_for("the next watch", || watches() > before);
     thread::sleep(Duration::from_millis(250));
-    let told = to_first();
+    let before = to_first();
     for number in 0..8 {
         assert_eq!(
-            rig.api(&format!("b{number}"), "pick-confirm", "2.0", &[0, 2], "~2~")
+            coordinator
+                .post_api(&format!("b{number}"), "pick-confirm", "2.0", &[0, 2], "~2~")
                 .status,
             200
         );
     }
-    assert_eq!(to_first(), told);
+    assert_eq!(to_first(), before);
 }
 
 #[test]
-fn a_server_that_refuses_connections_costs_no_answer() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
+fn a_data_node_that_refuses_connections_fails_no_request() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let dead = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let mut members = members(Wire::Platform, &stage);
+    let mut members = start_data_nodes(WireFormat::Platform, &data_nodes);
     members[0]["host_port"] = json!(dead.to_string());
-    let rig = Rig::start_with(Wire::Platform, stage, 1000, 1024, members);
+    let coordinator =
+        TestCoordinator::start_with_members(WireFormat::Platform, data_nodes, 1000, 1024, members);
     for number in 0..6 {
         // No connection proves that the part never ran, so even this class goes elsewhere.
         assert_eq!(
-            rig.api(&format!("d{number}"), "pick-confirm", "2.0", &[0, 1], "~1~")
+            coordinator
+                .post_api(&format!("d{number}"), "pick-confirm", "2.0", &[0, 1], "~1~")
                 .status,
             200
         );
@@ -359,22 +430,31 @@
 }
 
 #[test]
-fn with_no_connection_to_spare_a_client_is_told_to_come_back() {
-    let stage = Stage::new(|marker, _, _| if marker == 1 { Act::Silent } else { Act::Serve });
-    let members = members(Wire::Platform, &stage);
+fn over_the_connection_limit_clients_get_503_with_retry_after() {
+    let data_nodes = DataNodes::new(|marker, _, _| {
+        if marker == 1 {
+            Behavior::NoAnswer
+        } else {
+            Behavior::Serve
+        }
+    });
+    let members = start_data_nodes(WireFormat::Platform, &data_nodes);
     // Half of 64 descriptors are for clients with a request open.
-    let rig = Rig::start_with(Wire::Platform, stage, 1000, 64, members);
+    let coordinator =
+        TestCoordinator::start_with_members(WireFormat::Platform, data_nodes, 1000, 64, members);
     let held: Vec<_> = (0..32)
         .map(|n| {
-            let mut stream = TcpStream::connect(rig.platform).unwrap();
+            let mut stream = TcpStream::connect(coordinator.platform).unwrap();
             stream
-                .write_all(api_text(&format!("held{n}"), "~1~").as_bytes())
+                .write_all(api_request(&format!("held{n}"), "~1~").as_bytes())
                 .unwrap();
             stream
         })
         .collect();
-    wait_for("the parts", || rig.stage.seen.lock().unwrap().len() == 32);
-    let refused = rig.api("a", "stock-search", "2.0", &[1], "~2~");
+    wait_for("the parts", || {
+        coordinator.data_nodes.received.lock().unwrap().len() == 32
+    });
+    let refused = coordinator.post_api("a", "stock-search", "2.0", &[1], "~2~");
     assert_eq!(
         (refused.status, refused.fields["connection"].as_str()),
         (503, "close")
@@ -383,68 +463,71 @@
     drop(held);
     let mut names = 0..;
     let mut status = || {
-        rig.api(
-            &format!("b{}", names.next().unwrap()),
-            "stock-search",
-            "2.0",
-            &[1],
-            "~2~",
-        )
-        .status
+        coordinator
+            .post_api(
+                &format!("b{}", names.next().unwrap()),
+                "stock-search",
+                "2.0",
+                &[1],
+                "~2~",
+            )
+            .status
     };
     wait_for("room", || status() == 200);
 }
 
-fn api_text(id: &str, q: &str) -> String {
-    let body = json!({"shards": [{"shard": 1, "weight": 1.0}], "q": q}).to_string();
-    let head = format!(
-        "POST /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: stock-search\r\nX-Deadline: 2\r\n"
-    );
-    format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
+fn api_request(id: &str, query: &str) -> String {
+    one_part_request(id, "stock-search", 2.0, query)
 }
 
-/// Guards against idle clients that keep all places: neither those who say nothing nor those who asked once and
-/// stayed may keep others out, and a client that idles as its place is needed is closed without an answer.
+/// Guards against idle clients that occupy all connection slots: neither those that send nothing nor those that sent
+/// one request may keep others out, and an evicted idle connection is closed without an answer.
 #[test]
-fn idle_clients_make_room_for_those_who_ask() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
-    let members = members(Wire::Platform, &stage);
-    let rig = Rig::start_with(Wire::Platform, stage, 1000, 64, members);
-    let mut stayed = BufReader::new(TcpStream::connect(rig.platform).unwrap());
+fn idle_connections_are_evicted_for_active_clients() {
+    let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
+    let members = start_data_nodes(WireFormat::Platform, &data_nodes);
+    let coordinator =
+        TestCoordinator::start_with_members(WireFormat::Platform, data_nodes, 1000, 64, members);
+    let mut stayed = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
     stayed
         .get_mut()
-        .write_all(api_text("once", "~1~").as_bytes())
+        .write_all(api_request("once", "~1~").as_bytes())
         .unwrap();
-    assert_eq!(response(&mut stayed).status, 200);
+    assert_eq!(read_response(&mut stayed).status, 200);
     let _silent: Vec<_> = (0..200)
-        .map(|_| TcpStream::connect(rig.platform).unwrap())
+        .map(|_| TcpStream::connect(coordinator.platform).unwrap())
         .collect();
     let start = Instant::now();
     for number in 0..20 {
         assert_eq!(
-            rig.api(&format!("a{number}"), "stock-search", "2.0", &[1], "~1~")
+            coordinator
+                .post_api(&format!("a{number}"), "stock-search", "2.0", &[1], "~1~")
                 .status,
             200
         );
     }
     assert!(
         start.elapsed() < Duration::from_secs(15),
-        "silence is waited out: {:?}",
+        "idle connections are waited for: {:?}",
         start.elapsed()
     );
     assert_eq!(
         stayed.read(&mut [0]).unwrap(),
         0,
-        "the longest idle was the first to go"
+        "the longest idle was evicted first"
     );
 }
 
-/// Guards against waiting for good on a client that stops in the middle, and against an error that a reset cuts
-/// off while the client still sends.
+/// Guards against waiting forever for a client that stops in the middle of a request, and against an error response
+/// that a reset cuts off while the client still sends.
 #[test]
-fn a_bad_client_has_its_end_in_time() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Serve), 1000);
-    for address in [rig.platform, rig.opensearch] {
+fn slow_or_oversized_requests_end_in_time() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Serve),
+        1000,
+    );
+    for address in [coordinator.platform, coordinator.opensearch] {
         let begin = |text: &str| {
             let mut stream = TcpStream::connect(address).unwrap();
             stream
@@ -469,10 +552,10 @@
             (&mut half, 408),
             (&mut silent, 0),
         ] {
-            let told = response(stream);
-            assert_eq!((told.status, stream.read(&mut [0]).unwrap()), (status, 0));
+            let answer = read_response(stream);
+            assert_eq!((answer.status, stream.read(&mut [0]).unwrap()), (status, 0));
             assert_eq!(
-                told.fields.get("connection").map(String::as_str),
+                answer.fields.get("connection").map(String::as_str),
                 (status > 0).then_some("close")
             );
         }
@@ -480,17 +563,24 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_parts_cancelled() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Silent), 1000);
-    let mut stream = TcpStream::connect(rig.platform).unwrap();
+fn a_disconnected_clients_parts_are_cancelled() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::NoAnswer),
+        1000,
+    );
+    let mut stream = TcpStream::connect(coordinator.platform).unwrap();
     stream
-        .write_all(api_text("gone", "~1~").as_bytes())
+        .write_all(api_request("gone", "~1~").as_bytes())
         .unwrap();
-    wait_for("the part", || !rig.stage.seen.lock().unwrap().is_empty());
+    wait_for("the part", || {
+        !coordinator.data_nodes.received.lock().unwrap().is_empty()
+    });
     drop(stream);
     wait_for("the cancel", || {
-        rig.stage
-            .seen
+        coordinator
+            .data_nodes
+            .received
             .lock()
             .unwrap()
             .iter()
@@ -499,33 +589,51 @@
 }
 
 #[test]
-fn a_name_that_was_used_before_is_not_taken_again() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Silent), 1000);
+fn a_reused_request_id_is_rejected() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::NoAnswer),
+        1000,
+    );
     thread::scope(|scope| {
-        let first = scope.spawn(|| rig.api("same", "pick-confirm", "2.5", &[1], "~1~").status);
-        wait_for("the part", || !rig.stage.seen.lock().unwrap().is_empty());
+        let first = scope.spawn(|| {
+            coordinator
+                .post_api("same", "pick-confirm", "2.5", &[1], "~1~")
+                .status
+        });
+        wait_for("the part", || {
+            !coordinator.data_nodes.received.lock().unwrap().is_empty()
+        });
         assert_eq!(
-            rig.api("same", "pick-confirm", "2.5", &[1], "~1~").status,
+            coordinator
+                .post_api("same", "pick-confirm", "2.5", &[1], "~1~")
+                .status,
             409
         );
         assert_eq!(first.join().unwrap(), 504);
     });
-    // Nor once it ended: the part that was given up may be answered yet, and would be taken for the new one's.
+    // Nor once it has ended: its abandoned part may still be answered, which would be taken for the new one's answer.
     assert_eq!(
-        rig.api("same", "pick-confirm", "2.5", &[1], "~2~").status,
+        coordinator
+            .post_api("same", "pick-confirm", "2.5", &[1], "~2~")
+            .status,
         409
     );
     assert_eq!(
-        rig.stage.seen.lock().unwrap().len(),
+        coordinator.data_nodes.received.lock().unwrap().len(),
         1,
-        "the refused one reached no server"
+        "the rejected request reached no data node"
     );
 }
 
 #[test]
-fn a_client_that_waits_for_leave_gets_it() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Serve), 1000);
-    let mut stream = TcpStream::connect(rig.platform).unwrap();
+fn expect_continue_is_answered() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Serve),
+        1000,
+    );
+    let mut stream = TcpStream::connect(coordinator.platform).unwrap();
     let body = json!({"shards": [{"shard": 1, "weight": 1.0}], "q": "~1~"}).to_string();
     let head =
         "POST /api HTTP/1.1\r\nX-Request-Id: e\r\nX-Class: stock-search\r\nX-Deadline: 2\r\n";
@@ -538,35 +646,46 @@
     stream.read_exact(&mut leave).unwrap();
     assert_eq!(&leave, b"HTTP/1.1 100 Continue\r\n\r\n");
     stream.write_all(body.as_bytes()).unwrap();
-    assert_eq!(response(&mut BufReader::new(stream)).status, 200);
+    assert_eq!(read_response(&mut BufReader::new(stream)).status, 200);
 }
 
-/// Guards against SIGHUP's default action, which ends the program, and a watch that stays at the old agent.
+/// Guards against SIGHUP's default action, which ends the program, and a watch that stays with the old discovery.
 #[test]
-fn a_new_configuration_moves_the_watch_and_nobody_else_notices() {
-    let mut rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Late(700)), 1000);
-    let second = Discovery::new(rig.discovery.members());
-    let third = Discovery::new(rig.discovery.members());
+fn a_reload_moves_the_discovery_watch_without_failing_requests() {
+    let mut coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Delay(700)),
+        1000,
+    );
+    let second = FakeDiscovery::new(coordinator.discovery.members());
+    let third = FakeDiscovery::new(coordinator.discovery.members());
     thread::scope(|scope| {
         let open = scope.spawn(|| {
-            rig.api("open", "pick-confirm", "2.5", &[1, 2], "~1~")
+            coordinator
+                .post_api("open", "pick-confirm", "2.5", &[1, 2], "~1~")
                 .status
         });
-        wait_for("the parts", || rig.stage.seen.lock().unwrap().len() == 2);
-        rig.reconfigure(|config| config["discovery"] = json!(second.address.to_string()));
+        wait_for("the parts", || {
+            coordinator.data_nodes.received.lock().unwrap().len() == 2
+        });
+        coordinator.reconfigure(|config| config["discovery"] = json!(second.address.to_string()));
         wait_for("the whole list", || {
             !second.calls.lock().unwrap().is_empty()
         });
-        assert_eq!(open.join().unwrap(), 200, "what was open is answered");
+        assert_eq!(
+            open.join().unwrap(),
+            200,
+            "the in-flight request is answered"
+        );
     });
     assert_eq!(
         second.calls.lock().unwrap()[0],
         "GET /catalog/members HTTP/1.1"
     );
-    rig.reconfigure(|config| config["discovery"] = json!("nowhere"));
-    rig.wait_for_line("'discovery': 'nowhere'");
-    // The old settings stand: what the second agent says still counts, and the first is not heard any more.
-    let before = rig.discovery.calls.lock().unwrap().len();
+    coordinator.reconfigure(|config| config["discovery"] = json!("nowhere"));
+    coordinator.wait_for_log_line("'discovery': 'nowhere'");
+    // The old settings stay in force: the second discovery is still followed, and the first is not called any more.
+    let before = coordinator.discovery.calls.lock().unwrap().len();
     let watches = second.calls.lock().unwrap().len();
     for server in 0..second.members().len() {
         second.set_phase(server, "leaving");
@@ -576,63 +695,73 @@
     });
     let mut names = 0..;
     let mut status = || {
-        rig.api(
-            &format!("n{}", names.next().unwrap()),
-            "pick-confirm",
-            "2.5",
-            &[1],
-            "~2~",
-        )
-        .status
+        coordinator
+            .post_api(
+                &format!("n{}", names.next().unwrap()),
+                "pick-confirm",
+                "2.5",
+                &[1],
+                "~2~",
+            )
+            .status
     };
     wait_for("the drains", || status() == 429);
-    // And again, with an order to stop right behind.
-    rig.reconfigure(|config| config["discovery"] = json!(third.address.to_string()));
+    // And again, with a SIGTERM right behind.
+    coordinator.reconfigure(|config| config["discovery"] = json!(third.address.to_string()));
     wait_for("the whole list", || !third.calls.lock().unwrap().is_empty());
     wait_for("the servers", || status() == 200);
-    assert_eq!(rig.discovery.calls.lock().unwrap().len(), before);
-    rig.signal("TERM");
-    rig.signal("HUP");
-    assert!(rig.child.wait().unwrap().success());
+    assert_eq!(coordinator.discovery.calls.lock().unwrap().len(), before);
+    coordinator.signal("TERM");
+    coordinator.signal("HUP");
+    assert!(coordinator.child.wait().unwrap().success());
 }
 
-/// Guards against a client that sends hundreds of requests at once and holds a place until all are served.
+/// Guards against a client that pipelines hundreds of requests and occupies a slot until all are served.
 #[test]
-fn what_is_sent_ahead_for_too_long_is_refused() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Late(100)), 1000);
-    let mut client = BufReader::new(TcpStream::connect(rig.platform).unwrap());
+fn pipelining_beyond_its_time_limit_is_rejected() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Delay(100)),
+        1000,
+    );
+    let mut client = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
     let all: String = (0..60)
-        .map(|number| api_text(&format!("p{number}"), "~1~") + "\r\n")
+        .map(|number| api_request(&format!("p{number}"), "~1~") + "\r\n")
         .collect();
     client.get_mut().write_all(all.as_bytes()).unwrap();
-    let (mut served, mut told) = (0, response(&mut client));
-    while told.status == 200 {
+    let (mut served, mut answer) = (0, read_response(&mut client));
+    while answer.status == 200 {
         served += 1;
-        told = response(&mut client);
+        answer = read_response(&mut client);
     }
     assert!(
-        served > 0 && rig.stage.seen.lock().unwrap().len() == served,
+        served > 0 && coordinator.data_nodes.received.lock().unwrap().len() == served,
         "{served} served"
     );
     assert_eq!(
-        (told.status, told.fields["connection"].as_str()),
+        (answer.status, answer.fields["connection"].as_str()),
         (429, "close")
     );
-    assert!(told.fields.contains_key("retry-after"));
+    assert!(answer.fields.contains_key("retry-after"));
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
 }
 
-/// Guards against clients who go on coming and so hold the end up until the program is killed, whatever it then
-/// has open.
+/// Guards against new clients that delay the shutdown until the program is killed with requests in flight.
 #[test]
-fn an_order_to_stop_is_obeyed_while_others_go_on_coming() {
-    let mut rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Late(600)), 1000);
-    let address = rig.platform;
+fn shutdown_finishes_while_new_clients_keep_connecting() {
+    let mut coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Delay(600)),
+        1000,
+    );
+    let address = coordinator.platform;
     let mut open = BufReader::new(TcpStream::connect(address).unwrap());
     open.get_mut()
-        .write_all(api_text("open", "~1~").as_bytes())
+        .write_all(api_request("open", "~1~").as_bytes())
         .unwrap();
-    wait_for("the part", || !rig.stage.seen.lock().unwrap().is_empty());
+    wait_for("the part", || {
+        !coordinator.data_nodes.received.lock().unwrap().is_empty()
+    });
     let ended = std::sync::atomic::AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| {
@@ -653,47 +782,59 @@
                 thread::sleep(Duration::from_millis(10));
             }
         });
-        rig.signal("TERM");
+        coordinator.signal("TERM");
         let start = Instant::now();
-        while rig.child.try_wait().unwrap().is_none() && start.elapsed() < Duration::from_secs(20) {
+        while coordinator.child.try_wait().unwrap().is_none()
+            && start.elapsed() < Duration::from_secs(20)
+        {
             thread::sleep(Duration::from_millis(5));
         }
         ended.store(true, Ordering::Relaxed);
     });
     assert!(
-        rig.child
+        coordinator
+            .child
             .try_wait()
             .unwrap()
             .is_some_and(|status| status.success()),
         "it did not end"
     );
     assert_eq!(
-        response(&mut open).status,
+        read_response(&mut open).status,
         200,
-        "what was open is answered first"
+        "the in-flight request is answered first"
     );
 }
 
 #[test]
-fn an_order_to_stop_is_obeyed_once_all_is_answered() {
-    let mut rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Late(1000)), 1000);
+fn shutdown_finishes_once_all_requests_are_answered() {
+    let mut coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Delay(1000)),
+        1000,
+    );
     let ask = |stream: &mut TcpStream, id: &str| {
-        stream.write_all(api_text(id, "~1~").as_bytes()).unwrap()
+        stream.write_all(api_request(id, "~1~").as_bytes()).unwrap()
     };
-    let mut early = TcpStream::connect(rig.platform).unwrap();
+    let mut early = TcpStream::connect(coordinator.platform).unwrap();
     ask(&mut early, "early");
-    wait_for("the part", || !rig.stage.seen.lock().unwrap().is_empty());
-    rig.signal("TERM");
-    wait_for("the order", || {
-        rig.call(rig.platform, "GET /_health", &[], "").status == 503
+    wait_for("the part", || {
+        !coordinator.data_nodes.received.lock().unwrap().is_empty()
     });
-    let mut late = TcpStream::connect(rig.platform).unwrap();
+    coordinator.signal("TERM");
+    wait_for("the shutdown", || {
+        coordinator
+            .call(coordinator.platform, "GET /_health", &[], "")
+            .status
+            == 503
+    });
+    let mut late = TcpStream::connect(coordinator.platform).unwrap();
     ask(&mut late, "late");
     for stream in [early, late] {
         let mut reader = BufReader::new(stream);
-        let told = response(&mut reader);
+        let answer = read_response(&mut reader);
         assert_eq!(
-            (told.status, told.fields["connection"].as_str()),
+            (answer.status, answer.fields["connection"].as_str()),
             (200, "close")
         );
         assert_eq!(
@@ -702,24 +843,30 @@
             "the connection ends after its answer"
         );
     }
-    wait_for("the end", || rig.child.try_wait().unwrap().is_some());
-    assert!(rig.child.wait().unwrap().success());
+    wait_for("the end", || {
+        coordinator.child.try_wait().unwrap().is_some()
+    });
+    assert!(coordinator.child.wait().unwrap().success());
 }
 
 /// The program's deployment allows no Unix socket, and the fleet's test hosts take TCP and UDP only: none of the
 /// program's descriptors may be one, also after the signals that it answers have come.
 #[test]
-fn no_descriptor_of_the_program_is_a_unix_socket() {
-    let rig = Rig::start(Wire::Platform, Stage::new(|_, _, _| Act::Serve), 1000);
-    rig.signal("HUP");
-    rig.wait_for_line("reload");
+fn the_process_holds_no_unix_socket() {
+    let coordinator = TestCoordinator::start(
+        WireFormat::Platform,
+        DataNodes::new(|_, _, _| Behavior::Serve),
+        1000,
+    );
+    coordinator.signal("HUP");
+    coordinator.wait_for_log_line("reload");
     let listed = std::fs::read_to_string("/proc/net/unix").unwrap();
     let unix: Vec<&str> = listed
         .lines()
         .skip(1)
         .filter_map(|line| line.split_whitespace().nth(6))
         .collect();
-    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", rig.child.id())).unwrap();
+    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", coordinator.child.id())).unwrap();
     let sockets: Vec<String> = descriptors
         .filter_map(|entry| std::fs::read_link(entry.unwrap().path()).ok())
         .filter_map(|target| {
