--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -1,121 +1,46 @@
-//! What the fronts share: what a connection of theirs holds, a reply, and the wait for final answers under watch for
-//! a client that goes away.
+//! One request's way to the routing core and back, while the connection is watched for a client that disconnects.
 
-use super::client_connections::ClientConnections;
-use crate::clock::Clock;
-use crate::configuration::Limits;
-use crate::contract::Contracts;
-use crate::messages::{
-    Answer, ClientRequest, ContractsInForce, Phase, Request, ServedConfiguration,
-};
+use super::front::Front;
+use crate::messages::{Answer, ContractsInForce, Request};
 use crate::pipeline::request_queue;
-use std::cell::Cell;
-use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
-use tokio::sync::{mpsc, watch};
 
-/// What a client may send ahead while its answer is made. Clients send one request at a time.
+/// Bytes that a client may pipeline while its answer is made. Clients usually send one request at a time.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
-/// What is dropped of a client's bytes at a go, and the pause after that: a flood must not take the whole core.
+/// Bytes that are discarded before a pause: a client that floods must not take the whole core.
 const DISCARD_BURST: usize = 256 * 1024;
 const DISCARD_PAUSE: Duration = Duration::from_millis(5);
-/// Advice where this machine is full or ends, in seconds, and in shortest aims if that is less: a client that is to come
-/// back after its time does not come at all.
-const OVERLOAD_RETRY_AFTER: f64 = 1.0;
-const OVERLOAD_RETRY_AFTER_OBJECTIVES: f64 = 1.0;
+const DISCARD_BUFFER: usize = 16 * 1024;
 
-/// What every connection of a front holds.
-pub struct Front {
-    /// What clients may ask for; it changes with the settings.
-    pub served: watch::Receiver<Arc<ServedConfiguration>>,
-    pub requests: mpsc::Sender<ClientRequest>,
-    pub clock: Clock,
-    pub phase: watch::Receiver<Phase>,
-    pub limits: Limits,
-    /// Where the connections of all fronts are counted.
-    pub connections: Rc<ClientConnections>,
-    pub kind: FrontKind,
-    /// Names for requests that bring none.
-    pub request_names: Cell<u64>,
-    pub contracts: Rc<Contracts>,
-}
-
-impl Front {
-    /// What clients may ask for now.
-    pub fn served(&self) -> Arc<ServedConfiguration> {
-        self.served.borrow().clone()
-    }
-
-    /// When a client may come back that this machine has no room for, in seconds.
-    pub fn retry_after(&self) -> f64 {
-        OVERLOAD_RETRY_AFTER
-            .min(OVERLOAD_RETRY_AFTER_OBJECTIVES * self.served.borrow().deployment.shortest_aim())
-    }
-
-    /// A name for a request that brings none: unlike any other of this or another coordinator's.
-    pub fn generate_request_name(&self) -> String {
-        let number = self.request_names.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
-        self.request_names.set(number);
-        let mixed = (number ^ (number >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        format!("{:016x}", mixed ^ (mixed >> 29))
-    }
-}
-
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub enum FrontKind {
-    Platform,
-    OpenSearch,
-}
+/// The client closed or reset its connection before it had its answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the client closed its connection")]
+pub struct ClientGone;
 
-/// A response on its way out.
-pub struct Reply {
-    pub status: u16,
-    pub kind: &'static str,
-    pub extra: Vec<(&'static str, String)>,
-    pub body: Vec<u8>,
-}
-
-impl Reply {
-    pub fn json(status: u16, body: Vec<u8>) -> Self {
-        Reply {
-            status,
-            kind: "application/json",
-            extra: Vec::new(),
-            body,
-        }
-    }
-
-    pub fn with(mut self, name: &'static str, value: String) -> Self {
-        self.extra.push((name, value));
-        self
-    }
-}
-
-/// One request's way to the core and back; `Err`: its client is gone.
+/// A connection that waits for final answers.
 pub struct Exchange<'a> {
     pub front: &'a Front,
     pub stream: &'a mut TcpStream,
     pub buffer: &'a mut Vec<u8>,
-    /// More was sent ahead than is kept: what lies behind the buffer is lost.
+    /// Set once the client has pipelined more than is buffered: what lies behind the buffer is lost.
     pub overrun: &'a mut bool,
-    /// What was in force when the request came.
+    /// The API descriptions that were in force when the request came.
     pub contracts: ContractsInForce,
 }
 
 impl Exchange<'_> {
-    /// Hands the requests to the core together and waits for their final answers. A client that closes its
-    /// connection meanwhile has gone away, which withdraws them.
-    pub async fn submit(&mut self, requests: Vec<Request>) -> Result<Vec<Answer>, ()> {
-        let advice = self.front.retry_after();
-        let handed = requests.into_iter().map(|mut request| {
+    /// Queues the requests for the core together and waits for their final answers, which come in the same order. A
+    /// client that closes its connection meanwhile withdraws them.
+    pub async fn submit(&mut self, requests: Vec<Request>) -> Result<Vec<Answer>, ClientGone> {
+        let retry_after = self.front.retry_after();
+        let submitted = requests.into_iter().map(|mut request| {
             request.judge = self.contracts.clone();
             request.due = self.front.connections.cap_deadline(request.due);
-            request_queue::hand_over(&self.front.requests, request, advice)
+            request_queue::hand_over(&self.front.requests, request, retry_after)
         });
-        let waiting: Vec<_> = handed.collect();
+        let waiting: Vec<_> = submitted.collect();
         let answers = async {
             let mut all = Vec::with_capacity(waiting.len());
             for answer in waiting {
@@ -127,18 +52,18 @@
         loop {
             *self.overrun |= self.buffer.len() >= MAX_PIPELINED_BYTES;
             if *self.overrun {
-                // It is read all the same: the client's end lies behind what it sent.
+                // Reading goes on all the same: the client's disconnect lies behind what it sent.
                 tokio::select! {
                     biased;
                     all = &mut answers => return Ok(all),
-                    () = discard(self.stream) => return Err(()),
+                    () = discard(self.stream) => return Err(ClientGone),
                 }
             }
             tokio::select! {
                 biased;
                 all = &mut answers => return Ok(all),
                 read = self.stream.read_buf(self.buffer) => match read {
-                    Ok(0) | Err(_) => return Err(()),
+                    Ok(0) | Err(_) => return Err(ClientGone),
                     Ok(_) => {}
                 },
             }
@@ -146,13 +71,13 @@
     }
 }
 
-/// Reads and drops what still comes, at a bounded pace. Returns once the client has closed or reset its connection.
+/// Reads and discards what still comes, at a bounded pace. Returns once the client has closed or reset its connection.
 pub async fn discard(stream: &mut TcpStream) {
-    let mut dropped = vec![0; 16 * 1024];
+    let mut discarded = vec![0; DISCARD_BUFFER];
     loop {
         let mut left = DISCARD_BURST;
         while left > 0 {
-            match stream.read(&mut dropped).await {
+            match stream.read(&mut discarded).await {
                 Ok(bytes) if bytes > 0 => left = left.saturating_sub(bytes),
                 _ => return,
             }
@@ -160,8 +85,3 @@
         tokio::time::sleep(DISCARD_PAUSE).await;
     }
 }
-
-/// Seconds of advice, to the millisecond.
-pub fn decimal_seconds(secs: f64) -> String {
-    format!("{:.3}", secs.max(0.001))
-}
--- /dev/null
+++ b/crates/coordinator/src/fronts/opensearch/mod.rs
@@ -0,0 +1,147 @@
+//! The query API: `_search` and `_msearch` in OpenSearch's form. An index is a class of request over a range of shards;
+//! each shard is one part.
+
+mod duration;
+mod error;
+mod hits;
+mod multi_search;
+mod parameters;
+mod response;
+mod search;
+
+use super::exchange::{ClientGone, Exchange};
+use super::front::Front;
+use super::reply::Reply;
+use crate::http;
+use crate::messages::{PartSpec, Request, Text};
+use cairnroad_types::Time;
+use error::QueryError;
+pub use multi_search::MAX_SEARCHES;
+use parameters::{decode, SearchParameters};
+pub use response::{error_reply, retry_later_reply};
+use search::Search;
+pub use search::MAX_RESULT_WINDOW;
+
+const METHOD_NOT_ALLOWED: &str = "method_not_allowed_exception";
+
+/// What a path asks for.
+enum Operation<'a> {
+    Search { index: &'a str },
+    MultiSearch { index: Option<&'a str> },
+}
+
+impl<'a> Operation<'a> {
+    fn of_path(path: &'a str) -> Result<Self, QueryError> {
+        let segments: Vec<&str> = path
+            .split('/')
+            .filter(|segment| !segment.is_empty())
+            .collect();
+        match *segments.as_slice() {
+            [index, "_search"] if !index.starts_with('_') => Ok(Operation::Search { index }),
+            ["_msearch"] => Ok(Operation::MultiSearch { index: None }),
+            [index, "_msearch"] if !index.starts_with('_') => {
+                Ok(Operation::MultiSearch { index: Some(index) })
+            }
+            ["_search"] => Err(QueryError::NoIndexInPath),
+            _ => Err(QueryError::UnknownPath),
+        }
+    }
+
+    fn index(&self) -> Option<&'a str> {
+        match *self {
+            Operation::Search { index } => Some(index),
+            Operation::MultiSearch { index } => index,
+        }
+    }
+}
+
+/// Answers one request.
+pub async fn answer(
+    front: &Front,
+    request: &http::Request,
+    arrived: Time,
+    exchange: &mut Exchange<'_>,
+) -> Result<Reply, ClientGone> {
+    let target = &request.target;
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
+    if let Some(page) = front.contracts.page(path) {
+        return Ok(description_reply(&request.method, page));
+    }
+    let operation = match Operation::of_path(path) {
+        Ok(operation) => operation,
+        Err(error) => return Ok(error.reply()),
+    };
+    if !matches!(request.method.as_str(), "GET" | "POST") {
+        let reply = error_reply(
+            405,
+            METHOD_NOT_ALLOWED,
+            "only GET and POST are answered here",
+        );
+        return Ok(reply.with_header("Allow", "GET, POST".into()));
+    }
+    let mut parameters = match SearchParameters::parse(query) {
+        Ok(parameters) => parameters,
+        Err(error) => return Ok(error.reply()),
+    };
+    parameters.index = operation
+        .index()
+        .map(|index| decode(index).unwrap_or_else(|| index.into()));
+    match operation {
+        Operation::MultiSearch { .. } => {
+            multi_search::answer(front, request, parameters, arrived, exchange).await
+        }
+        Operation::Search { .. } => {
+            answer_search(front, request, parameters, arrived, exchange).await
+        }
+    }
+}
+
+/// The response to a request for one of the program's own API descriptions.
+fn description_reply(method: &str, page: Vec<u8>) -> Reply {
+    match method {
+        "GET" => Reply::json(200, page),
+        _ => error_reply(405, METHOD_NOT_ALLOWED, "only GET is answered here")
+            .with_header("Allow", "GET".into()),
+    }
+}
+
+async fn answer_search(
+    front: &Front,
+    request: &http::Request,
+    parameters: SearchParameters,
+    arrived: Time,
+    exchange: &mut Exchange<'_>,
+) -> Result<Reply, ClientGone> {
+    let search = match Search::parse(&front.served().indices, &request.body, parameters) {
+        Ok(search) => search,
+        Err(error) => return Ok(error.reply()),
+    };
+    let core_request = core_request(front, &search, arrived);
+    let answers = exchange.submit(vec![core_request]).await?;
+    let took = front.clock.now() - arrived;
+    let answer = answers.into_iter().next();
+    Ok(response::answer_reply(&search, answer, took))
+}
+
+/// The core's request for a search: one part for each shard, all of the same weight.
+fn core_request(front: &Front, search: &Search, arrived: Time) -> Request {
+    let deadline = front.served().deployment.policy.classes[search.index.class].deadline;
+    let weight = 1.0 / search.shards.len() as f64;
+    Request {
+        name: front.generate_request_name().into(),
+        class: search.index.class,
+        due: arrived
+            + search
+                .timeout
+                .map_or(deadline, |timeout| timeout.min(deadline)),
+        repeat: false,
+        work: None,
+        parts: search
+            .shards
+            .iter()
+            .map(|&shard| PartSpec { shard, weight })
+            .collect(),
+        text: Text::Query(search.body.as_str().into()),
+        judge: None,
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/fronts/opensearch/multi_search.rs
@@ -0,0 +1,124 @@
+//! `_msearch`: several searches in one request, each with its own final answer.
+
+use super::core_request;
+use super::error::QueryError;
+use super::parameters::SearchParameters;
+use super::response::{answer_reply, millis};
+use super::search::Search;
+use crate::fronts::exchange::{ClientGone, Exchange};
+use crate::fronts::front::Front;
+use crate::fronts::reply::Reply;
+use crate::http;
+use crate::messages::Index;
+use cairnroad_types::{Seconds, Time};
+use serde_json::{Map, Value as Json};
+
+/// Most searches in one `_msearch`.
+pub const MAX_SEARCHES: usize = 64;
+
+/// Forwards all searches at once and answers them in the order of the request.
+pub async fn answer(
+    front: &Front,
+    request: &http::Request,
+    parameters: SearchParameters,
+    arrived: Time,
+    exchange: &mut Exchange<'_>,
+) -> Result<Reply, ClientGone> {
+    let searches = match parse(&front.served().indices, &request.body, &parameters) {
+        Ok(searches) => searches,
+        Err(error) => return Ok(error.reply()),
+    };
+    let requests = searches
+        .iter()
+        .flatten()
+        .map(|search| core_request(front, search, arrived))
+        .collect();
+    let mut answers = exchange.submit(requests).await?.into_iter();
+    let took = front.clock.now() - arrived;
+    let replies: Vec<Reply> = searches
+        .into_iter()
+        .map(|search| match search {
+            Err(error) => error.reply(),
+            Ok(search) => answer_reply(&search, answers.next(), took),
+        })
+        .collect();
+    Ok(combine(&replies, took))
+}
+
+/// Parses a body of line pairs, a header and a search each. A body of another form is an error of the whole request; an
+/// error in one search is that search's own.
+fn parse(
+    indices: &[Index],
+    body: &[u8],
+    parameters: &SearchParameters,
+) -> Result<Vec<Result<Search, QueryError>>, QueryError> {
+    let body = std::str::from_utf8(body).map_err(|_| QueryError::BodyNotText)?;
+    if !body.ends_with('\n') {
+        return Err(QueryError::NoFinalNewline);
+    }
+    let lines: Vec<&str> = body.lines().collect();
+    if lines.is_empty() || lines.len() % 2 == 1 {
+        return Err(QueryError::UnpairedLines);
+    }
+    if lines.len() / 2 > MAX_SEARCHES {
+        return Err(QueryError::TooManySearches);
+    }
+    let parse_pair = |pair: &[&str]| {
+        let mut parameters = parameters.clone();
+        apply_header(&mut parameters, pair[0])?;
+        Search::parse(indices, pair[1].as_bytes(), parameters)
+    };
+    Ok(lines.chunks(2).map(parse_pair).collect())
+}
+
+/// Sets what a header line says. A blank one says nothing.
+fn apply_header(parameters: &mut SearchParameters, line: &str) -> Result<(), QueryError> {
+    if line.trim().is_empty() {
+        return Ok(());
+    }
+    let header: Map<String, Json> =
+        serde_json::from_str(line).map_err(QueryError::MalformedHeader)?;
+    for (name, value) in header {
+        let value = match value {
+            Json::String(text) => text,
+            Json::Array(_) | Json::Object(_) | Json::Null => {
+                return Err(QueryError::HeaderNotOneValue(name));
+            }
+            plain => plain.to_string(),
+        };
+        match name.as_str() {
+            "index" => parameters.index = Some(value),
+            _ => parameters.set(&name, value)?,
+        }
+    }
+    Ok(())
+}
+
+/// One response of all searches' responses. Each item has a status of its own; of the Retry-After fields the longest
+/// stands in the one head there is.
+fn combine(replies: &[Reply], took: Seconds) -> Reply {
+    let longest_retry_after = replies
+        .iter()
+        .flat_map(|reply| &reply.headers)
+        .filter(|(name, _)| *name == "Retry-After")
+        .filter_map(|(_, value)| value.parse::<u64>().ok())
+        .max();
+    let mut body = format!("{{\"took\":{},\"responses\":[", millis(took)).into_bytes();
+    for (position, reply) in replies.iter().enumerate() {
+        if position > 0 {
+            body.push(b',');
+        }
+        body.extend_from_slice(&reply.body);
+        if reply.status == 200 {
+            // An error has its status in the body; an answer gets it here.
+            body.pop();
+            body.extend_from_slice(b",\"status\":200}");
+        }
+    }
+    body.extend_from_slice(b"]}");
+    let combined = Reply::json(200, body);
+    match longest_retry_after {
+        Some(seconds) => combined.with_header("Retry-After", seconds.to_string()),
+        None => combined,
+    }
+}
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -1,28 +1,41 @@
 //! The platform's own protocol: `POST /api` with the class and the deadline in header fields.
 
-use super::exchange::{decimal_seconds, Exchange, Front, Reply};
+use super::exchange::{ClientGone, Exchange};
+use super::front::Front;
+use super::reply::Reply;
 use crate::http;
-use crate::messages::{Answer, PartSpec, Request, Text, Value};
+use crate::messages::{Answer, PartAnswer, PartSpec, Request, Text, Value};
 use cairnroad_settings::Deployment;
-use cairnroad_types::Time;
+use cairnroad_types::{Seconds, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What a client is thought to have spent on the way, in seconds.
-const CLIENT_NETWORK_DELAY: f64 = 0.003;
-/// The longest name of a request.
+/// What a client is thought to have spent of its deadline on the network.
+const CLIENT_NETWORK_DELAY: Seconds = 0.003;
+/// The longest request id, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 128;
+/// Deadlines from here on are rejected.
+const DEADLINE_BOUND: Seconds = 1e6;
+/// The largest weight of one part, with its rounding by clients.
+const MAX_WEIGHT: f64 = 1.001;
+/// How far the sum of all weights may be from 1, since clients round each.
+const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// The shortest Retry-After: it is written to the millisecond, and 0 would say nothing.
+const MIN_RETRY_AFTER: Seconds = 0.001;
 
+/// The body of a request. Its type names stand in error texts to clients.
 #[derive(Deserialize)]
-struct RequestBody {
-    shards: Vec<RequestedShard>,
+struct Body {
+    shards: Vec<Shard>,
     q: String,
 }
 
 #[derive(Deserialize)]
-struct RequestedShard {
+struct Shard {
     shard: u32,
     weight: f64,
+    /// Expected work in microseconds.
     cost: Option<f64>,
 }
 
@@ -38,155 +51,185 @@
     doc: &'a str,
 }
 
-/// Answers one request; `Err`: its client is gone.
+/// Why a request is answered with status 400. The text goes to the client.
+#[derive(Debug, thiserror::Error)]
+enum RequestError {
+    #[error("{0} is missing")]
+    MissingHeader(&'static str),
+    #[error("X-Request-Id is malformed")]
+    MalformedRequestId,
+    #[error("X-Class is unknown")]
+    UnknownClass,
+    #[error("X-Deadline is not a number")]
+    DeadlineNotANumber,
+    #[error("X-Deadline is out of bounds")]
+    DeadlineOutOfBounds,
+    #[error("the body: {0}")]
+    MalformedBody(#[source] serde_json::Error),
+    #[error("shards is empty")]
+    NoShards,
+    #[error("shards: there is no shard {0}")]
+    UnknownShard(u32),
+    #[error("shards: {0} is there twice")]
+    RepeatedShard(u32),
+    #[error("shards: the weight of {0} is out of bounds")]
+    WeightOutOfBounds(u32),
+    #[error("shards: the weights add up to {0}, not to 1")]
+    WeightSum(f64),
+}
+
+/// Answers one request.
 pub async fn answer(
     front: &Front,
     request: &http::Request,
     arrived: Time,
     exchange: &mut Exchange<'_>,
-) -> Result<Reply, ()> {
+) -> Result<Reply, ClientGone> {
     let path = request.target.split('?').next().unwrap_or("");
     match (path, request.method.as_str()) {
         ("/api", "POST") => {}
         ("/api", _) => {
-            return Ok(error(405, "only POST is answered here").with("Allow", "POST".into()))
-        }
-        _ => return Ok(error(404, "there is nothing at this path")),
-    }
-    match parse_request(&front.served().deployment, request, arrived) {
-        Err(text) => Ok(error(400, &text)),
-        Ok(core_request) => {
-            let answers = exchange.submit(vec![core_request]).await?;
-            Ok(answers
-                .into_iter()
-                .next()
-                .map_or_else(|| error(500, "no answer"), reply_to_answer))
+            let reply = error_reply(405, "only POST is answered here");
+            return Ok(reply.with_header("Allow", "POST".into()));
         }
+        _ => return Ok(error_reply(404, "there is nothing at this path")),
     }
+    let parsed = parse_request(&front.served().deployment, request, arrived);
+    let core_request = match parsed {
+        Ok(core_request) => core_request,
+        Err(error) => return Ok(error_reply(400, &error.to_string())),
+    };
+    let answers = exchange.submit(vec![core_request]).await?;
+    Ok(match answers.into_iter().next() {
+        Some(answer) => answer_reply(answer),
+        None => error_reply(500, "no answer"),
+    })
 }
 
-/// The request that the message stands for; the error says what is wrong with it.
-pub fn parse_request(
+/// The request that an HTTP message stands for.
+fn parse_request(
     deployment: &Deployment,
     message: &http::Request,
     arrived: Time,
-) -> Result<Request, String> {
-    let field = |name: &str| message.fields.get(name).ok_or(format!("{name} is missing"));
-    let name = field("X-Request-Id")?;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-    if name.is_empty() || name.len() > MAX_REQUEST_ID_LENGTH || !name.bytes().all(plain) {
-        return Err("X-Request-Id is malformed".into());
-    }
-    let class = field("X-Class")?;
-    let class = deployment.place(class).ok_or("X-Class is unknown")?;
-    let wait: f64 = field("X-Deadline")?
-        .parse()
-        .map_err(|_| "X-Deadline is not a number")?;
-    if !(wait.is_finite() && wait > 0.0 && wait < 1e6) {
-        return Err("X-Deadline is out of bounds".into());
+) -> Result<Request, RequestError> {
+    let header = |name: &'static str| {
+        let value = message.fields.get(name);
+        value.ok_or(RequestError::MissingHeader(name))
+    };
+    let id = header("X-Request-Id")?;
+    if !is_request_id(id) {
+        return Err(RequestError::MalformedRequestId);
     }
-    let body: RequestBody =
-        serde_json::from_slice(&message.body).map_err(|e| format!("the body: {e}"))?;
+    let class = deployment
+        .place(header("X-Class")?)
+        .ok_or(RequestError::UnknownClass)?;
+    let deadline = parse_deadline(header("X-Deadline")?)?;
+    let body: Body = serde_json::from_slice(&message.body).map_err(RequestError::MalformedBody)?;
     let parts: Vec<_> = body
         .shards
         .iter()
-        .map(|s| PartSpec {
-            shard: s.shard,
-            weight: s.weight,
+        .map(|requested| PartSpec {
+            shard: requested.shard,
+            weight: requested.weight,
         })
         .collect();
     check_parts(deployment, &parts)?;
-    let costs: Option<f64> = body.shards.iter().map(|shard| shard.cost).sum();
+    let work_micros: Option<f64> = body.shards.iter().map(|requested| requested.cost).sum();
     Ok(Request {
-        name: name.into(),
+        name: id.into(),
         class,
-        due: arrived + (wait - CLIENT_NETWORK_DELAY),
+        due: arrived + (deadline - CLIENT_NETWORK_DELAY),
         repeat: message.fields.get("X-Retry") == Some("1"),
-        work: costs.map(|micros| micros / 1e6),
+        work: work_micros.map(|micros| micros / MICROS_PER_SECOND),
         parts,
         text: Text::Plain(body.q.into()),
         judge: None,
     })
 }
 
-/// Parts that the core can work with: some, each at a shard of its own that exists, with sound weights.
-fn check_parts(deployment: &Deployment, parts: &[PartSpec]) -> Result<(), String> {
+/// Whether data nodes can take this as a request's name: it stands in the head of frames.
+fn is_request_id(id: &str) -> bool {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    !id.is_empty() && id.len() <= MAX_REQUEST_ID_LENGTH && id.bytes().all(allowed)
+}
+
+fn parse_deadline(text: &str) -> Result<Seconds, RequestError> {
+    let deadline: Seconds = text.parse().map_err(|_| RequestError::DeadlineNotANumber)?;
+    if deadline.is_finite() && deadline > 0.0 && deadline < DEADLINE_BOUND {
+        Ok(deadline)
+    } else {
+        Err(RequestError::DeadlineOutOfBounds)
+    }
+}
+
+/// Checks that the core can work with the parts: at least one, each at a shard of its own that exists, with weights
+/// that add up to 1.
+fn check_parts(deployment: &Deployment, parts: &[PartSpec]) -> Result<(), RequestError> {
     if parts.is_empty() {
-        return Err("shards is empty".into());
+        return Err(RequestError::NoShards);
     }
     let mut seen = BTreeSet::new();
     for part in parts {
         if part.shard >= deployment.shards {
-            return Err(format!("shards: there is no shard {}", part.shard));
+            return Err(RequestError::UnknownShard(part.shard));
         }
         if !seen.insert(part.shard) {
-            return Err(format!("shards: {} is there twice", part.shard));
+            return Err(RequestError::RepeatedShard(part.shard));
         }
-        if !(part.weight.is_finite() && part.weight > 0.0 && part.weight <= 1.001) {
-            return Err(format!(
-                "shards: the weight of {} is out of bounds",
-                part.shard
-            ));
+        if !(part.weight.is_finite() && part.weight > 0.0 && part.weight <= MAX_WEIGHT) {
+            return Err(RequestError::WeightOutOfBounds(part.shard));
         }
     }
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
-    if (sum - 1.0).abs() > 0.01 {
-        return Err(format!("shards: the weights add up to {sum}, not to 1"));
+    if (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
+        return Err(RequestError::WeightSum(sum));
     }
     Ok(())
 }
 
-/// The final answer in this protocol's words.
-fn reply_to_answer(answer: Answer) -> Reply {
+/// The final answer in this protocol's form.
+fn answer_reply(answer: Answer) -> Reply {
     match answer {
-        Answer::Served {
-            complete: whole,
-            parts,
-        } => {
-            let mut hits = Vec::with_capacity(parts.len());
-            for part in &parts {
-                let Ok(value) = &part.value else { continue };
-                // A value that a JSON string can't carry unchanged can't be passed on at all.
-                let doc = match value {
-                    Value::Hits(text) => text,
-                    Value::Plain(bytes) => match std::str::from_utf8(bytes) {
-                        Ok(text) => text,
-                        Err(_) => return error(502, "a value is not text"),
-                    },
-                };
-                hits.push(Hit {
-                    shard: part.shard,
-                    doc,
-                });
-            }
-            let body = serde_json::to_vec(&ServedBody {
-                complete: whole,
-                hits,
-            })
-            .unwrap_or_default();
-            Reply::json(200, body)
-        }
+        Answer::Served { complete, parts } => served_reply(complete, &parts),
         Answer::Rejected { retry_after, busy } => {
             let status = if busy { 429 } else { 503 };
-            error(status, "refused: trying again is harmless")
-                .with("Retry-After", decimal_seconds(retry_after))
+            retry_later_reply(status, "refused: trying again is harmless", retry_after)
         }
-        Answer::DuplicateName => error(409, "X-Request-Id was used before"),
-        Answer::Failed { late: true } => error(504, "failed: no answer in time"),
-        Answer::Failed { late: false } => error(500, "failed"),
+        Answer::DuplicateName => error_reply(409, "X-Request-Id was used before"),
+        Answer::Failed { late: true } => error_reply(504, "failed: no answer in time"),
+        Answer::Failed { late: false } => error_reply(500, "failed"),
+    }
+}
+
+fn served_reply(complete: bool, parts: &[PartAnswer]) -> Reply {
+    let mut hits = Vec::with_capacity(parts.len());
+    for part in parts {
+        let Ok(value) = &part.value else { continue };
+        // A value that a JSON string can't carry unchanged can't be passed on at all.
+        let doc = match value {
+            Value::Hits(text) => text,
+            Value::Plain(bytes) => match std::str::from_utf8(bytes) {
+                Ok(text) => text,
+                Err(_) => return error_reply(502, "a value is not text"),
+            },
+        };
+        hits.push(Hit {
+            shard: part.shard,
+            doc,
+        });
     }
+    let body = serde_json::to_vec(&ServedBody { complete, hits }).unwrap_or_default();
+    Reply::json(200, body)
 }
 
-/// A refusal for want of room, or of time to come in.
-pub fn retry_later(status: u16, text: &str, retry_after: f64) -> Reply {
-    error(status, text).with("Retry-After", decimal_seconds(retry_after))
+/// An error response with a Retry-After, to the millisecond.
+pub fn retry_later_reply(status: u16, text: &str, retry_after: Seconds) -> Reply {
+    let seconds = retry_after.max(MIN_RETRY_AFTER);
+    error_reply(status, text).with_header("Retry-After", format!("{seconds:.3}"))
 }
 
-pub fn error(status: u16, text: &str) -> Reply {
-    Reply::json(
-        status,
-        serde_json::json!({ "error": text })
-            .to_string()
-            .into_bytes(),
-    )
+/// An error response.
+pub fn error_reply(status: u16, text: &str) -> Reply {
+    let body = serde_json::json!({ "error": text });
+    Reply::json(status, body.to_string().into_bytes())
 }
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -29,7 +29,7 @@
 use clap::Parser;
 use clock::Clock;
 use contract::Contracts;
-use fronts::exchange::{Front, FrontKind};
+use fronts::{Front, FrontKind};
 use messages::{Message, Phase, ServedConfiguration};
 use pipeline::Core;
 use signals::Signal;
