--- a/crates/coordinator/src/fronts/client_connections.rs
+++ b/crates/coordinator/src/fronts/client_connections.rs
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Records that a whole request was received.
+    /// Records that a complete request was received.
     pub fn request_received(&self, now: Time) {
         self.received_request.set(true);
         self.mark_busy();
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -9,9 +9,11 @@
 
 /// Bytes that a client may pipeline while its answer is made. Clients usually send one request at a time.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
-/// Bytes that are discarded before a pause: a client that floods must not take the whole core.
+/// Bytes that are discarded before a pause: a client that floods must not take a whole CPU.
 const DISCARD_BURST: usize = 256 * 1024;
+/// The pause after such a burst.
 const DISCARD_PAUSE: Duration = Duration::from_millis(5);
+/// Bytes that one read discards at most.
 const DISCARD_BUFFER: usize = 16 * 1024;
 
 /// The client closed or reset its connection before it had its answer.
@@ -21,8 +23,11 @@
 
 /// A connection that waits for final answers.
 pub struct Exchange<'a> {
+    /// The front that the connection belongs to.
     pub front: &'a Front,
+    /// The client's connection, read for pipelined bytes and for its end.
     pub stream: &'a mut TcpStream,
+    /// Where pipelined bytes go.
     pub buffer: &'a mut Vec<u8>,
     /// Set once the client has pipelined more than is buffered: what lies behind the buffer is lost.
     pub overrun: &'a mut bool,
--- a/crates/coordinator/src/fronts/front.rs
+++ b/crates/coordinator/src/fronts/front.rs
@@ -16,7 +16,7 @@
 
 /// Longest Retry-After where this machine is full or shuts down.
 const MAX_RETRY_AFTER: Seconds = 1.0;
-/// The same in shortest latency objectives: a client that is told to return after its deadline never does.
+/// The same in shortest latency objectives: a client that should return after its deadline never does.
 const MAX_RETRY_AFTER_OBJECTIVES: f64 = 1.0;
 
 /// A client protocol.
@@ -34,12 +34,15 @@
     pub served: watch::Receiver<Arc<ServedConfiguration>>,
     /// The queue to the routing core.
     pub requests: mpsc::Sender<ClientRequest>,
+    /// The program's clock.
     pub clock: Clock,
     /// Whether the program starts, serves, drains or shuts down.
     pub phase: watch::Receiver<Phase>,
+    /// Limits on connections, of all fronts together.
     pub limits: Limits,
     /// The connections of all fronts.
     pub connections: Rc<ClientConnections>,
+    /// The protocol that this front speaks.
     pub kind: FrontKind,
     /// State of the generator of names for requests that bring none.
     pub request_names: Cell<u64>,
--- a/crates/coordinator/src/fronts/listener.rs
+++ b/crates/coordinator/src/fronts/listener.rs
@@ -43,7 +43,7 @@
     match listener.accept().await {
         Ok((stream, _)) => spawn_session(stream, front),
         Err(e) => {
-            tracing::warn!(cause = %e, "a client was not accepted");
+            tracing::warn!(cause = %e, "client accept failed");
             tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
         }
     }
--- a/crates/coordinator/src/fronts/opensearch/parameters.rs
+++ b/crates/coordinator/src/fronts/opensearch/parameters.rs
@@ -24,11 +24,17 @@
 /// What a path, its parameters and the header line of a multi search say about a search.
 #[derive(Clone, Default)]
 pub struct SearchParameters {
+    /// The name of the index.
     pub index: Option<String>,
+    /// The `preference`, which may name shards.
     pub preference: Option<String>,
+    /// The shortest time limit that was given.
     pub timeout: Option<Seconds>,
+    /// Whether an answer without some shards is wanted.
     pub allow_partial_results: Option<bool>,
+    /// Hits of the merged order that the response skips.
     pub from: Option<usize>,
+    /// Most hits in the response.
     pub size: Option<usize>,
     /// A query in the query string's own syntax.
     pub q: Option<String>,
--- a/crates/coordinator/src/fronts/opensearch/search.rs
+++ b/crates/coordinator/src/fronts/opensearch/search.rs
@@ -18,13 +18,17 @@
 /// A search that can be forwarded.
 #[derive(Debug)]
 pub struct Search {
+    /// The index that is searched.
     pub index: Index,
+    /// The shards that the search is sent to, in ascending order.
     pub shards: Vec<u32>,
-    /// First hit of the response in the merged order, and number of hits.
+    /// Hits of the merged order that the response skips.
     pub from: usize,
+    /// Most hits in the response.
     pub size: usize,
     /// The client's own time limit.
     pub timeout: Option<Seconds>,
+    /// Whether an answer without some shards is wanted.
     pub allow_partial_results: bool,
     /// The JSON body for data nodes.
     pub body: String,
--- a/crates/coordinator/src/fronts/reply.rs
+++ b/crates/coordinator/src/fronts/reply.rs
@@ -2,10 +2,13 @@
 
 /// A response that is ready to be written.
 pub struct Reply {
+    /// The HTTP status.
     pub status: u16,
+    /// The media type of the body.
     pub content_type: &'static str,
     /// Header fields beside those that every response has.
     pub headers: Vec<(&'static str, String)>,
+    /// The body, written with its length.
     pub body: Vec<u8>,
 }
 
--- a/crates/coordinator/src/fronts/session/next_request.rs
+++ b/crates/coordinator/src/fronts/session/next_request.rs
@@ -27,6 +27,7 @@
 
 /// How the wait for a connection's next request ended.
 pub enum NextRequest {
+    /// A complete request was read.
     Received(http::Request),
     /// The client closed the connection.
     ClientGone,
