--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -41,9 +41,9 @@
     pub async fn submit(&mut self, requests: Vec<Request>) -> Result<Vec<Answer>, ClientGone> {
         let retry_after = self.front.retry_after();
         let submitted = requests.into_iter().map(|mut request| {
-            request.judge = self.contracts.clone();
-            request.due = self.front.connections.cap_deadline(request.due);
-            request_queue::hand_over(&self.front.requests, request, retry_after)
+            request.contracts = self.contracts.clone();
+            request.deadline = self.front.connections.cap_deadline(request.deadline);
+            request_queue::submit(&self.front.requests, request, retry_after)
         });
         let waiting: Vec<_> = submitted.collect();
         let answers = async {
--- a/crates/coordinator/src/fronts/opensearch/mod.rs
+++ b/crates/coordinator/src/fronts/opensearch/mod.rs
@@ -130,18 +130,18 @@
     Request {
         name: front.generate_request_name().into(),
         class: search.index.class,
-        due: arrived
+        deadline: arrived
             + search
                 .timeout
                 .map_or(deadline, |timeout| timeout.min(deadline)),
-        repeat: false,
-        work: None,
+        client_retry: false,
+        expected_work: None,
         parts: search
             .shards
             .iter()
             .map(|&shard| PartSpec { shard, weight })
             .collect(),
         text: Text::Query(search.body.as_str().into()),
-        judge: None,
+        contracts: None,
     }
 }
--- a/crates/coordinator/src/fronts/opensearch/response.rs
+++ b/crates/coordinator/src/fronts/opensearch/response.rs
@@ -61,7 +61,7 @@
         .filter_map(|part| part.value.as_ref().err().map(|reason| (part.shard, reason)))
         .map(|(shard, reason)| {
             json!({"shard": shard, "index": index,
-                "reason": {"type": "shard_failure_exception", "reason": reason}})
+                "reason": {"type": "shard_failure_exception", "reason": reason.to_string()}})
         })
         .collect();
     let mut summary = json!({"total": parts.len(), "successful": parts.len() - failures.len(), "skipped": 0,
--- a/crates/coordinator/src/fronts/opensearch/search.rs
+++ b/crates/coordinator/src/fronts/opensearch/search.rs
@@ -196,7 +196,7 @@
 
 /// The shards that a search is sent to: its index's, or those that `preference=_shards:` names.
 fn requested_shards(index: &Index, preference: Option<&str>) -> Result<Vec<u32>, QueryError> {
-    let all = || (index.first..=index.last).collect();
+    let all = || (index.first_shard..=index.last_shard).collect();
     let Some(preference) = preference else {
         return Ok(all());
     };
@@ -213,7 +213,7 @@
             .trim()
             .parse()
             .map_err(|_| QueryError::NotAShard(word.into()))?;
-        if !(index.first..=index.last).contains(&shard) {
+        if !(index.first_shard..=index.last_shard).contains(&shard) {
             return Err(QueryError::UnknownShard {
                 index: index.name.clone(),
                 shard,
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -138,12 +138,12 @@
     Ok(Request {
         name: id.into(),
         class,
-        due: arrived + (deadline - CLIENT_NETWORK_DELAY),
-        repeat: message.fields.get("X-Retry") == Some("1"),
-        work: work_micros.map(|micros| micros / MICROS_PER_SECOND),
+        deadline: arrived + (deadline - CLIENT_NETWORK_DELAY),
+        client_retry: message.fields.get("X-Retry") == Some("1"),
+        expected_work: work_micros.map(|micros| micros / MICROS_PER_SECOND),
         parts,
         text: Text::Plain(body.q.into()),
-        judge: None,
+        contracts: None,
     })
 }
 
--- a/crates/coordinator/src/fronts/session.rs
+++ b/crates/coordinator/src/fronts/session.rs
@@ -216,6 +216,9 @@
 fn is_stopping(phase: Phase) -> bool {
     matches!(
         phase,
-        Phase::Drained | Phase::Stopping | Phase::Closing | Phase::Refusing
+        Phase::DrainedByOperator
+            | Phase::ShuttingDown
+            | Phase::IdleConnectionsClosing
+            | Phase::PartialRequestsRejected
     )
 }
--- a/crates/coordinator/src/fronts/session/next_request.rs
+++ b/crates/coordinator/src/fronts/session/next_request.rs
@@ -119,9 +119,9 @@
 /// for its request to follow.
 async fn idle_connections_close(phase: &mut watch::Receiver<Phase>) {
     let drained = phase
-        .wait_for(|phase| is_stopping(*phase) && *phase != Phase::Stopping)
+        .wait_for(|phase| is_stopping(*phase) && *phase != Phase::ShuttingDown)
         .await
-        .is_ok_and(|phase| *phase == Phase::Drained);
+        .is_ok_and(|phase| *phase == Phase::DrainedByOperator);
     if drained {
         tokio::time::sleep(DRAINED_IDLE_TIMEOUT).await;
     }
@@ -131,7 +131,7 @@
 /// Resolves once requests that were received in part are rejected, at the end of a shutdown.
 async fn partial_requests_end(phase: &mut watch::Receiver<Phase>) {
     if phase
-        .wait_for(|phase| *phase == Phase::Refusing)
+        .wait_for(|phase| *phase == Phase::PartialRequestsRejected)
         .await
         .is_err()
     {
--- a/crates/coordinator/src/pipeline/admission.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -1,64 +1,87 @@
-//! Admit: lets a request in, with ids of its own, or refuses it at once where the coordinator holds all it may.
+//! Admission: opens a request in the request table, or answers it at once where it can't be served.
 
-use super::{request_table::RequestTable, routing::RoutingStage};
-use crate::messages::{Answer, ClientRequest};
+use super::request_table::RequestTable;
+use super::router_driver::RouterDriver;
+use crate::messages::{Answer, ClientRequest, PartSpec};
 use crate::observability::metrics::{Counter, Metrics};
-use cairnroad_types::{ClassId, Event, Time};
+use cairnroad_types::{ClassId, Event, RequestId, Time};
 
-/// Advice for a request that finds the coordinator full, as a share of its class's aim.
-const FULL_ADVICE: f64 = 0.5;
+/// Retry-After of a request that finds the coordinator at its limit, in latency objectives of its class.
+const RETRY_AFTER_OBJECTIVES: f64 = 0.5;
 
+/// Admits a request, or sends its final answer at once.
 pub fn admit(
     now: Time,
-    ask: ClientRequest,
-    book: &mut RequestTable,
-    route: &mut RoutingStage,
-    tally: &mut Metrics,
+    client: ClientRequest,
+    requests: &mut RequestTable,
+    router: &mut RouterDriver,
+    metrics: &mut Metrics,
 ) {
-    tally.add(if ask.request.repeat {
-        Counter::Repeats
+    metrics.add(if client.request.client_retry {
+        Counter::ClientRetries
     } else {
-        Counter::Queries
+        Counter::Requests
     });
-    if ask.reply.is_closed() {
-        return; // its client left before it was taken in
+    if client.reply.is_closed() {
+        return; // The client left before its request was admitted.
     }
-    // Servers tell parts apart by their request's name: two of one name could swap their values, also where the
-    // first has just ended and a part of it that was given up is still to be answered.
-    if book.knows(&ask.request.name) {
-        let _ = ask.reply.send(Answer::DuplicateName);
+    if let Some(answer) = immediate_answer(now, &client, requests, router, metrics) {
+        // A closed channel means that the client has left.
+        let _ = client.reply.send(answer);
         return;
     }
-    if !book.has_room(ask.request.parts.len()) {
-        tally.add(Counter::Full);
-        let retry_after = FULL_ADVICE * route.aim(ask.request.class);
-        let _ = ask.reply.send(Answer::Rejected {
-            retry_after,
+    open(now, client, requests, router);
+}
+
+/// The final answer of a request that can't be admitted.
+fn immediate_answer(
+    now: Time,
+    client: &ClientRequest,
+    requests: &RequestTable,
+    router: &RouterDriver,
+    metrics: &mut Metrics,
+) -> Option<Answer> {
+    let request = &client.request;
+    // Servers tell parts apart by the request's name: two requests of one name could swap their values, also where the
+    // first has just ended and an abandoned part of it is still to be answered.
+    if requests.is_recent_name(&request.name) {
+        return Some(Answer::DuplicateName);
+    }
+    if !requests.has_capacity_for(request.parts.len()) {
+        metrics.add(Counter::OverCapacity);
+        return Some(Answer::Rejected {
+            retry_after: RETRY_AFTER_OBJECTIVES * router.latency_objective(request.class),
             busy: true,
         });
-        return;
-    }
-    if ask.request.due <= now {
-        let _ = ask.reply.send(Answer::Failed { late: true });
-        return;
     }
-    let (class, due) = (ClassId(ask.request.class as u16), ask.request.due);
-    let (work, repeat) = (ask.request.work, ask.request.repeat);
-    let (id, parts) = book.open(now, ask);
-    route.push(Event::Query {
+    (request.deadline <= now).then_some(Answer::Failed { late: true })
+}
+
+/// Opens the request and queues its events for the router.
+fn open(now: Time, client: ClientRequest, requests: &mut RequestTable, router: &mut RouterDriver) {
+    let class = ClassId(client.request.class as u16);
+    let deadline = client.request.deadline;
+    let expected_work = client.request.expected_work;
+    let client_retry = client.request.client_retry;
+    let (id, parts) = requests.open(now, client);
+    router.push(Event::Query {
         id,
         class,
         number: id.0,
-        due,
-        work,
-        client_retry: repeat,
+        due: deadline,
+        work: expected_work,
+        client_retry,
     });
     for (part, spec) in parts {
-        route.push(Event::Part {
-            id: part,
-            number: id.0,
-            shard: spec.shard,
-            weight: spec.weight,
-        });
+        router.push(part_event(id, part, &spec));
+    }
+}
+
+fn part_event(request: RequestId, part: RequestId, spec: &PartSpec) -> Event {
+    Event::Part {
+        id: part,
+        number: request.0,
+        shard: spec.shard,
+        weight: spec.weight,
     }
 }
