--- a/crates/coordinator/tests/admin_operations.rs
+++ b/crates/coordinator/tests/admin_operations.rs
@@ -9,7 +9,7 @@
 };
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -232,13 +232,28 @@
     );
     wait_for("health", || health() == 200);
     let answer = coordinator.post_api("back", "stock-search", "2.0", &[1], "~1~");
-    assert!(
-        answer.status == 200
-            && answer
-                .fields
-                .get("connection")
-                .is_none_or(|word| word != "close")
-    );
+    assert!(answer.status == 200 && !answer.closes_connection());
+}
+
+/// Sends requests until `stop`, each of which has to be answered. Keeps its connection for as long as the other side
+/// does, as clients do. `sent` counts the requests of all clients.
+fn send_until_stopped(address: SocketAddr, client: usize, stop: &AtomicBool, sent: &AtomicUsize) {
+    let mut idle_connection: Option<BufReader<TcpStream>> = None;
+    while !stop.load(Ordering::Relaxed) {
+        let id = format!("c{client}-{}", sent.fetch_add(1, Ordering::Relaxed));
+        let mut stream = idle_connection
+            .take()
+            .unwrap_or_else(|| BufReader::new(TcpStream::connect(address).unwrap()));
+        stream
+            .get_mut()
+            .write_all(api_request(&id, "pick-confirm").as_bytes())
+            .unwrap();
+        let answer = read_response(&mut stream);
+        assert_eq!(answer.status, 200, "{id}");
+        if !answer.closes_connection() {
+            idle_connection = Some(stream);
+        }
+    }
 }
 
 /// Guards against a new process that can't start beside the old one, clients that are refused meanwhile, and a
@@ -262,37 +277,15 @@
     );
     let before = parts_at_first(&coordinator, "before");
     let stop = AtomicBool::new(false);
-    let asked = AtomicUsize::new(0);
+    let sent = AtomicUsize::new(0);
     thread::scope(|scope| {
         for client in 0..4 {
             let stop = &stop;
-            let asked = &asked;
-            scope.spawn(move || {
-                // Keeps its connection for as long as the other side does, as clients do.
-                let mut idle_connection: Option<BufReader<TcpStream>> = None;
-                while !stop.load(Ordering::Relaxed) {
-                    let id = format!("c{client}-{}", asked.fetch_add(1, Ordering::Relaxed));
-                    let mut stream = idle_connection
-                        .take()
-                        .unwrap_or_else(|| BufReader::new(TcpStream::connect(address).unwrap()));
-                    stream
-                        .get_mut()
-                        .write_all(api_request(&id, "pick-confirm").as_bytes())
-                        .unwrap();
-                    let answer = read_response(&mut stream);
-                    assert_eq!(answer.status, 200, "{id}");
-                    if answer
-                        .fields
-                        .get("connection")
-                        .is_none_or(|word| word != "close")
-                    {
-                        idle_connection = Some(stream);
-                    }
-                }
-            });
+            let sent = &sent;
+            scope.spawn(move || send_until_stopped(address, client, stop, sent));
         }
         for _ in 0..3 {
-            let before = asked.load(Ordering::Relaxed);
+            let before = sent.load(Ordering::Relaxed);
             let mut old = coordinator.replace(environment);
             wait_for("the new process", || {
                 coordinator.admin_status("GET /v1/readyz") == 200
@@ -303,7 +296,7 @@
                     .unwrap()
                     .is_some_and(|status| status.success())
             });
-            wait_for("clients", || asked.load(Ordering::Relaxed) > before + 40);
+            wait_for("clients", || sent.load(Ordering::Relaxed) > before + 40);
         }
         stop.store(true, Ordering::Relaxed);
     });
@@ -395,10 +388,7 @@
     let sent_away = |id: String| {
         let answer = coordinator.post_api(&id, "stock-search", "2.0", &[1], "~1~");
         assert_eq!(answer.status, 200);
-        answer
-            .fields
-            .get("connection")
-            .is_some_and(|word| word == "close")
+        answer.closes_connection()
     };
     thread::sleep(Duration::from_millis(200));
     assert!(old.try_wait().unwrap().is_none(), "it has a request open");
--- a/crates/coordinator/tests/common/client.rs
+++ b/crates/coordinator/tests/common/client.rs
@@ -13,6 +13,14 @@
     pub json: Value,
 }
 
+impl Response {
+    /// Whether the connection ends with this response.
+    pub fn closes_connection(&self) -> bool {
+        let connection = self.fields.get("connection");
+        connection.is_some_and(|value| value == "close")
+    }
+}
+
 /// Sends one request on a connection of its own. `line` is the method and target.
 pub fn send_request(to: SocketAddr, line: &str, fields: &[(&str, &str)], body: &str) -> Response {
     let mut stream = TcpStream::connect(to).unwrap();
--- a/crates/coordinator/tests/deployment_settings.rs
+++ b/crates/coordinator/tests/deployment_settings.rs
@@ -6,7 +6,7 @@
 use common::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -31,6 +31,47 @@
     );
 }
 
+/// What one client saw.
+#[derive(Debug, Default)]
+struct ClientRecord {
+    answered: usize,
+    /// Requests without an answer.
+    unanswered: usize,
+}
+
+/// Sends requests until `ended`, on the connection that it has or on a new one.
+fn send_until_ended(address: SocketAddr, client: usize, ended: &AtomicBool) -> ClientRecord {
+    let mut record = ClientRecord::default();
+    let mut number = 0;
+    while !ended.load(Ordering::Relaxed) {
+        let Ok(stream) = TcpStream::connect(address) else {
+            break;
+        };
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
+        let mut stream = BufReader::new(stream);
+        loop {
+            number += 1;
+            let id = format!("c{client}-{number}");
+            let text = one_part_request(&id, "pick-confirm", 0.4, "~1~");
+            if stream.get_mut().write_all(text.as_bytes()).is_err() {
+                break;
+            }
+            let answer = read_response(&mut stream);
+            match answer.status {
+                0 => record.unanswered += 1,
+                _ => record.answered += 1,
+            }
+            if answer.status == 0 || answer.closes_connection() {
+                break;
+            }
+            thread::sleep(Duration::from_millis(3));
+        }
+    }
+    record
+}
+
 /// Guards against a shutdown whose phases are fitted to deadlines of seconds: with short ones the kill comes 0.7 s and one
 /// deadline after SIGTERM, and whatever is unanswered then is lost.
 #[test]
@@ -42,53 +83,11 @@
     });
     let address = coordinator.platform;
     let ended = AtomicBool::new(false);
-    let (counts, took) = thread::scope(|scope| {
-        let client = |number: usize| {
-            let ended = &ended;
-            move || {
-                let mut answered = 0;
-                let mut half = 0;
-                let mut asked = 0;
-                // Each comes again at once, on the connection that it has or on a new one.
-                while !ended.load(Ordering::Relaxed) {
-                    let Ok(stream) = TcpStream::connect(address) else {
-                        break;
-                    };
-                    stream
-                        .set_read_timeout(Some(Duration::from_secs(5)))
-                        .unwrap();
-                    let mut stream = BufReader::new(stream);
-                    loop {
-                        asked += 1;
-                        let text = one_part_request(
-                            &format!("c{number}-{asked}"),
-                            "pick-confirm",
-                            0.4,
-                            "~1~",
-                        );
-                        if stream.get_mut().write_all(text.as_bytes()).is_err() {
-                            break;
-                        }
-                        let answer = read_response(&mut stream);
-                        match answer.status {
-                            0 => half += 1,
-                            _ => answered += 1,
-                        }
-                        if answer.status == 0
-                            || answer
-                                .fields
-                                .get("connection")
-                                .is_some_and(|word| word == "close")
-                        {
-                            break;
-                        }
-                        thread::sleep(Duration::from_millis(3));
-                    }
-                }
-                (answered, half)
-            }
-        };
-        let clients: Vec<_> = (0..8).map(|number| scope.spawn(client(number))).collect();
+    let (records, took) = thread::scope(|scope| {
+        let ended = &ended;
+        let clients: Vec<_> = (0..8)
+            .map(|client| scope.spawn(move || send_until_ended(address, client, ended)))
+            .collect();
         thread::sleep(Duration::from_millis(200));
         let since = Instant::now();
         coordinator.signal("TERM");
@@ -97,11 +96,11 @@
         });
         let took = since.elapsed().as_secs_f64();
         ended.store(true, Ordering::Relaxed);
-        let counts: Vec<(usize, usize)> = clients
+        let records: Vec<ClientRecord> = clients
             .into_iter()
             .map(|client| client.join().unwrap())
             .collect();
-        (counts, took)
+        (records, took)
     });
     assert!(coordinator.child.wait().unwrap().success());
     assert!(
@@ -109,10 +108,10 @@
         "it ended after {took:.2} s, and the kill may come after 1.10 s"
     );
     assert!(
-        counts
+        records
             .iter()
-            .all(|&(answered, cut)| answered > 10 && cut <= 1),
-        "{counts:?}"
+            .all(|client| client.answered > 10 && client.unanswered <= 1),
+        "{records:?}"
     );
 }
 
--- a/crates/coordinator/tests/graceful_shutdown.rs
+++ b/crates/coordinator/tests/graceful_shutdown.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use std::io::{BufReader, ErrorKind, Read, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -107,6 +107,48 @@
     assert_eq!(coordinator.data_nodes.execution_counts().len(), 1);
 }
 
+/// What one client saw until its connection ended.
+#[derive(Debug, Default)]
+struct ClientRecord {
+    answered: usize,
+    /// Requests without an answer.
+    unanswered: usize,
+    /// Whether the connection ended without further bytes.
+    ended_cleanly: bool,
+}
+
+/// Sends requests on one connection for as long as it stays open.
+fn send_until_closed(address: SocketAddr, client: u32) -> ClientRecord {
+    let mut record = ClientRecord::default();
+    let Ok(stream) = TcpStream::connect(address) else {
+        return record;
+    };
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
+    let mut stream = BufReader::new(stream);
+    for number in 0..10_000 {
+        let text = api_request(&format!("c{client}-{number}"), client * 10_000 + number);
+        if stream.get_mut().write_all(text.as_bytes()).is_err() {
+            break;
+        }
+        let answer = read_response(&mut stream);
+        match answer.status {
+            200 => record.answered += 1,
+            // Closed between two requests: what was not read is sent again on a new connection.
+            0 => record.unanswered += 1,
+            other => panic!("{other}"),
+        }
+        if answer.status == 0 || answer.closes_connection() {
+            break;
+        }
+    }
+    // The connection is at its end: nothing more comes on it.
+    let end = stream.read(&mut [0]).map_err(|e| e.kind());
+    record.ended_cleanly = matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset));
+    record
+}
+
 /// Clients that keep their connections and send on them as long as these stay open: each request that was written gets
 /// its answer, or its connection was closed before the request could be read, and it may go again.
 #[test]
@@ -118,63 +160,23 @@
     );
     let address = coordinator.platform;
     let clients: Vec<_> = (0..20)
-        .map(|client| {
-            thread::spawn(move || {
-                let mut answered = 0;
-                let mut cut = 0;
-                let Ok(stream) = TcpStream::connect(address) else {
-                    return (0, 0, 0);
-                };
-                stream
-                    .set_read_timeout(Some(Duration::from_secs(10)))
-                    .unwrap();
-                let mut stream = BufReader::new(stream);
-                for number in 0..10_000 {
-                    let text =
-                        api_request(&format!("c{client}-{number}"), client * 10_000 + number);
-                    if stream.get_mut().write_all(text.as_bytes()).is_err() {
-                        break;
-                    }
-                    let answer = read_response(&mut stream);
-                    match answer.status {
-                        200 => answered += 1,
-                        // Closed between two requests: what was not read is sent again on a new connection.
-                        0 => cut += 1,
-                        other => panic!("{other}"),
-                    }
-                    if answer.status == 0
-                        || answer
-                            .fields
-                            .get("connection")
-                            .is_some_and(|word| word == "close")
-                    {
-                        break;
-                    }
-                }
-                // The connection is at its end: nothing more comes on it.
-                let end = stream.read(&mut [0]).map_err(|e| e.kind());
-                (
-                    answered,
-                    cut,
-                    usize::from(!matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset))),
-                )
-            })
-        })
+        .map(|client| thread::spawn(move || send_until_closed(address, client)))
         .collect();
     thread::sleep(Duration::from_millis(500));
     coordinator.signal("TERM");
-    let ends: Vec<(usize, usize, usize)> = clients
+    let records: Vec<ClientRecord> = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .collect();
     assert!(coordinator.child.wait().unwrap().success());
     assert!(
-        ends.iter()
-            .all(|&(answered, cut, more)| answered > 2 && cut == 0 && more == 0),
-        "{ends:?}"
+        records
+            .iter()
+            .all(|client| client.answered > 2 && client.unanswered == 0 && client.ended_cleanly),
+        "{records:?}"
     );
     // The data nodes ran each request exactly as often as its client got an answer.
-    let answered: usize = ends.iter().map(|end| end.0).sum();
+    let answered: usize = records.iter().map(|client| client.answered).sum();
     assert_eq!(
         (
             coordinator.data_nodes.execution_counts().len(),
