--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,125 +1,191 @@
-//! The calls of the operators' door, and what each outcome is told as.
+//! The requests of the admin API, and the status and text of each response.
 
-/// The longest id of a data node that a call may name, in bytes.
-pub const MOST_ID: usize = 128;
+use std::str;
 
-/// What a caller asks for.
+/// Upper limit of a data node's id in a request, in bytes.
+pub const MAX_NODE_ID_BYTES: usize = 128;
+
+const PATH_PREFIX: &str = "/v1/";
+
+/// The method that a path takes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AllowedMethod {
+    /// For requests that change nothing.
+    Get,
+    /// For requests that bring about a state, and may be repeated.
+    Put,
+}
+
+impl AllowedMethod {
+    /// Returns the method's name on the wire.
+    pub fn name(self) -> &'static str {
+        match self {
+            AllowedMethod::Get => "GET",
+            AllowedMethod::Put => "PUT",
+        }
+    }
+}
+
+/// Why a request is not possible at the moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UnavailableReason {
+    /// The process has no endpoint list yet.
+    Starting,
+    /// An operator drained the coordinator.
+    Drained,
+    /// The process is shutting down.
+    ShuttingDown,
+    /// The request was not carried out in time, or its outcome is unknown.
+    Busy,
+}
+
+impl UnavailableReason {
+    fn message(self) -> &'static str {
+        match self {
+            UnavailableReason::Starting => "not ready yet: the list of data nodes has not come",
+            UnavailableReason::Drained => "drained: activate the coordinator first",
+            UnavailableReason::ShuttingDown => "the process was told to stop",
+            UnavailableReason::Busy => "the coordinator is too busy: call again",
+        }
+    }
+}
+
+/// What an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     /// Whether this process is ready to serve.
-    Ready,
-    /// Leave a data node out.
+    Readiness,
+    /// Send nothing new to a data node.
     Suspend(String),
-    /// A data node may serve again.
+    /// Let a suspended data node serve again.
     Resume(String),
-    /// Who is there of the group, as this coordinator sees it.
-    Peers,
+    /// The cluster's members as this coordinator sees them.
+    ClusterMembers,
     /// Send clients away.
     Drain,
-    /// The end of the drain.
+    /// End the drain.
     Activate,
 }
 
-/// How a call ends.
+/// The outcome of an admin request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
-    /// It is so.
-    Yes,
-    /// Not now: another state has to come first.
-    NotNow(&'static str),
-    /// No data node of this id was ever listed.
-    Unknown,
-    /// This coordinator takes part in no group.
-    NoPeers,
-    /// There is no such call.
-    NoSuchCall,
-    /// The path is one, the method is another's; the one that it takes.
-    Method(&'static str),
-    /// The id can't be one.
-    BadId,
-    /// As many data nodes are left out as can be kept in mind.
-    TooMany,
+    /// The requested state holds.
+    Done,
+    /// Not possible at the moment, for this reason.
+    Unavailable(UnavailableReason),
+    /// No endpoint list ever named a data node of this id.
+    UnknownNode,
+    /// This coordinator is not part of a cluster.
+    NotClustered,
+    /// No request has this path.
+    UnknownPath,
+    /// The path takes another method, which is this one.
+    MethodNotAllowed(AllowedMethod),
+    /// The id is not that of any data node.
+    InvalidNodeId,
+    /// The limit of suspensions is reached.
+    TooManySuspensions,
 }
 
 impl AdminResponse {
-    /// The status that tells it.
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         match self {
-            AdminResponse::Yes => 200,
-            AdminResponse::NotNow(_) | AdminResponse::TooMany => 503,
-            AdminResponse::Unknown | AdminResponse::NoPeers | AdminResponse::NoSuchCall => 404,
-            AdminResponse::Method(_) => 405,
-            AdminResponse::BadId => 400,
+            AdminResponse::Done => 200,
+            AdminResponse::Unavailable(_) | AdminResponse::TooManySuspensions => 503,
+            AdminResponse::UnknownNode
+            | AdminResponse::NotClustered
+            | AdminResponse::UnknownPath => 404,
+            AdminResponse::MethodNotAllowed(_) => 405,
+            AdminResponse::InvalidNodeId => 400,
         }
     }
 
-    /// The same for people: what is wrong, and what to do.
-    pub fn text(&self) -> &'static str {
+    /// Returns the text of the body: what is wrong, and what to do.
+    pub fn message(&self) -> &'static str {
         match self {
-            AdminResponse::Yes => "yes",
-            AdminResponse::NotNow(cause) => cause,
-            AdminResponse::Unknown => {
+            AdminResponse::Done => "yes",
+            AdminResponse::Unavailable(reason) => reason.message(),
+            AdminResponse::UnknownNode => {
                 "no data node of this id was ever listed: look at the list of data nodes"
             }
-            AdminResponse::NoPeers => "this coordinator takes part in no group: see docs/PEERS.md",
-            AdminResponse::NoSuchCall => "there is no such call: see docs/OPERATION.md",
-            AdminResponse::Method("GET") => "this call takes GET",
-            AdminResponse::Method(_) => "this call takes PUT",
-            AdminResponse::BadId => "the id of the data node is empty, too long or malformed",
-            AdminResponse::TooMany => "too many data nodes are suspended: resume some first",
+            AdminResponse::NotClustered => {
+                "this coordinator takes part in no group: see docs/PEERS.md"
+            }
+            AdminResponse::UnknownPath => "there is no such call: see docs/OPERATION.md",
+            AdminResponse::MethodNotAllowed(AllowedMethod::Get) => "this call takes GET",
+            AdminResponse::MethodNotAllowed(AllowedMethod::Put) => "this call takes PUT",
+            AdminResponse::InvalidNodeId => {
+                "the id of the data node is empty, too long or malformed"
+            }
+            AdminResponse::TooManySuspensions => {
+                "too many data nodes are suspended: resume some first"
+            }
         }
     }
 }
 
-/// The call that a method and a target stand for, or why there is none.
-pub fn read(method: &str, target: &str) -> Result<AdminRequest, AdminResponse> {
-    let path = target.split('?').next().unwrap_or("");
-    let steps: Vec<&str> = path
-        .strip_prefix("/v1/")
-        .ok_or(AdminResponse::NoSuchCall)?
-        .split('/')
-        .collect();
-    let (call, takes) = match steps[..] {
-        ["readyz"] => (AdminRequest::Ready, "GET"),
-        ["peers"] => (AdminRequest::Peers, "GET"),
-        ["coordinator", "drain"] => (AdminRequest::Drain, "PUT"),
-        ["coordinator", "activate"] => (AdminRequest::Activate, "PUT"),
-        ["data-nodes", id, "suspend"] => (AdminRequest::Suspend(node(id)?), "PUT"),
-        ["data-nodes", id, "resume"] => (AdminRequest::Resume(node(id)?), "PUT"),
-        _ => return Err(AdminResponse::NoSuchCall),
+/// Returns the request that a method and a target stand for, or the response that rejects them.
+pub fn parse_request(method: &str, target: &str) -> Result<AdminRequest, AdminResponse> {
+    let (path, _query) = target.split_once('?').unwrap_or((target, ""));
+    let path = path
+        .strip_prefix(PATH_PREFIX)
+        .ok_or(AdminResponse::UnknownPath)?;
+    let segments: Vec<&str> = path.split('/').collect();
+    let (request, allowed_method) = match segments[..] {
+        ["readyz"] => (AdminRequest::Readiness, AllowedMethod::Get),
+        ["peers"] => (AdminRequest::ClusterMembers, AllowedMethod::Get),
+        ["coordinator", "drain"] => (AdminRequest::Drain, AllowedMethod::Put),
+        ["coordinator", "activate"] => (AdminRequest::Activate, AllowedMethod::Put),
+        ["data-nodes", id, "suspend"] => (
+            AdminRequest::Suspend(parse_node_id(id)?),
+            AllowedMethod::Put,
+        ),
+        ["data-nodes", id, "resume"] => {
+            (AdminRequest::Resume(parse_node_id(id)?), AllowedMethod::Put)
+        }
+        _ => return Err(AdminResponse::UnknownPath),
     };
-    if method == takes {
-        Ok(call)
-    } else {
-        Err(AdminResponse::Method(takes))
+    if method != allowed_method.name() {
+        return Err(AdminResponse::MethodNotAllowed(allowed_method));
     }
+    Ok(request)
 }
 
-/// An id out of a path, its percent signs undone.
-fn node(text: &str) -> Result<String, AdminResponse> {
-    let mut bytes = Vec::with_capacity(text.len());
-    let mut rest = text.as_bytes();
-    while let Some((&byte, after)) = rest.split_first() {
-        rest = after;
+/// Returns the data node's id in a path segment.
+fn parse_node_id(segment: &str) -> Result<String, AdminResponse> {
+    let bytes = percent_decode(segment.as_bytes()).ok_or(AdminResponse::InvalidNodeId)?;
+    let id = String::from_utf8(bytes).map_err(|_| AdminResponse::InvalidNodeId)?;
+    let has_valid_length = (1..=MAX_NODE_ID_BYTES).contains(&id.len());
+    if !has_valid_length || id.chars().any(char::is_control) {
+        return Err(AdminResponse::InvalidNodeId);
+    }
+    Ok(id)
+}
+
+/// Returns the decoded bytes; `None` where a percent sign is not followed by two hexadecimal digits.
+fn percent_decode(mut encoded: &[u8]) -> Option<Vec<u8>> {
+    let mut decoded = Vec::with_capacity(encoded.len());
+    while let Some((&byte, rest)) = encoded.split_first() {
+        encoded = rest;
         if byte != b'%' {
-            bytes.push(byte);
+            decoded.push(byte);
             continue;
         }
-        let digits = rest
-            .get(..2)
-            .and_then(|digits| std::str::from_utf8(digits).ok());
-        let digits = digits.filter(|digits| digits.bytes().all(|b| b.is_ascii_hexdigit()));
-        let value = digits
-            .and_then(|digits| u8::from_str_radix(digits, 16).ok())
-            .ok_or(AdminResponse::BadId)?;
-        bytes.push(value);
-        rest = &rest[2..];
+        let (digits, rest) = encoded.split_first_chunk::<2>()?;
+        decoded.push(hex_byte(digits)?);
+        encoded = rest;
     }
-    let id = String::from_utf8(bytes).map_err(|_| AdminResponse::BadId)?;
-    if id.is_empty() || id.len() > MOST_ID || id.chars().any(char::is_control) {
-        return Err(AdminResponse::BadId);
+    Some(decoded)
+}
+
+fn hex_byte(digits: &[u8; 2]) -> Option<u8> {
+    // The parser of integers would also take a sign.
+    if !digits.iter().all(u8::is_ascii_hexdigit) {
+        return None;
     }
-    Ok(id)
+    u8::from_str_radix(str::from_utf8(digits).ok()?, 16).ok()
 }
 
 #[cfg(test)]
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -2,7 +2,7 @@
 //! `NODE_CONFIG` names, and this project's own file under `deploy/`. Errors name the file and the faulty key, with its
 //! line in the project's own file.
 
-use crate::discovery::endpoint_list::Page;
+use crate::discovery::endpoint_list::EndpointListPage;
 use crate::messages::{EndpointListUpdate, Index, ServedConfiguration};
 use crate::observability::log;
 use cairnroad_cluster::facts::MOST_OFFERS;
@@ -61,7 +61,7 @@
 impl Config {
     /// The first key that this configuration's file has and another's lacks.
     pub fn lacked_by(&self, other: &Config) -> Option<String> {
-        cairnroad_admin::reconfigure::lacks(&self.stated, &other.stated)
+        cairnroad_admin::reconfigure::first_missing_key(&self.stated, &other.stated)
     }
 
     /// The keys that another file says differently and that take effect only at a restart. `discovery` takes
@@ -256,7 +256,7 @@
     admin: Option<String>,
     seed: Option<String>,
     limits: Option<JsonLimits>,
-    known: Option<Page>,
+    known: Option<EndpointListPage>,
     settings: Box<serde_json::value::RawValue>,
 }
 
@@ -485,7 +485,10 @@
             limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) / sharers,
             limits.sockets.unwrap_or(DEFAULT_SOCKETS) / sharers as usize,
         ),
-        known: json.known.map(Page::news).unwrap_or_default(),
+        known: json
+            .known
+            .map(EndpointListPage::into_update)
+            .unwrap_or_default(),
         offer: Arc::new(ServedConfiguration {
             deployment,
             indices,
--- a/crates/coordinator/src/fronts/client_connections.rs
+++ b/crates/coordinator/src/fronts/client_connections.rs
@@ -3,7 +3,7 @@
 //! Counts what is open, in flight and lingering, and evicts the connection that has been idle for longest when its slot
 //! is needed, so that clients that send nothing don't keep out those that do.
 
-use cairnroad_admin::shutdown::Seen;
+use cairnroad_admin::shutdown::ShutdownObservation;
 use cairnroad_types::{Seconds, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -97,14 +97,14 @@
     }
 
     /// What a graceful shutdown decides by.
-    pub fn shutdown_observation(&self) -> Seen {
+    pub fn shutdown_observation(&self) -> ShutdownObservation {
         let in_flight = self.in_flight.get();
-        Seen {
-            last_asked: self.last_request_at.get(),
-            last_answered: self.last_answer_at.get(),
-            coming_in: self.busy_count().saturating_sub(in_flight),
-            serving: in_flight,
-            staying: self.open.get() - self.lingering.get(),
+        ShutdownObservation {
+            last_request_at: self.last_request_at.get(),
+            last_response_at: self.last_answer_at.get(),
+            partial_requests: self.busy_count().saturating_sub(in_flight),
+            unanswered_requests: in_flight,
+            unnotified_connections: self.open.get() - self.lingering.get(),
         }
     }
 
--- a/crates/coordinator/src/fronts/client_connections/tests.rs
+++ b/crates/coordinator/src/fronts/client_connections/tests.rs
@@ -29,13 +29,13 @@
     held[1].request_received(at(9.9));
     assert_eq!(
         (
-            connections.shutdown_observation().serving,
-            connections.shutdown_observation().last_asked
+            connections.shutdown_observation().unanswered_requests,
+            connections.shutdown_observation().last_request_at
         ),
         (1, at(9.9))
     );
     held[1].answer_sent(at(9.9));
-    assert_eq!(connections.shutdown_observation().serving, 0);
+    assert_eq!(connections.shutdown_observation().unanswered_requests, 0);
     held[1].mark_idle(at(10.0));
     assert_eq!((left(10.04), left(10.06)), (vec![1, 2], vec![2]));
     held[1].mark_busy();
@@ -55,8 +55,8 @@
         (
             connections.open_count(),
             connections.busy_count(),
-            connections.shutdown_observation().coming_in,
-            connections.shutdown_observation().staying,
+            connections.shutdown_observation().partial_requests,
+            connections.shutdown_observation().unnotified_connections,
         )
     };
     assert_eq!(seen(&connections), (3, 2, 2, 3));
--- a/crates/coordinator/src/fronts/session.rs
+++ b/crates/coordinator/src/fronts/session.rs
@@ -156,11 +156,13 @@
     }
 
     /// Rejects a request that can't be read to its end, and closes the connection.
-    async fn reject_unreadable(&mut self, error: http::Bad) -> ControlFlow<()> {
+    async fn reject_unreadable(&mut self, error: http::MessageError) -> ControlFlow<()> {
         self.connection.expect_answer();
-        let reply = match error.passes() {
-            true => self.front.retry_later_reply(error.status(), error.text()),
-            false => self.front.error_reply(error.status(), error.text()),
+        let reply = match error.is_transient() {
+            true => self
+                .front
+                .retry_later_reply(error.status(), error.message()),
+            false => self.front.error_reply(error.status(), error.message()),
         };
         let _ = self.write(reply, true).await;
         self.connection.answer_sent(self.front.clock.now());
@@ -182,8 +184,10 @@
         if !too_long {
             return ControlFlow::Continue(());
         }
-        let error = http::Bad::Ahead;
-        let reply = self.front.retry_later_reply(error.status(), error.text());
+        let error = http::MessageError::Pipelined;
+        let reply = self
+            .front
+            .retry_later_reply(error.status(), error.message());
         let _ = self.write(reply, true).await;
         self.linger(LINGER_TIMEOUT).await;
         ControlFlow::Break(())
--- a/crates/coordinator/src/fronts/session/next_request.rs
+++ b/crates/coordinator/src/fronts/session/next_request.rs
@@ -1,7 +1,7 @@
 //! Waiting for a connection's next request, and for what ends that wait.
 
 use super::{is_stopping, ClientSession};
-use crate::connections::connection;
+use crate::connections::socket;
 use crate::http;
 use crate::messages::Phase;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 
 impl ClientSession {
     /// Reads the connection's next request. `Err` says why it can't be read to its end.
-    pub async fn next_request(&mut self) -> Result<NextRequest, http::Bad> {
+    pub async fn next_request(&mut self) -> Result<NextRequest, http::MessageError> {
         let first_request_due = self.first_request_due.take();
         let mut idle_phase = self.front.phase.clone();
         let mut final_phase = self.front.phase.clone();
@@ -49,9 +49,9 @@
                 return Ok(NextRequest::Received(request));
             }
             if self.overrun {
-                return Err(http::Bad::Ahead);
+                return Err(http::MessageError::Pipelined);
             }
-            if !continue_sent && http::awaits_continue(&self.buffer) {
+            if !continue_sent && http::expects_continue(&self.buffer) {
                 continue_sent = true;
                 if self.send_continue().await.is_err() {
                     return Ok(NextRequest::ClientGone);
@@ -70,14 +70,14 @@
                     Ok(_) => continue,
                 },
                 () = idle_connections_close(&mut idle_phase), if idle => None,
-                () = partial_requests_end(&mut final_phase), if !idle => Some(http::Bad::Ending),
-                () = tokio::time::sleep_until(due) => (!idle).then_some(http::Bad::TooSlow),
+                () = partial_requests_end(&mut final_phase), if !idle => Some(http::MessageError::ShuttingDown),
+                () = tokio::time::sleep_until(due) => (!idle).then_some(http::MessageError::TooSlow),
                 () = self.connection.evicted(), if idle => None,
             };
             // A request that has already come is served first; what comes from now on crosses the close.
-            let more_came = connection::look(&self.stream, &mut self.buffer);
+            let more_came = socket::read_available(&self.stream, &mut self.buffer);
             match error {
-                Some(error) if !more_came || http::request(&self.buffer)?.is_none() => {
+                Some(error) if !more_came || http::parse_request(&self.buffer)?.is_none() => {
                     return Err(error)
                 }
                 None if !more_came => return Ok(NextRequest::IdleEnd),
@@ -87,8 +87,8 @@
     }
 
     /// Takes a complete request from the buffer, if there is one.
-    fn parse_request(&mut self) -> Result<Option<http::Request>, http::Bad> {
-        let Some((request, length)) = http::request(&self.buffer)? else {
+    fn parse_request(&mut self) -> Result<Option<http::Request>, http::MessageError> {
+        let Some((request, length)) = http::parse_request(&self.buffer)? else {
             return Ok(None);
         };
         self.connection.request_received(self.front.clock.now());
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -299,7 +299,12 @@
     match config.files.clone() {
         Some(source) => discovery::file_source::start(source, to_core.clone())?,
         None => {
-            let watch = discovery::watch(agents, to_core.clone(), contracts.clone(), clock.clone());
+            let watch = discovery::watch_endpoints(
+                agents,
+                to_core.clone(),
+                contracts.clone(),
+                clock.clone(),
+            );
             tokio::task::spawn_local(watch);
         }
     }
@@ -316,21 +321,25 @@
     }
     let longest = offers.borrow().deployment.longest_deadline();
     let mut stop = GracefulShutdown::new(clock.now(), longest);
-    client_connections.set_answer_deadline(stop.answered_by());
+    client_connections.set_answer_deadline(stop.answer_deadline());
     // What is open already may have longer than that.
-    let _ = to_core.send(Message::FinishBy(stop.answered_by())).await;
+    let _ = to_core
+        .send(Message::FinishBy(stop.answer_deadline()))
+        .await;
     loop {
-        let step = stop.step(clock.now(), client_connections.shutdown_observation());
+        let step = stop.advance(clock.now(), client_connections.shutdown_observation());
         let next = match step {
             ShutdownPhase::Serving => Phase::ShuttingDown,
-            ShutdownPhase::Closing | ShutdownPhase::Deaf => Phase::IdleConnectionsClosing,
-            ShutdownPhase::Refusing | ShutdownPhase::Over => Phase::PartialRequestsRejected,
+            ShutdownPhase::IdleConnectionsClosed | ShutdownPhase::ListenerClosed => {
+                Phase::IdleConnectionsClosing
+            }
+            ShutdownPhase::Rejecting | ShutdownPhase::Finished => Phase::PartialRequestsRejected,
         };
         phase.send_if_modified(|phase| std::mem::replace(phase, next) != next);
-        if step >= ShutdownPhase::Deaf {
+        if step >= ShutdownPhase::ListenerClosed {
             deaf.send_replace(true);
         }
-        if step == ShutdownPhase::Over {
+        if step == ShutdownPhase::Finished {
             break;
         }
         tokio::time::sleep(STOP_TICK).await;
--- a/crates/coordinator/src/pipeline/core.rs
+++ b/crates/coordinator/src/pipeline/core.rs
@@ -20,7 +20,7 @@
 use crate::configuration::Config;
 use crate::connections::pool::{self, Pool};
 use crate::contract::Contracts;
-use crate::discovery::Directory;
+use crate::discovery::ServerDirectory;
 use crate::messages::{
     Attempt, AttemptResult, ClientRequest, LocalOutliers, Message, Phase, ServedConfiguration,
 };
@@ -53,7 +53,7 @@
     requests: RequestTable,
     pool: Pool,
     timers: TimerWheel<Timer>,
-    directory: Directory,
+    directory: ServerDirectory,
     contracts: Rc<Contracts>,
     suspensions: Suspensions,
     /// Where suspensions are stored; `None` without an admin API.
@@ -90,7 +90,7 @@
     ) -> Self {
         let now = clock.now();
         let deployment = &config.offer.deployment;
-        let sweep_interval = pool::sweep_every(deployment);
+        let sweep_interval = pool::sweep_interval(deployment);
         let mut timers = TimerWheel::new(now, deployment.policy.tick);
         timers.insert(now + sweep_interval, Timer::ConnectionSweep);
         let suspension_store = config
@@ -107,7 +107,7 @@
             requests: RequestTable::new(config),
             pool: Pool::new(config, contracts.clone(), clock, channels.message_sender),
             timers,
-            directory: Directory::default(),
+            directory: ServerDirectory::default(),
             contracts,
             suspensions: Suspensions::default(),
             suspension_store,
@@ -179,7 +179,7 @@
                 self.carry_out(now, &action);
             }
             for attempt in self.requests.take_orphaned_attempts() {
-                self.pool.unwant(attempt);
+                self.pool.withdraw(attempt);
             }
             let failed =
                 dispatch::flush_calls(now, &mut self.pool, &mut self.timers, &mut self.metrics);
@@ -225,7 +225,7 @@
     }
 
     fn log_metrics(&mut self, now: Time) {
-        let connections = self.pool.links();
+        let connections = self.pool.connection_count();
         let router = &self.router;
         let due = self
             .metrics
@@ -245,7 +245,7 @@
 
     /// Ready once a server is known, from a fresh list or, if none arrives in time, from the cached one.
     fn is_ready(&self, now: Time) -> bool {
-        self.pool.any_ready() && (self.fresh_list || now - self.started > FRESH_LIST_WAIT)
+        self.pool.any_server_ready() && (self.fresh_list || now - self.started > FRESH_LIST_WAIT)
     }
 }
 
--- a/crates/coordinator/tests/discovery_failures.rs
+++ b/crates/coordinator/tests/discovery_failures.rs
@@ -432,7 +432,7 @@
         _ => ScriptedReply::Stall(Vec::new()),
     });
     let coordinator = coordinator(&discovery, members, data_nodes);
-    coordinator.wait_for_log_line("no list of servers");
+    coordinator.wait_for_log_line("not an endpoint list");
     wait_for("the later calls", || {
         discovery.calls.lock().unwrap().len() > 4
     });
