--- a/crates/coordinator/src/connections/pool/mod.rs
+++ b/crates/coordinator/src/connections/pool/mod.rs
@@ -111,7 +111,7 @@
         Pool {
             backend: config.backend,
             limits: Limits::new(config),
-            report_names: config.offer.deployment.report_names.clone().into(),
+            report_names: config.served.deployment.report_names.clone().into(),
             contracts,
             clock,
             core,
--- a/crates/coordinator/src/fronts/front.rs
+++ b/crates/coordinator/src/fronts/front.rs
@@ -58,7 +58,7 @@
 
     /// When a client may return that this machine has no capacity for, in seconds.
     pub fn retry_after(&self) -> Seconds {
-        let shortest_objective = self.served.borrow().deployment.shortest_aim();
+        let shortest_objective = self.served.borrow().deployment.shortest_latency_objective();
         MAX_RETRY_AFTER.min(MAX_RETRY_AFTER_OBJECTIVES * shortest_objective)
     }
 
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -121,7 +121,7 @@
         return Err(RequestError::MalformedRequestId);
     }
     let class = deployment
-        .place(header("X-Class")?)
+        .class_index(header("X-Class")?)
         .ok_or(RequestError::UnknownClass)?;
     let deadline = parse_deadline(header("X-Deadline")?)?;
     let body: Body = serde_json::from_slice(&message.body).map_err(RequestError::MalformedBody)?;
--- a/crates/coordinator/src/fronts/session.rs
+++ b/crates/coordinator/src/fronts/session.rs
@@ -72,7 +72,7 @@
         };
         let arrived = self.front.clock.earliest_arrival();
         let received_at = Instant::now();
-        let overloaded = self.front.connections.busy_count() > self.front.limits.clients;
+        let overloaded = self.front.connections.busy_count() > self.front.limits.active_clients;
         let Ok(reply) = self.answer(&request, arrived, overloaded).await else {
             return ControlFlow::Break(());
         };
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -73,7 +73,7 @@
             orphaned: Vec::new(),
             recent_names: RecentNames::default(),
         };
-        table.reconfigure(&config.offer.deployment);
+        table.reconfigure(&config.served.deployment);
         table
     }
 
@@ -84,7 +84,7 @@
         let policy = &deployment.policy;
         let retention = NAME_RETENTION_DEADLINES * deployment.longest_deadline();
         self.recent_names.retention = NAME_RETENTION.max(retention);
-        self.capacity = deployment.open_cap;
+        self.capacity = deployment.max_in_flight;
         self.late_margin = LATE_MARGIN.max(LATE_MARGIN_TICKS * policy.tick);
         let windows = policy.classes.iter();
         self.retry_windows = windows
@@ -92,8 +92,8 @@
             .collect();
         self.class_names
             .resize(deployment.class_names.len(), "".into());
-        for (place, name, _) in deployment.offered() {
-            self.class_names[place] = name.into();
+        for offered in deployment.offered_classes() {
+            self.class_names[offered.index] = offered.name.into();
         }
     }
 
--- a/crates/coordinator/tests/admin_operations.rs
+++ b/crates/coordinator/tests/admin_operations.rs
@@ -554,7 +554,7 @@
     for cut in [0, 1, sound.len() / 2, sound.len() - 1] {
         std::fs::write(&path, &sound[..cut]).unwrap();
         coordinator.signal("HUP");
-        coordinator.wait_for_log_line("the old settings stay");
+        coordinator.wait_for_log_line("reload rejected");
     }
     let before = calls();
     coordinator.discovery.set_phase(0, "leaving");
--- a/crates/coordinator/tests/client_connections.rs
+++ b/crates/coordinator/tests/client_connections.rs
@@ -228,7 +228,7 @@
         1000,
     );
     coordinator.signal("HUP");
-    coordinator.wait_for_log_line("reload");
+    coordinator.wait_for_log_line("reload applied");
     let listed = std::fs::read_to_string("/proc/net/unix").unwrap();
     let unix: Vec<&str> = listed
         .lines()
--- a/crates/coordinator/tests/common/coordinator.rs
+++ b/crates/coordinator/tests/common/coordinator.rs
@@ -368,7 +368,7 @@
         let word = line.split(' ').find_map(|word| word.strip_prefix(name));
         word.map(|word| word.trim_matches('"').to_string())
     };
-    if !(line.contains("listening") || line.contains("calls")) {
+    if !(line.contains("listening") || line.contains("admin API")) {
         return None;
     }
     let address = field("address=")?.parse().unwrap();
--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -544,7 +544,7 @@
     let path = coordinator.folder.join("servers.yaml");
     std::fs::write(&path, SERVERS.replace("maximum: 60000", "maximum: sixty")).unwrap();
     coordinator.signal("HUP");
-    coordinator.wait_for_log_line("the descriptions in force stay");
+    coordinator.wait_for_log_line("descriptions rejected");
     let before = drift(&coordinator, |_| true);
     assert_eq!(
         (
