--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -50,9 +50,9 @@
             body: http::MAX_BODY,
             head: http::MAX_HEAD,
             fields: http::MAX_FIELDS,
-            slow: fronts::SLOW.as_secs_f64(),
-            window: opensearch::MOST_WINDOW,
-            searches: opensearch::MOST_SEARCHES,
+            slow: fronts::REQUEST_READ_TIMEOUT.as_secs_f64(),
+            window: opensearch::MAX_RESULT_WINDOW,
+            searches: opensearch::MAX_SEARCHES,
         },
     }
 }
--- a/crates/coordinator/src/server/listeners.rs
+++ b/crates/coordinator/src/server/listeners.rs
@@ -4,7 +4,7 @@
 use super::error::ServerError;
 use crate::configuration::Config;
 use crate::fronts;
-use crate::fronts::exchange::{Front, Kind};
+use crate::fronts::{Front, FrontKind};
 use crate::messages::Phase;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -30,14 +30,20 @@
         context: &Context,
     ) -> Result<ClientListeners, ServerError> {
         let shared = inherited.is_some();
-        let platform = listen(config, config.listen, Kind::Platform, inherited).await?;
-        let mut tasks = vec![accept(config, platform, Kind::Platform, shared, context)];
+        let platform = listen(config, config.listen, FrontKind::Platform, inherited).await?;
+        let mut tasks = vec![accept(
+            config,
+            platform,
+            FrontKind::Platform,
+            shared,
+            context,
+        )];
         if let Some(address) = config.opensearch_listen {
-            let opensearch = listen(config, address, Kind::OpenSearch, None).await?;
+            let opensearch = listen(config, address, FrontKind::OpenSearch, None).await?;
             tasks.push(accept(
                 config,
                 opensearch,
-                Kind::OpenSearch,
+                FrontKind::OpenSearch,
                 shared,
                 context,
             ));
@@ -56,7 +62,7 @@
 async fn listen(
     config: &Config,
     address: SocketAddr,
-    kind: Kind,
+    kind: FrontKind,
     inherited: Option<std::net::TcpListener>,
 ) -> Result<TcpListener, ServerError> {
     let error = |source| ServerError::Listen { address, source };
@@ -70,10 +76,10 @@
     Ok(listener)
 }
 
-fn label(kind: Kind) -> &'static str {
+fn label(kind: FrontKind) -> &'static str {
     match kind {
-        Kind::Platform => "platform",
-        Kind::OpenSearch => "opensearch",
+        FrontKind::Platform => "platform",
+        FrontKind::OpenSearch => "opensearch",
     }
 }
 
@@ -81,19 +87,19 @@
 fn accept(
     config: &Config,
     listener: TcpListener,
-    kind: Kind,
+    kind: FrontKind,
     shared: bool,
     context: &Context,
 ) -> JoinHandle<()> {
     let front = Front {
-        offer: context.served.clone(),
-        core: context.requests.clone(),
+        served: context.served.clone(),
+        requests: context.requests.clone(),
         clock: context.clock.clone(),
         phase: context.phase.subscribe(),
         limits: config.limits,
-        places: context.connections.clone(),
+        connections: context.connections.clone(),
         kind,
-        names: Cell::new(config.seed),
+        request_names: Cell::new(config.seed),
         contracts: context.contracts.clone(),
     };
     let phase = context.phase.subscribe();
--- a/crates/coordinator/src/server/shutdown.rs
+++ b/crates/coordinator/src/server/shutdown.rs
@@ -18,13 +18,18 @@
     listeners.hand_over();
     let longest_deadline = context.served.borrow().deployment.longest_deadline();
     let mut shutdown = GracefulShutdown::new(context.clock.now(), longest_deadline);
-    context.connections.answer_by(shutdown.answer_deadline());
+    context
+        .connections
+        .set_answer_deadline(shutdown.answer_deadline());
     // Requests that are in flight already may have a later deadline.
     let finish = Message::FinishBy(shutdown.answer_deadline());
     // A decision loop that is gone has no request in flight.
     let _ = context.messages.send(finish).await;
     loop {
-        let step = shutdown.advance(context.clock.now(), context.connections.seen());
+        let step = shutdown.advance(
+            context.clock.now(),
+            context.connections.shutdown_observation(),
+        );
         set_phase(context, phase_of(step));
         if step >= ShutdownPhase::ListenerClosed {
             context.listeners_closed.send_replace(true);
