--- a/crates/coordinator/tests/published_descriptions.rs
+++ b/crates/coordinator/tests/published_descriptions.rs
@@ -237,7 +237,12 @@
             .status,
         504
     );
-    let frames = coordinator.data_nodes.raw_messages.lock().unwrap().clone();
+    // The cancel leaves together with the client's answer, but reaches the data node on its own way.
+    let received = || coordinator.data_nodes.raw_messages.lock().unwrap().clone();
+    wait_for("the cancel", || {
+        received().iter().any(|frame| frame.starts_with('X'))
+    });
+    let frames = received();
     let mut letters = BTreeSet::new();
     let mut judge = |channel: &str, word: &str, head: Value, payload: &[u8]| {
         letters.insert(word.to_string());
--- a/crates/coordinator/tests/serving.rs
+++ b/crates/coordinator/tests/serving.rs
@@ -4,7 +4,8 @@
 
 use common::*;
 use serde_json::json;
-use std::net::TcpListener;
+use socket2::{Domain, Socket, Type};
+use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
 
@@ -414,10 +415,11 @@
 #[test]
 fn a_data_node_that_refuses_connections_fails_no_request() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
-    let dead = TcpListener::bind("127.0.0.1:0")
-        .unwrap()
-        .local_addr()
-        .unwrap();
+    // Bound, so that nobody else gets the port, but not listening: the system refuses connections.
+    let refusing = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    refusing.bind(&any_port.into()).unwrap();
+    let dead = refusing.local_addr().unwrap().as_socket().unwrap();
     let mut members = start_data_nodes(WireFormat::Platform, &data_nodes);
     members[0]["host_port"] = json!(dead.to_string());
     let coordinator =
