--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -8,11 +8,11 @@
 use cairnroad_contract::replay::replay;
 use cairnroad_contract::tree::to_yaml;
 use cairnroad_contract::{fault::Faults, publish};
-use cairnroad_endpoint_files::decide::{judge, sound, Verdict};
-use cairnroad_endpoint_files::keep::{recover, replace, Folder};
-use cairnroad_endpoint_files::model::{lines, Roster};
-use cairnroad_endpoint_files::plan::plan;
-use cairnroad_endpoint_files::read::{moment, read, write};
+use cairnroad_endpoint_files::endpoint_set::{join_lines, EndpointSet};
+use cairnroad_endpoint_files::parse::{format_timestamp, parse_files, to_toml};
+use cairnroad_endpoint_files::snapshot_store::{recover, replace_file, StateDirectory};
+use cairnroad_endpoint_files::update_plan::plan_update;
+use cairnroad_endpoint_files::validation::{decide_update, validate, UpdateDecision};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::path::Path;
@@ -296,18 +296,18 @@
     config.files.ok_or((UNREADABLE, cause.into()))
 }
 
-fn read_roster(path: &Path) -> Result<Roster, (u8, String)> {
+fn read_roster(path: &Path) -> Result<EndpointSet, (u8, String)> {
     std::fs::metadata(path).map_err(|e| (UNREADABLE, format!("{}: {e}", path.display())))?;
-    read(&file_source::files(path)).map_err(|faults| (FAULTY, lines(&faults)))
+    parse_files(&file_source::files(path)).map_err(|faults| (FAULTY, join_lines(&faults)))
 }
 
 fn check_roster(path: Option<&Path>, output: Output) -> Result<u8, (u8, String)> {
     let source = source()?;
     let path = path.unwrap_or(&source.path);
     std::fs::metadata(path).map_err(|e| (UNREADABLE, format!("{}: {e}", path.display())))?;
-    let read = read(&file_source::files(path));
+    let read = parse_files(&file_source::files(path));
     let faults = match &read {
-        Ok(roster) => sound(roster, &source.layout),
+        Ok(roster) => validate(roster, &source.layout),
         Err(faults) => faults.clone(),
     };
     match (&read, output.json) {
@@ -315,10 +315,10 @@
             "{}: sound: generation {}, {} servers, {} of them active\n",
             path.display(),
             roster.generation,
-            roster.servers.len(),
-            roster.active()
+            roster.endpoints.len(),
+            roster.active_count()
         )),
-        (_, false) => print(&format!("{}\n", lines(&faults))),
+        (_, false) => print(&format!("{}\n", join_lines(&faults))),
         (_, true) => {
             let generation = read.as_ref().ok().map(|roster| roster.generation);
             print(&format!(
@@ -333,7 +333,7 @@
 fn compare_rosters(new: &Path, old: Option<&Path>, output: Output) -> Result<u8, (u8, String)> {
     let source = source()?;
     let (old, new) = (read_roster(old.unwrap_or(&source.path))?, read_roster(new)?);
-    let plan = plan(&old, &new, &source.layout);
+    let plan = plan_update(&old, &new, &source.layout);
     print(&if output.json {
         format!("{}\n", json!(plan))
     } else {
@@ -346,7 +346,7 @@
     let source = source()?;
     let cause = "'membership.state' is not set in the project's own file: no list is kept";
     let folder = source.state.ok_or((UNREADABLE, cause.to_string()))?;
-    let (kept, wrong) = recover(&Folder(folder.clone()));
+    let (kept, wrong) = recover(&StateDirectory(folder.clone()));
     wrong
         .iter()
         .for_each(|cause| complain(&format!("{}: {cause}", folder.display())));
@@ -357,12 +357,12 @@
     match output.json {
         true => print(&format!(
             "{}\n",
-            json!({"since": kept.saved, "roster": kept.roster})
+            json!({"since": kept.saved_at, "roster": kept.roster})
         )),
         false => print(&format!(
             "# in force since {}\n{}",
-            moment(kept.saved),
-            write(&kept.roster)
+            format_timestamp(kept.saved_at),
+            to_toml(&kept.roster)
         )),
     }
     Ok(0)
@@ -375,17 +375,22 @@
     let kept = source
         .state
         .clone()
-        .and_then(|folder| recover(&Folder(folder)).0)
+        .and_then(|folder| recover(&StateDirectory(folder)).0)
         .map(|kept| kept.roster);
-    let standing = read(&file_source::files(&source.path)).ok();
+    let standing = parse_files(&file_source::files(&source.path)).ok();
     let old = [standing, kept]
         .into_iter()
         .flatten()
         .max_by_key(|roster| roster.generation);
     roster.generation = old.as_ref().map_or(0, |old| old.generation) + 1;
     roster.allow_shrink |= allow_shrink;
-    if let Verdict::Refuse(faults) = judge(old.as_ref(), &roster, &source.layout, source.shrink) {
-        return Err((FAULTY, format!("nothing was written: {}", lines(&faults))));
+    if let UpdateDecision::Reject(faults) =
+        decide_update(old.as_ref(), &roster, &source.layout, source.shrink)
+    {
+        return Err((
+            FAULTY,
+            format!("nothing was written: {}", join_lines(&faults)),
+        ));
     }
     let failed = |path: &Path, e: std::io::Error| (UNREADABLE, format!("{}: {e}", path.display()));
     let folder = source.path.is_dir();
@@ -394,7 +399,7 @@
     } else {
         source.path.clone()
     };
-    replace(&target, write(&roster).as_bytes()).map_err(|e| failed(&target, e))?;
+    replace_file(&target, to_toml(&roster).as_bytes()).map_err(|e| failed(&target, e))?;
     // Until the last file of the old generation is gone, the folder is refused as a mix.
     for (name, _) in file_source::files(&source.path)
         .iter()
@@ -403,7 +408,7 @@
         let path = source.path.join(name);
         std::fs::remove_file(&path).map_err(|e| failed(&path, e))?;
     }
-    let plan = plan(&old.unwrap_or_default(), &roster, &source.layout);
+    let plan = plan_update(&old.unwrap_or_default(), &roster, &source.layout);
     print(&format!(
         "generation {} written to {}\n{plan}",
         roster.generation,
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -9,8 +9,8 @@
 use cairnroad_cluster::names;
 use cairnroad_contract::decide::Mode;
 use cairnroad_contract::drift::Interface;
-use cairnroad_endpoint_files::decide::USUAL_SHRINK;
-use cairnroad_endpoint_files::model::Layout;
+use cairnroad_endpoint_files::endpoint_set::ShardLayout;
+use cairnroad_endpoint_files::validation::DEFAULT_MAX_SHRINK;
 use cairnroad_settings::Deployment;
 use serde::Deserialize;
 use serde_json::json;
@@ -93,7 +93,7 @@
     pub state: Option<PathBuf>,
     /// The share of working servers that one list may take away.
     pub shrink: f64,
-    pub layout: Layout,
+    pub layout: ShardLayout,
 }
 
 /// The group that this coordinator takes part in.
@@ -568,7 +568,7 @@
         )
     };
     let path = folder.join(own.path.ok_or_else(missing)?);
-    let shrink = own.shrink.unwrap_or(USUAL_SHRINK);
+    let shrink = own.shrink.unwrap_or(DEFAULT_MAX_SHRINK);
     if !(0.0..=1.0).contains(&shrink) {
         return Err(at(
             text,
@@ -577,7 +577,7 @@
         ));
     }
     let policy = &deployment.policy;
-    let layout = Layout {
+    let layout = ShardLayout {
         cells: policy.cells,
         reach: policy.cells_per_shard,
         shards: deployment.shards,
--- a/crates/coordinator/src/discovery/file_source.rs
+++ b/crates/coordinator/src/discovery/file_source.rs
@@ -3,13 +3,13 @@
 
 use crate::configuration::Source;
 use crate::messages::{EndpointEntry, EndpointListUpdate, Message};
-use cairnroad_endpoint_files::decide::{judge, Verdict};
-use cairnroad_endpoint_files::keep::{keep, recover, Folder, Kept};
-use cairnroad_endpoint_files::model::{lines, Phase, Roster};
-use cairnroad_endpoint_files::plan::plan;
-use cairnroad_endpoint_files::read::{read, File, MOST_BYTES, MOST_FILES};
-use cairnroad_endpoint_files::schedule::Schedule;
-use cairnroad_endpoint_files::settle::Settle;
+use cairnroad_endpoint_files::activation_schedule::ActivationSchedule;
+use cairnroad_endpoint_files::debounce::Debounce;
+use cairnroad_endpoint_files::endpoint_set::{join_lines, EndpointSet, Phase};
+use cairnroad_endpoint_files::parse::{parse_files, File, MAX_BYTES, MAX_FILES};
+use cairnroad_endpoint_files::snapshot_store::{recover, save, Snapshot, StateDirectory};
+use cairnroad_endpoint_files::update_plan::plan_update;
+use cairnroad_endpoint_files::validation::{decide_update, UpdateDecision};
 use cairnroad_types::{ServerState, Time};
 use notify::{RecursiveMode, Watcher};
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
     };
     paths.retain(listed);
     paths.sort();
-    paths.truncate(MOST_FILES + 1);
+    paths.truncate(MAX_FILES + 1);
     Ok(paths)
 }
 
@@ -90,11 +90,11 @@
     }
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|e| e.to_string())?;
-    file.take(MOST_BYTES as u64 + 1)
+    file.take(MAX_BYTES as u64 + 1)
         .read_to_string(&mut text)
         .map_err(|e| e.to_string())?;
-    if text.len() > MOST_BYTES {
-        return Err(format!("the file has more than {MOST_BYTES} bytes"));
+    if text.len() > MAX_BYTES {
+        return Err(format!("the file has more than {MAX_BYTES} bytes"));
     }
     Ok(text)
 }
@@ -107,11 +107,11 @@
 }
 
 /// The thread's state.
-struct Keeper {
+struct EndpointSource {
     source: Source,
     core: mpsc::Sender<Message>,
-    schedule: Schedule,
-    in_force: Option<Roster>,
+    schedule: ActivationSchedule,
+    in_force: Option<EndpointSet>,
     /// When servers started, as far as it matters: `None` is long ago.
     started: BTreeMap<String, Option<f64>>,
     slot: Option<usize>,
@@ -127,10 +127,10 @@
 
 /// Starts the thread. It ends with the core.
 pub fn start(source: Source, core: mpsc::Sender<Message>) -> Result<(), String> {
-    let keeper = Keeper {
+    let keeper = EndpointSource {
         source,
         core,
-        schedule: Schedule::default(),
+        schedule: ActivationSchedule::default(),
         in_force: None,
         started: BTreeMap::new(),
         rows: BTreeMap::new(),
@@ -147,23 +147,23 @@
         .map_err(|e| format!("a thread: {e}"))
 }
 
-impl Keeper {
+impl EndpointSource {
     fn run(mut self) {
         let born = Instant::now();
         let now = || born.elapsed().as_secs_f64();
         let (events, changes) = channel();
         let mut watcher = watch(&self.source.path, &events);
         let mut watched = now();
-        let mut settle = Settle::new(now());
+        let mut settle = Debounce::new(now());
         self.begin();
         let clear = self.look();
-        settle.read(now(), clear);
+        settle.on_read(now(), clear);
         while !self.core.is_closed() {
             let own = self
                 .schedule
-                .next(unix())
+                .next_change(unix())
                 .map_or(f64::MAX, |at| now() + (at - unix()));
-            let wait = Duration::from_secs_f64((settle.due().min(own) - now()).max(0.0));
+            let wait = Duration::from_secs_f64((settle.next_read_at().min(own) - now()).max(0.0));
             let wait = if self.weighed.is_empty() {
                 wait
             } else {
@@ -171,7 +171,7 @@
             };
             match changes.recv_timeout(wait) {
                 Ok(()) => {
-                    settle.changed(now());
+                    settle.on_change(now());
                     // One change of a file is several events.
                     while changes.try_recv().is_ok() {}
                 }
@@ -179,9 +179,9 @@
                 // The other end is held here.
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            if now() >= settle.due() {
+            if now() >= settle.next_read_at() {
                 let clear = self.look();
-                settle.read(now(), clear);
+                settle.on_read(now(), clear);
                 // A folder that was swapped by its link is another one: the old watch sees nothing of it.
                 if now() - watched > WATCH_AGAIN {
                     watched = now();
@@ -203,32 +203,32 @@
         let Some(folder) = self.source.state.clone() else {
             return;
         };
-        let (kept, wrong) = recover(&Folder(folder.clone()));
+        let (kept, wrong) = recover(&StateDirectory(folder.clone()));
         for cause in wrong {
             tracing::error!(folder = %folder.display(), cause, "roster: a kept list can't be used and is passed over");
         }
-        let Some(Kept {
+        let Some(Snapshot {
             roster,
-            saved,
+            saved_at: saved,
             slot,
         }) = kept
         else {
             return;
         };
         self.slot = Some(slot);
-        for (id, server) in &roster.servers {
+        for (id, server) in &roster.endpoints {
             self.started.insert(id.clone(), server.started);
         }
-        match read(&files(&self.source.path)) {
+        match parse_files(&files(&self.source.path)) {
             Ok(fresh)
                 if !matches!(
-                    judge(
+                    decide_update(
                         Some(&roster),
                         &fresh,
                         &self.source.layout,
                         self.source.shrink
                     ),
-                    Verdict::Refuse(_)
+                    UpdateDecision::Reject(_)
                 ) => {}
             _ => {
                 let age_s = (unix() - saved).max(0.0).round();
@@ -257,16 +257,16 @@
         if !before.is_empty() && before != stamps(&paths(&self.source.path).unwrap_or_default()) {
             return false; // written while it was read: what was read may be of no writer's meaning
         }
-        let verdict = match read(&files) {
-            Err(faults) => Verdict::Refuse(faults),
+        let verdict = match parse_files(&files) {
+            Err(faults) => UpdateDecision::Reject(faults),
             Ok(roster) => {
-                let verdict = judge(
+                let verdict = decide_update(
                     self.in_force.as_ref(),
                     &roster,
                     &self.source.layout,
                     self.source.shrink,
                 );
-                if verdict == Verdict::Take {
+                if verdict == UpdateDecision::Apply {
                     self.clear = before;
                     return self.accept(roster);
                 }
@@ -274,8 +274,8 @@
             }
         };
         match verdict {
-            Verdict::Refuse(faults) => {
-                let cause = lines(&faults);
+            UpdateDecision::Reject(faults) => {
+                let cause = join_lines(&faults);
                 if cause != self.told {
                     let generation = self.in_force.as_ref().map_or(0, |roster| roster.generation);
                     tracing::error!(
@@ -295,10 +295,10 @@
         }
     }
 
-    fn accept(&mut self, roster: Roster) -> bool {
+    fn accept(&mut self, roster: EndpointSet) -> bool {
         self.told.clear();
-        let plan = plan(
-            self.in_force.as_ref().unwrap_or(&Roster::default()),
+        let plan = plan_update(
+            self.in_force.as_ref().unwrap_or(&EndpointSet::default()),
             &roster,
             &self.source.layout,
         );
@@ -306,14 +306,15 @@
         // At the first list the fleet is taken to run; a server that joins it later has just started.
         let first = self.in_force.is_none() && self.started.is_empty();
         let now = unix();
-        for (id, server) in &roster.servers {
+        for (id, server) in &roster.endpoints {
             let unknown = if first { None } else { Some(now) };
             let started = self.started.entry(id.clone()).or_insert(unknown);
             *started = server.started.or(*started);
         }
-        self.started.retain(|id, _| roster.servers.contains_key(id));
+        self.started
+            .retain(|id, _| roster.endpoints.contains_key(id));
         if let Some(folder) = self.source.state.clone() {
-            match keep(&mut Folder(folder.clone()), self.slot, &roster, now) {
+            match save(&mut StateDirectory(folder.clone()), self.slot, &roster, now) {
                 Ok(slot) => (self.slot, self.unkept) = (Some(slot), 0),
                 Err(e) => {
                     self.unkept += 1;
@@ -325,7 +326,11 @@
         }
         let told = self.take(roster);
         let (added, removed, unchanged) = (plan.added.len(), plan.removed.len(), plan.unchanged);
-        let (moved, drained, weighed) = (plan.moved.len(), plan.drained.len(), plan.weighed.len());
+        let (moved, drained, weighed) = (
+            plan.readdressed.len(),
+            plan.drained.len(),
+            plan.reweighted.len(),
+        );
         tracing::info!(
             generation,
             added,
@@ -336,18 +341,18 @@
             unchanged,
             "roster in force"
         );
-        if !plan.single.is_empty() {
+        if !plan.single_holder_shards.is_empty() {
             tracing::warn!(
                 generation,
-                shards = plan.single.len(),
+                shards = plan.single_holder_shards.len(),
                 "roster: shards have one active holder left"
             );
         }
         told
     }
 
-    fn take(&mut self, roster: Roster) -> bool {
-        self.schedule.take(unix(), roster.clone());
+    fn take(&mut self, roster: EndpointSet) -> bool {
+        self.schedule.replace(unix(), roster.clone());
         self.in_force = Some(roster);
         self.tell()
     }
@@ -357,15 +362,15 @@
     /// once would hold the core's thread up.
     fn tell(&mut self) -> bool {
         let now = unix();
-        let roster = self.schedule.roster();
+        let roster = self.schedule.endpoint_set();
         let mut rows = BTreeMap::new();
-        for (id, server) in &roster.servers {
-            let Some(at) = self.schedule.at(now, id) else {
+        for (id, server) in &roster.endpoints {
+            let Some(at) = self.schedule.status_at(now, id) else {
                 continue;
             };
             let state = match at.phase {
                 Phase::Active => ServerState::Ready,
-                Phase::Leaving => ServerState::Draining,
+                Phase::Draining => ServerState::Draining,
             };
             let before = self.rows.get(id);
             // A server is of the list that brought it, or brought it to its cell.
@@ -436,7 +441,7 @@
             };
             rows.push(row);
         }
-        let revision = self.schedule.roster().generation;
+        let revision = self.schedule.endpoint_set().generation;
         self.core
             .blocking_send(Message::Endpoints(EndpointListUpdate {
                 revision,
--- a/crates/endpoint-files/src/schedule/tests.rs
+++ b/crates/endpoint-files/src/activation_schedule/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::read::read;
+use crate::parse::parse_files;
 
-fn roster(text: &str) -> Roster {
-    read(&[("a.toml".into(), Ok(text.into()))]).unwrap()
+fn roster(text: &str) -> EndpointSet {
+    parse_files(&[("a.toml".into(), Ok(text.into()))]).unwrap()
 }
 
 #[test]
@@ -10,39 +10,39 @@
     let text = |generation: u64, weight: f64| {
         roster(&format!("generation = {generation}\n[[server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\ncell = 0\nweight = {weight:?}\n# end\n"))
     };
-    let mut schedule = Schedule::default();
-    schedule.take(100.0, text(1, 1.0));
+    let mut schedule = ActivationSchedule::default();
+    schedule.replace(100.0, text(1, 1.0));
     assert_eq!(
         (
-            schedule.at(100.0, "a").unwrap().weight,
-            schedule.next(100.0)
+            schedule.status_at(100.0, "a").unwrap().weight,
+            schedule.next_change(100.0)
         ),
         (1.0, None),
         "a first list stands at once"
     );
-    schedule.take(200.0, text(2, 3.0));
-    assert_eq!(schedule.at(200.0, "a").unwrap().weight, 1.0);
-    assert_eq!(schedule.next(200.0), Some(200.5));
-    assert!((schedule.at(205.0, "a").unwrap().weight - 2.0).abs() < 1e-9);
-    schedule.take(205.0, text(3, 0.0));
+    schedule.replace(200.0, text(2, 3.0));
+    assert_eq!(schedule.status_at(200.0, "a").unwrap().weight, 1.0);
+    assert_eq!(schedule.next_change(200.0), Some(200.5));
+    assert!((schedule.status_at(205.0, "a").unwrap().weight - 2.0).abs() < 1e-9);
+    schedule.replace(205.0, text(3, 0.0));
     assert!(
-        (schedule.at(205.0, "a").unwrap().weight - 2.0).abs() < 1e-9,
+        (schedule.status_at(205.0, "a").unwrap().weight - 2.0).abs() < 1e-9,
         "no jump"
     );
     assert_eq!(
         (
-            schedule.at(215.0, "a").unwrap().weight,
-            schedule.next(215.0)
+            schedule.status_at(215.0, "a").unwrap().weight,
+            schedule.next_change(215.0)
         ),
         (0.0, None)
     );
     // Steps only ever go towards the new weight.
     let mut last = 2.0;
     let mut now = 205.0;
-    while let Some(next) = schedule.next(now) {
+    while let Some(next) = schedule.next_change(now) {
         assert!(next > now, "{next} after {now}");
         now = next;
-        let weight = schedule.at(now, "a").unwrap().weight;
+        let weight = schedule.status_at(now, "a").unwrap().weight;
         assert!(weight <= last, "{weight} after {last}");
         last = weight;
     }
@@ -53,23 +53,23 @@
 fn servers_count_from_and_to_their_times() {
     let text = "generation = 1\n[[server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\ncell = 0\n\
         not_before = 1970-01-01T00:01:40Z\nnot_after = 1970-01-01T01:03:20+01:00\n# end\n";
-    let mut schedule = Schedule::default();
-    schedule.take(0.0, roster(text));
-    let phase = |at: f64| schedule.at(at, "a").map(|now| now.phase);
+    let mut schedule = ActivationSchedule::default();
+    schedule.replace(0.0, roster(text));
+    let phase = |at: f64| schedule.status_at(at, "a").map(|now| now.phase);
     assert_eq!(
         (phase(99.0), phase(100.0), phase(199.9), phase(200.0)),
         (
             None,
             Some(Phase::Active),
             Some(Phase::Active),
-            Some(Phase::Leaving)
+            Some(Phase::Draining)
         )
     );
     assert_eq!(
         (
-            schedule.next(0.0),
-            schedule.next(100.0),
-            schedule.next(200.0)
+            schedule.next_change(0.0),
+            schedule.next_change(100.0),
+            schedule.next_change(200.0)
         ),
         (Some(100.0), Some(200.0), None)
     );
--- a/crates/endpoint-files/src/model.rs
+++ b/crates/endpoint-files/src/endpoint_set.rs
@@ -13,12 +13,13 @@
     #[default]
     Active,
     /// It finishes what it has and gets nothing new.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
 }
 
 /// One server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Server {
+pub struct Endpoint {
     /// Where it listens.
     pub address: SocketAddr,
     /// Its cell, which tells the shards that it holds.
@@ -47,34 +48,35 @@
 
 /// A list of servers, whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Roster {
+pub struct EndpointSet {
     /// Counts up with each list that somebody means.
     pub generation: u64,
     /// The writer means to remove more than the usual share at once.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub allow_shrink: bool,
     /// By id.
-    pub servers: BTreeMap<String, Server>,
+    #[serde(rename = "servers")]
+    pub endpoints: BTreeMap<String, Endpoint>,
 }
 
-impl Roster {
+impl EndpointSet {
     /// How many servers take work.
-    pub fn active(&self) -> usize {
-        self.servers
+    pub fn active_count(&self) -> usize {
+        self.endpoints
             .values()
             .filter(|server| server.phase == Phase::Active)
             .count()
     }
 
     /// Whether two lists say the same, whatever their flags.
-    pub fn says_the_same(&self, other: &Roster) -> bool {
-        self.servers == other.servers
+    pub fn has_same_endpoints(&self, other: &EndpointSet) -> bool {
+        self.endpoints == other.endpoints
     }
 }
 
 /// How the servers' cells hold shards: shard `s` is held by the cells from `s mod cells` on, `reach` of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Layout {
+pub struct ShardLayout {
     /// How many cells there are.
     pub cells: u32,
     /// How many hold a shard.
@@ -83,7 +85,7 @@
     pub shards: u32,
 }
 
-impl Layout {
+impl ShardLayout {
     /// The cells that hold a shard.
     pub fn holders(&self, shard: u32) -> impl Iterator<Item = u32> + '_ {
         let cells = self.cells.max(1);
@@ -125,7 +127,7 @@
 }
 
 /// All faults as lines.
-pub fn lines(faults: &[Fault]) -> String {
+pub fn join_lines(faults: &[Fault]) -> String {
     faults
         .iter()
         .map(Fault::to_string)
--- a/crates/endpoint-files/src/read.rs
+++ b/crates/endpoint-files/src/parse.rs
@@ -1,34 +1,34 @@
 //! A roster's files as one list, with all that is wrong in them.
 
-use crate::model::{Fault, Phase, Roster, Server};
+use crate::endpoint_set::{Endpoint, EndpointSet, Fault, Phase};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use toml::{Spanned, Table, Value};
 
 /// The largest file that is read, and all of them together, in bytes: a server takes some 150.
-pub const MOST_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_BYTES: usize = 8 * 1024 * 1024;
 /// The most files of a folder.
-pub const MOST_FILES: usize = 256;
+pub const MAX_FILES: usize = 256;
 /// The most servers. All walks over a list are linear or nearly so.
-pub const MOST_SERVERS: usize = 50_000;
+pub const MAX_ENDPOINTS: usize = 50_000;
 /// The most faults that are told.
-pub const MOST_FAULTS: usize = 100;
+pub const MAX_FAULTS: usize = 100;
 /// The longest id, locality or kind, in bytes.
-const MOST_WORD: usize = 128;
+const MAX_TEXT_BYTES: usize = 128;
 /// The largest weight. Larger ones would leave the others turns too rare to learn from.
-pub const MOST_WEIGHT: f64 = 1_000.0;
+pub const MAX_WEIGHT: f64 = 1_000.0;
 
 /// The last line of every file. A file that is cut may still be sound TOML, with some servers less or a digit less of
 /// a weight: nothing else tells.
-pub const END: &str = "# end";
+pub const END_MARK: &str = "# end";
 
 /// A file by its name, and its text or why there is none.
 pub type File = (String, Result<String, String>);
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Form {
+struct Document {
     generation: Option<Spanned<Value>>,
     allow_shrink: Option<Spanned<Value>>,
     #[serde(default)]
@@ -39,11 +39,11 @@
 
 /// Everything found so far, over all files.
 #[derive(Default)]
-struct Found {
+struct Collector {
     faults: Vec<Fault>,
     generations: Vec<(String, usize, u64)>,
     allow_shrink: bool,
-    servers: BTreeMap<String, Server>,
+    servers: BTreeMap<String, Endpoint>,
     /// Where each id and address was first named.
     ids: BTreeMap<String, (String, usize)>,
     addresses: BTreeMap<SocketAddr, (String, usize)>,
@@ -53,27 +53,27 @@
 }
 
 /// Reads all files of a roster.
-pub fn read(files: &[File]) -> Result<Roster, Vec<Fault>> {
-    let mut found = Found::default();
+pub fn parse_files(files: &[File]) -> Result<EndpointSet, Vec<Fault>> {
+    let mut found = Collector::default();
     if files.is_empty() {
         found.fault("", 0, "there is no roster file (*.toml)");
     }
-    if files.len() > MOST_FILES {
+    if files.len() > MAX_FILES {
         found.fault(
             "",
             0,
-            format!("there are {} files: {MOST_FILES} at most", files.len()),
+            format!("there are {} files: {MAX_FILES} at most", files.len()),
         );
     }
     let bytes: usize = files
         .iter()
         .filter_map(|(_, text)| Some(text.as_ref().ok()?.len()))
         .sum();
-    if bytes > MOST_BYTES {
+    if bytes > MAX_BYTES {
         found.fault(
             "",
             0,
-            format!("the files have {bytes} bytes together: {MOST_BYTES} at most"),
+            format!("the files have {bytes} bytes together: {MAX_BYTES} at most"),
         );
         return Err(found.faults);
     }
@@ -87,12 +87,12 @@
 }
 
 /// Where lines begin, for looking up the line of each of thousands of entries.
-struct Lines(Vec<usize>);
+struct LineIndex(Vec<usize>);
 
-impl Lines {
-    fn of(text: &str) -> Lines {
+impl LineIndex {
+    fn of(text: &str) -> LineIndex {
         let ends = text.bytes().enumerate().filter(|(_, b)| *b == b'\n');
-        Lines(
+        LineIndex(
             std::iter::once(0)
                 .chain(ends.map(|(at, _)| at + 1))
                 .collect(),
@@ -105,9 +105,9 @@
     }
 }
 
-impl Found {
+impl Collector {
     fn fault(&mut self, file: &str, line: usize, cause: impl Into<String>) {
-        if self.faults.len() < MOST_FAULTS {
+        if self.faults.len() < MAX_FAULTS {
             self.faults.push(Fault {
                 file: file.into(),
                 line,
@@ -120,8 +120,8 @@
         if text.trim().is_empty() {
             return self.fault(name, 0, "the file is empty: it may be half-written");
         }
-        let lines = Lines::of(text);
-        let form: Form = match toml::from_str(text) {
+        let lines = LineIndex::of(text);
+        let form: Document = match toml::from_str(text) {
             Ok(form) => form,
             Err(e) => {
                 let at = e.span().map_or(0, |span| lines.at(span.start));
@@ -137,11 +137,12 @@
             .trim_end()
             .lines()
             .last()
-            .is_none_or(|last| last.trim() != END)
+            .is_none_or(|last| last.trim() != END_MARK)
         {
             let last = text.lines().count();
-            let cause =
-                format!("the last line must be '{END}': a file without it may be half-written");
+            let cause = format!(
+                "the last line must be '{END_MARK}': a file without it may be half-written"
+            );
             self.fault(name, last, cause);
         }
         match form.generation {
@@ -202,11 +203,11 @@
                 return None;
             }
         };
-        if !(0.0..=MOST_WEIGHT).contains(&weight) {
+        if !(0.0..=MAX_WEIGHT).contains(&weight) {
             self.fault(
                 file,
                 at,
-                format!("'weight': {weight} is not from 0 to {MOST_WEIGHT}"),
+                format!("'weight': {weight} is not from 0 to {MAX_WEIGHT}"),
             );
             return None;
         }
@@ -215,11 +216,15 @@
 
     fn server(&mut self, file: &str, at: usize, mut entry: Table) {
         let before = self.faults.len();
-        let word = |found: &mut Found, entry: &mut Table, key: &str| match entry.remove(key) {
+        let word = |found: &mut Collector, entry: &mut Table, key: &str| match entry.remove(key) {
             None => None,
-            Some(Value::String(text)) if text.len() <= MOST_WORD => Some(text),
+            Some(Value::String(text)) if text.len() <= MAX_TEXT_BYTES => Some(text),
             Some(Value::String(_)) => {
-                found.fault(file, at, format!("'{key}' has more than {MOST_WORD} bytes"));
+                found.fault(
+                    file,
+                    at,
+                    format!("'{key}' has more than {MAX_TEXT_BYTES} bytes"),
+                );
                 None
             }
             Some(other) => {
@@ -233,14 +238,14 @@
         let kind = word(self, &mut entry, "kind").unwrap_or_default();
         let phase = match word(self, &mut entry, "phase").as_deref() {
             None | Some("active") => Phase::Active,
-            Some("leaving") => Phase::Leaving,
+            Some("leaving") => Phase::Draining,
             Some(other) => {
                 self.fault(
                     file,
                     at,
                     format!("'phase': '{other}' is neither active nor leaving"),
                 );
-                Phase::Leaving
+                Phase::Draining
             }
         };
         let cell = match entry.remove("cell") {
@@ -261,10 +266,10 @@
         let weight = entry
             .remove("weight")
             .map(|value| self.weight(file, at, &value));
-        let mut moment = |found: &mut Found, key: &str| match entry.remove(key) {
+        let mut moment = |found: &mut Collector, key: &str| match entry.remove(key) {
             None => None,
             Some(Value::Datetime(time)) => {
-                let secs = unix(&time);
+                let secs = unix_seconds(&time);
                 if secs.is_none() {
                     found.fault(
                         file,
@@ -329,7 +334,7 @@
             return;
         }
         let weight = weight.flatten().unwrap_or(1.0);
-        let server = Server {
+        let server = Endpoint {
             address,
             cell,
             locality,
@@ -343,7 +348,7 @@
         self.servers.insert(id, server);
     }
 
-    fn finish(mut self) -> Result<Roster, Vec<Fault>> {
+    fn finish(mut self) -> Result<EndpointSet, Vec<Fault>> {
         for (id, (weight, file, at)) in std::mem::take(&mut self.weights) {
             if let Some((other, line)) = self.weighed.get(&id) {
                 let cause = format!("the weight of '{id}' stands in {other}:{line}, too");
@@ -368,18 +373,18 @@
                 self.fault(&file, at, cause);
             }
         }
-        if self.servers.len() > MOST_SERVERS {
+        if self.servers.len() > MAX_ENDPOINTS {
             let cause = format!(
-                "there are {} servers: {MOST_SERVERS} at most",
+                "there are {} servers: {MAX_ENDPOINTS} at most",
                 self.servers.len()
             );
             self.fault("", 0, cause);
         }
         match self.faults.is_empty() {
-            true => Ok(Roster {
+            true => Ok(EndpointSet {
                 generation: newest,
                 allow_shrink: self.allow_shrink,
-                servers: self.servers,
+                endpoints: self.servers,
             }),
             false => Err(self.faults),
         }
@@ -387,7 +392,7 @@
 }
 
 /// A moment with its offset in Unix seconds.
-fn unix(time: &toml::value::Datetime) -> Option<f64> {
+fn unix_seconds(time: &toml::value::Datetime) -> Option<f64> {
     let (date, clock) = (time.date?, time.time?);
     let offset = match time.offset? {
         toml::value::Offset::Z => 0,
@@ -409,13 +414,13 @@
 }
 
 /// A roster as one file's text, which reads as the same roster.
-pub fn write(roster: &Roster) -> String {
+pub fn to_toml(roster: &EndpointSet) -> String {
     let mut out = format!("generation = {}\n", roster.generation);
     if roster.allow_shrink {
         out.push_str("allow_shrink = true\n");
     }
     let quoted = |text: &str| Value::String(text.into()).to_string();
-    for (id, server) in &roster.servers {
+    for (id, server) in &roster.endpoints {
         out.push_str(&format!(
             "\n[[server]]\nid = {}\naddress = \"{}\"\n",
             quoted(id),
@@ -430,7 +435,7 @@
                 out.push_str(&format!("{key} = {}\n", quoted(text)));
             }
         }
-        if server.phase == Phase::Leaving {
+        if server.phase == Phase::Draining {
             out.push_str("phase = \"leaving\"\n");
         }
         let moments = [
@@ -440,16 +445,16 @@
         ];
         for (key, at) in moments {
             if let Some(at) = at {
-                out.push_str(&format!("{key} = {}\n", moment(at)));
+                out.push_str(&format!("{key} = {}\n", format_timestamp(at)));
             }
         }
     }
-    out.push_str(&format!("\n{END}\n"));
+    out.push_str(&format!("\n{END_MARK}\n"));
     out
 }
 
 /// A moment in TOML's form, to the millisecond.
-pub fn moment(at: f64) -> String {
+pub fn format_timestamp(at: f64) -> String {
     let millis = (at * 1000.0).round() as i64;
     let (days, rest) = (millis.div_euclid(86_400_000), millis.rem_euclid(86_400_000));
     let shifted = days + 719_468;
--- a/crates/endpoint-files/src/keep.rs
+++ b/crates/endpoint-files/src/snapshot_store.rs
@@ -4,18 +4,18 @@
 //! A slot is a line `cairnroad-roster 1 CRC32`, a line `# saved UNIX_SECONDS`, and the list as a roster file. The
 //! checksum (eight hexadecimal digits) covers all behind its line.
 
-use crate::model::Roster;
-use crate::read::{read, write, MOST_BYTES};
+use crate::endpoint_set::EndpointSet;
+use crate::parse::{parse_files, to_toml, MAX_BYTES};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
 /// The two slots.
 pub const SLOTS: [&str; 2] = ["roster.a", "roster.b"];
 /// The form's name and version.
-const FORM: &str = "cairnroad-roster 1";
+const HEADER: &str = "cairnroad-roster 1";
 
 /// Where slots are kept.
-pub trait Store {
+pub trait SlotStorage {
     /// A slot's bytes.
     fn read(&self, slot: &str) -> io::Result<Vec<u8>>;
     /// Replaces a slot, whole or not at all.
@@ -24,24 +24,24 @@
 
 /// A folder.
 #[derive(Clone, Debug)]
-pub struct Folder(pub PathBuf);
+pub struct StateDirectory(pub PathBuf);
 
-impl Store for Folder {
+impl SlotStorage for StateDirectory {
     fn read(&self, slot: &str) -> io::Result<Vec<u8>> {
         let path = self.0.join(slot);
-        if std::fs::metadata(&path)?.len() > 2 * MOST_BYTES as u64 {
+        if std::fs::metadata(&path)?.len() > 2 * MAX_BYTES as u64 {
             return Err(io::Error::other("the file is too large"));
         }
         std::fs::read(path)
     }
 
     fn replace(&mut self, slot: &str, bytes: &[u8]) -> io::Result<()> {
-        replace(&self.0.join(slot), bytes)
+        replace_file(&self.0.join(slot), bytes)
     }
 }
 
 /// Writes a file whole or not at all: beside it, synced, renamed over it, the folder synced.
-pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
+pub fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let folder = path
         .parent()
         .filter(|p| !p.as_os_str().is_empty())
@@ -62,27 +62,27 @@
 
 /// A kept list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct Snapshot {
     /// The list.
-    pub roster: Roster,
+    pub roster: EndpointSet,
     /// When it came into force, in Unix seconds.
-    pub saved: f64,
+    pub saved_at: f64,
     /// The slot that it stands in.
     pub slot: usize,
 }
 
 /// A slot's bytes.
-pub fn encode(roster: &Roster, saved: f64) -> Vec<u8> {
-    let body = format!("# saved {saved:.3}\n{}", write(roster));
-    format!("{FORM} {:08x}\n{body}", crc32fast::hash(body.as_bytes())).into_bytes()
+pub fn encode(roster: &EndpointSet, saved: f64) -> Vec<u8> {
+    let body = format!("# saved {saved:.3}\n{}", to_toml(roster));
+    format!("{HEADER} {:08x}\n{body}", crc32fast::hash(body.as_bytes())).into_bytes()
 }
 
 /// What a slot's bytes say; the error says why they can't be used.
-pub fn decode(bytes: &[u8]) -> Result<(Roster, f64), String> {
+pub fn decode(bytes: &[u8]) -> Result<(EndpointSet, f64), String> {
     let text = std::str::from_utf8(bytes).map_err(|_| "it is no text")?;
     let (head, body) = text.split_once('\n').ok_or("it is cut short")?;
     let sum = head
-        .strip_prefix(FORM)
+        .strip_prefix(HEADER)
         .ok_or("it is of another form or version")?
         .trim();
     if sum != format!("{:08x}", crc32fast::hash(body.as_bytes())) {
@@ -93,16 +93,16 @@
         .next()
         .and_then(|line| line.strip_prefix("# saved ")?.parse().ok());
     let saved = saved.ok_or("it does not say when it was saved")?;
-    let roster = read(&[("it".into(), Ok(body.into()))]);
+    let roster = parse_files(&[("it".into(), Ok(body.into()))]);
     Ok((
-        roster.map_err(|faults| crate::model::lines(&faults))?,
+        roster.map_err(|faults| crate::endpoint_set::join_lines(&faults))?,
         saved,
     ))
 }
 
 /// The newest good list, and what is wrong with slots that hold something else.
-pub fn recover(store: &impl Store) -> (Option<Kept>, Vec<String>) {
-    let (mut best, mut wrong): (Option<Kept>, Vec<String>) = (None, Vec::new());
+pub fn recover(store: &impl SlotStorage) -> (Option<Snapshot>, Vec<String>) {
+    let (mut best, mut wrong): (Option<Snapshot>, Vec<String>) = (None, Vec::new());
     for (slot, name) in SLOTS.iter().enumerate() {
         let read = match store.read(name) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
@@ -115,9 +115,9 @@
                     .as_ref()
                     .is_none_or(|best| roster.generation > best.roster.generation);
                 if newer {
-                    best = Some(Kept {
+                    best = Some(Snapshot {
                         roster,
-                        saved,
+                        saved_at: saved,
                         slot,
                     });
                 }
@@ -129,10 +129,10 @@
 }
 
 /// Keeps a list in the slot that does not hold `last`.
-pub fn keep(
-    store: &mut impl Store,
+pub fn save(
+    store: &mut impl SlotStorage,
     last: Option<usize>,
-    roster: &Roster,
+    roster: &EndpointSet,
     saved: f64,
 ) -> io::Result<usize> {
     let slot = last.map_or(0, |last| (last + 1) % SLOTS.len());
--- a/crates/endpoint-files/src/plan.rs
+++ b/crates/endpoint-files/src/update_plan.rs
@@ -1,12 +1,12 @@
 //! What a new list does to the old one.
 
-use crate::model::{Layout, Phase, Roster};
+use crate::endpoint_set::{EndpointSet, Phase, ShardLayout};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The steps from one list to the next, by the servers' ids.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Plan {
+pub struct UpdatePlan {
     /// New: the cold rules apply, an unknown start time counts as just started.
     pub added: Vec<String>,
     /// Nothing new goes there within 250 ms; what is out finishes.
@@ -14,41 +14,47 @@
     /// From active to leaving, and back.
     pub drained: Vec<String>,
     /// See `drained`.
-    pub returned: Vec<String>,
+    #[serde(rename = "returned")]
+    pub reactivated: Vec<String>,
     /// Old connections finish, new ones go to the new address.
-    pub moved: Vec<String>,
+    #[serde(rename = "moved")]
+    pub readdressed: Vec<String>,
     /// To another cell: it holds other shards now.
-    pub other_cell: Vec<String>,
+    #[serde(rename = "other_cell")]
+    pub cell_changed: Vec<String>,
     /// The weight changed: from, to. It ramps.
-    pub weighed: BTreeMap<String, (f64, f64)>,
+    #[serde(rename = "weighed")]
+    pub reweighted: BTreeMap<String, (f64, f64)>,
     /// What is known of these is kept.
     pub unchanged: usize,
     /// By cell: the share of its turns that goes to other servers.
-    pub shifted: BTreeMap<u32, f64>,
+    #[serde(rename = "shifted")]
+    pub shifted_share: BTreeMap<u32, f64>,
     /// Shards that have one active holder left.
-    pub single: Vec<u32>,
+    #[serde(rename = "single")]
+    pub single_holder_shards: Vec<u32>,
 }
 
-impl Plan {
+impl UpdatePlan {
     /// Whether nothing is done.
     pub fn is_empty(&self) -> bool {
         let lists = [
             &self.added,
             &self.removed,
             &self.drained,
-            &self.returned,
-            &self.moved,
-            &self.other_cell,
+            &self.reactivated,
+            &self.readdressed,
+            &self.cell_changed,
         ];
-        lists.iter().all(|list| list.is_empty()) && self.weighed.is_empty()
+        lists.iter().all(|list| list.is_empty()) && self.reweighted.is_empty()
     }
 }
 
 /// Each active server's share of the turns of its cell.
-fn shares(roster: &Roster) -> BTreeMap<u32, BTreeMap<&str, f64>> {
+fn shares(roster: &EndpointSet) -> BTreeMap<u32, BTreeMap<&str, f64>> {
     let mut cells: BTreeMap<u32, BTreeMap<&str, f64>> = BTreeMap::new();
     for (id, server) in roster
-        .servers
+        .endpoints
         .iter()
         .filter(|(_, server)| server.phase == Phase::Active)
     {
@@ -67,35 +73,35 @@
 }
 
 /// Works it out.
-pub fn plan(old: &Roster, new: &Roster, layout: &Layout) -> Plan {
-    let mut plan = Plan::default();
-    for (id, server) in &new.servers {
-        let Some(before) = old.servers.get(id) else {
+pub fn plan_update(old: &EndpointSet, new: &EndpointSet, layout: &ShardLayout) -> UpdatePlan {
+    let mut plan = UpdatePlan::default();
+    for (id, server) in &new.endpoints {
+        let Some(before) = old.endpoints.get(id) else {
             plan.added.push(id.clone());
             continue;
         };
         let same = before == server;
         plan.unchanged += usize::from(same);
         match (before.phase, server.phase) {
-            (Phase::Active, Phase::Leaving) => plan.drained.push(id.clone()),
-            (Phase::Leaving, Phase::Active) => plan.returned.push(id.clone()),
+            (Phase::Active, Phase::Draining) => plan.drained.push(id.clone()),
+            (Phase::Draining, Phase::Active) => plan.reactivated.push(id.clone()),
             _ => {}
         }
         if before.address != server.address {
-            plan.moved.push(id.clone());
+            plan.readdressed.push(id.clone());
         }
         if before.cell != server.cell {
-            plan.other_cell.push(id.clone());
+            plan.cell_changed.push(id.clone());
         }
         if before.weight != server.weight {
-            plan.weighed
+            plan.reweighted
                 .insert(id.clone(), (before.weight, server.weight));
         }
     }
     plan.removed = old
-        .servers
+        .endpoints
         .keys()
-        .filter(|id| !new.servers.contains_key(*id))
+        .filter(|id| !new.endpoints.contains_key(*id))
         .cloned()
         .collect();
     let (before, after) = (shares(old), shares(new));
@@ -110,43 +116,48 @@
             .map(|(id, share)| (share - before.get(id).unwrap_or(&0.0)).max(0.0));
         let gained: f64 = gained.sum();
         if gained > 1e-9 {
-            plan.shifted.insert(*cell, gained);
+            plan.shifted_share.insert(*cell, gained);
         }
     }
     let count = |cell: u32| after.get(&cell).map_or(0, BTreeMap::len);
     let holders = |shard: u32| layout.holders(shard).map(count).sum::<usize>();
-    plan.single = (0..layout.shards)
+    plan.single_holder_shards = (0..layout.shards)
         .filter(|&shard| holders(shard) == 1)
         .collect();
     plan
 }
 
-impl std::fmt::Display for Plan {
+impl std::fmt::Display for UpdatePlan {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let lists = [
             ("add", &self.added),
             ("remove", &self.removed),
             ("drain", &self.drained),
-            ("take back", &self.returned),
-            ("move to another address", &self.moved),
-            ("move to another cell", &self.other_cell),
+            ("take back", &self.reactivated),
+            ("move to another address", &self.readdressed),
+            ("move to another cell", &self.cell_changed),
         ];
         for (word, ids) in lists.iter().filter(|(_, ids)| !ids.is_empty()) {
             writeln!(f, "{word}: {}", ids.join(", "))?;
         }
-        for (id, (from, to)) in &self.weighed {
+        for (id, (from, to)) in &self.reweighted {
             writeln!(f, "weight of {id}: {from} to {to}")?;
         }
-        for (cell, share) in &self.shifted {
+        for (cell, share) in &self.shifted_share {
             writeln!(
                 f,
                 "cell {cell}: {:.0} % of its turns go to other servers",
                 share * 100.0
             )?;
         }
-        if !self.single.is_empty() {
-            let some: Vec<String> = self.single.iter().take(12).map(u32::to_string).collect();
-            let more = self.single.len().saturating_sub(some.len());
+        if !self.single_holder_shards.is_empty() {
+            let some: Vec<String> = self
+                .single_holder_shards
+                .iter()
+                .take(12)
+                .map(u32::to_string)
+                .collect();
+            let more = self.single_holder_shards.len().saturating_sub(some.len());
             let more = if more > 0 {
                 format!(" and {more} more")
             } else {
--- a/crates/endpoint-files/src/decide.rs
+++ b/crates/endpoint-files/src/validation.rs
@@ -1,28 +1,28 @@
 //! Whether a list may take the place of the one in force. Free of I/O and clock.
 
-use crate::model::{Fault, Layout, Phase, Roster};
+use crate::endpoint_set::{EndpointSet, Fault, Phase, ShardLayout};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The share of the working servers that one list may take away unless its writer says `allow_shrink`: an outage of a
 /// third is what a fleet is built for, and a list that was cut off in the middle loses more.
-pub const USUAL_SHRINK: f64 = 0.34;
+pub const DEFAULT_MAX_SHRINK: f64 = 0.34;
 
 /// What becomes of a list that was read.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum UpdateDecision {
     /// It comes into force.
-    Take,
+    Apply,
     /// It is the one in force already.
-    Same,
+    Unchanged,
     /// It does not, and the old one stays.
-    Refuse(Vec<Fault>),
+    Reject(Vec<Fault>),
 }
 
 /// What a list must be in itself, whatever was before.
-pub fn sound(roster: &Roster, layout: &Layout) -> Vec<Fault> {
+pub fn validate(endpoint_set: &EndpointSet, layout: &ShardLayout) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut sums: BTreeMap<u32, f64> = BTreeMap::new();
-    for (id, server) in &roster.servers {
+    for (id, server) in &endpoint_set.endpoints {
         if server.cell >= layout.cells {
             let cause = format!(
                 "the server '{id}' is of cell {}: there are cells 0 to {}",
@@ -59,8 +59,13 @@
 }
 
 /// Judges a list beside the one in force. `shrink` is the share that may leave at once.
-pub fn judge(old: Option<&Roster>, new: &Roster, layout: &Layout, shrink: f64) -> Verdict {
-    let mut faults = sound(new, layout);
+pub fn decide_update(
+    old: Option<&EndpointSet>,
+    new: &EndpointSet,
+    layout: &ShardLayout,
+    shrink: f64,
+) -> UpdateDecision {
+    let mut faults = validate(new, layout);
     if let Some(old) = old {
         if new.generation < old.generation {
             let cause = format!(
@@ -69,8 +74,8 @@
             );
             faults.push(Fault::whole(cause));
         } else if new.generation == old.generation {
-            if new.says_the_same(old) {
-                return Verdict::Same;
+            if new.has_same_endpoints(old) {
+                return UpdateDecision::Unchanged;
             }
             let cause = format!(
                 "generation {} is in force with other content: count it up with each change",
@@ -78,9 +83,9 @@
             );
             faults.push(Fault::whole(cause));
         } else if !new.allow_shrink {
-            let working = |roster: &Roster| -> BTreeSet<String> {
-                let active = roster
-                    .servers
+            let working = |endpoint_set: &EndpointSet| -> BTreeSet<String> {
+                let active = endpoint_set
+                    .endpoints
                     .iter()
                     .filter(|(_, server)| server.phase == Phase::Active);
                 active.map(|(id, _)| id.clone()).collect()
@@ -100,8 +105,8 @@
         }
     }
     match faults.is_empty() {
-        true => Verdict::Take,
-        false => Verdict::Refuse(faults),
+        true => UpdateDecision::Apply,
+        false => UpdateDecision::Reject(faults),
     }
 }
 
--- a/crates/endpoint-files/src/decide/tests.rs
+++ b/crates/endpoint-files/src/validation/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
-use crate::model::Server;
+use crate::endpoint_set::Endpoint;
 
-const LAYOUT: Layout = Layout {
+const LAYOUT: ShardLayout = ShardLayout {
     cells: 2,
     reach: 1,
     shards: 8,
 };
 
-fn roster(generation: u64, servers: &[(&str, u32, f64)]) -> Roster {
+fn roster(generation: u64, servers: &[(&str, u32, f64)]) -> EndpointSet {
     let server = |(at, (id, cell, weight)): (usize, &(&str, u32, f64))| {
         let address = format!("127.0.0.1:{}", 9000 + at).parse().unwrap();
-        let server = Server {
+        let server = Endpoint {
             address,
             cell: *cell,
             locality: String::new(),
@@ -23,15 +23,16 @@
         };
         (id.to_string(), server)
     };
-    Roster {
+    EndpointSet {
         generation,
         allow_shrink: false,
-        servers: servers.iter().enumerate().map(server).collect(),
+        endpoints: servers.iter().enumerate().map(server).collect(),
     }
 }
 
-fn refused(old: Option<&Roster>, new: &Roster, words: &str) {
-    let Verdict::Refuse(faults) = judge(old, new, &LAYOUT, USUAL_SHRINK) else {
+fn refused(old: Option<&EndpointSet>, new: &EndpointSet, words: &str) {
+    let UpdateDecision::Reject(faults) = decide_update(old, new, &LAYOUT, DEFAULT_MAX_SHRINK)
+    else {
         panic!("{words}: taken")
     };
     assert!(
@@ -46,7 +47,10 @@
         3,
         &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0), ("d", 1, 0.0)],
     );
-    assert_eq!(judge(None, &good, &LAYOUT, USUAL_SHRINK), Verdict::Take);
+    assert_eq!(
+        decide_update(None, &good, &LAYOUT, DEFAULT_MAX_SHRINK),
+        UpdateDecision::Apply
+    );
     refused(
         None,
         &roster(3, &[("a", 0, 1.0), ("c", 2, 1.0)]),
@@ -63,8 +67,8 @@
         "shard 1 and 3 more have no active holder",
     );
     let mut leaving = good.clone();
-    leaving.servers.get_mut("a").unwrap().phase = Phase::Leaving;
-    leaving.servers.get_mut("b").unwrap().phase = Phase::Leaving;
+    leaving.endpoints.get_mut("a").unwrap().phase = Phase::Draining;
+    leaving.endpoints.get_mut("b").unwrap().phase = Phase::Draining;
     refused(None, &leaving, "shard 0 and 3 more have no active holder");
 }
 
@@ -73,10 +77,10 @@
     let old = roster(3, &[("a", 0, 1.0), ("b", 1, 1.0)]);
     let mut new = old.clone();
     assert_eq!(
-        judge(Some(&old), &new, &LAYOUT, USUAL_SHRINK),
-        Verdict::Same
+        decide_update(Some(&old), &new, &LAYOUT, DEFAULT_MAX_SHRINK),
+        UpdateDecision::Unchanged
     );
-    new.servers.get_mut("a").unwrap().weight = 2.0;
+    new.endpoints.get_mut("a").unwrap().weight = 2.0;
     refused(
         Some(&old),
         &new,
@@ -86,8 +90,8 @@
     refused(Some(&old), &new, "generation 2 is older than 3");
     new.generation = 4;
     assert_eq!(
-        judge(Some(&old), &new, &LAYOUT, USUAL_SHRINK),
-        Verdict::Take
+        decide_update(Some(&old), &new, &LAYOUT, DEFAULT_MAX_SHRINK),
+        UpdateDecision::Apply
     );
 }
 
@@ -109,8 +113,8 @@
         &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0), ("d", 1, 1.0)],
     );
     assert_eq!(
-        judge(Some(&old), &two_less, &LAYOUT, USUAL_SHRINK),
-        Verdict::Take
+        decide_update(Some(&old), &two_less, &LAYOUT, DEFAULT_MAX_SHRINK),
+        UpdateDecision::Apply
     );
     let mut three_less = roster(2, &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0)]);
     refused(
@@ -120,8 +124,8 @@
     );
     three_less.allow_shrink = true;
     assert_eq!(
-        judge(Some(&old), &three_less, &LAYOUT, USUAL_SHRINK),
-        Verdict::Take
+        decide_update(Some(&old), &three_less, &LAYOUT, DEFAULT_MAX_SHRINK),
+        UpdateDecision::Apply
     );
     let replaced = roster(
         2,
@@ -135,8 +139,8 @@
         ],
     );
     assert_eq!(
-        judge(Some(&old), &replaced, &LAYOUT, USUAL_SHRINK),
-        Verdict::Take,
+        decide_update(Some(&old), &replaced, &LAYOUT, DEFAULT_MAX_SHRINK),
+        UpdateDecision::Apply,
         "one for one"
     );
 }
--- a/crates/endpoint-files/tests/files.rs
+++ b/crates/endpoint-files/tests/files.rs
@@ -1,15 +1,15 @@
 //! Files as staff and editors leave them, and disks as they fail.
 
-use cairnroad_endpoint_files::decide::{judge, Verdict, USUAL_SHRINK};
-use cairnroad_endpoint_files::keep::{decode, encode, keep, recover, Store, SLOTS};
-use cairnroad_endpoint_files::model::{lines, Layout, Phase, Roster};
-use cairnroad_endpoint_files::plan::plan;
-use cairnroad_endpoint_files::read::{read, write, File};
+use cairnroad_endpoint_files::endpoint_set::{join_lines, EndpointSet, Phase, ShardLayout};
+use cairnroad_endpoint_files::parse::{parse_files, to_toml, File};
+use cairnroad_endpoint_files::snapshot_store::{decode, encode, recover, save, SlotStorage, SLOTS};
+use cairnroad_endpoint_files::update_plan::plan_update;
+use cairnroad_endpoint_files::validation::{decide_update, UpdateDecision, DEFAULT_MAX_SHRINK};
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 use std::io;
 
-const LAYOUT: Layout = Layout {
+const LAYOUT: ShardLayout = ShardLayout {
     cells: 2,
     reach: 2,
     shards: 8,
@@ -33,8 +33,8 @@
 # end
 "#;
 
-fn one(text: &str) -> Result<Roster, String> {
-    read(&[("kita.toml".into(), Ok(text.into()))]).map_err(|faults| lines(&faults))
+fn one(text: &str) -> Result<EndpointSet, String> {
+    parse_files(&[("kita.toml".into(), Ok(text.into()))]).map_err(|faults| join_lines(&faults))
 }
 
 fn edited(from: &str, to: &str) -> String {
@@ -45,14 +45,14 @@
 #[test]
 fn a_roster_is_read_and_written_back_the_same() {
     let roster = one(KITA).unwrap();
-    let first = &roster.servers["s-1"];
+    let first = &roster.endpoints["s-1"];
     assert_eq!(
         (roster.generation, first.weight, first.cell, first.phase),
         (7, 2.0, 0, Phase::Active)
     );
     assert_eq!(first.started, Some(1_796_043_600.0));
-    assert_eq!(roster.servers["s-2"].weight, 1.0);
-    assert_eq!(one(&write(&roster)).unwrap(), roster);
+    assert_eq!(roster.endpoints["s-2"].weight, 1.0);
+    assert_eq!(one(&to_toml(&roster)).unwrap(), roster);
 }
 
 /// Each refusal names its file, its line and its cause.
@@ -90,17 +90,17 @@
         "kita.toml: the file is empty: it may be half-written"
     );
     assert_eq!(
-        lines(&read(&[]).unwrap_err()),
+        join_lines(&parse_files(&[]).unwrap_err()),
         "there is no roster file (*.toml)"
     );
     let large = vec![("a.toml".to_string(), Ok("#".repeat(9_000_000)))];
     assert_eq!(
-        lines(&read(&large).unwrap_err()),
+        join_lines(&parse_files(&large).unwrap_err()),
         "the files have 9000000 bytes together: 8388608 at most"
     );
     let unreadable = vec![("a.toml".to_string(), Err("permission denied".to_string()))];
     assert_eq!(
-        lines(&read(&unreadable).unwrap_err()),
+        join_lines(&parse_files(&unreadable).unwrap_err()),
         "a.toml: permission denied"
     );
 }
@@ -119,18 +119,20 @@
             file("weights.toml", weights),
         ]
     };
-    let roster = read(&files(second, weights)).unwrap();
-    let weight = |id: &str| roster.servers[id].weight;
+    let roster = parse_files(&files(second, weights)).unwrap();
+    let weight = |id: &str| roster.endpoints[id].weight;
     assert_eq!(
         (
-            roster.servers.len(),
+            roster.endpoints.len(),
             weight("s-1"),
             weight("s-2"),
             weight("s-3")
         ),
         (3, 2.0, 0.5, 4.0)
     );
-    let faulty = |second: &str, weights: &str| lines(&read(&files(second, weights)).unwrap_err());
+    let faulty = |second: &str, weights: &str| {
+        join_lines(&parse_files(&files(second, weights)).unwrap_err())
+    };
     assert_eq!(
         faulty(&second.replace('7', "8"), weights),
         "kita.toml:1: this file is of generation 7, another of 8: write all of them\n\
@@ -162,24 +164,24 @@
         .replace("weight = 2", "weight = 3")
         .replace("# end\n", more);
     let new = one(&new).unwrap();
-    let layout = Layout {
+    let layout = ShardLayout {
         cells: 2,
         reach: 1,
         shards: 4,
     };
-    let plan = plan(&old, &new, &layout);
+    let plan = plan_update(&old, &new, &layout);
     assert_eq!(
         plan.to_string(),
         "add: s-3\ndrain: s-2\nweight of s-1: 2 to 3\ncell 0: 25 % of its turns go to other servers\nunchanged: 0\n"
     );
     assert!(
         matches!(
-            judge(Some(&old), &new, &layout, USUAL_SHRINK),
-            Verdict::Refuse(_)
+            decide_update(Some(&old), &new, &layout, DEFAULT_MAX_SHRINK),
+            UpdateDecision::Reject(_)
         ),
         "cell 1 is left bare"
     );
-    assert!(cairnroad_endpoint_files::plan::plan(&old, &old, &layout).is_empty());
+    assert!(cairnroad_endpoint_files::update_plan::plan_update(&old, &old, &layout).is_empty());
 }
 
 /// A disk that fails: fills up, tears what is written, or keeps it.
@@ -199,7 +201,7 @@
     Damaged(usize),
 }
 
-impl Store for Disk {
+impl SlotStorage for Disk {
     fn read(&self, slot: &str) -> io::Result<Vec<u8>> {
         self.slots
             .get(slot)
@@ -223,7 +225,7 @@
     }
 }
 
-fn listed(generation: u64) -> Roster {
+fn listed(generation: u64) -> EndpointSet {
     let text = KITA.replace("generation = 7", &format!("generation = {generation}"));
     one(&text.replace("weight = 2", &format!("weight = {}", generation % 9 + 1))).unwrap()
 }
@@ -248,7 +250,7 @@
                     [usize::arbitrary(&mut gen) % 3]
             });
             let spoils = !matches!(disk.next, None | Some(Failure::Full));
-            match keep(&mut disk, slot, &listed(generation), generation as f64) {
+            match save(&mut disk, slot, &listed(generation), generation as f64) {
                 Ok(kept) => {
                     slot = Some(kept);
                     if !spoils {
@@ -267,7 +269,7 @@
         );
         if let Some(kept) = found {
             assert_eq!(
-                (&kept.roster, kept.saved),
+                (&kept.roster, kept.saved_at),
                 (
                     &listed(kept.roster.generation),
                     kept.roster.generation as f64
@@ -316,7 +318,7 @@
     for seed in 0..400_u64 {
         let mut gen = Gen::from_size_and_seed(20, seed);
         let mut disk = meant(1);
-        let mut in_force: Option<Roster> = None;
+        let mut in_force: Option<EndpointSet> = None;
         let mut newest = 1;
         for _ in 0..60 {
             match u8::arbitrary(&mut gen) % 6 {
@@ -340,20 +342,22 @@
                 4 => disk = meant(newest),
                 _ => {}
             }
-            match read(&disk) {
-                Ok(roster) => match judge(in_force.as_ref(), &roster, &LAYOUT, USUAL_SHRINK) {
-                    Verdict::Take => {
-                        let whole = read(&meant(roster.generation)).unwrap();
-                        assert_eq!(roster, whole, "seed {seed}: a list that nobody meant");
-                        assert!(in_force
-                            .as_ref()
-                            .is_none_or(|old| old.generation < roster.generation));
-                        in_force = Some(roster);
-                        taken += 1;
+            match parse_files(&disk) {
+                Ok(roster) => {
+                    match decide_update(in_force.as_ref(), &roster, &LAYOUT, DEFAULT_MAX_SHRINK) {
+                        UpdateDecision::Apply => {
+                            let whole = parse_files(&meant(roster.generation)).unwrap();
+                            assert_eq!(roster, whole, "seed {seed}: a list that nobody meant");
+                            assert!(in_force
+                                .as_ref()
+                                .is_none_or(|old| old.generation < roster.generation));
+                            in_force = Some(roster);
+                            taken += 1;
+                        }
+                        UpdateDecision::Unchanged => {}
+                        UpdateDecision::Reject(_) => refused += 1,
                     }
-                    Verdict::Same => {}
-                    Verdict::Refuse(_) => refused += 1,
-                },
+                }
                 Err(_) => refused += 1,
             }
         }
