--- a/crates/coordinator/benches/membership.rs
+++ b/crates/coordinator/benches/membership.rs
@@ -44,7 +44,7 @@
         .map(|(name, text)| (*name, text.as_str()))
         .collect();
     let rig = Rig::start_own(Wire::Platform, stage, (1000, 1024), Vec::new(), own, &files);
-    rig.wait_for_line("roster in force generation=1 ");
+    rig.wait_for_line("endpoint list in force generation=1 ");
     let stop = Arc::new(AtomicBool::new(false));
     let (to, done) = (rig.platform, stop.clone());
     // Health is answered by the core's thread: what it is late by is what the thread was held up.
@@ -71,7 +71,7 @@
         std::fs::write(path.with_extension("tmp"), text).unwrap();
         let start = Instant::now();
         std::fs::rename(path.with_extension("tmp"), path).unwrap();
-        rig.wait_for_line(&format!("roster in force generation={generation} "));
+        rig.wait_for_line(&format!("endpoint list in force generation={generation} "));
         took.push(start.elapsed().as_secs_f64() * 1000.0);
         thread::sleep(Duration::from_millis(700));
     }
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -8,9 +8,12 @@
 use cairnroad_contract::replay::replay;
 use cairnroad_contract::tree::to_yaml;
 use cairnroad_contract::{fault::Faults, publish};
-use cairnroad_endpoint_files::endpoint_set::{join_lines, EndpointSet};
-use cairnroad_endpoint_files::parse::{format_timestamp, parse_files, to_toml};
-use cairnroad_endpoint_files::snapshot_store::{recover, replace_file, StateDirectory};
+use cairnroad_endpoint_files::endpoint_set::EndpointSet;
+use cairnroad_endpoint_files::fault::join_lines;
+use cairnroad_endpoint_files::parse::parse_files;
+use cairnroad_endpoint_files::render::to_toml;
+use cairnroad_endpoint_files::snapshot_store::{replace_file, SnapshotStore, StateDirectory};
+use cairnroad_endpoint_files::timestamp::format_timestamp;
 use cairnroad_endpoint_files::update_plan::plan_update;
 use cairnroad_endpoint_files::validation::{decide_update, validate, UpdateDecision};
 use serde_json::{json, Value};
@@ -298,14 +301,14 @@
 
 fn read_roster(path: &Path) -> Result<EndpointSet, (u8, String)> {
     std::fs::metadata(path).map_err(|e| (UNREADABLE, format!("{}: {e}", path.display())))?;
-    parse_files(&file_source::files(path)).map_err(|faults| (FAULTY, join_lines(&faults)))
+    parse_files(&file_source::read_files(path)).map_err(|faults| (FAULTY, join_lines(&faults)))
 }
 
 fn check_roster(path: Option<&Path>, output: Output) -> Result<u8, (u8, String)> {
     let source = source()?;
     let path = path.unwrap_or(&source.path);
     std::fs::metadata(path).map_err(|e| (UNREADABLE, format!("{}: {e}", path.display())))?;
-    let read = parse_files(&file_source::files(path));
+    let read = parse_files(&file_source::read_files(path));
     let faults = match &read {
         Ok(roster) => validate(roster, &source.layout),
         Err(faults) => faults.clone(),
@@ -346,23 +349,24 @@
     let source = source()?;
     let cause = "'membership.state' is not set in the project's own file: no list is kept";
     let folder = source.state.ok_or((UNREADABLE, cause.to_string()))?;
-    let (kept, wrong) = recover(&StateDirectory(folder.clone()));
-    wrong
+    let recovery = SnapshotStore::new(StateDirectory(folder.clone())).recover();
+    recovery
+        .unusable
         .iter()
         .for_each(|cause| complain(&format!("{}: {cause}", folder.display())));
-    let kept = kept.ok_or((
+    let kept = recovery.snapshot.ok_or((
         UNREADABLE,
         format!("{}: no list is kept here", folder.display()),
     ))?;
     match output.json {
         true => print(&format!(
             "{}\n",
-            json!({"since": kept.saved_at, "roster": kept.roster})
+            json!({"since": kept.saved_at, "roster": kept.endpoint_set})
         )),
         false => print(&format!(
             "# in force since {}\n{}",
             format_timestamp(kept.saved_at),
-            to_toml(&kept.roster)
+            to_toml(&kept.endpoint_set)
         )),
     }
     Ok(0)
@@ -375,9 +379,13 @@
     let kept = source
         .state
         .clone()
-        .and_then(|folder| recover(&StateDirectory(folder)).0)
-        .map(|kept| kept.roster);
-    let standing = parse_files(&file_source::files(&source.path)).ok();
+        .and_then(|folder| {
+            SnapshotStore::new(StateDirectory(folder))
+                .recover()
+                .snapshot
+        })
+        .map(|kept| kept.endpoint_set);
+    let standing = parse_files(&file_source::read_files(&source.path)).ok();
     let old = [standing, kept]
         .into_iter()
         .flatten()
@@ -401,11 +409,11 @@
     };
     replace_file(&target, to_toml(&roster).as_bytes()).map_err(|e| failed(&target, e))?;
     // Until the last file of the old generation is gone, the folder is refused as a mix.
-    for (name, _) in file_source::files(&source.path)
+    for file in file_source::read_files(&source.path)
         .iter()
-        .filter(|(name, _)| folder && name != "roster.toml")
+        .filter(|file| folder && file.name != "roster.toml")
     {
-        let path = source.path.join(name);
+        let path = source.path.join(&file.name);
         std::fs::remove_file(&path).map_err(|e| failed(&path, e))?;
     }
     let plan = plan_update(&old.unwrap_or_default(), &roster, &source.layout);
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -9,7 +9,7 @@
 use cairnroad_cluster::names;
 use cairnroad_contract::decide::Mode;
 use cairnroad_contract::drift::Interface;
-use cairnroad_endpoint_files::endpoint_set::ShardLayout;
+use cairnroad_endpoint_files::shard_layout::ShardLayout;
 use cairnroad_endpoint_files::validation::DEFAULT_MAX_SHRINK;
 use cairnroad_settings::Deployment;
 use serde::Deserialize;
@@ -579,7 +579,7 @@
     let policy = &deployment.policy;
     let layout = ShardLayout {
         cells: policy.cells,
-        reach: policy.cells_per_shard,
+        cells_per_shard: policy.cells_per_shard,
         shards: deployment.shards,
     };
     Ok(Some(Source {
--- /dev/null
+++ b/crates/coordinator/src/discovery/file_source/endpoint_source.rs
@@ -0,0 +1,302 @@
+//! The thread that keeps the endpoint list of the files in force.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+use super::change_watcher::ChangeWatcher;
+use super::publisher::{CoreStopped, Publisher, WEIGHT_UPDATE_INTERVAL};
+use super::scan::{present_stamps, read_files, scan, FileStamps};
+use super::start_times::StartTimes;
+use crate::configuration::Source;
+use crate::discovery::endpoint_list::zone;
+use crate::messages::{EndpointEntry, Message};
+use cairnroad_endpoint_files::activation_schedule::{ActivationSchedule, EndpointStatus};
+use cairnroad_endpoint_files::debounce::{Debounce, ReadOutcome};
+use cairnroad_endpoint_files::endpoint_set::{Endpoint, EndpointSet, Phase};
+use cairnroad_endpoint_files::fault::{join_lines, Fault};
+use cairnroad_endpoint_files::parse::parse_files;
+use cairnroad_endpoint_files::snapshot_store::{SnapshotStore, StateDirectory};
+use cairnroad_endpoint_files::timestamp::UnixSeconds;
+use cairnroad_endpoint_files::update_plan::{plan_update, UpdatePlan};
+use cairnroad_endpoint_files::validation::{decide_update, UpdateDecision};
+use cairnroad_types::{ServerState, Time};
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use tokio::sync::mpsc;
+
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
+/// The thread's state.
+pub(super) struct EndpointSource {
+    source: Source,
+    /// `None` without a state folder.
+    store: Option<SnapshotStore<StateDirectory>>,
+    publisher: Publisher,
+    /// The set in force.
+    schedule: ActivationSchedule,
+    start_times: StartTimes,
+    /// The stamps of the files that hold the set in force; empty if they hold something else.
+    stamps_in_force: FileStamps,
+    /// The faults that were logged last, so that each rejection is logged once.
+    last_rejection: String,
+    /// Whether the last save failed, so that a broken disk is logged once.
+    save_failed: bool,
+}
+
+impl EndpointSource {
+    /// A source that has read nothing yet.
+    pub(super) fn new(source: Source, core: mpsc::Sender<Message>) -> EndpointSource {
+        let store = source
+            .state
+            .clone()
+            .map(|folder| SnapshotStore::new(StateDirectory(folder)));
+        EndpointSource {
+            source,
+            store,
+            publisher: Publisher::new(core),
+            schedule: ActivationSchedule::default(),
+            start_times: StartTimes::default(),
+            stamps_in_force: FileStamps::new(),
+            last_rejection: String::new(),
+            save_failed: false,
+        }
+    }
+
+    /// Follows the files until the core stops.
+    pub(super) fn run(mut self) {
+        // The core's end is the thread's normal end, whether a send or the loop finds it.
+        let _: Result<(), CoreStopped> = self.follow_files();
+    }
+
+    fn follow_files(&mut self) -> Result<(), CoreStopped> {
+        let started_at = Instant::now();
+        let mut watcher = ChangeWatcher::new(&self.source.path);
+        let mut debounce = Debounce::new(started_at.elapsed());
+        self.restore_snapshot()?;
+        let outcome = self.check_files()?;
+        debounce.on_read(started_at.elapsed(), outcome);
+        while !self.publisher.is_core_stopped() {
+            let scheduled_at = self.next_scheduled_change(started_at.elapsed());
+            let next_at = scheduled_at.map_or(debounce.next_read_at(), |at| {
+                at.min(debounce.next_read_at())
+            });
+            let timeout = next_at.saturating_sub(started_at.elapsed());
+            if watcher.wait(self.limit_timeout(timeout)) {
+                debounce.on_change(started_at.elapsed());
+            }
+            if started_at.elapsed() >= debounce.next_read_at() {
+                let outcome = self.check_files()?;
+                debounce.on_read(started_at.elapsed(), outcome);
+                watcher.renew_if_due();
+            }
+            if scheduled_at.is_some_and(|at| started_at.elapsed() >= at) {
+                self.publish()?;
+            }
+            self.publisher.publish_pending_weights(self.generation())?;
+        }
+        Ok(())
+    }
+
+    /// When the schedule changes by itself, on the clock of `now`.
+    fn next_scheduled_change(&self, now: Duration) -> Option<Duration> {
+        let unix_now = unix_now();
+        let at = self.schedule.next_change(unix_now)?;
+        Some(now + Duration::from_secs_f64((at - unix_now).max(0.0)))
+    }
+
+    /// Pending weights are sent without waiting for the next change.
+    fn limit_timeout(&self, timeout: Duration) -> Duration {
+        if self.publisher.has_pending_weights() {
+            timeout.min(WEIGHT_UPDATE_INTERVAL)
+        } else {
+            timeout
+        }
+    }
+
+    /// The generation in force; 0 without one.
+    fn generation(&self) -> u64 {
+        let in_force = self.schedule.endpoint_set();
+        in_force.map_or(0, |endpoint_set| endpoint_set.generation)
+    }
+
+    /// Puts the stored set in force, so that a start with broken files serves.
+    fn restore_snapshot(&mut self) -> Result<(), CoreStopped> {
+        let (Some(folder), Some(store)) = (&self.source.state, &mut self.store) else {
+            return Ok(());
+        };
+        let recovery = store.recover();
+        for unusable in recovery.unusable {
+            let cause = unusable.to_string();
+            tracing::error!(folder = %folder.display(), cause, "stored endpoint list unusable");
+        }
+        let Some(snapshot) = recovery.snapshot else {
+            return Ok(());
+        };
+        self.start_times.restore(&snapshot.endpoint_set);
+        if !self.files_may_follow(&snapshot.endpoint_set) {
+            tracing::error!(
+                generation = snapshot.endpoint_set.generation,
+                age_s = (unix_now() - snapshot.saved_at).max(0.0).round(),
+                "endpoint files unusable, stored list in force"
+            );
+        }
+        self.put_in_force(snapshot.endpoint_set)
+    }
+
+    /// Whether the files hold a set that is accepted after this one.
+    fn files_may_follow(&self, in_force: &EndpointSet) -> bool {
+        let Ok(endpoint_set) = parse_files(&read_files(&self.source.path)) else {
+            return false;
+        };
+        let decision = self.decide(Some(in_force), &endpoint_set);
+        !matches!(decision, UpdateDecision::Reject(_))
+    }
+
+    fn decide(&self, in_force: Option<&EndpointSet>, new: &EndpointSet) -> UpdateDecision {
+        decide_update(in_force, new, &self.source.layout, self.source.shrink)
+    }
+
+    /// Reads the files, unless they are those of the set in force, and applies what they hold.
+    fn check_files(&mut self) -> Result<ReadOutcome, CoreStopped> {
+        // A large list is not parsed again at every rescan.
+        let present = present_stamps(&self.source.path);
+        if !present.is_empty() && present == self.stamps_in_force {
+            return Ok(ReadOutcome::InForce);
+        }
+        self.stamps_in_force.clear();
+        let scan = scan(&self.source.path);
+        if !scan.stamps.is_empty() && scan.stamps != present_stamps(&self.source.path) {
+            // Written while it was read: the texts may be a mix that no writer meant.
+            return Ok(ReadOutcome::NotUsable);
+        }
+        let endpoint_set = match parse_files(&scan.files) {
+            Ok(endpoint_set) => endpoint_set,
+            Err(faults) => return Ok(self.reject(&faults)),
+        };
+        let decision = self.decide(self.schedule.endpoint_set(), &endpoint_set);
+        if let UpdateDecision::Reject(faults) = decision {
+            return Ok(self.reject(&faults));
+        }
+        self.last_rejection.clear();
+        self.stamps_in_force = scan.stamps;
+        if decision == UpdateDecision::Apply {
+            self.apply(endpoint_set)?;
+        }
+        Ok(ReadOutcome::InForce)
+    }
+
+    /// Logs a rejection, once until it changes.
+    fn reject(&mut self, faults: &[Fault]) -> ReadOutcome {
+        let cause = join_lines(faults);
+        if cause != self.last_rejection {
+            let generation = self.generation();
+            tracing::error!(cause, generation, "endpoint files rejected");
+            self.last_rejection = cause;
+        }
+        ReadOutcome::NotUsable
+    }
+
+    /// Stores a set, puts it in force and logs what it changes.
+    fn apply(&mut self, endpoint_set: EndpointSet) -> Result<(), CoreStopped> {
+        let empty = EndpointSet::default();
+        let in_force = self.schedule.endpoint_set().unwrap_or(&empty);
+        let plan = plan_update(in_force, &endpoint_set, &self.source.layout);
+        let generation = endpoint_set.generation;
+        let now = unix_now();
+        self.start_times.update(&endpoint_set, now);
+        self.save(&endpoint_set, now);
+        self.put_in_force(endpoint_set)?;
+        log_update(generation, &plan);
+        Ok(())
+    }
+
+    /// Stores a set. A disk that fails doesn't keep it from coming into force.
+    fn save(&mut self, endpoint_set: &EndpointSet, now: UnixSeconds) {
+        let (Some(folder), Some(store)) = (&self.source.state, &mut self.store) else {
+            return;
+        };
+        let saved = store.save(endpoint_set, now);
+        if let Err(error) = &saved {
+            if !self.save_failed {
+                tracing::error!(folder = %folder.display(), cause = %error, "endpoint list not stored");
+            }
+        }
+        self.save_failed = saved.is_err();
+    }
+
+    fn put_in_force(&mut self, endpoint_set: EndpointSet) -> Result<(), CoreStopped> {
+        self.schedule.replace(unix_now(), endpoint_set);
+        self.publish()
+    }
+
+    /// Tells the core what the schedule says now.
+    fn publish(&mut self) -> Result<(), CoreStopped> {
+        let Some(endpoint_set) = self.schedule.endpoint_set() else {
+            return Ok(());
+        };
+        let now = unix_now();
+        let mut entries = BTreeMap::new();
+        for (id, endpoint) in &endpoint_set.endpoints {
+            if let Some(status) = self.schedule.status_at(now, id) {
+                let entry = self.entry(id, endpoint, status, endpoint_set.generation);
+                entries.insert(id.clone(), entry);
+            }
+        }
+        let revision = endpoint_set.generation;
+        self.publisher.publish(revision, entries)
+    }
+
+    fn entry(
+        &self,
+        id: &str,
+        endpoint: &Endpoint,
+        status: EndpointStatus,
+        generation: u64,
+    ) -> EndpointEntry {
+        let state = match status.phase {
+            Phase::Active => ServerState::Ready,
+            Phase::Draining => ServerState::Draining,
+        };
+        // An endpoint belongs to the generation that brought it, or brought it to its cell.
+        let before = self.publisher.published(id);
+        let unmoved = before.filter(|entry| entry.cell == endpoint.cell);
+        let started = self.start_times.get(id);
+        EndpointEntry {
+            id: id.into(),
+            address: endpoint.address,
+            cell: endpoint.cell,
+            zone: zone(&endpoint.locality),
+            state,
+            size: 1.0,
+            weight: status.weight,
+            generation: unmoved.map_or(generation, |entry| entry.generation),
+            ready_at: started.map(|seconds| Time((seconds * MICROSECONDS_PER_SECOND) as i64)),
+        }
+    }
+}
+
+fn log_update(generation: u64, plan: &UpdatePlan) {
+    tracing::info!(
+        generation,
+        added = plan.added.len(),
+        removed = plan.removed.len(),
+        readdressed = plan.readdressed.len(),
+        drained = plan.drained.len(),
+        reweighted = plan.reweighted.len(),
+        unchanged = plan.unchanged,
+        "endpoint list in force"
+    );
+    if !plan.single_holder_shards.is_empty() {
+        tracing::warn!(
+            generation,
+            shards = plan.single_holder_shards.len(),
+            "shards with a single active holder"
+        );
+    }
+}
+
+fn unix_now() -> UnixSeconds {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
+}
--- /dev/null
+++ b/crates/coordinator/src/discovery/file_source/scan.rs
@@ -0,0 +1,120 @@
+//! The files that make up the endpoint list, as they stand on disk.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+use cairnroad_endpoint_files::fault::FileError;
+use cairnroad_endpoint_files::file_format::{MAX_BYTES, MAX_FILES};
+use cairnroad_endpoint_files::parse::SourceFile;
+use std::io::{self, Read};
+use std::os::unix::fs::MetadataExt;
+use std::path::{Path, PathBuf};
+
+/// What shows that a file is another than before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct FileStamp {
+    inode: u64,
+    length: u64,
+    modified_seconds: i64,
+    modified_nanoseconds: i64,
+}
+
+/// The stamps of all files, in the order of their names; `None` for a file that has none.
+pub(super) type FileStamps = Vec<Option<FileStamp>>;
+
+/// The files with the stamps that they had before they were read.
+pub(super) struct Scan {
+    pub(super) files: Vec<SourceFile>,
+    /// Empty if the files can't be listed.
+    pub(super) stamps: FileStamps,
+}
+
+/// Reads the files of an endpoint list: one file, or the `*.toml` files of a folder. What can't be read is a file with
+/// the reason.
+pub fn read_files(path: &Path) -> Vec<SourceFile> {
+    scan(path).files
+}
+
+/// Reads the files and their stamps.
+pub(super) fn scan(path: &Path) -> Scan {
+    let paths = match list_files(path) {
+        Ok(paths) => paths,
+        Err(error) => {
+            let unreadable = SourceFile {
+                name: path.display().to_string(),
+                text: Err(error.into()),
+            };
+            return Scan {
+                files: vec![unreadable],
+                stamps: Vec::new(),
+            };
+        }
+    };
+    let stamps = paths.iter().map(|path| stamp(path)).collect();
+    let files = paths.iter().map(|path| read_file(path)).collect();
+    Scan { files, stamps }
+}
+
+/// Returns the present stamps; empty if the files can't be listed.
+pub(super) fn present_stamps(path: &Path) -> FileStamps {
+    let paths = list_files(path).unwrap_or_default();
+    paths.iter().map(|path| stamp(path)).collect()
+}
+
+/// The file itself, or the files of the folder that make up a list, by name.
+fn list_files(path: &Path) -> io::Result<Vec<PathBuf>> {
+    if !std::fs::metadata(path)?.is_dir() {
+        return Ok(vec![path.to_path_buf()]);
+    }
+    let entries = std::fs::read_dir(path)?;
+    let mut paths: Vec<PathBuf> = entries
+        .flatten()
+        .map(|entry| entry.path())
+        .filter(|path| is_listed(path))
+        .collect();
+    paths.sort();
+    // One more than the bound is kept, so that the parser reports it.
+    paths.truncate(MAX_FILES + 1);
+    Ok(paths)
+}
+
+/// Editors' backup and swap files begin with a dot or have another extension.
+fn is_listed(path: &Path) -> bool {
+    let name = file_name(path);
+    name.ends_with(".toml") && !name.starts_with('.')
+}
+
+fn file_name(path: &Path) -> String {
+    let name = path.file_name().unwrap_or_default();
+    name.to_string_lossy().into_owned()
+}
+
+fn stamp(path: &Path) -> Option<FileStamp> {
+    let metadata = std::fs::metadata(path).ok()?;
+    Some(FileStamp {
+        inode: metadata.ino(),
+        length: metadata.len(),
+        modified_seconds: metadata.mtime(),
+        modified_nanoseconds: metadata.mtime_nsec(),
+    })
+}
+
+fn read_file(path: &Path) -> SourceFile {
+    SourceFile {
+        name: file_name(path),
+        text: read_text(path),
+    }
+}
+
+/// Reads a file's text, up to the bound. A pipe or device is not opened: it might block for ever.
+fn read_text(path: &Path) -> Result<String, FileError> {
+    if !std::fs::metadata(path)?.is_file() {
+        return Err(FileError::NotRegular);
+    }
+    let mut text = String::new();
+    let file = std::fs::File::open(path)?;
+    file.take(MAX_BYTES as u64 + 1).read_to_string(&mut text)?;
+    if text.len() > MAX_BYTES {
+        return Err(FileError::TooLarge);
+    }
+    Ok(text)
+}
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -288,7 +288,8 @@
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let (agent, agents) = watch::channel(config.discovery.unwrap_or(nowhere));
     match config.files.clone() {
-        Some(source) => discovery::file_source::start(source, to_core.clone())?,
+        Some(source) => discovery::file_source::start(source, to_core.clone())
+            .map_err(|error| error.to_string())?,
         None => {
             let watch = discovery::watch(agents, to_core.clone(), contracts.clone(), clock.clone());
             tokio::task::spawn_local(watch);
--- a/crates/coordinator/tests/membership.rs
+++ b/crates/coordinator/tests/membership.rs
@@ -165,7 +165,7 @@
         switches.push((Instant::now(), turn));
         // A long run writes faster than the log tells.
         match rewrites <= 36 {
-            true => rig.wait_for_line(&format!("roster in force generation={generation} ")),
+            true => rig.wait_for_line(&format!("endpoint list in force generation={generation} ")),
             false => thread::sleep(Duration::from_millis(60)),
         }
         slowest = slowest.max(begun.elapsed());
@@ -292,14 +292,12 @@
         // With broken files the program starts on what was kept, and says so.
         std::fs::write(&path, "generation = ").unwrap();
         rig.restart();
-        rig.wait_for_line(&format!(
-            "the list kept last is in force generation={kept} "
-        ));
+        rig.wait_for_line(&format!("stored list in force generation={kept} "));
         let told = rig.api(&format!("k{round}"), "stock-search", "2.0", &[1, 2], "~1~");
         assert_eq!(told.status, 200, "{}", told.json);
         newest = newest.max(kept) + 1;
         write(0, &path, &roster(newest, &all));
-        rig.wait_for_line(&format!("roster in force generation={newest} "));
+        rig.wait_for_line(&format!("endpoint list in force generation={newest} "));
     }
 }
 
@@ -313,7 +311,7 @@
     let mut rig = start(&stage, &[("servers.d/servers.toml", &roster(1, &all))]);
     let path = rig.folder.join("servers.d/servers.toml");
     write(0, &path, &roster(2, &all));
-    rig.wait_for_line("roster in force generation=2 ");
+    rig.wait_for_line("endpoint list in force generation=2 ");
     rig.child.kill().unwrap();
     rig.child.wait().unwrap();
     let slot = rig.folder.join("state/roster.b");
@@ -324,7 +322,7 @@
     std::fs::write(&path, "").unwrap();
     rig.restart();
     rig.wait_for_line("roster.b: its checksum is wrong");
-    rig.wait_for_line("the list kept last is in force generation=1 ");
+    rig.wait_for_line("stored list in force generation=1 ");
     assert_eq!(
         rig.api("d-1", "stock-search", "2.0", &[1], "~1~").status,
         200
@@ -345,7 +343,7 @@
             ("servers.d/minami.toml", &roster(1, &all[2..4])),
         ],
     );
-    rig.wait_for_line("roster in force generation=1 ");
+    rig.wait_for_line("endpoint list in force generation=1 ");
     let run = |args: &[&str], code: i32, words: &str| {
         let told = cairnroad(&rig.folder, args);
         assert_eq!(told.status.code(), Some(code), "{args:?}: {}", said(&told));
@@ -387,14 +385,14 @@
         "nowhere.toml: No such file",
     );
     run(&["roster", "apply", &storm], 0, "generation 2 written to");
-    rig.wait_for_line("roster in force generation=2 added=2 removed=0");
+    rig.wait_for_line("endpoint list in force generation=2 added=2 removed=0");
     run(&["roster", "show"], 0, "generation = 2");
     run(
         &["roster", "apply", &small, "--allow-shrink"],
         0,
         "remove: s-2, s-3, s-4, s-5",
     );
-    rig.wait_for_line("roster in force generation=3 added=0 removed=4");
+    rig.wait_for_line("endpoint list in force generation=3 added=0 removed=4");
     assert_eq!(
         rig.api("s-1", "stock-search", "2.0", &[1, 2], "~1~").status,
         200
@@ -404,7 +402,7 @@
     assert_eq!(effective["effective"]["discovery"], json!(null));
     // A folder that vanishes leaves the list in force.
     std::fs::rename(rig.folder.join("servers.d"), rig.folder.join("elsewhere")).unwrap();
-    rig.wait_for_line("the files are refused, the list in force stays");
+    rig.wait_for_line("endpoint files rejected");
     assert_eq!(
         rig.api("s-2", "stock-search", "2.0", &[1, 2], "~2~").status,
         200
--- a/crates/endpoint-files/src/activation_schedule.rs
+++ b/crates/endpoint-files/src/activation_schedule.rs
@@ -1,102 +1,113 @@
-//! What of a list is in force at a moment: times from and to which servers count, and weights on their way from the
-//! old to the new. Free of I/O and clock.
+//! Phase and weight of each endpoint at a moment: activation times of the list, and gradual changes of weights. Free of
+//! I/O and clock.
 
 use crate::endpoint_set::{EndpointSet, Phase};
+use crate::timestamp::UnixSeconds;
 use std::collections::BTreeMap;
 
-/// How long a changed weight takes to its new value, in seconds: some times what servers take to fill caches for keys
-/// that they did not see before, and short beside a storm.
-pub const WEIGHT_RAMP: f64 = 10.0;
-/// In how many steps: each is a new word to the decisions, and a step of a twentieth is no burst.
+/// How long a weight takes to its new value: a few times as long as a data node takes to fill its caches for keys that
+/// are new to it, and short beside a surge of load.
+pub const WEIGHT_RAMP_SECONDS: f64 = 10.0;
+/// The number of steps of a ramp. Each costs the router an update, and a twentieth causes no burst.
 const WEIGHT_RAMP_STEPS: f64 = 20.0;
 
-/// A server as it counts at a moment.
+/// An endpoint at a moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointStatus {
-    /// Whether it takes work.
+    /// Whether it takes new work.
     pub phase: Phase,
-    /// Its weight, ramps worked in.
+    /// Its weight, on its way if it ramps.
     pub weight: f64,
 }
 
+/// A weight on its way to the listed one.
 #[derive(Clone, Copy, Debug)]
 struct WeightRamp {
-    from: f64,
-    since: f64,
+    initial_weight: f64,
+    started_at: UnixSeconds,
 }
 
-/// The list in force and what is on its way.
+impl WeightRamp {
+    /// The number of steps done, not limited to those that there are.
+    fn steps_done(&self, now: UnixSeconds) -> f64 {
+        ((now - self.started_at) / WEIGHT_RAMP_SECONDS * WEIGHT_RAMP_STEPS).floor()
+    }
+
+    fn weight(&self, now: UnixSeconds, target: f64) -> f64 {
+        let progress = self.steps_done(now) / WEIGHT_RAMP_STEPS;
+        self.initial_weight + (target - self.initial_weight) * progress.clamp(0.0, 1.0)
+    }
+
+    /// When the next step is due; `None` once the ramp is done.
+    fn next_step(&self, now: UnixSeconds) -> Option<UnixSeconds> {
+        let done = self.steps_done(now);
+        (done < WEIGHT_RAMP_STEPS).then(|| {
+            self.started_at + (done.max(0.0) + 1.0) * WEIGHT_RAMP_SECONDS / WEIGHT_RAMP_STEPS
+        })
+    }
+}
+
+/// The set in force with its ramps.
 #[derive(Clone, Debug, Default)]
 pub struct ActivationSchedule {
-    roster: EndpointSet,
+    /// `None` until the first set.
+    endpoint_set: Option<EndpointSet>,
     ramps: BTreeMap<String, WeightRamp>,
 }
 
 impl ActivationSchedule {
-    /// Takes the next list. Weights of servers that stay begin to ramp from what they were.
-    pub fn replace(&mut self, now: f64, roster: EndpointSet) {
+    /// Puts the next set in force. Weights of endpoints that stay ramp from their present value.
+    pub fn replace(&mut self, now: UnixSeconds, endpoint_set: EndpointSet) {
         let mut ramps = BTreeMap::new();
-        for (id, server) in &roster.endpoints {
+        for (id, endpoint) in &endpoint_set.endpoints {
             let Some(before) = self.status_at(now, id) else {
                 continue;
             };
-            if before.weight != server.weight {
-                ramps.insert(
-                    id.clone(),
-                    WeightRamp {
-                        from: before.weight,
-                        since: now,
-                    },
-                );
+            if before.weight != endpoint.weight {
+                let ramp = WeightRamp {
+                    initial_weight: before.weight,
+                    started_at: now,
+                };
+                ramps.insert(id.clone(), ramp);
             }
         }
-        (self.roster, self.ramps) = (roster, ramps);
+        self.endpoint_set = Some(endpoint_set);
+        self.ramps = ramps;
     }
 
-    /// The list.
-    pub fn endpoint_set(&self) -> &EndpointSet {
-        &self.roster
+    /// The set in force; `None` until the first one.
+    pub fn endpoint_set(&self) -> Option<&EndpointSet> {
+        self.endpoint_set.as_ref()
     }
 
-    /// A server at a moment; `None`: it does not count yet, or is not on the list.
-    pub fn status_at(&self, now: f64, id: &str) -> Option<EndpointStatus> {
-        let server = self.roster.endpoints.get(id)?;
-        if server.not_before.is_some_and(|from| now < from) {
+    /// An endpoint at a moment; `None` if it is not listed or not activated yet.
+    pub fn status_at(&self, now: UnixSeconds, id: &str) -> Option<EndpointStatus> {
+        let endpoint = self.endpoint_set()?.endpoints.get(id)?;
+        if endpoint.not_before.is_some_and(|from| now < from) {
             return None;
         }
-        let phase = match server.not_after {
+        let phase = match endpoint.not_after {
             Some(to) if now >= to => Phase::Draining,
-            _ => server.phase,
+            _ => endpoint.phase,
         };
         let weight = match self.ramps.get(id) {
-            Some(ramp) => {
-                let part = ((now - ramp.since) / WEIGHT_RAMP * WEIGHT_RAMP_STEPS).floor()
-                    / WEIGHT_RAMP_STEPS;
-                ramp.from + (server.weight - ramp.from) * part.clamp(0.0, 1.0)
-            }
-            None => server.weight,
+            Some(ramp) => ramp.weight(now, endpoint.weight),
+            None => endpoint.weight,
         };
         Some(EndpointStatus { phase, weight })
     }
 
-    /// When the next change is due by itself, if any: a step of a ramp, or a time of the list.
-    pub fn next_change(&self, now: f64) -> Option<f64> {
-        let step = |ramp: &WeightRamp| {
-            let done = ((now - ramp.since) / WEIGHT_RAMP * WEIGHT_RAMP_STEPS).floor();
-            (done < WEIGHT_RAMP_STEPS)
-                .then(|| ramp.since + (done.max(0.0) + 1.0) * WEIGHT_RAMP / WEIGHT_RAMP_STEPS)
-        };
-        let times = self
-            .roster
-            .endpoints
-            .values()
-            .flat_map(|server| [server.not_before, server.not_after]);
-        let times = times.flatten().filter(|&at| at > now);
-        self.ramps
-            .values()
-            .filter_map(step)
-            .chain(times)
-            .min_by(f64::total_cmp)
+    /// When the next change is due without a new set: a step of a ramp or an activation time.
+    pub fn next_change(&self, now: UnixSeconds) -> Option<UnixSeconds> {
+        let activation_times = self
+            .endpoint_set()
+            .into_iter()
+            .flat_map(|endpoint_set| endpoint_set.endpoints.values())
+            .flat_map(|endpoint| [endpoint.not_before, endpoint.not_after])
+            .flatten()
+            .filter(|&at| at > now);
+        let ramp_steps = self.ramps.values().filter_map(|ramp| ramp.next_step(now));
+        ramp_steps.chain(activation_times).min_by(f64::total_cmp)
     }
 }
 
--- a/crates/endpoint-files/src/activation_schedule/tests.rs
+++ b/crates/endpoint-files/src/activation_schedule/tests.rs
@@ -1,14 +1,19 @@
-use super::*;
-use crate::parse::parse_files;
+use super::ActivationSchedule;
+use crate::endpoint_set::{EndpointSet, Phase};
+use crate::parse::{parse_files, SourceFile};
 
-fn roster(text: &str) -> EndpointSet {
-    parse_files(&[("a.toml".into(), Ok(text.into()))]).unwrap()
+fn endpoint_set(text: &str) -> EndpointSet {
+    let file = SourceFile {
+        name: "a.toml".into(),
+        text: Ok(text.into()),
+    };
+    parse_files(&[file]).unwrap()
 }
 
 #[test]
-fn weights_ramp_and_a_new_list_goes_on_from_where_they_are() {
+fn weights_ramp_and_a_new_list_continues_from_their_present_values() {
     let text = |generation: u64, weight: f64| {
-        roster(&format!("generation = {generation}\n[[server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\ncell = 0\nweight = {weight:?}\n# end\n"))
+        endpoint_set(&format!("generation = {generation}\n[[server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\ncell = 0\nweight = {weight:?}\n# end\n"))
     };
     let mut schedule = ActivationSchedule::default();
     schedule.replace(100.0, text(1, 1.0));
@@ -50,11 +55,11 @@
 }
 
 #[test]
-fn servers_count_from_and_to_their_times() {
+fn endpoints_are_active_from_not_before_until_not_after() {
     let text = "generation = 1\n[[server]]\nid = \"a\"\naddress = \"127.0.0.1:1\"\ncell = 0\n\
         not_before = 1970-01-01T00:01:40Z\nnot_after = 1970-01-01T01:03:20+01:00\n# end\n";
     let mut schedule = ActivationSchedule::default();
-    schedule.replace(0.0, roster(text));
+    schedule.replace(0.0, endpoint_set(text));
     let phase = |at: f64| schedule.status_at(at, "a").map(|now| now.phase);
     assert_eq!(
         (phase(99.0), phase(100.0), phase(199.9), phase(200.0)),
--- a/crates/endpoint-files/src/debounce.rs
+++ b/crates/endpoint-files/src/debounce.rs
@@ -1,63 +1,96 @@
-//! When files that change are looked at. Free of I/O and clock.
+//! When changing files are read. Free of I/O and clock: moments are durations since any fixed start.
 
-/// How long nothing may have been written before the files are read: a writer of several files is done by then, most
-/// often. What is read too early is refused for its generations and read again.
-pub const QUIET_PERIOD: f64 = 0.03;
-/// How long a writer that never rests is waited for. Together with reading this stays under 100 ms.
-pub const MAX_DELAY: f64 = 0.06;
-/// How often files are looked at though nothing was told: events get lost, and some file systems tell none.
-pub const RESCAN_INTERVAL: f64 = 1.0;
-/// How soon what was refused or could not be read is looked at again, in case it was read in the middle of a write.
-pub const RETRY_INTERVAL: f64 = 0.05;
+use std::time::Duration;
+
+/// How long no change must be seen before the files are read: most often a writer of several files is done by then.
+/// What is read too early is rejected for its generations and read again.
+pub const QUIET_PERIOD: Duration = Duration::from_millis(30);
+/// How long a writer that never rests is waited for. Together with the reading this stays under 100 ms.
+pub const MAX_DELAY: Duration = Duration::from_millis(60);
+/// How often the files are read without any event: events get lost, and some file systems send none.
+pub const RESCAN_INTERVAL: Duration = Duration::from_secs(1);
+/// How soon files that were rejected or unreadable are read again, in case they were read in the middle of a write.
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// How often that is done before the next rescan.
 const MAX_RETRIES: u32 = 4;
 
-/// What is known of the files' changes.
+/// What a read of the files found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadOutcome {
+    /// The files hold the set in force, maybe since this read.
+    InForce,
+    /// The files were rejected, unreadable or written meanwhile.
+    NotUsable,
+}
+
+/// What is known of the files since the last read.
+#[derive(Clone, Copy, Debug)]
+enum State {
+    /// They hold the set in force.
+    Settled,
+    /// They were not usable in this many reads since the last change.
+    NotUsable { reads: u32 },
+    /// They changed.
+    Changed {
+        first_at: Duration,
+        last_at: Duration,
+    },
+}
+
+/// Decides when files are read: after a quiet period, within a bound, again after a failure, and regularly.
 #[derive(Clone, Debug)]
 pub struct Debounce {
-    /// When the first and the last change that is not read yet were told.
-    changed: Option<(f64, f64)>,
-    read: f64,
-    again: u32,
+    state: State,
+    last_read_at: Duration,
 }
 
 impl Debounce {
-    /// Nothing told; the files were just read.
-    pub fn new(now: f64) -> Debounce {
+    /// Starts with files that were just read and hold the set in force.
+    pub fn new(now: Duration) -> Debounce {
         Debounce {
-            changed: None,
-            read: now,
-            again: 0,
+            state: State::Settled,
+            last_read_at: now,
         }
     }
 
-    /// A change was told.
-    pub fn on_change(&mut self, now: f64) {
-        let first = self.changed.map_or(now, |(first, _)| first);
-        self.changed = Some((first, now));
-        self.again = 0;
+    /// Records that a file changed.
+    pub fn on_change(&mut self, now: Duration) {
+        let first_at = match self.state {
+            State::Changed { first_at, .. } => first_at,
+            State::Settled | State::NotUsable { .. } => now,
+        };
+        self.state = State::Changed {
+            first_at,
+            last_at: now,
+        };
     }
 
     /// When the files are to be read next.
-    pub fn next_read_at(&self) -> f64 {
-        let rescan = self.read + RESCAN_INTERVAL;
-        match self.changed {
-            Some((first, last)) => (last + QUIET_PERIOD).min(first + MAX_DELAY).min(rescan),
-            None if (1..=MAX_RETRIES).contains(&self.again) => {
-                (self.read + RETRY_INTERVAL).min(rescan)
+    pub fn next_read_at(&self) -> Duration {
+        let rescan_at = self.last_read_at + RESCAN_INTERVAL;
+        match self.state {
+            State::Changed { first_at, last_at } => (last_at + QUIET_PERIOD)
+                .min(first_at + MAX_DELAY)
+                .min(rescan_at),
+            State::NotUsable { reads } if reads <= MAX_RETRIES => {
+                self.last_read_at + RETRY_INTERVAL
             }
-            None => rescan,
+            State::NotUsable { .. } | State::Settled => rescan_at,
         }
     }
 
-    /// The files were read; `clear`: they hold what is in force, or a list that was taken.
-    pub fn on_read(&mut self, now: f64, clear: bool) {
-        self.changed = None;
-        self.read = now;
-        self.again = if clear {
-            0
-        } else {
-            self.again.saturating_add(1)
+    /// Records a read of the files.
+    pub fn on_read(&mut self, now: Duration, outcome: ReadOutcome) {
+        let failed_before = match self.state {
+            State::NotUsable { reads } => reads,
+            State::Settled | State::Changed { .. } => 0,
+        };
+        self.last_read_at = now;
+        self.state = match outcome {
+            ReadOutcome::InForce => State::Settled,
+            ReadOutcome::NotUsable => State::NotUsable {
+                reads: failed_before.saturating_add(1),
+            },
         };
     }
 }
--- a/crates/endpoint-files/src/debounce/tests.rs
+++ b/crates/endpoint-files/src/debounce/tests.rs
@@ -1,31 +1,37 @@
-use super::*;
+use super::{Debounce, ReadOutcome, MAX_RETRIES, RESCAN_INTERVAL};
+use std::time::Duration;
+
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
 
 #[test]
-fn files_are_read_once_writing_rests_and_never_late() {
-    let mut settle = Debounce::new(0.0);
-    assert_eq!(settle.next_read_at(), RESCAN_INTERVAL);
-    settle.on_change(0.5);
-    assert!((settle.next_read_at() - 0.53).abs() < 1e-9);
+fn files_are_read_after_a_quiet_period_and_within_the_bound() {
+    let mut debounce = Debounce::new(ms(0));
+    assert_eq!(debounce.next_read_at(), RESCAN_INTERVAL);
+    debounce.on_change(ms(500));
+    assert_eq!(debounce.next_read_at(), ms(530));
     for step in 1..100 {
-        settle.on_change(0.5 + f64::from(step) * 0.001);
+        debounce.on_change(ms(500 + step));
     }
-    assert!(
-        (settle.next_read_at() - 0.56).abs() < 1e-9,
+    assert_eq!(
+        debounce.next_read_at(),
+        ms(560),
         "a writer that never rests"
     );
-    settle.on_read(0.56, false);
-    let mut looks = 0;
-    let mut now = 0.56;
-    while settle.next_read_at() - now < 0.1 {
-        now = settle.next_read_at();
-        settle.on_read(now, false);
-        looks += 1;
+    debounce.on_read(ms(560), ReadOutcome::NotUsable);
+    let mut reads = 0;
+    let mut now = ms(560);
+    while debounce.next_read_at() - now < ms(100) {
+        now = debounce.next_read_at();
+        debounce.on_read(now, ReadOutcome::NotUsable);
+        reads += 1;
     }
     assert_eq!(
-        looks, MAX_RETRIES,
-        "what is refused is looked at again a few times, then at the usual pace"
+        reads, MAX_RETRIES,
+        "rejected files are read again a few times, then at the rescan interval"
     );
-    settle.on_change(now);
-    settle.on_read(now + 0.03, true);
-    assert!(settle.next_read_at() - now > 1.0);
+    debounce.on_change(now);
+    debounce.on_read(now + ms(30), ReadOutcome::InForce);
+    assert!(debounce.next_read_at() - now > ms(1000));
 }
--- a/crates/endpoint-files/src/endpoint_set.rs
+++ b/crates/endpoint-files/src/endpoint_set.rs
@@ -1,136 +1,79 @@
-//! The words of a roster.
+//! The endpoint list as data: endpoints by id, under one generation.
 
-use serde::{Deserialize, Serialize};
+use crate::timestamp::UnixSeconds;
+use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddr;
 
-/// What a server may be asked.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+/// Whether an endpoint takes new work.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes work.
+    /// It takes new work.
     #[default]
     Active,
-    /// It finishes what it has and gets nothing new.
+    /// It completes its in-flight work and gets nothing new.
     #[serde(rename = "leaving")]
     Draining,
 }
 
-/// One server.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+/// One data node of the list. Serialised with the keys of the files.
+#[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Endpoint {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its cell, which tells the shards that it holds.
+    /// Its cell, which determines the shards that it holds.
     pub cell: u32,
-    /// Its data room, for people.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
+    /// The failure domain that it may be lost with; empty if unknown.
+    #[serde(skip_serializing_if = "String::is_empty")]
     pub locality: String,
-    /// Its kind of machine, for people.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
+    /// Its kind of machine, for people only.
+    #[serde(skip_serializing_if = "String::is_empty")]
     pub kind: String,
-    /// Whether it takes work.
-    #[serde(default)]
+    /// Whether it takes new work.
     pub phase: Phase,
-    /// Its share of turns beside the other holders of its shards; 0: only what no other can take.
+    /// Its share of turns beside the other holders of its shards; 0 takes only what no other holder can.
     pub weight: f64,
-    /// When it started, in Unix seconds; unknown counts as just started.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub started: Option<f64>,
-    /// From when on it counts, and from when on it leaves, in Unix seconds.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub not_before: Option<f64>,
-    /// See `not_before`.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub not_after: Option<f64>,
+    /// When it started; `None` counts as just started.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub started: Option<UnixSeconds>,
+    /// When it enters the list; `None` is at once.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub not_before: Option<UnixSeconds>,
+    /// When it starts draining; `None` is never.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub not_after: Option<UnixSeconds>,
 }
 
-/// A list of servers, whole.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+/// A complete endpoint list.
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct EndpointSet {
-    /// Counts up with each list that somebody means.
+    /// Counts up with each list that an operator releases.
     pub generation: u64,
-    /// The writer means to remove more than the usual share at once.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    /// The writer allows this list to remove more than the configured share at once.
+    #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub allow_shrink: bool,
-    /// By id.
+    /// The endpoints by id.
     #[serde(rename = "servers")]
     pub endpoints: BTreeMap<String, Endpoint>,
 }
 
 impl EndpointSet {
-    /// How many servers take work.
-    pub fn active_count(&self) -> usize {
+    /// Iterates over the endpoints that take new work.
+    pub fn active(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
         self.endpoints
-            .values()
-            .filter(|server| server.phase == Phase::Active)
-            .count()
-    }
-
-    /// Whether two lists say the same, whatever their flags.
-    pub fn has_same_endpoints(&self, other: &EndpointSet) -> bool {
-        self.endpoints == other.endpoints
+            .iter()
+            .filter(|(_, endpoint)| endpoint.phase == Phase::Active)
+            .map(|(id, endpoint)| (id.as_str(), endpoint))
     }
-}
-
-/// How the servers' cells hold shards: shard `s` is held by the cells from `s mod cells` on, `reach` of them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ShardLayout {
-    /// How many cells there are.
-    pub cells: u32,
-    /// How many hold a shard.
-    pub reach: u32,
-    /// How many shards there are.
-    pub shards: u32,
-}
 
-impl ShardLayout {
-    /// The cells that hold a shard.
-    pub fn holders(&self, shard: u32) -> impl Iterator<Item = u32> + '_ {
-        let cells = self.cells.max(1);
-        (0..self.reach.min(cells))
-            .map(move |step| ((u64::from(shard) + u64::from(step)) % u64::from(cells)) as u32)
-    }
-}
-
-/// One thing that is wrong with a roster's files.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Fault {
-    /// The file's name.
-    pub file: String,
-    /// The line, from 1; 0 where the file or the list as a whole is meant.
-    pub line: usize,
-    /// What is wrong, and what would be right.
-    pub cause: String,
-}
-
-impl Fault {
-    /// A fault of the list as a whole.
-    pub fn whole(cause: impl Into<String>) -> Fault {
-        Fault {
-            file: String::new(),
-            line: 0,
-            cause: cause.into(),
-        }
+    /// Counts the endpoints that take new work.
+    pub fn active_count(&self) -> usize {
+        self.active().count()
     }
-}
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match (self.file.as_str(), self.line) {
-            ("", _) => f.write_str(&self.cause),
-            (file, 0) => write!(f, "{file}: {}", self.cause),
-            (file, line) => write!(f, "{file}:{line}: {}", self.cause),
-        }
+    /// Whether both lists have the same endpoints, whatever their generations and flags.
+    pub fn has_same_endpoints(&self, other: &EndpointSet) -> bool {
+        self.endpoints == other.endpoints
     }
 }
-
-/// All faults as lines.
-pub fn join_lines(faults: &[Fault]) -> String {
-    faults
-        .iter()
-        .map(Fault::to_string)
-        .collect::<Vec<_>>()
-        .join("\n")
-}
--- a/crates/endpoint-files/src/snapshot_store.rs
+++ b/crates/endpoint-files/src/snapshot_store.rs
@@ -1,28 +1,38 @@
-//! The last good list on disk, for a start whose files are broken. Two slots are written in turn, each whole or not at
-//! all, so that whenever the program is killed, the newest or the one before it is there.
+//! The last accepted endpoint set on disk, for a start whose files can't be used.
 //!
-//! A slot is a line `cairnroad-roster 1 CRC32`, a line `# saved UNIX_SECONDS`, and the list as a roster file. The
-//! checksum (eight hexadecimal digits) covers all behind its line.
+//! Two slots are written in turn, each completely or not at all, so that whenever the process is killed, the newest set
+//! or the one before it is there.
+//!
+//! A slot is a line `cairnroad-roster 1 CRC32`, a line `# saved UNIX_SECONDS`, and the set as one endpoint file. The
+//! checksum, eight hexadecimal digits, covers everything after its line.
 
 use crate::endpoint_set::EndpointSet;
-use crate::parse::{parse_files, to_toml, MAX_BYTES};
+use crate::fault::{join_lines, Fault};
+use crate::file_format::MAX_BYTES;
+use crate::parse::{parse_files, SourceFile};
+use crate::render::to_toml;
+use crate::timestamp::UnixSeconds;
+use std::fmt;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The two slots.
+/// The names of the two slots.
 pub const SLOTS: [&str; 2] = ["roster.a", "roster.b"];
-/// The form's name and version.
+/// The form's name and version, at the head of each slot.
 const HEADER: &str = "cairnroad-roster 1";
+const SAVED_AT_PREFIX: &str = "# saved ";
+/// The name by which faults call a slot's content.
+const CONTENT_NAME: &str = "it";
 
-/// Where slots are kept.
+/// Where slots are stored.
 pub trait SlotStorage {
-    /// A slot's bytes.
+    /// Returns a slot's bytes.
     fn read(&self, slot: &str) -> io::Result<Vec<u8>>;
-    /// Replaces a slot, whole or not at all.
+    /// Replaces a slot completely or not at all.
     fn replace(&mut self, slot: &str, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// A folder.
+/// Slots as files of a folder.
 #[derive(Clone, Debug)]
 pub struct StateDirectory(pub PathBuf);
 
@@ -40,102 +50,174 @@
     }
 }
 
-/// Writes a file whole or not at all: beside it, synced, renamed over it, the folder synced.
+/// Replaces a file completely or not at all: writes beside it, syncs, renames over it, syncs the folder.
 pub fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let folder = path
         .parent()
-        .filter(|p| !p.as_os_str().is_empty())
+        .filter(|parent| !parent.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
     let name = path.file_name().unwrap_or_default().to_string_lossy();
-    let beside = folder.join(format!(".{name}.{}.tmp", std::process::id()));
-    let written = std::fs::File::create(&beside).and_then(|mut file| {
-        file.write_all(bytes)?;
-        file.sync_all()
-    });
-    let renamed = written.and_then(|()| std::fs::rename(&beside, path));
+    let temporary = folder.join(format!(".{name}.{}.tmp", std::process::id()));
+    let written = write_synced(&temporary, bytes);
+    let renamed = written.and_then(|()| std::fs::rename(&temporary, path));
     if renamed.is_err() {
-        let _ = std::fs::remove_file(&beside);
+        let _ = std::fs::remove_file(&temporary);
         return renamed;
     }
     std::fs::File::open(folder)?.sync_all()
 }
 
-/// A kept list.
+fn write_synced(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let mut file = std::fs::File::create(path)?;
+    file.write_all(bytes)?;
+    file.sync_all()
+}
+
+/// A stored set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// The list.
-    pub roster: EndpointSet,
-    /// When it came into force, in Unix seconds.
-    pub saved_at: f64,
-    /// The slot that it stands in.
-    pub slot: usize,
+    /// The set.
+    pub endpoint_set: EndpointSet,
+    /// When it came into force.
+    pub saved_at: UnixSeconds,
 }
 
-/// A slot's bytes.
-pub fn encode(roster: &EndpointSet, saved: f64) -> Vec<u8> {
-    let body = format!("# saved {saved:.3}\n{}", to_toml(roster));
-    format!("{HEADER} {:08x}\n{body}", crc32fast::hash(body.as_bytes())).into_bytes()
+/// Why a slot can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum SnapshotError {
+    /// The slot can't be read.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The bytes are not UTF-8.
+    #[error("it is no text")]
+    NotText(#[from] std::str::Utf8Error),
+    /// There is no content after the header.
+    #[error("it is cut short")]
+    Truncated,
+    /// The header is not that of this form and version.
+    #[error("it is of another form or version")]
+    UnknownFormat,
+    /// The checksum differs from the content's.
+    #[error("its checksum is wrong: it is torn or damaged")]
+    ChecksumMismatch,
+    /// The line with the moment is missing.
+    #[error("it does not say when it was saved")]
+    MissingSavedAt,
+    /// The content is no valid endpoint file.
+    #[error("{}", join_lines(.0))]
+    InvalidContent(Vec<Fault>),
 }
 
-/// What a slot's bytes say; the error says why they can't be used.
-pub fn decode(bytes: &[u8]) -> Result<(EndpointSet, f64), String> {
-    let text = std::str::from_utf8(bytes).map_err(|_| "it is no text")?;
-    let (head, body) = text.split_once('\n').ok_or("it is cut short")?;
-    let sum = head
-        .strip_prefix(HEADER)
-        .ok_or("it is of another form or version")?
-        .trim();
-    if sum != format!("{:08x}", crc32fast::hash(body.as_bytes())) {
-        return Err("its checksum is wrong: it is torn or damaged".into());
+/// A slot that holds something that can't be used.
+#[derive(Debug)]
+pub struct UnusableSlot {
+    /// The slot's name.
+    pub slot: &'static str,
+    /// Why it can't be used.
+    pub cause: SnapshotError,
+}
+
+impl fmt::Display for UnusableSlot {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.slot, self.cause)
     }
-    let saved = body
-        .lines()
-        .next()
-        .and_then(|line| line.strip_prefix("# saved ")?.parse().ok());
-    let saved = saved.ok_or("it does not say when it was saved")?;
-    let roster = parse_files(&[("it".into(), Ok(body.into()))]);
-    Ok((
-        roster.map_err(|faults| crate::endpoint_set::join_lines(&faults))?,
-        saved,
-    ))
 }
 
-/// The newest good list, and what is wrong with slots that hold something else.
-pub fn recover(store: &impl SlotStorage) -> (Option<Snapshot>, Vec<String>) {
-    let (mut best, mut wrong): (Option<Snapshot>, Vec<String>) = (None, Vec::new());
-    for (slot, name) in SLOTS.iter().enumerate() {
-        let read = match store.read(name) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
-            Err(e) => Err(e.to_string()),
-            Ok(bytes) => decode(&bytes),
-        };
-        match read {
-            Ok((roster, saved)) => {
-                let newer = best
-                    .as_ref()
-                    .is_none_or(|best| roster.generation > best.roster.generation);
-                if newer {
-                    best = Some(Snapshot {
-                        roster,
-                        saved_at: saved,
-                        slot,
-                    });
+/// What the slots hold.
+#[derive(Debug, Default)]
+pub struct Recovery {
+    /// The newest usable set.
+    pub snapshot: Option<Snapshot>,
+    /// Slots that were passed over.
+    pub unusable: Vec<UnusableSlot>,
+}
+
+/// The store of the last accepted set.
+#[derive(Debug)]
+pub struct SnapshotStore<S> {
+    storage: S,
+    /// The slot that holds the newest set, which the next save must leave alone.
+    newest_slot: Option<usize>,
+}
+
+impl<S: SlotStorage> SnapshotStore<S> {
+    /// A store on existing storage. Call [`SnapshotStore::recover`] before the first save, so that the newest set is
+    /// not overwritten.
+    pub fn new(storage: S) -> SnapshotStore<S> {
+        SnapshotStore {
+            storage,
+            newest_slot: None,
+        }
+    }
+
+    /// Finds the newest usable set.
+    pub fn recover(&mut self) -> Recovery {
+        let mut recovery = Recovery::default();
+        for (number, slot) in SLOTS.into_iter().enumerate() {
+            let decoded = match self.storage.read(slot) {
+                Err(error) if error.kind() == io::ErrorKind::NotFound => continue,
+                Err(error) => Err(error.into()),
+                Ok(bytes) => decode(&bytes),
+            };
+            match decoded {
+                Ok(snapshot) => {
+                    let generation = snapshot.endpoint_set.generation;
+                    let newest = recovery.snapshot.as_ref();
+                    if newest.is_none_or(|newest| generation > newest.endpoint_set.generation) {
+                        recovery.snapshot = Some(snapshot);
+                        self.newest_slot = Some(number);
+                    }
                 }
+                Err(cause) => recovery.unusable.push(UnusableSlot { slot, cause }),
             }
-            Err(cause) => wrong.push(format!("{name}: {cause}")),
         }
+        recovery
+    }
+
+    /// Stores a set in the slot that does not hold the newest one.
+    pub fn save(&mut self, endpoint_set: &EndpointSet, saved_at: UnixSeconds) -> io::Result<()> {
+        let slot = self.newest_slot.map_or(0, |slot| (slot + 1) % SLOTS.len());
+        self.storage
+            .replace(SLOTS[slot], &encode(endpoint_set, saved_at))?;
+        self.newest_slot = Some(slot);
+        Ok(())
     }
-    (best, wrong)
 }
 
-/// Keeps a list in the slot that does not hold `last`.
-pub fn save(
-    store: &mut impl SlotStorage,
-    last: Option<usize>,
-    roster: &EndpointSet,
-    saved: f64,
-) -> io::Result<usize> {
-    let slot = last.map_or(0, |last| (last + 1) % SLOTS.len());
-    store.replace(SLOTS[slot], &encode(roster, saved))?;
-    Ok(slot)
+/// Formats a slot.
+pub fn encode(endpoint_set: &EndpointSet, saved_at: UnixSeconds) -> Vec<u8> {
+    let body = format!("{SAVED_AT_PREFIX}{saved_at:.3}\n{}", to_toml(endpoint_set));
+    let checksum = checksum_of(&body);
+    format!("{HEADER} {checksum}\n{body}").into_bytes()
+}
+
+/// Parses a slot.
+pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
+    let text = std::str::from_utf8(bytes)?;
+    let (head, body) = text.split_once('\n').ok_or(SnapshotError::Truncated)?;
+    let checksum = head
+        .strip_prefix(HEADER)
+        .ok_or(SnapshotError::UnknownFormat)?;
+    if checksum.trim() != checksum_of(body) {
+        return Err(SnapshotError::ChecksumMismatch);
+    }
+    let saved_at = parse_saved_at(body).ok_or(SnapshotError::MissingSavedAt)?;
+    let content = SourceFile {
+        name: CONTENT_NAME.into(),
+        text: Ok(body.into()),
+    };
+    let endpoint_set = parse_files(&[content]).map_err(SnapshotError::InvalidContent)?;
+    Ok(Snapshot {
+        endpoint_set,
+        saved_at,
+    })
+}
+
+fn checksum_of(body: &str) -> String {
+    format!("{:08x}", crc32fast::hash(body.as_bytes()))
+}
+
+fn parse_saved_at(body: &str) -> Option<UnixSeconds> {
+    let line = body.lines().next()?;
+    line.strip_prefix(SAVED_AT_PREFIX)?.parse().ok()
 }
--- a/crates/endpoint-files/src/update_plan.rs
+++ b/crates/endpoint-files/src/update_plan.rs
@@ -1,42 +1,65 @@
-//! What a new list does to the old one.
+//! What replacing one endpoint set by another changes, for operators and the log.
 
-use crate::endpoint_set::{EndpointSet, Phase, ShardLayout};
+use crate::endpoint_set::{Endpoint, EndpointSet, Phase};
+use crate::shard_layout::ShardLayout;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
-/// The steps from one list to the next, by the servers' ids.
+/// The smallest shift of a cell's turns that is reported, above the rounding of sums.
+const MIN_SHIFTED_SHARE: f64 = 1e-9;
+/// The most shards that the text lists by number.
+const MAX_LISTED_SHARDS: usize = 12;
+
+/// A weight before and after. Serialised as `[before, after]`.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
+#[serde(into = "(f64, f64)")]
+pub struct WeightChange {
+    /// The weight in the old set.
+    pub before: f64,
+    /// The weight in the new set, reached by a ramp.
+    pub after: f64,
+}
+
+impl From<WeightChange> for (f64, f64) {
+    fn from(change: WeightChange) -> (f64, f64) {
+        (change.before, change.after)
+    }
+}
+
+/// The changes from one set to the next, by the endpoints' ids.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct UpdatePlan {
-    /// New: the cold rules apply, an unknown start time counts as just started.
+    /// New endpoints: slow start applies, and an unknown start time counts as just started.
     pub added: Vec<String>,
-    /// Nothing new goes there within 250 ms; what is out finishes.
+    /// Endpoints that are gone: nothing new goes there within 250 ms, in-flight work completes.
     pub removed: Vec<String>,
-    /// From active to leaving, and back.
+    /// Endpoints that were active and drain.
     pub drained: Vec<String>,
-    /// See `drained`.
+    /// Endpoints that drained and are active.
     #[serde(rename = "returned")]
     pub reactivated: Vec<String>,
-    /// Old connections finish, new ones go to the new address.
+    /// Endpoints with another address: open connections complete, new ones go to the new address.
     #[serde(rename = "moved")]
     pub readdressed: Vec<String>,
-    /// To another cell: it holds other shards now.
+    /// Endpoints in another cell, which hold other shards.
     #[serde(rename = "other_cell")]
     pub cell_changed: Vec<String>,
-    /// The weight changed: from, to. It ramps.
+    /// Endpoints with another weight.
     #[serde(rename = "weighed")]
-    pub reweighted: BTreeMap<String, (f64, f64)>,
-    /// What is known of these is kept.
+    pub reweighted: BTreeMap<String, WeightChange>,
+    /// Number of endpoints that are alike in both sets, whose measurements are kept.
     pub unchanged: usize,
-    /// By cell: the share of its turns that goes to other servers.
+    /// By cell: the share of its turns, 0 to 1, that goes to other endpoints.
     #[serde(rename = "shifted")]
     pub shifted_share: BTreeMap<u32, f64>,
-    /// Shards that have one active holder left.
+    /// Shards that have a single active holder in the new set.
     #[serde(rename = "single")]
     pub single_holder_shards: Vec<u32>,
 }
 
 impl UpdatePlan {
-    /// Whether nothing is done.
+    /// Whether no endpoint changes.
     pub fn is_empty(&self) -> bool {
         let lists = [
             &self.added,
@@ -48,87 +71,94 @@
         ];
         lists.iter().all(|list| list.is_empty()) && self.reweighted.is_empty()
     }
+
+    fn add_endpoint_changes(&mut self, id: &str, before: &Endpoint, after: &Endpoint) {
+        self.unchanged += usize::from(before == after);
+        match (before.phase, after.phase) {
+            (Phase::Active, Phase::Draining) => self.drained.push(id.into()),
+            (Phase::Draining, Phase::Active) => self.reactivated.push(id.into()),
+            (Phase::Active, Phase::Active) | (Phase::Draining, Phase::Draining) => {}
+        }
+        if before.address != after.address {
+            self.readdressed.push(id.into());
+        }
+        if before.cell != after.cell {
+            self.cell_changed.push(id.into());
+        }
+        if before.weight != after.weight {
+            let change = WeightChange {
+                before: before.weight,
+                after: after.weight,
+            };
+            self.reweighted.insert(id.into(), change);
+        }
+    }
 }
 
-/// Each active server's share of the turns of its cell.
-fn shares(roster: &EndpointSet) -> BTreeMap<u32, BTreeMap<&str, f64>> {
-    let mut cells: BTreeMap<u32, BTreeMap<&str, f64>> = BTreeMap::new();
-    for (id, server) in roster
-        .endpoints
-        .iter()
-        .filter(|(_, server)| server.phase == Phase::Active)
-    {
-        cells
-            .entry(server.cell)
-            .or_default()
-            .insert(id, server.weight);
+/// Compares two sets.
+pub fn plan_update(old: &EndpointSet, new: &EndpointSet, layout: &ShardLayout) -> UpdatePlan {
+    let mut plan = UpdatePlan::default();
+    for (id, endpoint) in &new.endpoints {
+        match old.endpoints.get(id) {
+            Some(before) => plan.add_endpoint_changes(id, before, endpoint),
+            None => plan.added.push(id.clone()),
+        }
+    }
+    let removed = old.endpoints.keys();
+    let removed = removed.filter(|id| !new.endpoints.contains_key(*id));
+    plan.removed = removed.cloned().collect();
+    let shares_before = turn_shares(old);
+    let shares_after = turn_shares(new);
+    plan.shifted_share = shifted_shares(&shares_before, &shares_after);
+    plan.single_holder_shards = single_holder_shards(&shares_after, layout);
+    plan
+}
+
+/// By cell and id: each active endpoint's share of its cell's turns.
+type TurnShares<'a> = BTreeMap<u32, BTreeMap<&'a str, f64>>;
+
+fn turn_shares(endpoint_set: &EndpointSet) -> TurnShares<'_> {
+    let mut cells = TurnShares::new();
+    for (id, endpoint) in endpoint_set.active() {
+        let cell = cells.entry(endpoint.cell).or_default();
+        cell.insert(id, endpoint.weight);
     }
     for shares in cells.values_mut() {
         let sum: f64 = shares.values().sum();
-        shares
-            .values_mut()
-            .for_each(|share| *share /= if sum > 0.0 { sum } else { 1.0 });
+        let divisor = if sum > 0.0 { sum } else { 1.0 };
+        shares.values_mut().for_each(|share| *share /= divisor);
     }
     cells
 }
 
-/// Works it out.
-pub fn plan_update(old: &EndpointSet, new: &EndpointSet, layout: &ShardLayout) -> UpdatePlan {
-    let mut plan = UpdatePlan::default();
-    for (id, server) in &new.endpoints {
-        let Some(before) = old.endpoints.get(id) else {
-            plan.added.push(id.clone());
-            continue;
-        };
-        let same = before == server;
-        plan.unchanged += usize::from(same);
-        match (before.phase, server.phase) {
-            (Phase::Active, Phase::Draining) => plan.drained.push(id.clone()),
-            (Phase::Draining, Phase::Active) => plan.reactivated.push(id.clone()),
-            _ => {}
-        }
-        if before.address != server.address {
-            plan.readdressed.push(id.clone());
-        }
-        if before.cell != server.cell {
-            plan.cell_changed.push(id.clone());
-        }
-        if before.weight != server.weight {
-            plan.reweighted
-                .insert(id.clone(), (before.weight, server.weight));
-        }
-    }
-    plan.removed = old
-        .endpoints
-        .keys()
-        .filter(|id| !new.endpoints.contains_key(*id))
-        .cloned()
-        .collect();
-    let (before, after) = (shares(old), shares(new));
-    let none = BTreeMap::new();
-    for cell in before.keys().chain(after.keys()).collect::<BTreeSet<_>>() {
-        let (before, after) = (
-            before.get(cell).unwrap_or(&none),
-            after.get(cell).unwrap_or(&none),
-        );
-        let gained = after
+fn shifted_shares(before: &TurnShares<'_>, after: &TurnShares<'_>) -> BTreeMap<u32, f64> {
+    let empty = BTreeMap::new();
+    let mut shifted = BTreeMap::new();
+    let cells: BTreeSet<u32> = before.keys().chain(after.keys()).copied().collect();
+    for cell in cells {
+        let before = before.get(&cell).unwrap_or(&empty);
+        let after = after.get(&cell).unwrap_or(&empty);
+        let gains = after
             .iter()
             .map(|(id, share)| (share - before.get(id).unwrap_or(&0.0)).max(0.0));
-        let gained: f64 = gained.sum();
-        if gained > 1e-9 {
-            plan.shifted_share.insert(*cell, gained);
+        let gained: f64 = gains.sum();
+        if gained > MIN_SHIFTED_SHARE {
+            shifted.insert(cell, gained);
         }
     }
-    let count = |cell: u32| after.get(&cell).map_or(0, BTreeMap::len);
-    let holders = |shard: u32| layout.holders(shard).map(count).sum::<usize>();
-    plan.single_holder_shards = (0..layout.shards)
-        .filter(|&shard| holders(shard) == 1)
-        .collect();
-    plan
+    shifted
+}
+
+fn single_holder_shards(shares: &TurnShares<'_>, layout: &ShardLayout) -> Vec<u32> {
+    let active_in_cell = |cell: u32| shares.get(&cell).map_or(0, BTreeMap::len);
+    let active_holders = |shard: u32| layout.holders(shard).map(active_in_cell).sum::<usize>();
+    (0..layout.shards)
+        .filter(|&shard| active_holders(shard) == 1)
+        .collect()
 }
 
-impl std::fmt::Display for UpdatePlan {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for UpdatePlan {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lists = [
             ("add", &self.added),
             ("remove", &self.removed),
@@ -137,41 +167,44 @@
             ("move to another address", &self.readdressed),
             ("move to another cell", &self.cell_changed),
         ];
-        for (word, ids) in lists.iter().filter(|(_, ids)| !ids.is_empty()) {
-            writeln!(f, "{word}: {}", ids.join(", "))?;
+        for (label, ids) in lists.iter().filter(|(_, ids)| !ids.is_empty()) {
+            writeln!(f, "{label}: {}", ids.join(", "))?;
         }
-        for (id, (from, to)) in &self.reweighted {
-            writeln!(f, "weight of {id}: {from} to {to}")?;
+        for (id, change) in &self.reweighted {
+            writeln!(f, "weight of {id}: {} to {}", change.before, change.after)?;
         }
         for (cell, share) in &self.shifted_share {
+            let percent = share * 100.0;
             writeln!(
                 f,
-                "cell {cell}: {:.0} % of its turns go to other servers",
-                share * 100.0
+                "cell {cell}: {percent:.0} % of its turns go to other servers"
             )?;
         }
-        if !self.single_holder_shards.is_empty() {
-            let some: Vec<String> = self
-                .single_holder_shards
-                .iter()
-                .take(12)
-                .map(u32::to_string)
-                .collect();
-            let more = self.single_holder_shards.len().saturating_sub(some.len());
-            let more = if more > 0 {
-                format!(" and {more} more")
-            } else {
-                String::new()
-            };
-            writeln!(
-                f,
-                "shards with one active holder left: {}{more}",
-                some.join(", ")
-            )?;
-        }
-        match self.is_empty() {
-            true => writeln!(f, "nothing changes"),
-            false => writeln!(f, "unchanged: {}", self.unchanged),
+        write_single_holder_shards(f, &self.single_holder_shards)?;
+        if self.is_empty() {
+            writeln!(f, "nothing changes")
+        } else {
+            writeln!(f, "unchanged: {}", self.unchanged)
         }
     }
 }
+
+fn write_single_holder_shards(f: &mut fmt::Formatter<'_>, shards: &[u32]) -> fmt::Result {
+    if shards.is_empty() {
+        return Ok(());
+    }
+    let listed: Vec<String> = shards
+        .iter()
+        .take(MAX_LISTED_SHARDS)
+        .map(u32::to_string)
+        .collect();
+    write!(
+        f,
+        "shards with one active holder left: {}",
+        listed.join(", ")
+    )?;
+    match shards.len().saturating_sub(listed.len()) {
+        0 => writeln!(f),
+        more => writeln!(f, " and {more} more"),
+    }
+}
--- a/crates/endpoint-files/src/validation.rs
+++ b/crates/endpoint-files/src/validation.rs
@@ -1,113 +1,127 @@
-//! Whether a list may take the place of the one in force. Free of I/O and clock.
+//! Whether an endpoint set may replace the one in force. Free of I/O and clock.
 
-use crate::endpoint_set::{EndpointSet, Fault, Phase, ShardLayout};
+use crate::endpoint_set::{EndpointSet, Phase};
+use crate::fault::{Fault, FaultCause};
+use crate::shard_layout::ShardLayout;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The share of the working servers that one list may take away unless its writer says `allow_shrink`: an outage of a
-/// third is what a fleet is built for, and a list that was cut off in the middle loses more.
+/// The share of active endpoints that one set may remove unless its writer says `allow_shrink`: a fleet is built for
+/// the outage of a third, and a list that was cut in the middle loses more.
 pub const DEFAULT_MAX_SHRINK: f64 = 0.34;
 
-/// What becomes of a list that was read.
+/// What becomes of a set that was read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpdateDecision {
-    /// It comes into force.
+    /// It replaces the set in force.
     Apply,
-    /// It is the one in force already.
+    /// It is the set in force.
     Unchanged,
-    /// It does not, and the old one stays.
+    /// It is not applied; the set in force stays.
     Reject(Vec<Fault>),
 }
 
-/// What a list must be in itself, whatever was before.
+/// Checks a set by itself: cells exist, have a positive weight, and leave every shard an active holder.
 pub fn validate(endpoint_set: &EndpointSet, layout: &ShardLayout) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut sums: BTreeMap<u32, f64> = BTreeMap::new();
-    for (id, server) in &endpoint_set.endpoints {
-        if server.cell >= layout.cells {
-            let cause = format!(
-                "the server '{id}' is of cell {}: there are cells 0 to {}",
-                server.cell,
-                layout.cells.saturating_sub(1)
-            );
-            faults.push(Fault::whole(cause));
-        } else if server.phase == Phase::Active {
-            *sums.entry(server.cell).or_default() += server.weight;
+    let mut cell_weights: BTreeMap<u32, f64> = BTreeMap::new();
+    for (id, endpoint) in &endpoint_set.endpoints {
+        if endpoint.cell >= layout.cells {
+            faults.push(Fault::of_list(FaultCause::CellOutOfRange {
+                id: id.clone(),
+                cell: endpoint.cell,
+                last_cell: layout.cells.saturating_sub(1),
+            }));
+        } else if endpoint.phase == Phase::Active {
+            *cell_weights.entry(endpoint.cell).or_default() += endpoint.weight;
         }
     }
-    for (cell, _) in sums.iter().filter(|(_, sum)| **sum <= 0.0) {
-        faults.push(Fault::whole(format!(
-            "the weights of cell {cell} add up to 0: one at least must be above"
-        )));
+    for (&cell, _) in cell_weights.iter().filter(|(_, sum)| **sum <= 0.0) {
+        faults.push(Fault::of_list(FaultCause::ZeroCellWeight { cell }));
     }
-    // Shards that have the same first cell have the same holders.
-    let mut bare: Vec<u32> = Vec::new();
-    for shard in 0..layout.shards.min(layout.cells) {
-        if !layout.holders(shard).any(|cell| sums.contains_key(&cell)) {
-            bare.push(shard);
+    faults.extend(find_shards_without_holder(layout, |cell| {
+        cell_weights.contains_key(&cell)
+    }));
+    faults
+}
+
+/// Reports shards of which no holder is in an active cell.
+fn find_shards_without_holder(
+    layout: &ShardLayout,
+    is_active: impl Fn(u32) -> bool,
+) -> Option<Fault> {
+    // Shards with the same first cell have the same holders, so the first of each kind stand for all.
+    let distinct_shards = layout.shards.min(layout.cells);
+    let mut without_holder = Vec::new();
+    for shard in 0..distinct_shards {
+        if !layout.holders(shard).any(&is_active) {
+            without_holder.push(shard);
         }
     }
-    if let Some(first) = bare.first() {
-        let all =
-            layout.shards as usize * bare.len() / layout.shards.min(layout.cells).max(1) as usize;
-        let cause = format!(
-            "shard {first} and {} more have no active holder left",
-            all.saturating_sub(1)
-        );
-        faults.push(Fault::whole(cause));
-    }
-    faults
+    let first_shard = *without_holder.first()?;
+    let all = layout.shards as usize * without_holder.len() / distinct_shards.max(1) as usize;
+    Some(Fault::of_list(FaultCause::ShardsWithoutHolder {
+        first_shard,
+        other_shards: all.saturating_sub(1),
+    }))
 }
 
-/// Judges a list beside the one in force. `shrink` is the share that may leave at once.
+/// Decides whether `new` may replace `in_force`. `max_shrink` is the share of active endpoints, 0 to 1, that may be
+/// removed at once.
 pub fn decide_update(
-    old: Option<&EndpointSet>,
+    in_force: Option<&EndpointSet>,
     new: &EndpointSet,
     layout: &ShardLayout,
-    shrink: f64,
+    max_shrink: f64,
 ) -> UpdateDecision {
     let mut faults = validate(new, layout);
-    if let Some(old) = old {
-        if new.generation < old.generation {
-            let cause = format!(
-                "generation {} is older than {}, which is in force: count up",
-                new.generation, old.generation
-            );
-            faults.push(Fault::whole(cause));
-        } else if new.generation == old.generation {
-            if new.has_same_endpoints(old) {
-                return UpdateDecision::Unchanged;
-            }
-            let cause = format!(
-                "generation {} is in force with other content: count it up with each change",
-                old.generation
-            );
-            faults.push(Fault::whole(cause));
-        } else if !new.allow_shrink {
-            let working = |endpoint_set: &EndpointSet| -> BTreeSet<String> {
-                let active = endpoint_set
-                    .endpoints
-                    .iter()
-                    .filter(|(_, server)| server.phase == Phase::Active);
-                active.map(|(id, _)| id.clone()).collect()
-            };
-            let (before, after) = (working(old), working(new));
-            let leaving = before.difference(&after).count();
-            // Replacing servers one for one takes nothing away.
-            let lost = leaving.saturating_sub(after.difference(&before).count());
-            if lost as f64 > shrink * before.len() as f64 {
-                let cause = format!(
-                    "{lost} of {} working servers would leave at once, over the share of {shrink}: 'allow_shrink = true' \
-                     beside the generation says that it is meant",
-                    before.len()
-                );
-                faults.push(Fault::whole(cause));
-            }
+    if let Some(old) = in_force {
+        if new.generation == old.generation && new.has_same_endpoints(old) {
+            return UpdateDecision::Unchanged;
         }
+        let cause =
+            find_generation_fault(old, new).or_else(|| find_shrink_fault(old, new, max_shrink));
+        faults.extend(cause.map(Fault::of_list));
+    }
+    if faults.is_empty() {
+        UpdateDecision::Apply
+    } else {
+        UpdateDecision::Reject(faults)
     }
-    match faults.is_empty() {
-        true => UpdateDecision::Apply,
-        false => UpdateDecision::Reject(faults),
+}
+
+/// A generation must be newer than the one in force.
+fn find_generation_fault(old: &EndpointSet, new: &EndpointSet) -> Option<FaultCause> {
+    if new.generation < old.generation {
+        return Some(FaultCause::OlderGeneration {
+            generation: new.generation,
+            in_force: old.generation,
+        });
     }
+    (new.generation == old.generation).then_some(FaultCause::GenerationReused {
+        generation: old.generation,
+    })
+}
+
+/// No more endpoints than the share may be removed, unless the writer says that it is meant.
+fn find_shrink_fault(old: &EndpointSet, new: &EndpointSet, max_shrink: f64) -> Option<FaultCause> {
+    if new.allow_shrink {
+        return None;
+    }
+    let before = active_ids(old);
+    let after = active_ids(new);
+    let leaving = before.difference(&after).count();
+    let joining = after.difference(&before).count();
+    // Replacing endpoints one for one removes no capacity.
+    let removed = leaving.saturating_sub(joining);
+    (removed as f64 > max_shrink * before.len() as f64).then_some(FaultCause::TooManyRemoved {
+        removed,
+        active: before.len(),
+        max_share: max_shrink,
+    })
+}
+
+fn active_ids(endpoint_set: &EndpointSet) -> BTreeSet<&str> {
+    endpoint_set.active().map(|(id, _)| id).collect()
 }
 
 #[cfg(test)]
--- a/crates/endpoint-files/src/validation/tests.rs
+++ b/crates/endpoint-files/src/validation/tests.rs
@@ -1,16 +1,17 @@
-use super::*;
-use crate::endpoint_set::Endpoint;
+use super::{decide_update, UpdateDecision, DEFAULT_MAX_SHRINK};
+use crate::endpoint_set::{Endpoint, EndpointSet, Phase};
+use crate::shard_layout::ShardLayout;
 
 const LAYOUT: ShardLayout = ShardLayout {
     cells: 2,
-    reach: 1,
+    cells_per_shard: 1,
     shards: 8,
 };
 
-fn roster(generation: u64, servers: &[(&str, u32, f64)]) -> EndpointSet {
-    let server = |(at, (id, cell, weight)): (usize, &(&str, u32, f64))| {
+fn endpoint_set(generation: u64, servers: &[(&str, u32, f64)]) -> EndpointSet {
+    let endpoint = |(at, (id, cell, weight)): (usize, &(&str, u32, f64))| {
         let address = format!("127.0.0.1:{}", 9000 + at).parse().unwrap();
-        let server = Endpoint {
+        let endpoint = Endpoint {
             address,
             cell: *cell,
             locality: String::new(),
@@ -21,29 +22,31 @@
             not_before: None,
             not_after: None,
         };
-        (id.to_string(), server)
+        (id.to_string(), endpoint)
     };
     EndpointSet {
         generation,
         allow_shrink: false,
-        endpoints: servers.iter().enumerate().map(server).collect(),
+        endpoints: servers.iter().enumerate().map(endpoint).collect(),
     }
 }
 
-fn refused(old: Option<&EndpointSet>, new: &EndpointSet, words: &str) {
+fn assert_rejected(old: Option<&EndpointSet>, new: &EndpointSet, words: &str) {
     let UpdateDecision::Reject(faults) = decide_update(old, new, &LAYOUT, DEFAULT_MAX_SHRINK)
     else {
-        panic!("{words}: taken")
+        panic!("{words}: applied")
     };
     assert!(
-        faults.iter().any(|fault| fault.cause.contains(words)),
+        faults
+            .iter()
+            .any(|fault| fault.cause.to_string().contains(words)),
         "{words}: {faults:?}"
     );
 }
 
 #[test]
-fn a_list_that_would_break_service_is_refused() {
-    let good = roster(
+fn a_list_that_leaves_shards_or_cells_unserved_is_rejected() {
+    let good = endpoint_set(
         3,
         &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0), ("d", 1, 0.0)],
     );
@@ -51,43 +54,43 @@
         decide_update(None, &good, &LAYOUT, DEFAULT_MAX_SHRINK),
         UpdateDecision::Apply
     );
-    refused(
+    assert_rejected(
         None,
-        &roster(3, &[("a", 0, 1.0), ("c", 2, 1.0)]),
+        &endpoint_set(3, &[("a", 0, 1.0), ("c", 2, 1.0)]),
         "there are cells 0 to 1",
     );
-    refused(
+    assert_rejected(
         None,
-        &roster(3, &[("a", 0, 1.0), ("b", 1, 0.0), ("c", 1, 0.0)]),
+        &endpoint_set(3, &[("a", 0, 1.0), ("b", 1, 0.0), ("c", 1, 0.0)]),
         "cell 1 add up to 0",
     );
-    refused(
+    assert_rejected(
         None,
-        &roster(3, &[("a", 0, 1.0)]),
+        &endpoint_set(3, &[("a", 0, 1.0)]),
         "shard 1 and 3 more have no active holder",
     );
     let mut leaving = good.clone();
     leaving.endpoints.get_mut("a").unwrap().phase = Phase::Draining;
     leaving.endpoints.get_mut("b").unwrap().phase = Phase::Draining;
-    refused(None, &leaving, "shard 0 and 3 more have no active holder");
+    assert_rejected(None, &leaving, "shard 0 and 3 more have no active holder");
 }
 
 #[test]
-fn generations_only_count_up_and_mean_one_list_each() {
-    let old = roster(3, &[("a", 0, 1.0), ("b", 1, 1.0)]);
+fn a_changed_list_needs_a_newer_generation() {
+    let old = endpoint_set(3, &[("a", 0, 1.0), ("b", 1, 1.0)]);
     let mut new = old.clone();
     assert_eq!(
         decide_update(Some(&old), &new, &LAYOUT, DEFAULT_MAX_SHRINK),
         UpdateDecision::Unchanged
     );
     new.endpoints.get_mut("a").unwrap().weight = 2.0;
-    refused(
+    assert_rejected(
         Some(&old),
         &new,
         "generation 3 is in force with other content",
     );
     new.generation = 2;
-    refused(Some(&old), &new, "generation 2 is older than 3");
+    assert_rejected(Some(&old), &new, "generation 2 is older than 3");
     new.generation = 4;
     assert_eq!(
         decide_update(Some(&old), &new, &LAYOUT, DEFAULT_MAX_SHRINK),
@@ -96,8 +99,8 @@
 }
 
 #[test]
-fn a_list_that_takes_too_many_away_must_say_that_it_means_to() {
-    let old = roster(
+fn a_list_that_removes_too_many_endpoints_needs_allow_shrink() {
+    let old = endpoint_set(
         1,
         &[
             ("a", 0, 1.0),
@@ -108,7 +111,7 @@
             ("f", 1, 1.0),
         ],
     );
-    let two_less = roster(
+    let two_less = endpoint_set(
         2,
         &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0), ("d", 1, 1.0)],
     );
@@ -116,8 +119,8 @@
         decide_update(Some(&old), &two_less, &LAYOUT, DEFAULT_MAX_SHRINK),
         UpdateDecision::Apply
     );
-    let mut three_less = roster(2, &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0)]);
-    refused(
+    let mut three_less = endpoint_set(2, &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0)]);
+    assert_rejected(
         Some(&old),
         &three_less,
         "3 of 6 working servers would leave at once",
@@ -127,7 +130,7 @@
         decide_update(Some(&old), &three_less, &LAYOUT, DEFAULT_MAX_SHRINK),
         UpdateDecision::Apply
     );
-    let replaced = roster(
+    let replaced = endpoint_set(
         2,
         &[
             ("u", 0, 1.0),
--- a/crates/endpoint-files/tests/files.rs
+++ b/crates/endpoint-files/tests/files.rs
@@ -1,17 +1,23 @@
-//! Files as staff and editors leave them, and disks as they fail.
+//! Files as operators and editors leave them, and disks as they fail.
 
-use cairnroad_endpoint_files::endpoint_set::{join_lines, EndpointSet, Phase, ShardLayout};
-use cairnroad_endpoint_files::parse::{parse_files, to_toml, File};
-use cairnroad_endpoint_files::snapshot_store::{decode, encode, recover, save, SlotStorage, SLOTS};
+use cairnroad_endpoint_files::endpoint_set::{EndpointSet, Phase};
+use cairnroad_endpoint_files::fault::{join_lines, FileError};
+use cairnroad_endpoint_files::parse::{parse_files, SourceFile};
+use cairnroad_endpoint_files::render::to_toml;
+use cairnroad_endpoint_files::shard_layout::ShardLayout;
+use cairnroad_endpoint_files::snapshot_store::{
+    decode, encode, SlotStorage, Snapshot, SnapshotStore, SLOTS,
+};
 use cairnroad_endpoint_files::update_plan::plan_update;
 use cairnroad_endpoint_files::validation::{decide_update, UpdateDecision, DEFAULT_MAX_SHRINK};
 use quickcheck::{Arbitrary, Gen};
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
 
 const LAYOUT: ShardLayout = ShardLayout {
     cells: 2,
-    reach: 2,
+    cells_per_shard: 2,
     shards: 8,
 };
 
@@ -33,31 +39,42 @@
 # end
 "#;
 
-fn one(text: &str) -> Result<EndpointSet, String> {
-    parse_files(&[("kita.toml".into(), Ok(text.into()))]).map_err(|faults| join_lines(&faults))
+fn file(name: &str, text: &str) -> SourceFile {
+    SourceFile {
+        name: name.into(),
+        text: Ok(text.into()),
+    }
+}
+
+fn parse_one(text: &str) -> Result<EndpointSet, String> {
+    parse_files(&[file("kita.toml", text)]).map_err(|faults| join_lines(&faults))
 }
 
-fn edited(from: &str, to: &str) -> String {
+fn faults_after_edit(from: &str, to: &str) -> String {
     assert!(KITA.contains(from), "{from}");
-    one(&KITA.replacen(from, to, 1)).unwrap_err()
+    parse_one(&KITA.replacen(from, to, 1)).unwrap_err()
 }
 
 #[test]
-fn a_roster_is_read_and_written_back_the_same() {
-    let roster = one(KITA).unwrap();
-    let first = &roster.endpoints["s-1"];
+fn a_set_written_as_toml_parses_to_the_same_set() {
+    let endpoint_set = parse_one(KITA).unwrap();
+    let first = &endpoint_set.endpoints["s-1"];
     assert_eq!(
-        (roster.generation, first.weight, first.cell, first.phase),
+        (
+            endpoint_set.generation,
+            first.weight,
+            first.cell,
+            first.phase
+        ),
         (7, 2.0, 0, Phase::Active)
     );
     assert_eq!(first.started, Some(1_796_043_600.0));
-    assert_eq!(roster.endpoints["s-2"].weight, 1.0);
-    assert_eq!(one(&to_toml(&roster)).unwrap(), roster);
+    assert_eq!(endpoint_set.endpoints["s-2"].weight, 1.0);
+    assert_eq!(parse_one(&to_toml(&endpoint_set)).unwrap(), endpoint_set);
 }
 
-/// Each refusal names its file, its line and its cause.
 #[test]
-fn each_fault_has_its_words() {
+fn each_fault_names_its_file_line_and_cause() {
     let cases = [
         ("generation = 7\n", "", "kita.toml: 'generation' is missing: every file of a roster carries the same"),
         ("generation = 7", "generation = 0", "kita.toml:1: 'generation': 0 is no whole number above 0"),
@@ -77,28 +94,31 @@
         ("[[server]]", "[[servers]]", "kita.toml:3: unknown field `servers`, expected one of `generation`, `allow_shrink`, `server`, `weights`"),
     ];
     for (from, to, words) in cases {
-        assert_eq!(edited(from, to), words);
+        assert_eq!(faults_after_edit(from, to), words);
     }
-    assert!(edited("cell = 1\n", "cell = 1\n[[ser")
+    assert!(faults_after_edit("cell = 1\n", "cell = 1\n[[ser")
         .starts_with("kita.toml:16: this is no TOML, or half-written: "));
     assert_eq!(
-        edited("# end\n", ""),
+        faults_after_edit("# end\n", ""),
         "kita.toml:15: the last line must be '# end': a file without it may be half-written"
     );
     assert_eq!(
-        one("").unwrap_err(),
+        parse_one("").unwrap_err(),
         "kita.toml: the file is empty: it may be half-written"
     );
     assert_eq!(
         join_lines(&parse_files(&[]).unwrap_err()),
         "there is no roster file (*.toml)"
     );
-    let large = vec![("a.toml".to_string(), Ok("#".repeat(9_000_000)))];
+    let large = vec![file("a.toml", &"#".repeat(9_000_000))];
     assert_eq!(
         join_lines(&parse_files(&large).unwrap_err()),
         "the files have 9000000 bytes together: 8388608 at most"
     );
-    let unreadable = vec![("a.toml".to_string(), Err("permission denied".to_string()))];
+    let unreadable = vec![SourceFile {
+        name: "a.toml".into(),
+        text: Err(FileError::from(io::Error::other("permission denied"))),
+    }];
     assert_eq!(
         join_lines(&parse_files(&unreadable).unwrap_err()),
         "a.toml: permission denied"
@@ -107,23 +127,22 @@
 
 /// Guards against a list that is half of one generation and half of another.
 #[test]
-fn a_roster_of_several_files_is_taken_only_whole() {
+fn several_files_are_accepted_only_complete_and_of_one_generation() {
     let second =
         "generation = 7\n[[server]]\nid = \"s-3\"\naddress = \"10.0.0.3:9000\"\ncell = 1\n# end\n";
     let weights = "generation = 7\n[weights]\ns-2 = 0.5\ns-3 = 4\n# end\n";
-    let files = |second: &str, weights: &str| -> Vec<File> {
-        let file = |name: &str, text: &str| (name.to_string(), Ok(text.to_string()));
+    let files = |second: &str, weights: &str| -> Vec<SourceFile> {
         vec![
             file("kita.toml", KITA),
             file("minami.toml", second),
             file("weights.toml", weights),
         ]
     };
-    let roster = parse_files(&files(second, weights)).unwrap();
-    let weight = |id: &str| roster.endpoints[id].weight;
+    let endpoint_set = parse_files(&files(second, weights)).unwrap();
+    let weight = |id: &str| endpoint_set.endpoints[id].weight;
     assert_eq!(
         (
-            roster.endpoints.len(),
+            endpoint_set.endpoints.len(),
             weight("s-1"),
             weight("s-2"),
             weight("s-3")
@@ -156,17 +175,17 @@
 }
 
 #[test]
-fn a_plan_tells_what_a_list_would_do() {
-    let old = one(KITA).unwrap();
+fn an_update_plan_lists_all_changes() {
+    let old = parse_one(KITA).unwrap();
     let more = "phase = \"leaving\"\n\n[[server]]\nid = \"s-3\"\naddress = \"10.0.0.3:9000\"\ncell = 0\nweight = 1\n# end\n";
     let new = KITA
         .replace("generation = 7", "generation = 8")
         .replace("weight = 2", "weight = 3")
         .replace("# end\n", more);
-    let new = one(&new).unwrap();
+    let new = parse_one(&new).unwrap();
     let layout = ShardLayout {
         cells: 2,
-        reach: 1,
+        cells_per_shard: 1,
         shards: 4,
     };
     let plan = plan_update(&old, &new, &layout);
@@ -181,15 +200,15 @@
         ),
         "cell 1 is left bare"
     );
-    assert!(cairnroad_endpoint_files::update_plan::plan_update(&old, &old, &layout).is_empty());
+    assert!(plan_update(&old, &old, &layout).is_empty());
 }
 
-/// A disk that fails: fills up, tears what is written, or keeps it.
+/// A disk that fails: fills up, tears what is written, or damages it.
 #[derive(Default)]
 struct Disk {
-    slots: BTreeMap<String, Vec<u8>>,
+    slots: RefCell<BTreeMap<String, Vec<u8>>>,
     /// What becomes of the next write.
-    next: Option<Failure>,
+    next_failure: Cell<Option<Failure>>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -201,9 +220,10 @@
     Damaged(usize),
 }
 
-impl SlotStorage for Disk {
+impl SlotStorage for &Disk {
     fn read(&self, slot: &str) -> io::Result<Vec<u8>> {
         self.slots
+            .borrow()
             .get(slot)
             .cloned()
             .ok_or(io::ErrorKind::NotFound.into())
@@ -211,7 +231,7 @@
 
     fn replace(&mut self, slot: &str, bytes: &[u8]) -> io::Result<()> {
         let mut bytes = bytes.to_vec();
-        match self.next.take() {
+        match self.next_failure.take() {
             Some(Failure::Full) => return Err(io::Error::from(io::ErrorKind::StorageFull)),
             Some(Failure::Torn(part)) => bytes.truncate(bytes.len() * part / 1000),
             Some(Failure::Damaged(at)) => {
@@ -220,59 +240,61 @@
             }
             None => {}
         }
-        self.slots.insert(slot.into(), bytes);
+        self.slots.borrow_mut().insert(slot.into(), bytes);
         Ok(())
     }
 }
 
 fn listed(generation: u64) -> EndpointSet {
     let text = KITA.replace("generation = 7", &format!("generation = {generation}"));
-    one(&text.replace("weight = 2", &format!("weight = {}", generation % 9 + 1))).unwrap()
+    parse_one(&text.replace("weight = 2", &format!("weight = {}", generation % 9 + 1))).unwrap()
 }
 
 /// Guards against a start on a list that nobody meant, whatever the disk did to the last writes.
 #[test]
-fn the_newest_or_the_one_before_it_is_found_whatever_the_disk_does() {
+fn the_newest_or_previous_snapshot_is_recovered_whatever_the_disk_does() {
     for seed in 0..2_000_u64 {
         let mut gen = Gen::from_size_and_seed(20, seed);
-        let mut disk = Disk::default();
-        let mut slot = None;
-        // What was kept and not harmed since, the newest last.
+        let disk = Disk::default();
+        let mut store = SnapshotStore::new(&disk);
+        // What was stored and not damaged since, the newest last.
         let mut good: Vec<u64> = Vec::new();
         let count = 1 + u64::arbitrary(&mut gen) % 12;
-        let mut spoilt_before = false;
+        let mut damaged_before = false;
         for generation in 1..=count {
             // Two failures in a row may cost both slots; one never may.
-            let fails = u8::arbitrary(&mut gen) % 3 == 0 && !spoilt_before;
+            let fails = u8::arbitrary(&mut gen) % 3 == 0 && !damaged_before;
             let at = usize::arbitrary(&mut gen) % 1000;
-            disk.next = fails.then(|| {
+            let failure = fails.then(|| {
                 [Failure::Full, Failure::Torn(at), Failure::Damaged(at)]
                     [usize::arbitrary(&mut gen) % 3]
             });
-            let spoils = !matches!(disk.next, None | Some(Failure::Full));
-            match save(&mut disk, slot, &listed(generation), generation as f64) {
-                Ok(kept) => {
-                    slot = Some(kept);
-                    if !spoils {
+            disk.next_failure.set(failure);
+            let damages = !matches!(failure, None | Some(Failure::Full));
+            match store.save(&listed(generation), generation as f64) {
+                Ok(()) => {
+                    if !damages {
                         good.push(generation);
                     }
                 }
                 Err(e) => assert_eq!(e.kind(), io::ErrorKind::StorageFull),
             }
-            spoilt_before = spoils;
+            damaged_before = damages;
         }
-        let (found, wrong) = recover(&disk);
+        let recovery = SnapshotStore::new(&disk).recover();
+        let found = recovery.snapshot;
         assert_eq!(
-            found.as_ref().map(|kept| kept.roster.generation),
+            found.as_ref().map(|kept| kept.endpoint_set.generation),
             good.last().copied(),
-            "seed {seed}: {wrong:?}"
+            "seed {seed}: {:?}",
+            recovery.unusable
         );
         if let Some(kept) = found {
             assert_eq!(
-                (&kept.roster, kept.saved_at),
+                (&kept.endpoint_set, kept.saved_at),
                 (
-                    &listed(kept.roster.generation),
-                    kept.roster.generation as f64
+                    &listed(kept.endpoint_set.generation),
+                    kept.endpoint_set.generation as f64
                 )
             );
         }
@@ -280,20 +302,31 @@
 }
 
 #[test]
-fn a_slot_that_is_cut_or_damaged_anywhere_is_never_taken() {
+fn a_slot_that_is_cut_or_damaged_anywhere_is_never_used() {
     let bytes = encode(&listed(3), 5.0);
-    assert_eq!(decode(&bytes).unwrap(), (listed(3), 5.0));
+    let whole = Snapshot {
+        endpoint_set: listed(3),
+        saved_at: 5.0,
+    };
+    assert_eq!(decode(&bytes).unwrap(), whole);
     for at in 0..bytes.len() {
         assert!(decode(&bytes[..at]).is_err(), "cut at {at}");
         let mut damaged = bytes.clone();
         damaged[at] ^= 4;
         assert!(decode(&damaged).is_err(), "damaged at {at}");
     }
-    let mut disk = Disk::default();
+    let disk = Disk::default();
     disk.slots
+        .borrow_mut()
         .insert(SLOTS[0].into(), b"cairnroad-roster 2 00000000\n".to_vec());
+    let recovery = SnapshotStore::new(&disk).recover();
+    let unusable: Vec<String> = recovery
+        .unusable
+        .iter()
+        .map(|slot| slot.to_string())
+        .collect();
     assert_eq!(
-        recover(&disk),
+        (recovery.snapshot, unusable),
         (
             None,
             vec!["roster.a: it is of another form or version".to_string()]
@@ -303,18 +336,19 @@
 
 /// Any sequence of writes, partial writes and reads of three files leads only to lists that some writer meant.
 #[test]
-fn no_sequence_of_partial_writes_makes_a_list_that_nobody_meant() {
-    let meant = |generation: u64| -> Vec<File> {
+fn no_sequence_of_partial_writes_applies_a_list_that_no_writer_meant() {
+    let meant = |generation: u64| -> Vec<SourceFile> {
         let text = |number: u64| {
             // Which servers there are depends on the generation, so that a mix is no writer's list.
             let id = format!("s-{number}-{}", generation % 3);
             format!("generation = {generation}\n[[server]]\nid = \"{id}\"\naddress = \"10.0.{}.{number}:9000\"\ncell = {}\nweight = {}\n# end\n", generation % 3, number % 2, generation % 5 + 1)
         };
         (0..3)
-            .map(|number| (format!("{number}.toml"), Ok(text(number))))
+            .map(|number| file(&format!("{number}.toml"), &text(number)))
             .collect()
     };
-    let (mut taken, mut refused) = (0, 0);
+    let mut applied = 0;
+    let mut rejected = 0;
     for seed in 0..400_u64 {
         let mut gen = Gen::from_size_and_seed(20, seed);
         let mut disk = meant(1);
@@ -334,8 +368,8 @@
                     disk[at] = meant(generation)[at].clone();
                     // Cut in the middle, now and then.
                     if u8::arbitrary(&mut gen) % 3 == 0 {
-                        let text = disk[at].1.clone().unwrap();
-                        disk[at].1 =
+                        let text = disk[at].text.clone().unwrap();
+                        disk[at].text =
                             Ok(text[..usize::arbitrary(&mut gen) % text.len()].to_string());
                     }
                 }
@@ -343,27 +377,35 @@
                 _ => {}
             }
             match parse_files(&disk) {
-                Ok(roster) => {
-                    match decide_update(in_force.as_ref(), &roster, &LAYOUT, DEFAULT_MAX_SHRINK) {
+                Ok(endpoint_set) => {
+                    match decide_update(
+                        in_force.as_ref(),
+                        &endpoint_set,
+                        &LAYOUT,
+                        DEFAULT_MAX_SHRINK,
+                    ) {
                         UpdateDecision::Apply => {
-                            let whole = parse_files(&meant(roster.generation)).unwrap();
-                            assert_eq!(roster, whole, "seed {seed}: a list that nobody meant");
+                            let whole = parse_files(&meant(endpoint_set.generation)).unwrap();
+                            assert_eq!(
+                                endpoint_set, whole,
+                                "seed {seed}: a list that nobody meant"
+                            );
                             assert!(in_force
                                 .as_ref()
-                                .is_none_or(|old| old.generation < roster.generation));
-                            in_force = Some(roster);
-                            taken += 1;
+                                .is_none_or(|old| old.generation < endpoint_set.generation));
+                            in_force = Some(endpoint_set);
+                            applied += 1;
                         }
                         UpdateDecision::Unchanged => {}
-                        UpdateDecision::Reject(_) => refused += 1,
+                        UpdateDecision::Reject(_) => rejected += 1,
                     }
                 }
-                Err(_) => refused += 1,
+                Err(_) => rejected += 1,
             }
         }
     }
     assert!(
-        taken > 1_000 && refused > 1_000,
-        "{taken} taken, {refused} refused"
+        applied > 1_000 && rejected > 1_000,
+        "{applied} applied, {rejected} rejected"
     );
 }
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -108,7 +108,7 @@
         let summary = std::fs::read_to_string(out.join("summary.json")).unwrap();
         assert!(summary.contains("\"more, then fewer\""));
         let log = std::fs::read_to_string(out.join("more, then fewer-0/log.txt")).unwrap();
-        assert!(log.contains("roster in force generation=3"), "{log}");
+        assert!(log.contains("endpoint list in force generation=3"), "{log}");
     }
 }
 
