--- a/crates/coordinator/benches/membership.rs
+++ b/crates/coordinator/benches/membership.rs
@@ -1,103 +1,134 @@
-//! A list of 10,000 servers: how long a change takes from its write until it is in force, how long the core's thread is
+//! A list of 10,000 endpoints: how long a change takes from its write until it is in force, how long the core's thread is
 //! held up by it, and memory: `cargo bench -p cairnroad-coordinator --bench membership`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::*;
+use common::{response, Act, Rig, Stage, Wire};
 use hdrhistogram::Histogram;
 use std::io::{BufReader, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-const SERVERS: usize = 10_000;
-const CHANGES: u64 = 12;
+/// Endpoints of each list.
+const ENDPOINTS: usize = 10_000;
+/// Lists that replace the first one.
+const UPDATES: u64 = 12;
+/// Between two lists, so that one is published before the next.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(700);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_micros(200);
+const OWN_FILE: &str =
+    "[membership]\nsource = \"files\"\npath = \"servers.toml\"\nstate = \"state\"\n";
 
-fn roster(generation: u64) -> String {
-    // A tenth of the servers is replaced with each list; no two share an address.
-    let one = |number: usize| {
-        let part = if number.is_multiple_of(10) {
+/// A list's text. A tenth of the endpoints is replaced with each list; no two share an address.
+fn endpoint_file(generation: u64) -> String {
+    let mut text = format!("generation = {generation}\n");
+    for number in 0..ENDPOINTS {
+        let incarnation = if number.is_multiple_of(10) {
             generation
         } else {
             0
         };
-        format!(
-            "[[server]]\nid = \"s-{number}-{part}\"\naddress = \"127.{}.{}.{}:9\"\ncell = {}\nweight = {}\nstarted = 2026-01-01T00:00:00Z\n",
-            1 + part % 100, number / 250, number % 250 + 1, number % 2, 1 + (number as u64 + generation) % 3
-        )
-    };
-    format!(
-        "generation = {generation}\n{}# end\n",
-        (0..SERVERS).map(one).collect::<String>()
-    )
+        text.push_str(&format!(
+            "[[server]]\nid = \"s-{number}-{incarnation}\"\naddress = \"127.{}.{}.{}:9\"\ncell = {}\nweight = {}\nstarted = 2026-01-01T00:00:00Z\n",
+            1 + incarnation % 100, number / 250, number % 250 + 1, number % 2, 1 + (number as u64 + generation) % 3
+        ));
+    }
+    text.push_str("# end\n");
+    text
 }
 
-fn main() {
-    let stage = Stage::new(|_, _, _| Act::Serve);
-    let own = "[membership]\nsource = \"files\"\npath = \"servers.toml\"\nstate = \"state\"\n";
-    let files = [("servers.toml", roster(1)), ("state/.keep", String::new())];
-    let files: Vec<(&str, &str)> = files
-        .iter()
-        .map(|(name, text)| (*name, text.as_str()))
-        .collect();
-    let rig = Rig::start_own(Wire::Platform, stage, (1000, 1024), Vec::new(), own, &files);
-    rig.wait_for_line("endpoint list in force generation=1 ");
-    let stop = Arc::new(AtomicBool::new(false));
-    let (to, done) = (rig.platform, stop.clone());
-    // Health is answered by the core's thread: what it is late by is what the thread was held up.
-    let pings = thread::spawn(move || {
-        let mut stream = TcpStream::connect(to).unwrap();
-        stream.set_nodelay(true).unwrap();
-        let mut reader = BufReader::new(stream.try_clone().unwrap());
-        let mut seen = Histogram::<u64>::new(3).unwrap();
-        while !done.load(Ordering::Relaxed) {
-            let start = Instant::now();
-            stream
-                .write_all(b"GET /_health HTTP/1.1\r\nHost: b\r\n\r\n")
-                .unwrap();
-            assert_eq!(response(&mut reader).status, 200);
-            seen.record(start.elapsed().as_micros() as u64).unwrap();
-            thread::sleep(Duration::from_micros(200));
-        }
-        seen
-    });
-    let mut took = Vec::new();
-    for generation in 2..2 + CHANGES {
-        let text = roster(generation);
-        let path = rig.folder.join("servers.toml");
-        std::fs::write(path.with_extension("tmp"), text).unwrap();
+/// Asks for health until stopped; returns the answers' latencies in microseconds. Health is answered by the core's
+/// thread: what an answer is late by is what the thread was held up.
+fn measure_health_latency(address: SocketAddr, stop: &AtomicBool) -> Histogram<u64> {
+    let mut stream = TcpStream::connect(address).unwrap();
+    stream.set_nodelay(true).unwrap();
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    let mut latencies = Histogram::<u64>::new(3).unwrap();
+    while !stop.load(Ordering::Relaxed) {
         let start = Instant::now();
-        std::fs::rename(path.with_extension("tmp"), path).unwrap();
-        rig.wait_for_line(&format!("endpoint list in force generation={generation} "));
-        took.push(start.elapsed().as_secs_f64() * 1000.0);
-        thread::sleep(Duration::from_millis(700));
+        stream
+            .write_all(b"GET /_health HTTP/1.1\r\nHost: b\r\n\r\n")
+            .unwrap();
+        assert_eq!(response(&mut reader).status, 200);
+        latencies
+            .record(start.elapsed().as_micros() as u64)
+            .unwrap();
+        thread::sleep(HEALTH_CHECK_INTERVAL);
     }
-    stop.store(true, Ordering::Relaxed);
-    let seen = pings.join().unwrap();
-    took.sort_by(f64::total_cmp);
+    latencies
+}
+
+/// Replaces the list and returns the milliseconds until it is in force.
+fn measure_update(rig: &Rig, generation: u64) -> f64 {
+    let path = rig.folder.join("servers.toml");
+    let temporary = path.with_extension("tmp");
+    std::fs::write(&temporary, endpoint_file(generation)).unwrap();
+    let start = Instant::now();
+    std::fs::rename(temporary, path).unwrap();
+    rig.wait_for_line(&format!("endpoint list in force generation={generation} "));
+    start.elapsed().as_secs_f64() * 1000.0
+}
+
+/// The line of the process's status that says its highest resident memory.
+fn peak_memory(rig: &Rig) -> String {
     let status = std::fs::read_to_string(format!("/proc/{}/status", rig.child.id())).unwrap();
-    let memory = status
-        .lines()
+    let mut lines = status.lines();
+    lines
         .find(|line| line.starts_with("VmHWM"))
-        .unwrap();
+        .unwrap()
+        .to_string()
+}
+
+fn print_results(mut update_times: Vec<f64>, latencies: &Histogram<u64>, memory: &str) {
+    update_times.sort_by(f64::total_cmp);
     println!(
-        "{SERVERS} servers, {CHANGES} lists, a tenth replaced and all weights changed with each"
+        "{ENDPOINTS} servers, {UPDATES} lists, a tenth replaced and all weights changed with each"
     );
     println!(
         "from the write until in force, ms: median {:.0}, {:.0} to {:.0}",
-        took[took.len() / 2],
-        took[0],
-        took[took.len() - 1]
+        update_times[update_times.len() / 2],
+        update_times[0],
+        update_times[update_times.len() - 1]
     );
     println!(
         "health answered, ms: median {:.2}, p99 {:.2}, longest {:.2} of {}",
-        seen.value_at_quantile(0.5) as f64 / 1000.0,
-        seen.value_at_quantile(0.99) as f64 / 1000.0,
-        seen.max() as f64 / 1000.0,
-        seen.len()
+        latencies.value_at_quantile(0.5) as f64 / 1000.0,
+        latencies.value_at_quantile(0.99) as f64 / 1000.0,
+        latencies.max() as f64 / 1000.0,
+        latencies.len()
     );
     println!("{memory}");
 }
+
+fn main() {
+    let stage = Stage::new(|_, _, _| Act::Serve);
+    let first_list = endpoint_file(1);
+    let files = [("servers.toml", first_list.as_str()), ("state/.keep", "")];
+    let rig = Rig::start_own(
+        Wire::Platform,
+        stage,
+        (1000, 1024),
+        Vec::new(),
+        OWN_FILE,
+        &files,
+    );
+    rig.wait_for_line("endpoint list in force generation=1 ");
+    let stop = Arc::new(AtomicBool::new(false));
+    let health_checks = {
+        let address = rig.platform;
+        let stop = stop.clone();
+        thread::spawn(move || measure_health_latency(address, &stop))
+    };
+    let mut update_times = Vec::new();
+    for generation in 2..2 + UPDATES {
+        update_times.push(measure_update(&rig, generation));
+        thread::sleep(UPDATE_INTERVAL);
+    }
+    stop.store(true, Ordering::Relaxed);
+    let latencies = health_checks.join().unwrap();
+    print_results(update_times, &latencies, &peak_memory(&rig));
+}
