--- a/crates/contract/benches/check.rs
+++ b/crates/contract/benches/check.rs
@@ -1,6 +1,6 @@
 //! The cost of one check, by the size of the answer: `cargo bench -p cairnroad-contract`.
 
-use cairnroad_contract::check::{Answered, Asked};
+use cairnroad_contract::conformance::{ObservedRequest, ObservedResponse};
 use cairnroad_contract::model::Description;
 use criterion::{criterion_group, criterion_main, Criterion};
 use serde_json::json;
@@ -56,29 +56,29 @@
             let at = body.iter().rposition(|&b| b == b'k').unwrap();
             body[at] = b'x';
         }
-        let answered = Answered {
+        let answered = ObservedResponse {
             status: 200,
             fields: &fields,
             body: &body,
             whole: true,
         };
         assert_eq!(
-            description.judge_answer(0, &answered).departures.len(),
+            description.check_response(0, &answered).departures.len(),
             usize::from(wrong)
         );
         println!("{name}: {} bytes", body.len());
         c.bench_function(&format!("answer of {name}"), |b| {
-            b.iter(|| black_box(description.judge_answer(0, black_box(&answered))));
+            b.iter(|| black_box(description.check_response(0, black_box(&answered))));
         });
     }
-    let asked = Asked {
+    let asked = ObservedRequest {
         method: "POST",
         target: "/stock/_search?size=20",
         fields: &fields,
         body: br#"{"query":{"match":{"sku":"A-17"}}}"#,
     };
     c.bench_function("request of 34 bytes", |b| {
-        b.iter(|| black_box(description.judge_request(black_box(&asked))))
+        b.iter(|| black_box(description.check_request(black_box(&asked))))
     });
     c.bench_function("reading the description", |b| {
         b.iter(|| black_box(Description::from_text("bench.yaml", DESCRIPTION).unwrap()));
--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -2,15 +2,15 @@
 //!
 //! A message goes by its own name or, where `x-frame` gives one, by the letter that it has on a binary wire.
 
-use crate::model::{Build, MediaRange, Message, Slot};
+use crate::model::{DescriptionBuilder, MediaRange, Message, SchemaSlot};
 use crate::schema::Direction;
-use crate::source::Loc;
+use crate::sources::NodeLocation;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most messages of a description.
-const MOST_MESSAGES: usize = 5_000;
+const MAX_MESSAGES: usize = 5_000;
 
-pub(crate) fn read(build: &mut Build) {
+pub(crate) fn read(build: &mut DescriptionBuilder) {
     let root = build.sources.root();
     build.needs(&root, &["info"]);
     if build.object(&root.at("info")).is_some() {
@@ -34,10 +34,10 @@
 }
 
 /// 2.6: a channel's `subscribe` is what the described side sends, `publish` what it takes.
-fn two(build: &mut Build, root: &Loc, usual: Option<&str>) {
+fn two(build: &mut DescriptionBuilder, root: &NodeLocation, usual: Option<&str>) {
     build.needs(root, &["channels"]);
     let channels = root.at("channels");
-    let mut ids: BTreeMap<String, Loc> = BTreeMap::new();
+    let mut ids: BTreeMap<String, NodeLocation> = BTreeMap::new();
     for name in build.object(&channels).unwrap_or_default().keys() {
         let Some(loc) = build.sources.resolve(&channels.at(name)) else {
             continue;
@@ -49,7 +49,7 @@
         for key in map.keys().filter(|key| !key.starts_with("x-")) {
             let direction = match key.as_str() {
                 "publish" => Direction::Request,
-                "subscribe" => Direction::Answer,
+                "subscribe" => Direction::Response,
                 "$ref" | "description" | "servers" | "parameters" | "bindings" => continue,
                 _ => {
                     build.fault(
@@ -104,7 +104,7 @@
 }
 
 /// A channel's address names variables; each must be declared.
-fn variables(build: &mut Build, loc: &Loc, address: &str) {
+fn variables(build: &mut DescriptionBuilder, loc: &NodeLocation, address: &str) {
     let declared = build.object(&loc.at("parameters")).unwrap_or_default();
     let mut rest = address;
     let mut named = BTreeSet::new();
@@ -133,9 +133,10 @@
 }
 
 /// 3.0: channels hold messages; operations say who sends which.
-fn three(build: &mut Build, root: &Loc, usual: Option<&str>) {
+fn three(build: &mut DescriptionBuilder, root: &NodeLocation, usual: Option<&str>) {
     // By channel: its name, and its messages' places with their names.
-    let mut channels: BTreeMap<Loc, (String, Vec<(Loc, String)>)> = BTreeMap::new();
+    let mut channels: BTreeMap<NodeLocation, (String, Vec<(NodeLocation, String)>)> =
+        BTreeMap::new();
     let mut addresses: BTreeMap<String, String> = BTreeMap::new();
     for name in build
         .object(&root.at("channels"))
@@ -168,7 +169,7 @@
             .collect();
         channels.insert(loc, (name.clone(), messages));
     }
-    let mut sent: BTreeMap<(Loc, String), Direction> = BTreeMap::new();
+    let mut sent: BTreeMap<(NodeLocation, String), Direction> = BTreeMap::new();
     for name in build
         .object(&root.at("operations"))
         .unwrap_or_default()
@@ -183,7 +184,7 @@
         build.needs(&loc, &["action", "channel"]);
         let direction = match build.text(&loc.at("action")).as_deref() {
             Some("receive") => Direction::Request,
-            Some("send") => Direction::Answer,
+            Some("send") => Direction::Response,
             Some(other) => {
                 build.fault(
                     &loc.at("action"),
@@ -251,10 +252,10 @@
 }
 
 fn message(
-    build: &mut Build,
+    build: &mut DescriptionBuilder,
     channel: &str,
     word: &str,
-    at: &Loc,
+    at: &NodeLocation,
     direction: Direction,
     usual: Option<&str>,
 ) {
@@ -264,11 +265,8 @@
     if build.object(&loc).is_none() {
         return;
     }
-    if build.messages.len() >= MOST_MESSAGES {
-        return build.fault(
-            &loc,
-            format!("there are more than {MOST_MESSAGES} messages"),
-        );
+    if build.messages.len() >= MAX_MESSAGES {
+        return build.fault(&loc, format!("there are more than {MAX_MESSAGES} messages"));
     }
     let frame = build.text(&loc.at("x-frame"));
     let name = format!("{channel} {word}").into();
@@ -310,13 +308,13 @@
 }
 
 /// A schema, plain or in a multi-format object; of the formats, only JSON Schema's and AsyncAPI's own are read.
-fn schema(build: &mut Build, loc: &Loc, direction: Direction) -> Slot {
+fn schema(build: &mut DescriptionBuilder, loc: &NodeLocation, direction: Direction) -> SchemaSlot {
     let Some(value) = build.sources.get(loc) else {
-        return Slot::default();
+        return SchemaSlot::default();
     };
     let wrapped = value.get("schemaFormat").is_some();
     let beside = loc.pointer.ends_with("/payload").then(|| {
-        let message = Loc {
+        let message = NodeLocation {
             file: loc.file,
             pointer: loc.pointer.trim_end_matches("/payload").into(),
         };
@@ -340,7 +338,7 @@
                     "schemas in the format '{format}' are not read: JSON Schema and AsyncAPI's are"
                 ),
             );
-            return Slot::default();
+            return SchemaSlot::default();
         }
     }
     build.slot(
--- a/crates/contract/src/check.rs
+++ b/crates/contract/src/conformance.rs
@@ -1,12 +1,13 @@
 //! Traffic held against a description: what departs from it, where, and from what.
 
 use crate::model::{
-    Description, Media, MediaRange, Operation, Parameter, Response, Slot, Status, Within,
+    Description, Media, MediaRange, Operation, Parameter, ParameterLocation, Response, SchemaSlot,
+    Status,
 };
 use crate::openapi::best;
-use crate::route::Found;
+use crate::routing::RouteMatch;
 use crate::schema::{clip, place_of, Direction};
-use crate::source::{decode, Loc};
+use crate::sources::{decode, NodeLocation};
 use jsonschema::error::{TypeKind, ValidationErrorKind as Bad};
 use jsonschema::ValidationError;
 use serde::Serialize;
@@ -15,14 +16,14 @@
 use std::sync::Arc;
 
 /// The most departures of one message that are told: a list of ten thousand wrong numbers is one fault, not many.
-pub const MOST_DEPARTURES: usize = 16;
+pub const MAX_VIOLATIONS: usize = 16;
 /// The most query parameters that are looked at.
-const MOST_PAIRS: usize = 256;
+const MAX_QUERY_PARAMETERS: usize = 256;
 
 /// How a message departs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Departs {
+pub enum ViolationKind {
     /// A value is of another type.
     Type,
     /// Something that must be there is not.
@@ -57,9 +58,9 @@
 
 /// One departure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Departure {
+pub struct Violation {
     /// How it departs.
-    pub kind: Departs,
+    pub kind: ViolationKind,
     /// Where in the message: `body /hits/0/doc`, `header X-Class`, `query size`, `status`.
     pub place: String,
     /// Where in the description.
@@ -72,18 +73,18 @@
 
 /// What was found of one message.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Judged<'d> {
+pub struct Conformance<'d> {
     /// The operation's or message's name, if one is described.
     pub operation: Option<&'d Arc<str>>,
     /// The operation's number, for the answer to come.
     pub number: Option<usize>,
     /// What departs; empty where nothing does.
-    pub departures: Vec<Departure>,
+    pub departures: Vec<Violation>,
 }
 
 /// A request.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'m> {
+pub struct ObservedRequest<'m> {
     /// The method, in capitals.
     pub method: &'m str,
     /// Path and query string as they came.
@@ -96,7 +97,7 @@
 
 /// An answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Answered<'m> {
+pub struct ObservedResponse<'m> {
     /// The status.
     pub status: u16,
     /// The head's fields.
@@ -115,47 +116,47 @@
 }
 
 /// What is shown where a value must not be.
-const LEFT_OUT: &str = "(left out)";
+const REDACTED: &str = "(left out)";
 
 /// The departures of one message while it is looked at.
 struct Report<'d> {
     description: &'d Description,
-    all: Vec<Departure>,
+    all: Vec<Violation>,
 }
 
 impl Description {
     /// Holds a request against the description.
-    pub fn judge_request(&self, asked: &Asked) -> Judged<'_> {
+    pub fn check_request(&self, asked: &ObservedRequest) -> Conformance<'_> {
         let mut report = Report {
             description: self,
             all: Vec::new(),
         };
         let (path, query) = asked.target.split_once('?').unwrap_or((asked.target, ""));
         let (number, values) = match self.router.find(asked.method, path) {
-            Found::Operation(number, values) => (number, values),
-            Found::OtherMethods(methods) => {
+            RouteMatch::Operation(number, values) => (number, values),
+            RouteMatch::OtherMethods(methods) => {
                 report.add(
-                    Departs::Unknown,
+                    ViolationKind::Unknown,
                     "method",
                     None,
                     &methods.join(" or "),
                     asked.method,
                 );
-                return Judged {
+                return Conformance {
                     operation: None,
                     number: None,
                     departures: report.all,
                 };
             }
-            Found::Nothing => {
+            RouteMatch::Nothing => {
                 report.add(
-                    Departs::Unknown,
+                    ViolationKind::Unknown,
                     "path",
                     None,
                     "a path that is described",
                     &clip(path),
                 );
-                return Judged {
+                return Conformance {
                     operation: None,
                     number: None,
                     departures: report.all,
@@ -165,19 +166,19 @@
         let operation = &self.operations[number];
         for parameter in &operation.parameters {
             let found: Vec<Option<String>> = match parameter.within {
-                Within::Path => {
+                ParameterLocation::Path => {
                     let named = values.iter().filter(|(name, _)| *name == parameter.name);
                     named.map(|(_, value)| decode(value)).collect()
                 }
-                Within::Query => pairs(query)
+                ParameterLocation::Query => pairs(query)
                     .filter(|(name, _)| name.as_deref() == Some(&parameter.name))
                     .map(|(_, value)| value)
                     .collect(),
-                Within::Header => field(asked.fields, &parameter.name)
+                ParameterLocation::Header => field(asked.fields, &parameter.name)
                     .map(|v| Some(v.into()))
                     .into_iter()
                     .collect(),
-                Within::Cookie => {
+                ParameterLocation::Cookie => {
                     let cookies = field(asked.fields, "Cookie").unwrap_or("").split(';');
                     let named = cookies
                         .filter_map(|c| c.trim().split_once('='))
@@ -191,7 +192,13 @@
         if asked.body.is_empty() {
             if operation.body_required {
                 let loc = operation.loc.at("requestBody");
-                report.add(Departs::Missing, "body", Some(&loc), "a body", "nothing");
+                report.add(
+                    ViolationKind::Missing,
+                    "body",
+                    Some(&loc),
+                    "a body",
+                    "nothing",
+                );
             }
         } else if !operation.body.is_empty() {
             // Many clients leave the type out where there is only one.
@@ -207,7 +214,7 @@
                 asked.body,
             );
         }
-        Judged {
+        Conformance {
             operation: Some(&operation.name),
             number: Some(number),
             departures: report.all,
@@ -215,19 +222,19 @@
     }
 
     /// Holds an answer against the description of the operation of this number.
-    pub fn judge_answer(&self, number: usize, answered: &Answered) -> Judged<'_> {
+    pub fn check_response(&self, number: usize, answered: &ObservedResponse) -> Conformance<'_> {
         let mut report = Report {
             description: self,
             all: Vec::new(),
         };
         let Some(operation) = self.operations.get(number) else {
-            return Judged {
+            return Conformance {
                 operation: None,
                 number: None,
                 departures: Vec::new(),
             };
         };
-        let judged = |all| Judged {
+        let judged = |all| Conformance {
             operation: Some(&operation.name),
             number: Some(number),
             departures: all,
@@ -235,7 +242,7 @@
         if !answered.whole {
             let bytes = format!("{} bytes, then the end", answered.body.len());
             report.add(
-                Departs::Truncated,
+                ViolationKind::Truncated,
                 "body",
                 Some(&operation.loc),
                 "a whole answer",
@@ -246,13 +253,13 @@
         let Some(response) = response(operation, answered.status) else {
             let words = operation.responses.iter().map(|r| match r.status {
                 Status::Exactly(status) => status.to_string(),
-                Status::Hundred(first) => format!("{first}XX"),
+                Status::Range(first) => format!("{first}XX"),
                 Status::Default => "default".into(),
             });
             let words = words.collect::<Vec<_>>().join(", ");
             let loc = operation.loc.at("responses");
             report.add(
-                Departs::Status,
+                ViolationKind::Status,
                 "status",
                 Some(&loc),
                 &clip(&words),
@@ -274,7 +281,7 @@
             && response.content.iter().any(|m| m.slot.loc.is_some())
         {
             report.add(
-                Departs::Missing,
+                ViolationKind::Missing,
                 "body",
                 Some(&response.loc),
                 "a body",
@@ -285,13 +292,13 @@
     }
 
     /// Holds a message of a channel against the description: its head's fields, and its payload's bytes.
-    pub fn judge_message(
+    pub fn check_message(
         &self,
         channel: &str,
         word: &str,
         headers: &Value,
         payload: &[u8],
-    ) -> Judged<'_> {
+    ) -> Conformance<'_> {
         let mut report = Report {
             description: self,
             all: Vec::new(),
@@ -304,13 +311,13 @@
                 .map(|m| m.word.as_str());
             let known = known.collect::<Vec<_>>().join(", ");
             report.add(
-                Departs::Unknown,
+                ViolationKind::Unknown,
                 "message",
                 None,
                 &format!("one of: {}", clip(&known)),
                 &clip(word),
             );
-            return Judged {
+            return Conformance {
                 operation: None,
                 number: None,
                 departures: report.all,
@@ -323,7 +330,7 @@
                 false => report.text(&message.payload, &message.loc, payload),
             }
         }
-        Judged {
+        Conformance {
             operation: Some(&message.name),
             number: None,
             departures: report.all,
@@ -341,7 +348,7 @@
 fn response(operation: &Operation, status: u16) -> Option<&Response> {
     let fits = |response: &&Response| match response.status {
         Status::Exactly(exactly) => exactly == status,
-        Status::Hundred(first) => first == status / 100,
+        Status::Range(first) => first == status / 100,
         Status::Default => true,
     };
     operation
@@ -357,7 +364,7 @@
     query
         .split('&')
         .filter(|pair| !pair.is_empty())
-        .take(MOST_PAIRS)
+        .take(MAX_QUERY_PARAMETERS)
         .map(move |pair| {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
             (word(name), word(value))
@@ -365,9 +372,16 @@
 }
 
 impl Report<'_> {
-    fn add(&mut self, kind: Departs, place: &str, loc: Option<&Loc>, expected: &str, found: &str) {
-        if self.all.len() < MOST_DEPARTURES {
-            self.all.push(Departure {
+    fn add(
+        &mut self,
+        kind: ViolationKind,
+        place: &str,
+        loc: Option<&NodeLocation>,
+        expected: &str,
+        found: &str,
+    ) {
+        if self.all.len() < MAX_VIOLATIONS {
+            self.all.push(Violation {
                 kind,
                 place: place.into(),
                 described: loc
@@ -379,7 +393,7 @@
         }
     }
 
-    fn body(&mut self, content: &[Media], loc: &Loc, kind: Option<&str>, body: &[u8]) {
+    fn body(&mut self, content: &[Media], loc: &NodeLocation, kind: Option<&str>, body: &[u8]) {
         let range = kind.and_then(MediaRange::read);
         let media = range.as_ref().and_then(|range| best(content, range));
         let (Some(range), Some(media)) = (range, media) else {
@@ -390,7 +404,7 @@
                 .join(", ");
             let found = kind.map_or("no Content-Type".into(), clip);
             return self.add(
-                Departs::MediaType,
+                ViolationKind::MediaType,
                 "header Content-Type",
                 Some(loc),
                 &clip(&words),
@@ -405,7 +419,7 @@
         }
     }
 
-    fn json(&mut self, slot: &Slot, loc: &Loc, body: &[u8]) {
+    fn json(&mut self, slot: &SchemaSlot, loc: &NodeLocation, body: &[u8]) {
         match serde_json::from_slice::<Value>(body) {
             Ok(value) => self.value(slot, "body", &value),
             Err(e) => {
@@ -417,9 +431,9 @@
                     e.column()
                 );
                 let kind = if e.is_eof() {
-                    Departs::Truncated
+                    ViolationKind::Truncated
                 } else {
-                    Departs::NotJson
+                    ViolationKind::NotJson
                 };
                 self.add(
                     kind,
@@ -432,13 +446,13 @@
         }
     }
 
-    fn text(&mut self, slot: &Slot, loc: &Loc, body: &[u8]) {
+    fn text(&mut self, slot: &SchemaSlot, loc: &NodeLocation, body: &[u8]) {
         match std::str::from_utf8(body) {
             Ok(text) => self.value(slot, "body", &Value::String(text.into())),
             Err(e) => {
                 let found = format!("a byte at {} that is none", e.valid_up_to());
                 self.add(
-                    Departs::Encoding,
+                    ViolationKind::Encoding,
                     "body",
                     slot.loc.as_ref().or(Some(loc)),
                     "UTF-8 text",
@@ -454,7 +468,7 @@
         if found.is_empty() {
             if parameter.required {
                 self.add(
-                    Departs::Missing,
+                    ViolationKind::Missing,
                     &place,
                     Some(&parameter.loc),
                     "this to be given",
@@ -465,7 +479,7 @@
         }
         let Some(texts) = found.into_iter().collect::<Option<Vec<String>>>() else {
             return self.add(
-                Departs::Encoding,
+                ViolationKind::Encoding,
                 &place,
                 Some(&parameter.loc),
                 "percent-encoded UTF-8",
@@ -487,14 +501,14 @@
         }
     }
 
-    fn value(&mut self, slot: &Slot, place: &str, value: &Value) {
+    fn value(&mut self, slot: &SchemaSlot, place: &str, value: &Value) {
         let Some(validator) = &slot.validator else {
             return;
         };
         if validator.is_valid(value) {
             return;
         }
-        for error in validator.iter_errors(value).take(MOST_DEPARTURES) {
+        for error in validator.iter_errors(value).take(MAX_VIOLATIONS) {
             self.error(place, &error);
         }
     }
@@ -507,7 +521,7 @@
             .and_then(|uri| place_of(uri.as_str()));
         let secrets = &self.description.secrets;
         let hidden = |pointer: &str| pointer.split('/').any(|key| secrets.contains(&plain(key)));
-        let at = |key: &str| crate::tree::step(pointer, key);
+        let at = |key: &str| crate::document::step(pointer, key);
         let full = |pointer: &str| {
             if pointer.is_empty() {
                 place.into()
@@ -516,7 +530,7 @@
             }
         };
         let shown = |pointer: &str, value: &Value| match hidden(pointer) {
-            true => LEFT_OUT.to_string(),
+            true => REDACTED.to_string(),
             false => clip(&show(value, secrets)),
         };
         let instance = error.instance();
@@ -552,7 +566,7 @@
             Value::Object(map) => {
                 for (key, value) in map {
                     match secrets.contains(key) {
-                        true => *value = Value::String(LEFT_OUT.into()),
+                        true => *value = Value::String(REDACTED.into()),
                         false => blank(value, secrets),
                     }
                 }
@@ -626,7 +640,7 @@
 }
 
 /// What kind of departure an error is, and what would have been right.
-fn wanted(kind: &Bad) -> (Departs, String) {
+fn wanted(kind: &Bad) -> (ViolationKind, String) {
     let text = |value: &Value| clip(&value.to_string());
     let nearest = |context: &Vec<Vec<ValidationError>>| {
         let branch = context
@@ -648,7 +662,7 @@
     match kind {
         Bad::Type {
             kind: TypeKind::Single(kind),
-        } => (Departs::Type, format!("the type {kind}")),
+        } => (ViolationKind::Type, format!("the type {kind}")),
         Bad::Type {
             kind: TypeKind::Multiple(kinds),
         } => {
@@ -657,58 +671,65 @@
                 .map(|kind| kind.to_string())
                 .collect::<Vec<_>>()
                 .join(" or ");
-            (Departs::Type, format!("the type {kinds}"))
+            (ViolationKind::Type, format!("the type {kinds}"))
         }
-        Bad::Required { .. } => (Departs::Missing, "this to be given".into()),
+        Bad::Required { .. } => (ViolationKind::Missing, "this to be given".into()),
         Bad::AdditionalProperties { .. } | Bad::UnevaluatedProperties { .. } => {
-            (Departs::Additional, "no member of this name".into())
+            (ViolationKind::Additional, "no member of this name".into())
         }
-        Bad::AdditionalItems { limit } => (Departs::Additional, format!("{limit} items at most")),
-        Bad::UnevaluatedItems { .. } => (Departs::Additional, "no further items".into()),
-        Bad::FalseSchema => (Departs::Additional, "nothing here".into()),
-        Bad::Enum { options } => (Departs::Enum, format!("one of {}", text(options))),
-        Bad::Constant { expected_value } => (Departs::Enum, text(expected_value)),
-        Bad::Minimum { limit } => (Departs::Bounds, format!("{limit} or more")),
-        Bad::Maximum { limit } => (Departs::Bounds, format!("{limit} or less")),
-        Bad::ExclusiveMinimum { limit } => (Departs::Bounds, format!("more than {limit}")),
-        Bad::ExclusiveMaximum { limit } => (Departs::Bounds, format!("less than {limit}")),
-        Bad::MinLength { limit } => (Departs::Bounds, format!("{limit} characters or more")),
-        Bad::MaxLength { limit } => (Departs::Bounds, format!("{limit} characters or less")),
-        Bad::MinItems { limit } => (Departs::Bounds, format!("{limit} items or more")),
-        Bad::MaxItems { limit } => (Departs::Bounds, format!("{limit} items or less")),
-        Bad::MinProperties { limit } => (Departs::Bounds, format!("{limit} members or more")),
-        Bad::MaxProperties { limit } => (Departs::Bounds, format!("{limit} members or less")),
-        Bad::MultipleOf { multiple_of } => {
-            (Departs::Bounds, format!("a multiple of {multiple_of}"))
+        Bad::AdditionalItems { limit } => {
+            (ViolationKind::Additional, format!("{limit} items at most"))
         }
-        Bad::UniqueItems => (Departs::Bounds, "no item twice".into()),
+        Bad::UnevaluatedItems { .. } => (ViolationKind::Additional, "no further items".into()),
+        Bad::FalseSchema => (ViolationKind::Additional, "nothing here".into()),
+        Bad::Enum { options } => (ViolationKind::Enum, format!("one of {}", text(options))),
+        Bad::Constant { expected_value } => (ViolationKind::Enum, text(expected_value)),
+        Bad::Minimum { limit } => (ViolationKind::Bounds, format!("{limit} or more")),
+        Bad::Maximum { limit } => (ViolationKind::Bounds, format!("{limit} or less")),
+        Bad::ExclusiveMinimum { limit } => (ViolationKind::Bounds, format!("more than {limit}")),
+        Bad::ExclusiveMaximum { limit } => (ViolationKind::Bounds, format!("less than {limit}")),
+        Bad::MinLength { limit } => (ViolationKind::Bounds, format!("{limit} characters or more")),
+        Bad::MaxLength { limit } => (ViolationKind::Bounds, format!("{limit} characters or less")),
+        Bad::MinItems { limit } => (ViolationKind::Bounds, format!("{limit} items or more")),
+        Bad::MaxItems { limit } => (ViolationKind::Bounds, format!("{limit} items or less")),
+        Bad::MinProperties { limit } => (ViolationKind::Bounds, format!("{limit} members or more")),
+        Bad::MaxProperties { limit } => (ViolationKind::Bounds, format!("{limit} members or less")),
+        Bad::MultipleOf { multiple_of } => (
+            ViolationKind::Bounds,
+            format!("a multiple of {multiple_of}"),
+        ),
+        Bad::UniqueItems => (ViolationKind::Bounds, "no item twice".into()),
         Bad::Contains => (
-            Departs::Bounds,
+            ViolationKind::Bounds,
             "an item of the kind that 'contains' asks for".into(),
         ),
-        Bad::Pattern { pattern } => (Departs::Pattern, format!("a match of {}", clip(pattern))),
+        Bad::Pattern { pattern } => (
+            ViolationKind::Pattern,
+            format!("a match of {}", clip(pattern)),
+        ),
         Bad::PropertyNames { .. } => (
-            Departs::Pattern,
+            ViolationKind::Pattern,
             "members' names as 'propertyNames' has them".into(),
         ),
-        Bad::Format { format } => (Departs::Format, format!("the format {format}")),
-        Bad::ContentEncoding { content_encoding } => {
-            (Departs::Format, format!("the encoding {content_encoding}"))
-        }
+        Bad::Format { format } => (ViolationKind::Format, format!("the format {format}")),
+        Bad::ContentEncoding { content_encoding } => (
+            ViolationKind::Format,
+            format!("the encoding {content_encoding}"),
+        ),
         Bad::ContentMediaType { content_media_type } => {
-            (Departs::Format, content_media_type.clone())
+            (ViolationKind::Format, content_media_type.clone())
         }
         Bad::AnyOf { context } | Bad::OneOfNotValid { context } => {
-            (Departs::Alternatives, nearest(context))
+            (ViolationKind::Alternatives, nearest(context))
         }
         Bad::OneOfMultipleValid { context } => (
-            Departs::Alternatives,
+            ViolationKind::Alternatives,
             format!("exactly one of {} forms, not several", context.len()),
         ),
         Bad::Not { .. } => (
-            Departs::Alternatives,
+            ViolationKind::Alternatives,
             "anything but the form under 'not'".into(),
         ),
-        _ => (Departs::Other, "what the schema asks for".into()),
+        _ => (ViolationKind::Other, "what the schema asks for".into()),
     }
 }
--- a/crates/contract/src/diff.rs
+++ b/crates/contract/src/diff.rs
@@ -2,21 +2,21 @@
 //! less variety without harm; the other way round breaks those who rely on the old form.
 
 use crate::model::{
-    Description, Kind, Media, Operation, Parameter, Response, Slot, Status, Within,
+    Description, Kind, Media, Operation, Parameter, ParameterLocation, Response, SchemaSlot, Status,
 };
 use crate::schema::{clip, Direction};
-use crate::source::{Loc, Sources};
+use crate::sources::{NodeLocation, Sources};
 use serde::Serialize;
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most changes that are told.
-pub const MOST_CHANGES: usize = 1_000;
+pub const MAX_CHANGES: usize = 1_000;
 
 /// What a change does to those who keep to the old description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Weight {
+pub enum ChangeImpact {
     /// What worked may no longer work.
     Breaking,
     /// All that worked still works.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Change {
     /// What it does.
-    pub weight: Weight,
+    pub weight: ChangeImpact,
     /// The operation or message.
     pub operation: String,
     /// Where in the message.
@@ -41,9 +41,9 @@
 impl std::fmt::Display for Change {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let weight = match self.weight {
-            Weight::Breaking => "breaking",
-            Weight::Compatible => "compatible",
-            Weight::Cosmetic => "cosmetic",
+            ChangeImpact::Breaking => "breaking",
+            ChangeImpact::Compatible => "compatible",
+            ChangeImpact::Cosmetic => "cosmetic",
         };
         write!(f, "{weight}: {}", self.operation)?;
         if !self.place.is_empty() {
@@ -72,7 +72,7 @@
     if diff
         .changes
         .iter()
-        .all(|change| change.weight == Weight::Cosmetic)
+        .all(|change| change.weight == ChangeImpact::Cosmetic)
     {
         let values = |d: &Description| {
             d.sources
@@ -84,7 +84,7 @@
         if diff.changes.is_empty() && values(old) != values(new) {
             diff.operation = "the description".into();
             diff.add(
-                Weight::Cosmetic,
+                ChangeImpact::Cosmetic,
                 "",
                 "only texts, names, the order or the arrangement differ".into(),
             );
@@ -110,12 +110,12 @@
     changes: BTreeSet<Change>,
     operation: String,
     /// Pairs of schemas of this operation that are compared already, or are being compared.
-    seen: BTreeSet<(Loc, Loc, Direction)>,
+    seen: BTreeSet<(NodeLocation, NodeLocation, Direction)>,
 }
 
 impl Diff<'_> {
-    fn add(&mut self, weight: Weight, place: &str, what: String) {
-        if self.changes.len() < MOST_CHANGES {
+    fn add(&mut self, weight: ChangeImpact, place: &str, what: String) {
+        if self.changes.len() < MAX_CHANGES {
             let operation = self.operation.clone();
             self.changes.insert(Change {
                 weight,
@@ -128,10 +128,10 @@
 
     fn set(&mut self, direction: Direction, place: &str, change: Set, what: String) {
         let weight = match (direction, change) {
-            (Direction::Request, Set::Wider) | (Direction::Answer, Set::Narrower) => {
-                Weight::Compatible
+            (Direction::Request, Set::Wider) | (Direction::Response, Set::Narrower) => {
+                ChangeImpact::Compatible
             }
-            _ => Weight::Breaking,
+            _ => ChangeImpact::Breaking,
         };
         self.add(weight, place, what);
     }
@@ -142,7 +142,7 @@
         let by_shape = |d: &'_ Description| -> BTreeMap<String, usize> {
             let key = |operation: &Operation| {
                 let (method, path) = operation.name.split_once(' ').unwrap_or(("", ""));
-                let shape = crate::route::Template::read(path)
+                let shape = crate::routing::Template::read(path)
                     .map(|t| t.shape())
                     .unwrap_or_default();
                 format!("{method} {shape}")
@@ -157,14 +157,14 @@
         for (key, &at) in &before {
             self.operation = old.operations[at].name.to_string();
             match after.get(key) {
-                None => self.add(Weight::Breaking, "", "the operation is gone".into()),
+                None => self.add(ChangeImpact::Breaking, "", "the operation is gone".into()),
                 Some(&now) => self.operation(&old.operations[at], &new.operations[now]),
             }
         }
         for (key, &at) in after.iter().filter(|(key, _)| !before.contains_key(*key)) {
             let _ = key;
             self.operation = new.operations[at].name.to_string();
-            self.add(Weight::Compatible, "", "the operation is new".into());
+            self.add(ChangeImpact::Compatible, "", "the operation is new".into());
         }
     }
 
@@ -172,7 +172,7 @@
         self.seen.clear();
         if old.name != new.name {
             self.add(
-                Weight::Cosmetic,
+                ChangeImpact::Cosmetic,
                 "path",
                 format!("a variable's name differs: {}", new.name),
             );
@@ -184,7 +184,7 @@
                 words(&old.id),
                 words(&new.id)
             );
-            self.add(Weight::Cosmetic, "", what);
+            self.add(ChangeImpact::Cosmetic, "", what);
         }
         self.texts("", &old.loc, &new.loc);
         self.parameters(Direction::Request, "", &old.parameters, &new.parameters);
@@ -194,22 +194,28 @@
             old.body_required,
             new.body_required,
         ) {
-            (true, false, _, true) => {
-                self.add(Weight::Breaking, "body", "a body is now required".into())
-            }
-            (true, false, _, false) => {
-                self.add(Weight::Compatible, "body", "a body may now be given".into())
-            }
+            (true, false, _, true) => self.add(
+                ChangeImpact::Breaking,
+                "body",
+                "a body is now required".into(),
+            ),
+            (true, false, _, false) => self.add(
+                ChangeImpact::Compatible,
+                "body",
+                "a body may now be given".into(),
+            ),
             (false, true, ..) => self.add(
-                Weight::Breaking,
+                ChangeImpact::Breaking,
                 "body",
                 "no body is described any more".into(),
             ),
-            (_, _, false, true) => {
-                self.add(Weight::Breaking, "body", "the body became required".into())
-            }
+            (_, _, false, true) => self.add(
+                ChangeImpact::Breaking,
+                "body",
+                "the body became required".into(),
+            ),
             (_, _, true, false) => self.add(
-                Weight::Compatible,
+                ChangeImpact::Compatible,
                 "body",
                 "the body became optional".into(),
             ),
@@ -220,7 +226,7 @@
         }
         let word = |status: Status| match status {
             Status::Exactly(status) => status.to_string(),
-            Status::Hundred(first) => format!("{first}XX"),
+            Status::Range(first) => format!("{first}XX"),
             Status::Default => "default".into(),
         };
         let find =
@@ -231,26 +237,32 @@
                 Some(at) => {
                     let new = &new.responses[at];
                     self.texts(&place, &response.loc, &new.loc);
-                    self.parameters(Direction::Answer, &place, &response.headers, &new.headers);
+                    self.parameters(Direction::Response, &place, &response.headers, &new.headers);
                     match (response.content.is_empty(), new.content.is_empty()) {
                         (false, true) => {
-                            self.add(Weight::Breaking, &place, "its body is gone".into())
+                            self.add(ChangeImpact::Breaking, &place, "its body is gone".into())
                         }
                         (true, false) => {
-                            self.add(Weight::Compatible, &place, "it has a body now".into())
+                            self.add(ChangeImpact::Compatible, &place, "it has a body now".into())
+                        }
+                        _ => {
+                            self.media(Direction::Response, &place, &response.content, &new.content)
                         }
-                        _ => self.media(Direction::Answer, &place, &response.content, &new.content),
                     }
                 }
                 // An answer that is never given any more harms nobody, unless it was the good one.
                 None if matches!(
                     response.status,
-                    Status::Exactly(200..=299) | Status::Hundred(2)
+                    Status::Exactly(200..=299) | Status::Range(2)
                 ) =>
                 {
-                    self.add(Weight::Breaking, &place, "this answer is gone".into());
+                    self.add(ChangeImpact::Breaking, &place, "this answer is gone".into());
                 }
-                None => self.add(Weight::Compatible, &place, "this answer is gone".into()),
+                None => self.add(
+                    ChangeImpact::Compatible,
+                    &place,
+                    "this answer is gone".into(),
+                ),
             }
         }
         for response in new
@@ -263,19 +275,19 @@
                 .responses
                 .iter()
                 .any(|o| match (o.status, response.status) {
-                    (Status::Hundred(first), Status::Exactly(status)) => first == status / 100,
+                    (Status::Range(first), Status::Exactly(status)) => first == status / 100,
                     (Status::Default, _) => true,
                     _ => false,
                 });
             // Clients handle an error they don't know as its hundred says; a new good answer they can't read.
             let good = matches!(
                 response.status,
-                Status::Exactly(200..=299) | Status::Hundred(2)
+                Status::Exactly(200..=299) | Status::Range(2)
             );
             let weight = if good && !covered {
-                Weight::Breaking
+                ChangeImpact::Breaking
             } else {
-                Weight::Compatible
+                ChangeImpact::Compatible
             };
             self.add(weight, &place, "this answer is new".into());
         }
@@ -285,13 +297,13 @@
         let key = |parameter: &Parameter| {
             // Fields of a head are the same in small and capital letters.
             let name = match parameter.within {
-                Within::Header => parameter.name.to_ascii_lowercase(),
+                ParameterLocation::Header => parameter.name.to_ascii_lowercase(),
                 _ => parameter.name.clone(),
             };
             // A path's variables are told apart by their place, not by name.
             (
                 parameter.within,
-                if parameter.within == Within::Path {
+                if parameter.within == ParameterLocation::Path {
                     String::new()
                 } else {
                     name
@@ -305,7 +317,7 @@
         let path = |all: &[Parameter]| {
             let mut all: Vec<Parameter> = all
                 .iter()
-                .filter(|p| p.within == Within::Path)
+                .filter(|p| p.within == ParameterLocation::Path)
                 .cloned()
                 .collect();
             all.sort_by(|a, b| a.name.cmp(&b.name));
@@ -314,26 +326,30 @@
         for (old, new) in path(old).iter().zip(&path(new)) {
             self.parameter(direction, &place(old), old, new);
         }
-        for parameter in old.iter().filter(|p| p.within != Within::Path) {
+        for parameter in old.iter().filter(|p| p.within != ParameterLocation::Path) {
             match new.iter().find(|p| key(p) == key(parameter)) {
                 Some(new) => self.parameter(direction, &place(parameter), parameter, new),
-                None if direction == Direction::Answer && !parameter.required => {
+                None if direction == Direction::Response && !parameter.required => {
                     self.add(
-                        Weight::Compatible,
+                        ChangeImpact::Compatible,
                         &place(parameter),
                         "it is no longer given".into(),
                     );
                 }
-                None => self.add(Weight::Breaking, &place(parameter), "it is gone".into()),
+                None => self.add(
+                    ChangeImpact::Breaking,
+                    &place(parameter),
+                    "it is gone".into(),
+                ),
             }
         }
-        for parameter in new.iter().filter(|p| p.within != Within::Path) {
+        for parameter in new.iter().filter(|p| p.within != ParameterLocation::Path) {
             if !old.iter().any(|p| key(p) == key(parameter)) {
                 let breaks = direction == Direction::Request && parameter.required;
                 let weight = if breaks {
-                    Weight::Breaking
+                    ChangeImpact::Breaking
                 } else {
-                    Weight::Compatible
+                    ChangeImpact::Compatible
                 };
                 let word = if parameter.required {
                     "it is new and required"
@@ -354,7 +370,7 @@
         }
         if (old.json, old.parted_by) != (new.json, new.parted_by) {
             self.add(
-                Weight::Breaking,
+                ChangeImpact::Breaking,
                 place,
                 "the way in which its value is written differs".into(),
             );
@@ -370,7 +386,11 @@
                     let what = format!("{} is covered by a wider range now", media.range);
                     self.set(direction, place, Set::Wider, what);
                 }
-                None => self.add(Weight::Breaking, place, format!("{} is gone", media.range)),
+                None => self.add(
+                    ChangeImpact::Breaking,
+                    place,
+                    format!("{} is gone", media.range),
+                ),
             }
         }
         for media in new
@@ -378,7 +398,11 @@
             .filter(|media| !old.iter().any(|m| m.range == media.range))
         {
             // An answer in another form is only given to those who ask for it.
-            self.add(Weight::Compatible, place, format!("{} is new", media.range));
+            self.add(
+                ChangeImpact::Compatible,
+                place,
+                format!("{} is new", media.range),
+            );
         }
     }
 
@@ -388,13 +412,17 @@
             self.operation = message.name.to_string();
             self.seen.clear();
             match new.message(&message.channel, &message.word) {
-                None => self.add(Weight::Breaking, "", "the message is gone".into()),
+                None => self.add(ChangeImpact::Breaking, "", "the message is gone".into()),
                 Some(now) => {
                     if message.direction != now.direction {
-                        self.add(Weight::Breaking, "", "it goes the other way".into());
+                        self.add(ChangeImpact::Breaking, "", "it goes the other way".into());
                     }
                     if message.json != now.json {
-                        self.add(Weight::Breaking, "payload", "its media type differs".into());
+                        self.add(
+                            ChangeImpact::Breaking,
+                            "payload",
+                            "its media type differs".into(),
+                        );
                     }
                     self.texts("", &message.loc, &now.loc);
                     self.slots(message.direction, "head", &message.headers, &now.headers);
@@ -409,30 +437,36 @@
         {
             self.operation = message.name.to_string();
             let weight = match message.direction {
-                Direction::Request => Weight::Compatible,
+                Direction::Request => ChangeImpact::Compatible,
                 // Whoever listens is sent what it does not know.
-                Direction::Answer => Weight::Breaking,
+                Direction::Response => ChangeImpact::Breaking,
             };
             self.add(weight, "", "the message is new".into());
         }
     }
 
     /// Texts for people, and whether anything is marked as outgoing.
-    fn texts(&mut self, place: &str, old: &Loc, new: &Loc) {
-        let word = |d: &Description, loc: &Loc, key: &str| d.sources.get(&loc.at(key)).cloned();
+    fn texts(&mut self, place: &str, old: &NodeLocation, new: &NodeLocation) {
+        let word =
+            |d: &Description, loc: &NodeLocation, key: &str| d.sources.get(&loc.at(key)).cloned();
         for key in ["summary", "description", "title"] {
             if word(self.old, old, key) != word(self.new, new, key) {
-                self.add(Weight::Cosmetic, place, format!("its {key} differs"));
+                self.add(ChangeImpact::Cosmetic, place, format!("its {key} differs"));
             }
         }
-        let deprecated =
-            |d: &Description, loc: &Loc| word(d, loc, "deprecated") == Some(Value::Bool(true));
+        let deprecated = |d: &Description, loc: &NodeLocation| {
+            word(d, loc, "deprecated") == Some(Value::Bool(true))
+        };
         if !deprecated(self.old, old) && deprecated(self.new, new) {
-            self.add(Weight::Compatible, place, "it is deprecated now".into());
+            self.add(
+                ChangeImpact::Compatible,
+                place,
+                "it is deprecated now".into(),
+            );
         }
     }
 
-    fn slots(&mut self, direction: Direction, place: &str, old: &Slot, new: &Slot) {
+    fn slots(&mut self, direction: Direction, place: &str, old: &SchemaSlot, new: &SchemaSlot) {
         match (&old.loc, &new.loc) {
             (Some(old), Some(new)) => self.schemas(direction, place, old, new),
             (None, Some(_)) => self.set(
@@ -446,7 +480,13 @@
         }
     }
 
-    fn schemas(&mut self, direction: Direction, place: &str, old: &Loc, new: &Loc) {
+    fn schemas(
+        &mut self,
+        direction: Direction,
+        place: &str,
+        old: &NodeLocation,
+        new: &NodeLocation,
+    ) {
         // A schema that holds itself is compared once, whichever reference leads to it.
         let (old, new) = (&bare(&self.old.sources, old), &bare(&self.new.sources, new));
         if !self.seen.insert((old.clone(), new.clone(), direction)) {
@@ -456,7 +496,7 @@
         let after = View::of(&self.new.sources, new, direction);
         if before.text != after.text {
             self.add(
-                Weight::Cosmetic,
+                ChangeImpact::Cosmetic,
                 place,
                 "its texts for people differ".into(),
             );
@@ -616,19 +656,23 @@
             match (new.properties.get(name), direction) {
                 (Some(now), _) => self.schemas(direction, &at(name), loc, now),
                 (None, Direction::Request) if new.closed => {
-                    self.add(Weight::Breaking, &at(name), "it is no longer taken".into());
+                    self.add(
+                        ChangeImpact::Breaking,
+                        &at(name),
+                        "it is no longer taken".into(),
+                    );
                 }
                 (None, Direction::Request) => {
                     self.add(
-                        Weight::Compatible,
+                        ChangeImpact::Compatible,
                         &at(name),
                         "it is no longer looked at".into(),
                     );
                 }
                 // One that was required has been told as having become optional.
-                (None, Direction::Answer) if old.required.contains(name) => {}
-                (None, Direction::Answer) => self.add(
-                    Weight::Compatible,
+                (None, Direction::Response) if old.required.contains(name) => {}
+                (None, Direction::Response) => self.add(
+                    ChangeImpact::Compatible,
                     &at(name),
                     "it is no longer given".into(),
                 ),
@@ -640,14 +684,14 @@
             .filter(|name| !old.properties.contains_key(*name))
         {
             match direction {
-                Direction::Answer if old.closed => {
+                Direction::Response if old.closed => {
                     self.add(
-                        Weight::Breaking,
+                        ChangeImpact::Breaking,
                         &at(name),
                         "it is new, where no others were to come".into(),
                     );
                 }
-                _ => self.add(Weight::Compatible, &at(name), "it is new".into()),
+                _ => self.add(ChangeImpact::Compatible, &at(name), "it is new".into()),
             }
         }
         match (old.closed, new.closed) {
@@ -719,7 +763,14 @@
     }
 
     /// Alternatives: those that are the same pair up wherever they stand, the others in their order.
-    fn forms(&mut self, direction: Direction, place: &str, word: &str, old: &[Loc], new: &[Loc]) {
+    fn forms(
+        &mut self,
+        direction: Direction,
+        place: &str,
+        word: &str,
+        old: &[NodeLocation],
+        new: &[NodeLocation],
+    ) {
         if old.is_empty() != new.is_empty() {
             let change = if old.is_empty() {
                 Set::Narrower
@@ -733,8 +784,8 @@
                 format!("{word} is {}", if old.is_empty() { "new" } else { "gone" }),
             );
         }
-        let value = |d: &Description, loc: &Loc| d.sources.get(loc).cloned();
-        let mut rest: Vec<&Loc> = new.iter().collect();
+        let value = |d: &Description, loc: &NodeLocation| d.sources.get(loc).cloned();
+        let mut rest: Vec<&NodeLocation> = new.iter().collect();
         let mut unpaired = Vec::new();
         for loc in old {
             let same = rest
@@ -769,7 +820,7 @@
 }
 
 /// What a reference without siblings leads to; anything else itself.
-fn bare(sources: &Sources, loc: &Loc) -> Loc {
+fn bare(sources: &Sources, loc: &NodeLocation) -> NodeLocation {
     let alone = sources
         .get(loc)
         .and_then(Value::as_object)
@@ -797,13 +848,13 @@
     types: Option<BTreeSet<String>>,
     values: Option<BTreeSet<String>>,
     required: BTreeSet<String>,
-    properties: BTreeMap<String, Loc>,
+    properties: BTreeMap<String, NodeLocation>,
     closed: bool,
-    others: Option<Loc>,
-    items: Option<Loc>,
-    first_items: Vec<Loc>,
-    one_of: Vec<Loc>,
-    any_of: Vec<Loc>,
+    others: Option<NodeLocation>,
+    items: Option<NodeLocation>,
+    first_items: Vec<NodeLocation>,
+    one_of: Vec<NodeLocation>,
+    any_of: Vec<NodeLocation>,
     /// Lower and upper bounds.
     least: BTreeMap<&'static str, f64>,
     most: BTreeMap<&'static str, f64>,
@@ -815,21 +866,21 @@
 }
 
 /// How deep `allOf` is worked in.
-const MOST_DEEP: usize = 32;
+const MAX_ALL_OF_DEPTH: usize = 32;
 
 impl View {
-    fn of(sources: &Sources, loc: &Loc, direction: Direction) -> View {
+    fn of(sources: &Sources, loc: &NodeLocation, direction: Direction) -> View {
         let mut view = View::default();
         view.take(sources, loc, direction, 0);
         view
     }
 
-    fn take(&mut self, sources: &Sources, loc: &Loc, direction: Direction, depth: usize) {
+    fn take(&mut self, sources: &Sources, loc: &NodeLocation, direction: Direction, depth: usize) {
         let reference = sources.reference(loc).is_some();
         let Some(map) = sources.get(loc).and_then(Value::as_object) else {
             return;
         };
-        if depth > MOST_DEEP {
+        if depth > MAX_ALL_OF_DEPTH {
             return;
         }
         if reference {
@@ -841,7 +892,7 @@
         self.take_words(map);
         let skipped = match direction {
             Direction::Request => "readOnly",
-            Direction::Answer => "writeOnly",
+            Direction::Response => "writeOnly",
         };
         let properties = map.get("properties").and_then(Value::as_object);
         let goes = |name: &str| {
--- a/crates/contract/src/tree.rs
+++ b/crates/contract/src/document.rs
@@ -9,11 +9,11 @@
 use std::collections::HashMap;
 
 /// The largest file that is read, in bytes. Descriptions of large public interfaces have a few MB.
-pub const MOST_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_BYTES: usize = 4 * 1024 * 1024;
 /// How deep values may nest. Deeper ones would cost stack in every later walk.
-pub const MOST_DEPTH: usize = 64;
+pub const MAX_DEPTH: usize = 64;
 /// The most nodes of a file, those that aliases repeat included: a few lines of aliases can stand for billions.
-pub const MOST_NODES: usize = 200_000;
+pub const MAX_NODES: usize = 200_000;
 
 /// A file, read.
 #[derive(Clone, Debug)]
@@ -36,12 +36,12 @@
             pointer: pointer.into(),
             cause,
         };
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_BYTES {
             return Err(fault(
                 0,
                 0,
                 "",
-                format!("the file has {} bytes: {MOST_BYTES} at most", bytes.len()),
+                format!("the file has {} bytes: {MAX_BYTES} at most", bytes.len()),
             ));
         }
         let text = std::str::from_utf8(bytes).map_err(|e| {
@@ -203,10 +203,10 @@
     /// Counts a node and notes its place; an error where a bound is passed.
     fn enter(&mut self, pointer: &str, depth: usize, place: (usize, usize)) -> Result<(), Bad> {
         self.nodes += 1;
-        let cause = if depth > MOST_DEPTH {
-            format!("values nest deeper than {MOST_DEPTH} levels")
-        } else if self.nodes > MOST_NODES {
-            format!("there are more than {MOST_NODES} values")
+        let cause = if depth > MAX_DEPTH {
+            format!("values nest deeper than {MAX_DEPTH} levels")
+        } else if self.nodes > MAX_NODES {
+            format!("there are more than {MAX_NODES} values")
         } else {
             self.places.insert(pointer.into(), place);
             return Ok(());
--- a/crates/contract/src/drift.rs
+++ b/crates/contract/src/drift.rs
@@ -1,7 +1,7 @@
 //! The drift ledger: which interfaces depart from their descriptions, where, since when, and on whose side. Bounded
 //! whatever comes; free of I/O and clock.
 
-use crate::check::{Departs, Departure};
+use crate::conformance::{Violation, ViolationKind};
 use crate::schema::Direction;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,19 +9,19 @@
 use std::sync::Arc;
 
 /// The most entries.
-pub const MOST_ENTRIES: usize = 512;
+pub const MAX_ENTRIES: usize = 512;
 /// The most entries of one interface and operation. Members' names that a sender makes up are places of their own and
 /// would push all else out; beyond this bound they share one entry.
-pub const MOST_OF_ONE: usize = 32;
+pub const MAX_ENTRIES_PER_OPERATION: usize = 32;
 /// The most parties that an entry or an operation tells apart.
-pub const MOST_PARTIES: usize = 128;
+pub const MAX_PARTIES: usize = 128;
 /// The most operations that checks are counted for.
-const MOST_OPERATIONS: usize = 1024;
+const MAX_OPERATIONS: usize = 1024;
 /// An entry that has not come up for so long is dropped, in seconds: what was mended should leave the list within a
 /// shift, and what comes up once an hour should stay on it.
-pub const KEPT: f64 = 2.0 * 3600.0;
-/// What stands for the places beyond [`MOST_OF_ONE`].
-const ELSEWHERE: &str = "(other places)";
+pub const RETENTION_SECONDS: f64 = 2.0 * 3600.0;
+/// What stands for the places beyond [`MAX_ENTRIES_PER_OPERATION`].
+const OTHER_PLACES: &str = "(other places)";
 
 /// Whose traffic it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
     /// Which way it went.
     pub direction: Direction,
     /// What departs in it.
-    pub departures: &'o [Departure],
+    pub departures: &'o [Violation],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -74,12 +74,12 @@
 struct Key {
     operation: Operation,
     place: String,
-    kind: Departs,
+    kind: ViolationKind,
 }
 
 /// What is counted of a party.
 #[derive(Clone, Copy, Debug)]
-struct Span {
+struct PartyRecord {
     first: f64,
     last: f64,
     count: u64,
@@ -92,8 +92,8 @@
     first: f64,
     last: f64,
     count: u64,
-    example: Departure,
-    parties: BTreeMap<Arc<str>, Span>,
+    example: Violation,
+    parties: BTreeMap<Arc<str>, PartyRecord>,
     /// Departures of parties that found no room.
     others: u64,
 }
@@ -106,7 +106,7 @@
 
 /// A server as membership tells it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
+pub struct KnownServer {
     /// Its id.
     pub id: Arc<str>,
     /// When it started, in Unix seconds; `None`: long ago.
@@ -125,7 +125,7 @@
     /// Where in the message; list items are `*`.
     pub place: String,
     /// How it departs.
-    pub kind: Departs,
+    pub kind: ViolationKind,
     /// Unix seconds of the first and the last one.
     pub first: f64,
     /// See `first`.
@@ -135,7 +135,7 @@
     /// `count` as a share of the messages of this operation and direction that were looked at.
     pub share: f64,
     /// The last one that was seen.
-    pub example: Departure,
+    pub example: Violation,
     /// Who sends it, and how often; the first to begin stands first.
     pub parties: Vec<(String, u64)>,
     /// How many of the parties whose messages were looked at send it, and of how many.
@@ -146,7 +146,7 @@
 
 /// See the module's page.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct DriftTracker {
     entries: BTreeMap<Key, Entry>,
     checked: BTreeMap<Operation, Checked>,
     servers: BTreeMap<Arc<str>, Option<f64>>,
@@ -168,21 +168,21 @@
         .join("/")
 }
 
-impl Ledger {
+impl DriftTracker {
     /// Notes one message. Returns whether it shows something new: an entry, or a party of one.
-    pub fn note(&mut self, now: f64, seen: &Observation) -> bool {
+    pub fn record(&mut self, now: f64, seen: &Observation) -> bool {
         self.messages += 1;
         let operation = Operation {
             interface: seen.interface,
             operation: seen.operation.clone(),
             direction: seen.direction,
         };
-        let room = self.checked.len() < MOST_OPERATIONS;
+        let room = self.checked.len() < MAX_OPERATIONS;
         let mut good_before = 0;
         if room || self.checked.contains_key(&operation) {
             let checked = self.checked.entry(operation.clone()).or_default();
             checked.count += 1;
-            if checked.by.len() < MOST_PARTIES || checked.by.contains_key(seen.party) {
+            if checked.by.len() < MAX_PARTIES || checked.by.contains_key(seen.party) {
                 let count = checked.by.entry(seen.party.clone()).or_default();
                 good_before = *count;
                 *count += 1;
@@ -214,7 +214,7 @@
         now: f64,
         mut key: Key,
         party: &Arc<str>,
-        departure: &Departure,
+        departure: &Violation,
         good_before: u64,
     ) -> bool {
         if !self.entries.contains_key(&key) {
@@ -223,11 +223,11 @@
                 .keys()
                 .filter(|known| known.operation == key.operation)
                 .count()
-                >= MOST_OF_ONE
+                >= MAX_ENTRIES_PER_OPERATION
             {
-                key.place = ELSEWHERE.into();
+                key.place = OTHER_PLACES.into();
             }
-            if self.entries.len() >= MOST_ENTRIES && !self.entries.contains_key(&key) {
+            if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&key) {
                 let oldest = self
                     .entries
                     .iter()
@@ -255,13 +255,13 @@
             span.count += 1;
             return new;
         }
-        if entry.parties.len() >= MOST_PARTIES {
+        if entry.parties.len() >= MAX_PARTIES {
             entry.others += 1;
             return new;
         }
         entry.parties.insert(
             party.clone(),
-            Span {
+            PartyRecord {
                 first: now,
                 last: now,
                 count: 1,
@@ -273,7 +273,7 @@
 
     /// Takes in the list of servers. One that is not on it was replaced and is forgotten: what only it did leaves the
     /// ledger with it.
-    pub fn servers(&mut self, list: &[Server]) {
+    pub fn update_servers(&mut self, list: &[KnownServer]) {
         self.servers = list
             .iter()
             .map(|server| (server.id.clone(), server.started))
@@ -293,12 +293,13 @@
     }
 
     /// Drops what has not come up for long.
-    pub fn age(&mut self, now: f64) {
-        self.entries.retain(|_, entry| now - entry.last <= KEPT);
+    pub fn expire(&mut self, now: f64) {
+        self.entries
+            .retain(|_, entry| now - entry.last <= RETENTION_SECONDS);
     }
 
     /// Drops all of an interface: its description is another one now.
-    pub fn forget(&mut self, interface: Interface) {
+    pub fn remove(&mut self, interface: Interface) {
         self.entries
             .retain(|key, _| key.operation.interface != interface);
         self.checked
@@ -327,7 +328,7 @@
     }
 
     /// The entry of a departure that was just noted, in one sentence.
-    pub fn summary(&self, seen: &Observation, departure: &Departure) -> Option<String> {
+    pub fn summary(&self, seen: &Observation, departure: &Violation) -> Option<String> {
         let operation = Operation {
             interface: seen.interface,
             operation: seen.operation.clone(),
@@ -339,7 +340,7 @@
             kind: departure.kind,
         };
         if !self.entries.contains_key(&key) {
-            key.place = ELSEWHERE.into();
+            key.place = OTHER_PLACES.into();
         }
         self.entries
             .get(&key)
@@ -351,7 +352,7 @@
         let looked_at = checked
             .map_or(entry.count, |checked| checked.count)
             .max(entry.count);
-        let mut parties: Vec<(&Arc<str>, &Span)> = entry.parties.iter().collect();
+        let mut parties: Vec<(&Arc<str>, &PartyRecord)> = entry.parties.iter().collect();
         parties.sort_by(|a, b| a.1.first.total_cmp(&b.1.first));
         let all = checked
             .map_or(parties.len(), |checked| checked.by.len())
@@ -380,7 +381,7 @@
         &self,
         key: &Key,
         entry: &Entry,
-        parties: &[(&Arc<str>, &Span)],
+        parties: &[(&Arc<str>, &PartyRecord)],
         all: usize,
     ) -> String {
         let example = &entry.example;
@@ -422,7 +423,7 @@
     }
 
     /// Whether those that depart all started after all that do not.
-    fn newer(&self, parties: &[(&Arc<str>, &Span)]) -> bool {
+    fn newer(&self, parties: &[(&Arc<str>, &PartyRecord)]) -> bool {
         let departing: BTreeSet<&Arc<str>> = parties.iter().map(|(party, _)| *party).collect();
         let started = |id: &Arc<str>| self.servers.get(id).copied().flatten();
         let Some(oldest) = departing
--- a/crates/contract/src/drift/tests.rs
+++ b/crates/contract/src/drift/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn departure(place: &str) -> Departure {
-    Departure {
-        kind: Departs::Type,
+fn departure(place: &str) -> Violation {
+    Violation {
+        kind: ViolationKind::Type,
         place: place.into(),
         described: "#/x".into(),
         expected: "the type string".into(),
@@ -10,21 +10,21 @@
     }
 }
 
-fn note(ledger: &mut Ledger, now: f64, party: &str, places: &[&str]) -> bool {
-    let departures: Vec<Departure> = places.iter().map(|place| departure(place)).collect();
+fn note(ledger: &mut DriftTracker, now: f64, party: &str, places: &[&str]) -> bool {
+    let departures: Vec<Violation> = places.iter().map(|place| departure(place)).collect();
     let seen = Observation {
         interface: Interface::Servers,
         party: &party.into(),
         operation: &"A".into(),
-        direction: Direction::Answer,
+        direction: Direction::Response,
         departures: &departures,
     };
-    ledger.note(now, &seen)
+    ledger.record(now, &seen)
 }
 
-fn servers(ids: &[(&str, Option<f64>)]) -> Vec<Server> {
+fn servers(ids: &[(&str, Option<f64>)]) -> Vec<KnownServer> {
     ids.iter()
-        .map(|(id, started)| Server {
+        .map(|(id, started)| KnownServer {
             id: (*id).into(),
             started: *started,
         })
@@ -33,8 +33,8 @@
 
 #[test]
 fn those_that_began_to_depart_are_named_with_the_moment() {
-    let mut ledger = Ledger::default();
-    ledger.servers(&servers(&[
+    let mut ledger = DriftTracker::default();
+    ledger.update_servers(&servers(&[
         ("s-1", None),
         ("s-2", Some(40.0)),
         ("s-3", Some(50.0)),
@@ -69,7 +69,7 @@
          A, body /hits/*/doc: wanted the type string, found 3"
     );
     // One that started as late keeps to the description: being new is not the cause.
-    ledger.servers(&servers(&[
+    ledger.update_servers(&servers(&[
         ("s-1", Some(60.0)),
         ("s-2", Some(40.0)),
         ("s-3", Some(50.0)),
@@ -79,11 +79,11 @@
 
 #[test]
 fn a_replaced_server_is_forgotten() {
-    let mut ledger = Ledger::default();
-    ledger.servers(&servers(&[("s-1", None), ("s-2", None)]));
+    let mut ledger = DriftTracker::default();
+    ledger.update_servers(&servers(&[("s-1", None), ("s-2", None)]));
     note(&mut ledger, 1.0, "s-1", &["body /a", "body /b"]);
     note(&mut ledger, 1.0, "s-2", &["body /a"]);
-    ledger.servers(&servers(&[("s-2", None), ("s-9", None)]));
+    ledger.update_servers(&servers(&[("s-2", None), ("s-9", None)]));
     let rows = ledger.rows();
     assert_eq!(rows.len(), 1);
     assert_eq!(rows[0].parties, [("s-2".to_string(), 1)]);
@@ -91,10 +91,10 @@
 
 #[test]
 fn old_entries_leave_and_a_new_description_starts_over() {
-    let mut ledger = Ledger::default();
+    let mut ledger = DriftTracker::default();
     note(&mut ledger, 0.0, "s-1", &["body /a"]);
-    note(&mut ledger, KEPT, "s-1", &["body /b"]);
-    ledger.age(KEPT + 1.0);
+    note(&mut ledger, RETENTION_SECONDS, "s-1", &["body /b"]);
+    ledger.expire(RETENTION_SECONDS + 1.0);
     assert_eq!(
         ledger
             .rows()
@@ -103,16 +103,16 @@
             .collect::<Vec<_>>(),
         ["body /b"]
     );
-    ledger.forget(Interface::Query);
+    ledger.remove(Interface::Query);
     assert_eq!(ledger.len(), 1);
-    ledger.forget(Interface::Servers);
+    ledger.remove(Interface::Servers);
     assert!(ledger.is_empty());
 }
 
 /// Guards against members' names that a sender makes up, which would push every other entry out or fill memory.
 #[test]
 fn made_up_names_and_parties_stay_within_bounds() {
-    let mut ledger = Ledger::default();
+    let mut ledger = DriftTracker::default();
     note(&mut ledger, 0.0, "s-1", &["body /real"]);
     for at in 0..5_000 {
         note(
@@ -122,11 +122,15 @@
             &[&format!("body /made-up-{at}")],
         );
     }
-    assert!(ledger.len() <= MOST_OF_ONE + 1, "{}", ledger.len());
+    assert!(
+        ledger.len() <= MAX_ENTRIES_PER_OPERATION + 1,
+        "{}",
+        ledger.len()
+    );
     let rows = ledger.rows();
     assert!(rows.iter().any(|row| row.place == "body /real"));
-    let other = rows.iter().find(|row| row.place == ELSEWHERE).unwrap();
-    assert!(other.count > 4_900 && other.parties.len() <= MOST_PARTIES);
+    let other = rows.iter().find(|row| row.place == OTHER_PLACES).unwrap();
+    assert!(other.count > 4_900 && other.parties.len() <= MAX_PARTIES);
     for operation in 0..3_000 {
         let seen = Observation {
             interface: Interface::Platform,
@@ -135,11 +139,11 @@
             direction: Direction::Request,
             departures: &[departure("body")],
         };
-        ledger.note(9_000.0 + f64::from(operation), &seen);
+        ledger.record(9_000.0 + f64::from(operation), &seen);
     }
     assert!(
-        ledger.len() <= MOST_ENTRIES
+        ledger.len() <= MAX_ENTRIES
             && ledger.dropped > 2_000
-            && ledger.checked.len() <= MOST_OPERATIONS
+            && ledger.checked.len() <= MAX_OPERATIONS
     );
 }
--- a/crates/contract/src/decide.rs
+++ b/crates/contract/src/enforcement.rs
@@ -1,7 +1,7 @@
 //! What is done about a departure: which traffic is looked at, what is refused, what counts as failed, and which
 //! descriptions are in force. Free of I/O and clock.
 
-use crate::check::{Departs, Departure};
+use crate::conformance::{Violation, ViolationKind};
 use crate::drift::Interface;
 use crate::model::Description;
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,7 +42,7 @@
     }
 
     /// Whether the next message is looked at.
-    pub fn take(&mut self) -> bool {
+    pub fn sample(&mut self) -> bool {
         self.credit += self.share;
         // A sum of shares such as 0.1 falls short of 1 by less than this.
         let take = self.credit >= 1.0 - 1e-9;
@@ -53,33 +53,33 @@
     }
 }
 
-/// Room for messages that wait to be looked at. What finds none is counted, never waited for.
+/// BacklogLimit for messages that wait to be looked at. What finds none is counted, never waited for.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct BacklogLimit {
     messages: usize,
     bytes: usize,
-    most_messages: usize,
-    most_bytes: usize,
+    max_messages: usize,
+    max_bytes: usize,
     /// Messages that found no room.
-    pub missed: u64,
+    pub rejected: u64,
 }
 
-impl Room {
+impl BacklogLimit {
     /// For so many messages of so many bytes in all.
-    pub fn new(most_messages: usize, most_bytes: usize) -> Room {
-        Room {
+    pub fn new(max_messages: usize, max_bytes: usize) -> BacklogLimit {
+        BacklogLimit {
             messages: 0,
             bytes: 0,
-            most_messages,
-            most_bytes,
-            missed: 0,
+            max_messages,
+            max_bytes,
+            rejected: 0,
         }
     }
 
     /// Whether a message may wait; if so, its room is taken.
-    pub fn enter(&mut self, bytes: usize) -> bool {
-        if self.messages >= self.most_messages || bytes > self.most_bytes - self.bytes {
-            self.missed += 1;
+    pub fn try_reserve(&mut self, bytes: usize) -> bool {
+        if self.messages >= self.max_messages || bytes > self.max_bytes - self.bytes {
+            self.rejected += 1;
             return false;
         }
         self.messages += 1;
@@ -88,7 +88,7 @@
     }
 
     /// A message no longer waits.
-    pub fn leave(&mut self, bytes: usize) {
+    pub fn release(&mut self, bytes: usize) {
         self.messages = self.messages.saturating_sub(1);
         self.bytes = self.bytes.saturating_sub(bytes);
     }
@@ -96,43 +96,43 @@
 
 /// What becomes of a client's request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Request {
+pub enum RequestDecision {
     /// It is served as ever.
     Serve,
     /// It is answered 400 with this reason, and nothing is sent for it.
-    Refuse(String),
+    Reject(String),
 }
 
 /// Judges a request. One whose path or method is not described is left to the front, which words that itself: a
 /// description may cover a part of an interface, such as all but its health page.
-pub fn request(mode: Mode, departures: &[Departure]) -> Request {
+pub fn decide_request(mode: Mode, departures: &[Violation]) -> RequestDecision {
     match departures.first() {
-        Some(first) if mode == Mode::Enforce && first.kind != Departs::Unknown => {
+        Some(first) if mode == Mode::Enforce && first.kind != ViolationKind::Unknown => {
             let more = departures.len() - 1;
             let more = if more > 0 {
                 format!("; {more} more")
             } else {
                 String::new()
             };
-            Request::Refuse(format!(
+            RequestDecision::Reject(format!(
                 "{}: wanted {}, found {}{more}",
                 first.place, first.expected, first.found
             ))
         }
-        _ => Request::Serve,
+        _ => RequestDecision::Serve,
     }
 }
 
 /// Whether a server's answer may be used for what it says. One that departs under `enforce` is a failed attempt that
 /// may have run, whatever it claims: a server that does not keep to its description is not believed that it never
 /// began, either.
-pub fn usable(mode: Mode, departures: &[Departure]) -> bool {
+pub fn is_response_usable(mode: Mode, departures: &[Violation]) -> bool {
     mode != Mode::Enforce || departures.is_empty()
 }
 
 /// An interface with the description that its traffic is held against.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct InterfaceContract {
     /// How.
     pub mode: Mode,
     /// The share of messages that is looked at under `observe`.
@@ -143,15 +143,15 @@
 
 /// All descriptions in force at one time. A request keeps the ones that were in force when it came.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
+pub struct ActiveContracts {
     /// Counts up with each change.
     pub generation: u64,
-    by: BTreeMap<Interface, Held>,
+    by: BTreeMap<Interface, InterfaceContract>,
 }
 
-impl InForce {
+impl ActiveContracts {
     /// The description of an interface; `None` where it is off.
-    pub fn of(&self, interface: Interface) -> Option<&Held> {
+    pub fn get(&self, interface: Interface) -> Option<&InterfaceContract> {
         self.by.get(&interface)
     }
 
@@ -161,17 +161,17 @@
     }
 
     /// All that are on.
-    pub fn all(&self) -> impl Iterator<Item = (Interface, &Held)> {
+    pub fn all(&self) -> impl Iterator<Item = (Interface, &InterfaceContract)> {
         self.by.iter().map(|(interface, held)| (*interface, held))
     }
 
     /// What is in force after these were read: all of them or, where one is at fault, none; without them, `self`
     /// stays. Also which interfaces are held against something else than before; the others keep the very same
     /// description, and what is known of their drift stays true.
-    pub fn next(
+    pub fn replaced_by(
         &self,
-        read: Vec<(Interface, Result<Held, String>)>,
-    ) -> Result<(InForce, BTreeSet<Interface>), String> {
+        read: Vec<(Interface, Result<InterfaceContract, String>)>,
+    ) -> Result<(ActiveContracts, BTreeSet<Interface>), String> {
         let faults: Vec<String> = read
             .iter()
             .filter_map(|(interface, held)| {
@@ -205,7 +205,7 @@
             .copied()
             .collect();
         Ok((
-            InForce {
+            ActiveContracts {
                 generation: self.generation + 1,
                 by,
             },
--- a/crates/contract/src/fault.rs
+++ b/crates/contract/src/fault.rs
@@ -5,7 +5,7 @@
 
 /// The most faults of one description that are told. More would not be read, and a hostile description could hold
 /// any number.
-pub const MOST_FAULTS: usize = 100;
+pub const MAX_FAULTS: usize = 100;
 
 /// One thing that is wrong with a description.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -48,7 +48,7 @@
     /// Notes one, once.
     pub fn push(&mut self, fault: Fault) {
         if self.list.contains(&fault) {
-        } else if self.list.len() < MOST_FAULTS {
+        } else if self.list.len() < MAX_FAULTS {
             self.list.push(fault);
         } else {
             self.more += 1;
@@ -62,7 +62,7 @@
 
     /// Whether no further fault would be told.
     pub fn is_full(&self) -> bool {
-        self.list.len() >= MOST_FAULTS
+        self.list.len() >= MAX_FAULTS
     }
 }
 
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,22 +1,22 @@
 //! Descriptions of interfaces, in OpenAPI and AsyncAPI: read with all their faults, held against traffic, published
 //! from a configuration and compared.
 //!
-//! A description is read once ([`model::Description`]) and then judges messages without I/O ([`check`]). What is done
-//! about a departure is decided in [`decide`]; where and since when an interface departs is kept in [`drift`].
+//! A description is read once ([`model::Description`]) and then judges messages without I/O ([`conformance`]). What is done
+//! about a departure is decided in [`enforcement`]; where and since when an interface departs is kept in [`drift`].
 
 #![forbid(unsafe_code)]
 
 mod asyncapi;
-pub mod check;
-pub mod decide;
+pub mod conformance;
 pub mod diff;
+pub mod document;
 pub mod drift;
+pub mod enforcement;
 pub mod fault;
 pub mod model;
 mod openapi;
 pub mod publish;
 pub mod replay;
-pub mod route;
+pub mod routing;
 pub mod schema;
-pub mod source;
-pub mod tree;
+pub mod sources;
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -1,9 +1,9 @@
 //! A description as it is held against traffic.
 
 use crate::fault::{Fault, Faults};
-use crate::route::Router;
-use crate::schema::{Dialect, Direction, Survey};
-use crate::source::{Loc, Sources};
+use crate::routing::Router;
+use crate::schema::{Dialect, Direction, SchemaRegistry};
+use crate::sources::{NodeLocation, Sources};
 use crate::{asyncapi, openapi};
 use jsonschema::Validator;
 use serde_json::Value;
@@ -23,8 +23,8 @@
 
 /// A place for a value: where its schema stands, and the schema compiled.
 #[derive(Clone, Debug, Default)]
-pub struct Slot {
-    pub(crate) loc: Option<Loc>,
+pub struct SchemaSlot {
+    pub(crate) loc: Option<NodeLocation>,
     pub(crate) validator: Option<Arc<Validator>>,
     /// The types that the schema names, if it does: a parameter's text is read by them.
     pub(crate) types: Vec<String>,
@@ -84,12 +84,12 @@
 #[derive(Clone, Debug)]
 pub struct Media {
     pub(crate) range: MediaRange,
-    pub(crate) slot: Slot,
+    pub(crate) slot: SchemaSlot,
 }
 
 /// Where a parameter stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Within {
+pub enum ParameterLocation {
     /// In the path.
     Path,
     /// In the query string.
@@ -100,13 +100,13 @@
     Cookie,
 }
 
-impl Within {
-    pub(crate) fn read(word: &str) -> Option<Within> {
+impl ParameterLocation {
+    pub(crate) fn read(word: &str) -> Option<ParameterLocation> {
         Some(match word {
-            "path" => Within::Path,
-            "query" => Within::Query,
-            "header" => Within::Header,
-            "cookie" => Within::Cookie,
+            "path" => ParameterLocation::Path,
+            "query" => ParameterLocation::Query,
+            "header" => ParameterLocation::Header,
+            "cookie" => ParameterLocation::Cookie,
             _ => return None,
         })
     }
@@ -114,10 +114,10 @@
     /// The word of the format.
     pub fn word(self) -> &'static str {
         match self {
-            Within::Path => "path",
-            Within::Query => "query",
-            Within::Header => "header",
-            Within::Cookie => "cookie",
+            ParameterLocation::Path => "path",
+            ParameterLocation::Query => "query",
+            ParameterLocation::Header => "header",
+            ParameterLocation::Cookie => "cookie",
         }
     }
 }
@@ -126,10 +126,10 @@
 #[derive(Clone, Debug)]
 pub struct Parameter {
     pub(crate) name: String,
-    pub(crate) within: Within,
+    pub(crate) within: ParameterLocation,
     pub(crate) required: bool,
-    pub(crate) loc: Loc,
-    pub(crate) slot: Slot,
+    pub(crate) loc: NodeLocation,
+    pub(crate) slot: SchemaSlot,
     /// Its value is JSON text.
     pub(crate) json: bool,
     /// It may stand without a value.
@@ -144,7 +144,7 @@
     /// One.
     Exactly(u16),
     /// A hundred, such as `2XX`.
-    Hundred(u16),
+    Range(u16),
     /// All that no other names.
     Default,
 }
@@ -156,7 +156,7 @@
         }
         let digits = word.as_bytes();
         match digits {
-            [first @ b'1'..=b'5', b'X', b'X'] => Some(Status::Hundred(u16::from(first - b'0'))),
+            [first @ b'1'..=b'5', b'X', b'X'] => Some(Status::Range(u16::from(first - b'0'))),
             [b'1'..=b'5', b, c] if b.is_ascii_digit() && c.is_ascii_digit() => {
                 word.parse().ok().map(Status::Exactly)
             }
@@ -169,7 +169,7 @@
 #[derive(Clone, Debug)]
 pub struct Response {
     pub(crate) status: Status,
-    pub(crate) loc: Loc,
+    pub(crate) loc: NodeLocation,
     pub(crate) headers: Vec<Parameter>,
     pub(crate) content: Vec<Media>,
 }
@@ -181,7 +181,7 @@
     pub name: Arc<str>,
     /// The description's own id for it.
     pub id: Option<String>,
-    pub(crate) loc: Loc,
+    pub(crate) loc: NodeLocation,
     pub(crate) parameters: Vec<Parameter>,
     pub(crate) body_required: bool,
     pub(crate) body: Vec<Media>,
@@ -195,9 +195,9 @@
     pub name: Arc<str>,
     pub(crate) channel: String,
     pub(crate) word: String,
-    pub(crate) loc: Loc,
-    pub(crate) headers: Slot,
-    pub(crate) payload: Slot,
+    pub(crate) loc: NodeLocation,
+    pub(crate) headers: SchemaSlot,
+    pub(crate) payload: SchemaSlot,
     pub(crate) json: bool,
     /// Who sends it, as far as an operation says.
     pub(crate) direction: Direction,
@@ -239,7 +239,7 @@
             list: vec![fault],
             more: 0,
         })?;
-        let mut build = Build::new(sources)?;
+        let mut build = DescriptionBuilder::new(sources)?;
         match build.kind {
             Kind::OpenApi => openapi::read(&mut build),
             Kind::AsyncApi => asyncapi::read(&mut build),
@@ -259,18 +259,18 @@
     }
 
     /// The number of the operation that a request means, without judging it.
-    pub fn operation_of(&self, method: &str, target: &str) -> Option<usize> {
+    pub fn find_operation(&self, method: &str, target: &str) -> Option<usize> {
         match self
             .router
             .find(method, target.split('?').next().unwrap_or(target))
         {
-            crate::route::Found::Operation(number, _) => Some(number),
+            crate::routing::RouteMatch::Operation(number, _) => Some(number),
             _ => None,
         }
     }
 
     /// A place in words.
-    pub fn place(&self, loc: &Loc) -> String {
+    pub fn place(&self, loc: &NodeLocation) -> String {
         self.sources.name(loc)
     }
 
@@ -283,23 +283,23 @@
 }
 
 /// A description while it is read.
-pub(crate) struct Build {
+pub(crate) struct DescriptionBuilder {
     pub kind: Kind,
     pub version: String,
     pub sources: Sources,
-    pub survey: Survey,
+    pub survey: SchemaRegistry,
     pub dialect: Dialect,
     pub operations: Vec<Operation>,
     pub messages: Vec<Message>,
     pub router: Router,
-    wanted: BTreeSet<(Loc, Direction)>,
+    wanted: BTreeSet<(NodeLocation, Direction)>,
 }
 
 /// What is read, for the sentence that refuses all else.
 const READ: &str = "OpenAPI 3.0 and 3.1, AsyncAPI 2.6 and 3.0 are read";
 
-impl Build {
-    fn new(mut sources: Sources) -> Result<Build, Faults> {
+impl DescriptionBuilder {
+    fn new(mut sources: Sources) -> Result<DescriptionBuilder, Faults> {
         let root = sources.root();
         let version = |sources: &Sources, key: &str| sources.get(&root.at(key)).cloned();
         let words = |value: &Value| {
@@ -356,11 +356,11 @@
                 return Err(sources.faults);
             }
         };
-        Ok(Build {
+        Ok(DescriptionBuilder {
             kind,
             version: text,
             sources,
-            survey: Survey::new(dialect),
+            survey: SchemaRegistry::new(dialect),
             dialect,
             operations: Vec::new(),
             messages: Vec::new(),
@@ -370,10 +370,10 @@
     }
 
     /// Takes in the schema at a place, for values that go that way.
-    pub fn slot(&mut self, loc: &Loc, direction: Direction) -> Slot {
+    pub fn slot(&mut self, loc: &NodeLocation, direction: Direction) -> SchemaSlot {
         self.survey.visit(&mut self.sources, loc);
         self.wanted.insert((loc.clone(), direction));
-        Slot {
+        SchemaSlot {
             loc: Some(loc.clone()),
             validator: None,
             types: self.types(loc),
@@ -381,7 +381,7 @@
     }
 
     /// The types that a schema names, its references followed.
-    fn types(&mut self, loc: &Loc) -> Vec<String> {
+    fn types(&mut self, loc: &NodeLocation) -> Vec<String> {
         // Faults of the way are noted by the survey.
         let before = self.sources.faults.clone();
         let target = self.sources.resolve(loc);
@@ -399,12 +399,12 @@
         }
     }
 
-    pub fn fault(&mut self, loc: &Loc, cause: impl Into<String>) {
+    pub fn fault(&mut self, loc: &NodeLocation, cause: impl Into<String>) {
         self.sources.fault(loc, cause);
     }
 
     /// The object at a place; a fault where there is something else. Nothing there is no fault.
-    pub fn object(&mut self, loc: &Loc) -> Option<serde_json::Map<String, Value>> {
+    pub fn object(&mut self, loc: &NodeLocation) -> Option<serde_json::Map<String, Value>> {
         match self.sources.get(loc) {
             Some(Value::Object(map)) => Some(map.clone()),
             Some(_) => {
@@ -416,7 +416,7 @@
     }
 
     /// The text at a place; a fault where there is something else. Nothing there is no fault.
-    pub fn text(&mut self, loc: &Loc) -> Option<String> {
+    pub fn text(&mut self, loc: &NodeLocation) -> Option<String> {
         match self.sources.get(loc) {
             Some(Value::String(text)) => Some(text.clone()),
             Some(_) => {
@@ -428,7 +428,7 @@
     }
 
     /// The flag at a place, false where there is none.
-    pub fn flag(&mut self, loc: &Loc) -> bool {
+    pub fn flag(&mut self, loc: &NodeLocation) -> bool {
         match self.sources.get(loc) {
             Some(Value::Bool(flag)) => *flag,
             Some(_) => {
@@ -440,7 +440,7 @@
     }
 
     /// Notes a fault for each key that is missing.
-    pub fn needs(&mut self, loc: &Loc, keys: &[&str]) {
+    pub fn needs(&mut self, loc: &NodeLocation, keys: &[&str]) {
         for key in keys {
             if self.sources.get(&loc.at(key)).is_none() {
                 self.fault(loc, format!("'{key}' is missing"));
@@ -449,7 +449,7 @@
     }
 
     /// The body in each media type of a `content` object.
-    pub fn content(&mut self, loc: &Loc, direction: Direction) -> Vec<Media> {
+    pub fn content(&mut self, loc: &NodeLocation, direction: Direction) -> Vec<Media> {
         let mut all = Vec::new();
         for key in self.object(loc).unwrap_or_default().keys() {
             let at = loc.at(key);
@@ -464,7 +464,7 @@
             let schema = at.at("schema");
             let slot = match self.sources.get(&schema).is_some() {
                 true => self.slot(&schema, direction),
-                false => Slot::default(),
+                false => SchemaSlot::default(),
             };
             all.push(Media { range, slot });
         }
@@ -480,7 +480,7 @@
         if !self.sources.faults.is_empty() {
             return Err(self.sources.faults);
         }
-        let fill = |slot: &mut Slot, direction: Direction| {
+        let fill = |slot: &mut SchemaSlot, direction: Direction| {
             if let Some(loc) = &slot.loc {
                 slot.validator = compiled.get(&(loc.clone(), direction)).cloned();
             }
@@ -493,7 +493,7 @@
             for response in &mut operation.responses {
                 let told = response.headers.iter_mut().map(|p| &mut p.slot);
                 told.chain(response.content.iter_mut().map(|m| &mut m.slot))
-                    .for_each(|s| fill(s, Direction::Answer));
+                    .for_each(|s| fill(s, Direction::Response));
             }
         }
         for message in &mut self.messages {
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -1,11 +1,12 @@
 //! OpenAPI 3.0 and 3.1: operations with their parameters, bodies and answers.
 
 use crate::model::{
-    Build, Media, MediaRange, Operation, Parameter, Response, Slot, Status, Within,
+    DescriptionBuilder, Media, MediaRange, Operation, Parameter, ParameterLocation, Response,
+    SchemaSlot, Status,
 };
-use crate::route::Template;
+use crate::routing::Template;
 use crate::schema::{Dialect, Direction};
-use crate::source::Loc;
+use crate::sources::NodeLocation;
 use std::collections::BTreeMap;
 
 /// The methods that a path item may describe.
@@ -13,9 +14,9 @@
     "get", "put", "post", "delete", "options", "head", "patch", "trace",
 ];
 /// The most operations of a description.
-const MOST_OPERATIONS: usize = 5_000;
+const MAX_OPERATIONS: usize = 5_000;
 
-pub(crate) fn read(build: &mut Build) {
+pub(crate) fn read(build: &mut DescriptionBuilder) {
     let root = build.sources.root();
     build.needs(&root, &["info"]);
     if build.object(&root.at("info")).is_some() {
@@ -36,7 +37,7 @@
     let bases = bases(build, &root.at("servers"));
     let paths = root.at("paths");
     let mut shapes: BTreeMap<String, String> = BTreeMap::new();
-    let mut ids: BTreeMap<String, Loc> = BTreeMap::new();
+    let mut ids: BTreeMap<String, NodeLocation> = BTreeMap::new();
     for path in build.object(&paths).unwrap_or_default().keys() {
         if path.starts_with("x-") {
             continue;
@@ -58,7 +59,7 @@
 }
 
 /// Schemas that nothing refers to are still read: an integrator would copy them.
-fn components(build: &mut Build, loc: &Loc) {
+fn components(build: &mut DescriptionBuilder, loc: &NodeLocation) {
     if build.object(loc).is_none() {
         return;
     }
@@ -79,7 +80,7 @@
 }
 
 /// The paths that servers' addresses put before all templates.
-fn bases(build: &mut Build, loc: &Loc) -> Vec<String> {
+fn bases(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<String> {
     let Some(value) = build.sources.get(loc).cloned() else {
         return vec![String::new()];
     };
@@ -130,12 +131,12 @@
 }
 
 fn item(
-    build: &mut Build,
-    loc: &Loc,
+    build: &mut DescriptionBuilder,
+    loc: &NodeLocation,
     path: &str,
     template: &Template,
     bases: &[String],
-    ids: &mut BTreeMap<String, Loc>,
+    ids: &mut BTreeMap<String, NodeLocation>,
 ) {
     let Some(loc) = build.sources.resolve(loc) else {
         return;
@@ -161,10 +162,10 @@
             );
             continue;
         }
-        if build.operations.len() >= MOST_OPERATIONS {
+        if build.operations.len() >= MAX_OPERATIONS {
             return build.fault(
                 &at,
-                format!("there are more than {MOST_OPERATIONS} operations"),
+                format!("there are more than {MAX_OPERATIONS} operations"),
             );
         }
         let Some(operation) = build.object(&at) else {
@@ -193,7 +194,7 @@
         for name in template.variables() {
             if !all
                 .iter()
-                .any(|p| p.within == Within::Path && p.name == name)
+                .any(|p| p.within == ParameterLocation::Path && p.name == name)
             {
                 build.fault(
                     &at,
@@ -201,7 +202,7 @@
                 );
             }
         }
-        for parameter in all.iter().filter(|p| p.within == Within::Path) {
+        for parameter in all.iter().filter(|p| p.within == ParameterLocation::Path) {
             if !template.variables().any(|name| name == parameter.name) {
                 let loc = parameter.loc.clone();
                 build.fault(
@@ -247,7 +248,7 @@
     }
 }
 
-fn parameters(build: &mut Build, loc: &Loc) -> Vec<Parameter> {
+fn parameters(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<Parameter> {
     let Some(value) = build.sources.get(loc) else {
         return Vec::new();
     };
@@ -269,7 +270,7 @@
         else {
             continue;
         };
-        let Some(within) = Within::read(&word) else {
+        let Some(within) = ParameterLocation::read(&word) else {
             build.fault(
                 &at.at("in"),
                 format!("'{word}' is none of path, query, header and cookie"),
@@ -287,7 +288,7 @@
             continue;
         }
         let required = build.flag(&at.at("required"));
-        if within == Within::Path && !required {
+        if within == ParameterLocation::Path && !required {
             build.fault(
                 &at,
                 format!("the path parameter '{name}' must have 'required': true"),
@@ -307,14 +308,14 @@
 
 /// What a parameter and a header have in common.
 fn parameter(
-    build: &mut Build,
-    loc: &Loc,
+    build: &mut DescriptionBuilder,
+    loc: &NodeLocation,
     name: String,
-    within: Within,
+    within: ParameterLocation,
     required: bool,
     direction: Direction,
 ) -> Parameter {
-    let has = |build: &Build, key: &str| build.sources.get(&loc.at(key)).is_some();
+    let has = |build: &DescriptionBuilder, key: &str| build.sources.get(&loc.at(key)).is_some();
     let (schema, content) = (has(build, "schema"), has(build, "content"));
     if schema == content {
         let cause = if schema {
@@ -330,17 +331,17 @@
         .get(&loc.at("explode"))
         .is_some()
         .then(|| build.flag(&loc.at("explode")));
-    let usual = if matches!(within, Within::Query | Within::Cookie) {
+    let usual = if matches!(within, ParameterLocation::Query | ParameterLocation::Cookie) {
         "form"
     } else {
         "simple"
     };
     let style = style.unwrap_or_else(|| usual.into());
     let styles: &[&str] = match within {
-        Within::Path => &["simple", "label", "matrix"],
-        Within::Query => &["form", "spaceDelimited", "pipeDelimited", "deepObject"],
-        Within::Header => &["simple"],
-        Within::Cookie => &["form"],
+        ParameterLocation::Path => &["simple", "label", "matrix"],
+        ParameterLocation::Query => &["form", "spaceDelimited", "pipeDelimited", "deepObject"],
+        ParameterLocation::Header => &["simple"],
+        ParameterLocation::Cookie => &["form"],
     };
     if !styles.contains(&style.as_str()) {
         let cause = format!(
@@ -356,7 +357,7 @@
         "pipeDelimited" => Some('|'),
         _ => Some(','),
     };
-    let mut slot = Slot::default();
+    let mut slot = SchemaSlot::default();
     let mut json = false;
     if schema {
         slot = build.slot(&loc.at("schema"), direction);
@@ -372,9 +373,9 @@
     }
     // Forms whose text this program does not take apart are there or not there, and no more is said of them.
     if matches!(style.as_str(), "label" | "matrix" | "deepObject") {
-        slot = Slot::default();
+        slot = SchemaSlot::default();
     }
-    let empty = within == Within::Query && build.flag(&loc.at("allowEmptyValue"));
+    let empty = within == ParameterLocation::Query && build.flag(&loc.at("allowEmptyValue"));
     Parameter {
         name,
         within,
@@ -387,7 +388,7 @@
     }
 }
 
-fn responses(build: &mut Build, loc: &Loc) -> Vec<Response> {
+fn responses(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<Response> {
     let Some(map) = build.object(loc) else {
         return Vec::new();
     };
@@ -427,12 +428,12 @@
                 build,
                 &header,
                 name.clone(),
-                Within::Header,
+                ParameterLocation::Header,
                 required,
-                Direction::Answer,
+                Direction::Response,
             ));
         }
-        let content = build.content(&at.at("content"), Direction::Answer);
+        let content = build.content(&at.at("content"), Direction::Response);
         all.push(Response {
             status,
             loc: at,
--- a/crates/contract/src/publish.rs
+++ b/crates/contract/src/publish.rs
@@ -5,7 +5,7 @@
 
 /// What an instance offers and uses.
 #[derive(Clone, Debug)]
-pub struct Surface {
+pub struct InterfaceSpec {
     /// The program's version.
     pub version: String,
     /// Where the platform's front listens.
@@ -123,7 +123,7 @@
 }
 
 /// The description of the HTTP interfaces, in OpenAPI 3.1.
-pub fn openapi(surface: &Surface) -> Value {
+pub fn openapi(surface: &InterfaceSpec) -> Value {
     let server = |address: &str, words: &str| json!([{"url": "http://{address}", "description": words, "variables": {"address": {"default": address}}}]);
     let mut paths = Map::new();
     paths.insert("/_health".into(), health());
@@ -171,7 +171,7 @@
     }})
 }
 
-fn platform(surface: &Surface) -> Value {
+fn platform(surface: &InterfaceSpec) -> Value {
     let error = |words: &str| answer(words, "PlatformError");
     let mut responses = common(&surface.limits, "PlatformError", false);
     responses.extend([
@@ -217,7 +217,7 @@
     }})
 }
 
-fn query(surface: &Surface) -> Vec<(&'static str, Value)> {
+fn query(surface: &InterfaceSpec) -> Vec<(&'static str, Value)> {
     let time = json!({"type": "string", "pattern": "^(-1|[0-9]+(nanos|micros|ms|s|m|h|d))$"});
     let longest = surface
         .classes
@@ -392,7 +392,7 @@
     ]
 }
 
-fn schemas(surface: &Surface) -> Value {
+fn schemas(surface: &InterfaceSpec) -> Value {
     let last = surface.shards.saturating_sub(1);
     let shard = json!({"type": "integer", "minimum": 0, "maximum": last});
     let mut all = json!({
@@ -549,7 +549,7 @@
 }
 
 /// The description of the wires to servers and discovery, in AsyncAPI 3.0. The coordinator is the described side.
-pub fn asyncapi(surface: &Surface) -> Value {
+pub fn asyncapi(surface: &InterfaceSpec) -> Value {
     let server = |protocol: &str, words: &str| {
         json!({"host": "{address}", "protocol": protocol, "description": words,
             "variables": {"address": {"description": "As discovery or the configuration gives it."}}})
@@ -588,7 +588,7 @@
         "messages": messages.iter().map(named).collect::<Vec<_>>()})
 }
 
-fn frames(surface: &Surface) -> Value {
+fn frames(surface: &InterfaceSpec) -> Value {
     let id = json!({"type": "string", "pattern": "^[A-Za-z0-9._-]{1,128}\\.[0-9]+$",
         "description": "The query's id, a dot, the shard."});
     let text = |words: &str| json!({"type": "string", "description": words});
--- a/crates/contract/src/replay.rs
+++ b/crates/contract/src/replay.rs
@@ -4,25 +4,25 @@
 //! taken as its text), and `answer` with `status`, `fields`, `body` and `whole` (false: the connection ended first).
 //! A message has `channel`, `message` (its name or letter), `headers` (an object) and `payload`.
 
-use crate::check::{Answered, Asked, Departs, Departure};
+use crate::conformance::{ObservedRequest, ObservedResponse, Violation, ViolationKind};
 use crate::model::{Description, Kind};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
 /// The longest line that is read, in bytes.
-pub const MOST_LINE: usize = 4 * 1024 * 1024;
+pub const MAX_LINE: usize = 4 * 1024 * 1024;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Line {
+struct RecordedLine {
     method: Option<String>,
     target: Option<String>,
     #[serde(default)]
     fields: BTreeMap<String, String>,
     #[serde(default)]
     body: Value,
-    answer: Option<Answer>,
+    answer: Option<RecordedResponse>,
     channel: Option<String>,
     message: Option<String>,
     #[serde(default)]
@@ -33,7 +33,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Answer {
+struct RecordedResponse {
     status: u16,
     #[serde(default)]
     fields: BTreeMap<String, String>,
@@ -49,7 +49,7 @@
 
 /// A departure of one line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Departed {
+pub struct ViolationAtLine {
     /// The line, from 1.
     pub line: usize,
     /// The operation's or message's name, or what was asked for.
@@ -58,7 +58,7 @@
     pub side: &'static str,
     /// The departure.
     #[serde(flatten)]
-    pub departure: Departure,
+    pub departure: Violation,
 }
 
 /// What came of a recording.
@@ -67,14 +67,14 @@
     /// Messages held against the description: a request and its answer are two.
     pub messages: usize,
     /// What departs.
-    pub departures: Vec<Departed>,
+    pub departures: Vec<ViolationAtLine>,
     /// Lines that can't be read, and why.
     pub unreadable: Vec<(usize, String)>,
 }
 
 impl Outcome {
     /// How often each operation departs in each way and place.
-    pub fn table(&self) -> BTreeMap<(String, String, Departs), usize> {
+    pub fn table(&self) -> BTreeMap<(String, String, ViolationKind), usize> {
         let mut table = BTreeMap::new();
         for departed in &self.departures {
             let place = format!("{} {}", departed.side, departed.departure.place);
@@ -103,12 +103,12 @@
         if line.is_empty() {
             continue;
         }
-        let read = match line.len() > MOST_LINE {
+        let read = match line.len() > MAX_LINE {
             true => Err(format!(
-                "the line has {} bytes: {MOST_LINE} at most",
+                "the line has {} bytes: {MAX_LINE} at most",
                 line.len()
             )),
-            false => serde_json::from_slice::<Line>(line).map_err(|e| e.to_string()),
+            false => serde_json::from_slice::<RecordedLine>(line).map_err(|e| e.to_string()),
         };
         if let Err(cause) = read.and_then(|line| one(description, at + 1, line, &mut outcome)) {
             outcome.unreadable.push((at + 1, cause));
@@ -120,12 +120,12 @@
 fn one(
     description: &Description,
     number: usize,
-    line: Line,
+    line: RecordedLine,
     outcome: &mut Outcome,
 ) -> Result<(), String> {
-    let mut note = |operation: &str, side, departures: Vec<Departure>| {
+    let mut note = |operation: &str, side, departures: Vec<Violation>| {
         outcome.messages += 1;
-        let departed = |departure| Departed {
+        let departed = |departure| ViolationAtLine {
             line: number,
             operation: operation.into(),
             side,
@@ -138,7 +138,7 @@
     match (description.kind, line) {
         (
             Kind::OpenApi,
-            Line {
+            RecordedLine {
                 method: Some(method),
                 target: Some(target),
                 fields,
@@ -150,13 +150,13 @@
             let fields: Vec<_> = fields.into_iter().collect();
             let body = bytes(&body);
             let method = method.to_ascii_uppercase();
-            let asked = Asked {
+            let asked = ObservedRequest {
                 method: &method,
                 target: &target,
                 fields: &fields,
                 body: &body,
             };
-            let judged = description.judge_request(&asked);
+            let judged = description.check_request(&asked);
             let operation = judged
                 .operation
                 .map_or_else(|| format!("{method} {target}"), |name| name.to_string());
@@ -165,13 +165,13 @@
             if let (Some(operation_number), Some(answer)) = (known, answer) {
                 let fields: Vec<_> = answer.fields.into_iter().collect();
                 let body = bytes(&answer.body);
-                let answered = Answered {
+                let answered = ObservedResponse {
                     status: answer.status,
                     fields: &fields,
                     body: &body,
                     whole: answer.whole,
                 };
-                let judged = description.judge_answer(operation_number, &answered);
+                let judged = description.check_response(operation_number, &answered);
                 note(&operation, "answer", judged.departures);
             }
             Ok(())
@@ -179,7 +179,7 @@
         (Kind::OpenApi, _) => Err("'method' and 'target' are needed".into()),
         (
             Kind::AsyncApi,
-            Line {
+            RecordedLine {
                 channel: Some(channel),
                 message: Some(word),
                 headers,
@@ -187,7 +187,7 @@
                 ..
             },
         ) => {
-            let judged = description.judge_message(
+            let judged = description.check_message(
                 &channel,
                 &word,
                 &Value::Object(headers),
--- a/crates/contract/src/route.rs
+++ b/crates/contract/src/routing.rs
@@ -2,7 +2,7 @@
 
 /// A piece of a segment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Piece {
+enum SegmentPart {
     Text(String),
     Variable(String),
 }
@@ -10,11 +10,11 @@
 /// A path template, such as `/{index}/_search`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Template {
-    segments: Vec<Vec<Piece>>,
+    segments: Vec<Vec<SegmentPart>>,
 }
 
 /// The most segments of a template.
-const MOST_SEGMENTS: usize = 64;
+const MAX_SEGMENTS: usize = 64;
 
 impl Template {
     /// Reads a template; the error says what is wrong with it.
@@ -35,7 +35,7 @@
                     return Err("a '}' stands without its '{'".into());
                 }
                 if !text.is_empty() {
-                    pieces.push(Piece::Text(text.into()));
+                    pieces.push(SegmentPart::Text(text.into()));
                 }
                 let Some(after) = after else { break };
                 let Some((name, after)) = after.split_once('}') else {
@@ -47,19 +47,19 @@
                 if names.iter().any(|known| known == name) {
                     return Err(format!("the variable {{{name}}} is there twice"));
                 }
-                if matches!(pieces.last(), Some(Piece::Variable(_))) {
+                if matches!(pieces.last(), Some(SegmentPart::Variable(_))) {
                     return Err(
                         "two variables stand side by side: nothing tells where one ends".into(),
                     );
                 }
                 names.push(name.into());
-                pieces.push(Piece::Variable(name.into()));
+                pieces.push(SegmentPart::Variable(name.into()));
                 rest = after;
             }
             segments.push(pieces);
         }
-        if segments.len() > MOST_SEGMENTS {
-            return Err(format!("a path has {MOST_SEGMENTS} segments at most"));
+        if segments.len() > MAX_SEGMENTS {
+            return Err(format!("a path has {MAX_SEGMENTS} segments at most"));
         }
         Ok(Template { segments })
     }
@@ -70,16 +70,16 @@
             .iter()
             .flatten()
             .filter_map(|piece| match piece {
-                Piece::Variable(name) => Some(name.as_str()),
-                Piece::Text(_) => None,
+                SegmentPart::Variable(name) => Some(name.as_str()),
+                SegmentPart::Text(_) => None,
             })
     }
 
     /// The template with its variables' names left out: two of one shape match the same paths.
     pub fn shape(&self) -> String {
-        let piece = |piece: &Piece| match piece {
-            Piece::Text(text) => text.clone(),
-            Piece::Variable(_) => "{}".into(),
+        let piece = |piece: &SegmentPart| match piece {
+            SegmentPart::Text(text) => text.clone(),
+            SegmentPart::Variable(_) => "{}".into(),
         };
         self.segments
             .iter()
@@ -89,11 +89,11 @@
 
     /// How concrete it is, segment by segment: the most concrete sorts first.
     fn rank(&self) -> Vec<(u8, usize)> {
-        let rank = |pieces: &Vec<Piece>| {
+        let rank = |pieces: &Vec<SegmentPart>| {
             let text: usize = pieces
                 .iter()
                 .map(|p| {
-                    if let Piece::Text(text) = p {
+                    if let SegmentPart::Text(text) = p {
                         text.len()
                     } else {
                         0
@@ -102,7 +102,7 @@
                 .sum();
             match pieces
                 .iter()
-                .any(|piece| matches!(piece, Piece::Variable(_)))
+                .any(|piece| matches!(piece, SegmentPart::Variable(_)))
             {
                 false => (0, 0),
                 true if text > 0 => (1, usize::MAX - text),
@@ -123,12 +123,12 @@
             let mut pieces = pieces.iter().peekable();
             while let Some(piece) = pieces.next() {
                 match (piece, pieces.peek()) {
-                    (Piece::Text(text), _) => rest = rest.strip_prefix(text.as_str())?,
+                    (SegmentPart::Text(text), _) => rest = rest.strip_prefix(text.as_str())?,
                     // The last text of a segment is looked for from its end, so that `{name}.{ending}` takes `a.b.json`.
-                    (Piece::Variable(name), Some(Piece::Text(text))) => {
+                    (SegmentPart::Variable(name), Some(SegmentPart::Text(text))) => {
                         let mut after = pieces.clone();
                         after.next();
-                        let last = !after.any(|piece| matches!(piece, Piece::Text(_)));
+                        let last = !after.any(|piece| matches!(piece, SegmentPart::Text(_)));
                         let at = if last {
                             rest.rfind(text.as_str())
                         } else {
@@ -140,7 +140,7 @@
                         values.push((name.as_str(), &rest[..at]));
                         rest = &rest[at..];
                     }
-                    (Piece::Variable(name), _) => {
+                    (SegmentPart::Variable(name), _) => {
                         if rest.is_empty() {
                             return None;
                         }
@@ -165,7 +165,7 @@
 
 /// What a path leads to.
 #[derive(Debug, PartialEq)]
-pub enum Found<'r, 'p> {
+pub enum RouteMatch<'r, 'p> {
     /// The operation's number and the variables' values.
     Operation(usize, Vec<(&'r str, &'p str)>),
     /// The path is described, but not with this method.
@@ -191,7 +191,7 @@
 
     /// Finds the operation of a request. Where the most concrete template that matches has not the method, a less
     /// concrete one may.
-    pub fn find<'r, 'p>(&'r self, method: &str, path: &'p str) -> Found<'r, 'p> {
+    pub fn find<'r, 'p>(&'r self, method: &str, path: &'p str) -> RouteMatch<'r, 'p> {
         let segments: Vec<&str> = path.strip_prefix('/').unwrap_or(path).split('/').collect();
         let mut others = Vec::new();
         for (template, methods) in &self.routes {
@@ -199,13 +199,13 @@
                 continue;
             };
             match methods.iter().find(|(known, _)| known == method) {
-                Some((_, operation)) => return Found::Operation(*operation, values),
+                Some((_, operation)) => return RouteMatch::Operation(*operation, values),
                 None => others.extend(methods.iter().map(|(known, _)| known.as_str())),
             }
         }
         match others.is_empty() {
-            true => Found::Nothing,
-            false => Found::OtherMethods(others),
+            true => RouteMatch::Nothing,
+            false => RouteMatch::OtherMethods(others),
         }
     }
 }
--- a/crates/contract/src/route/tests.rs
+++ b/crates/contract/src/routing/tests.rs
@@ -28,7 +28,7 @@
             ("/other/x-1", "/{a}/x-{b}"),
             ("/other/x", "/{a}/{b}"),
         ] {
-            let Found::Operation(at, _) = router.find("GET", path) else {
+            let RouteMatch::Operation(at, _) = router.find("GET", path) else {
                 panic!("{path}")
             };
             assert_eq!(turned[at], wins, "{path}");
@@ -39,13 +39,16 @@
 #[test]
 fn variables_take_whole_pieces_and_never_nothing() {
     let router = router(&["/files/{name}.json", "/{a}"]);
-    let Found::Operation(0, values) = router.find("GET", "/files/a.b.json") else {
+    let RouteMatch::Operation(0, values) = router.find("GET", "/files/a.b.json") else {
         panic!()
     };
     assert_eq!(values, [("name", "a.b")]);
-    assert_eq!(router.find("GET", "/files/.json"), Found::Nothing);
-    assert_eq!(router.find("GET", "/"), Found::Nothing);
-    assert_eq!(router.find("POST", "/x"), Found::OtherMethods(vec!["GET"]));
+    assert_eq!(router.find("GET", "/files/.json"), RouteMatch::Nothing);
+    assert_eq!(router.find("GET", "/"), RouteMatch::Nothing);
+    assert_eq!(
+        router.find("POST", "/x"),
+        RouteMatch::OtherMethods(vec!["GET"])
+    );
 }
 
 #[test]
--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -2,7 +2,7 @@
 //! and compiled. OpenAPI 3.1 and 3.0 are compiled as JSON Schema 2020-12 (3.0's dialect is translated), AsyncAPI's
 //! superset of JSON Schema as draft 7.
 
-use crate::source::{Loc, Sources};
+use crate::sources::{NodeLocation, Sources};
 use jsonschema::error::ValidationErrorKind;
 use jsonschema::{Draft, PatternOptions, Registry, Validator};
 use serde_json::{json, Value};
@@ -11,15 +11,15 @@
 
 /// The most ways in which one value may be looked at, counted over `allOf`, `anyOf`, `oneOf` and the like with their
 /// references: a page of schemas that each name two others twice can ask for more looks than there is time.
-pub const MOST_LOOKS: u64 = 10_000;
+pub const MAX_VISITS: u64 = 10_000;
 /// The most schemas of a description, subschemas included.
-pub const MOST_SCHEMAS: usize = 50_000;
+pub const MAX_SCHEMAS: usize = 50_000;
 /// The longest regular expression, in bytes, and the most memory that a compiled one takes. Expressions run without
 /// backtracking, in time linear in the text.
-const MOST_PATTERN: usize = 1_000;
-const MOST_PATTERN_MEMORY: usize = 256 * 1024;
+const MAX_PATTERN: usize = 1_000;
+const MAX_PATTERN_MEMORY: usize = 256 * 1024;
 /// The most expressions of a description: each costs time to compile, up to some milliseconds.
-const MOST_PATTERNS: usize = 1_000;
+const MAX_PATTERNS: usize = 1_000;
 /// Documents are known to the compiler by their numbers under this address, which nothing is ever fetched from.
 const BASE: &str = "cairnroad:///";
 
@@ -41,7 +41,8 @@
     /// From who asks to who answers.
     Request,
     /// Back.
-    Answer,
+    #[serde(rename = "answer")]
+    Response,
 }
 
 /// How a subschema is applied.
@@ -50,7 +51,7 @@
     /// To the same value: it adds a look at it.
     Here,
     /// To parts of the value.
-    Within,
+    ParameterLocation,
 }
 
 /// The keywords whose value is one schema, a list of schemas, or schemas by name.
@@ -59,33 +60,33 @@
     ("if", Applied::Here),
     ("then", Applied::Here),
     ("else", Applied::Here),
-    ("items", Applied::Within),
-    ("additionalItems", Applied::Within),
-    ("contains", Applied::Within),
-    ("additionalProperties", Applied::Within),
-    ("unevaluatedItems", Applied::Within),
-    ("unevaluatedProperties", Applied::Within),
-    ("propertyNames", Applied::Within),
-    ("contentSchema", Applied::Within),
+    ("items", Applied::ParameterLocation),
+    ("additionalItems", Applied::ParameterLocation),
+    ("contains", Applied::ParameterLocation),
+    ("additionalProperties", Applied::ParameterLocation),
+    ("unevaluatedItems", Applied::ParameterLocation),
+    ("unevaluatedProperties", Applied::ParameterLocation),
+    ("propertyNames", Applied::ParameterLocation),
+    ("contentSchema", Applied::ParameterLocation),
 ];
 const LIST: [(&str, Applied); 5] = [
     ("allOf", Applied::Here),
     ("anyOf", Applied::Here),
     ("oneOf", Applied::Here),
-    ("prefixItems", Applied::Within),
-    ("items", Applied::Within),
+    ("prefixItems", Applied::ParameterLocation),
+    ("items", Applied::ParameterLocation),
 ];
 const NAMED: [(&str, Applied); 6] = [
-    ("properties", Applied::Within),
-    ("patternProperties", Applied::Within),
-    ("$defs", Applied::Within),
-    ("definitions", Applied::Within),
+    ("properties", Applied::ParameterLocation),
+    ("patternProperties", Applied::ParameterLocation),
+    ("$defs", Applied::ParameterLocation),
+    ("definitions", Applied::ParameterLocation),
     ("dependentSchemas", Applied::Here),
     ("dependencies", Applied::Here),
 ];
 
 /// The subschemas of a schema, by place.
-fn children(value: &Value, loc: &Loc) -> Vec<(Loc, Applied)> {
+fn children(value: &Value, loc: &NodeLocation) -> Vec<(NodeLocation, Applied)> {
     let Some(map) = value.as_object() else {
         return Vec::new();
     };
@@ -125,12 +126,12 @@
 }
 
 /// All schemas of a description while it is read.
-pub struct Survey {
+pub struct SchemaRegistry {
     dialect: Dialect,
     /// Every schema met, with the subschemas and references it has.
-    met: BTreeMap<Loc, Vec<(Loc, Applied)>>,
+    met: BTreeMap<NodeLocation, Vec<(NodeLocation, Applied)>>,
     /// Where schemas begin that are no subschema of another.
-    roots: BTreeSet<Loc>,
+    roots: BTreeSet<NodeLocation>,
     /// Names of members whose values must not be shown.
     pub secrets: BTreeSet<String>,
     /// Whether any member goes one way only.
@@ -139,10 +140,10 @@
     full: bool,
 }
 
-impl Survey {
+impl SchemaRegistry {
     /// None met yet.
-    pub fn new(dialect: Dialect) -> Survey {
-        Survey {
+    pub fn new(dialect: Dialect) -> SchemaRegistry {
+        SchemaRegistry {
             dialect,
             met: BTreeMap::new(),
             roots: BTreeSet::new(),
@@ -154,7 +155,7 @@
     }
 
     /// Takes in the schema at a place with all that it refers to; faults are noted.
-    pub fn visit(&mut self, sources: &mut Sources, root: &Loc) {
+    pub fn visit(&mut self, sources: &mut Sources, root: &NodeLocation) {
         if self.met.contains_key(root) {
             return;
         }
@@ -164,9 +165,9 @@
             if self.met.contains_key(&loc) || self.full {
                 continue;
             }
-            if self.met.len() >= MOST_SCHEMAS {
+            if self.met.len() >= MAX_SCHEMAS {
                 self.full = true;
-                sources.fault(&loc, format!("there are more than {MOST_SCHEMAS} schemas"));
+                sources.fault(&loc, format!("there are more than {MAX_SCHEMAS} schemas"));
                 return;
             }
             let Some(value) = sources.get(&loc).cloned() else {
@@ -202,16 +203,16 @@
     }
 
     /// What the compiler would not say, or not with its place.
-    fn look_over(&mut self, sources: &mut Sources, loc: &Loc, value: &Value) {
+    fn look_over(&mut self, sources: &mut Sources, loc: &NodeLocation, value: &Value) {
         for word in ["$dynamicRef", "$recursiveRef"] {
             if value.get(word).is_some() {
                 sources.fault(&loc.at(word), format!("{word} is not read: use $ref"));
             }
         }
         if let Some(pattern) = value.get("pattern").and_then(Value::as_str) {
-            if pattern.len() > MOST_PATTERN {
+            if pattern.len() > MAX_PATTERN {
                 let cause = format!(
-                    "the expression has {} bytes: {MOST_PATTERN} at most",
+                    "the expression has {} bytes: {MAX_PATTERN} at most",
                     pattern.len()
                 );
                 sources.fault(&loc.at("pattern"), cause);
@@ -230,10 +231,10 @@
                 );
             }
             self.patterns += 1;
-            if self.patterns == MOST_PATTERNS + 1 {
+            if self.patterns == MAX_PATTERNS + 1 {
                 sources.fault(
                     &loc.at("pattern"),
-                    format!("there are more than {MOST_PATTERNS} expressions"),
+                    format!("there are more than {MAX_PATTERNS} expressions"),
                 );
             }
         }
@@ -291,13 +292,17 @@
     /// Looks for schemas that apply themselves to the value they are applied to, and for those that look at one
     /// value too often. Call it once all are met.
     pub fn weigh(&self, sources: &mut Sources) {
-        type Step<'s> = (&'s Loc, std::slice::Iter<'s, (Loc, Applied)>, u64);
+        type Step<'s> = (
+            &'s NodeLocation,
+            std::slice::Iter<'s, (NodeLocation, Applied)>,
+            u64,
+        );
         #[derive(Clone, Copy)]
         enum Mark {
             Open,
             Done(u64),
         }
-        let mut marks: BTreeMap<&Loc, Mark> = BTreeMap::new();
+        let mut marks: BTreeMap<&NodeLocation, Mark> = BTreeMap::new();
         for start in self.met.keys() {
             // Each step: a schema, its subschemas left to weigh, and the looks so far.
             let mut way: Vec<Step> = Vec::new();
@@ -335,7 +340,7 @@
                 }
             }
         }
-        let looks = |loc: &Loc| match marks.get(loc) {
+        let looks = |loc: &NodeLocation| match marks.get(loc) {
             Some(Mark::Done(looks)) => *looks,
             _ => 0,
         };
@@ -346,9 +351,9 @@
                 .map(|(loc, _)| looks(loc))
                 .max();
             // Told where it begins, not at all that lie around it.
-            if looks(loc) > MOST_LOOKS && within.unwrap_or(0) <= MOST_LOOKS {
+            if looks(loc) > MAX_VISITS && within.unwrap_or(0) <= MAX_VISITS {
                 let cause = format!(
-                    "one value would be looked at {} times: {MOST_LOOKS} at most",
+                    "one value would be looked at {} times: {MAX_VISITS} at most",
                     looks(loc)
                 );
                 sources.fault(loc, cause);
@@ -360,15 +365,15 @@
     pub fn compile(
         &self,
         sources: &mut Sources,
-        wanted: &BTreeSet<(Loc, Direction)>,
-    ) -> BTreeMap<(Loc, Direction), Arc<Validator>> {
+        wanted: &BTreeSet<(NodeLocation, Direction)>,
+    ) -> BTreeMap<(NodeLocation, Direction), Arc<Validator>> {
         let mut compiled = BTreeMap::new();
         let draft = match self.dialect {
             Dialect::Json7 => Draft::Draft7,
             _ => Draft::Draft202012,
         };
         let mut bundles: BTreeMap<Direction, Vec<Value>> = BTreeMap::new();
-        for direction in [Direction::Request, Direction::Answer] {
+        for direction in [Direction::Request, Direction::Response] {
             bundles.insert(direction, self.bundle(sources, direction));
         }
         for root in &self.roots {
@@ -389,7 +394,7 @@
                 {
                     continue; // told before, in plainer words
                 }
-                let at = Loc {
+                let at = NodeLocation {
                     file: root.file,
                     pointer: format!("{}{}", root.pointer, e.instance_path()),
                 };
@@ -424,8 +429,8 @@
             for (loc, _) in wanted.iter().filter(|(_, wanted)| wanted == direction) {
                 let schema = json!({"$ref": address(loc)});
                 let patterns = PatternOptions::regex()
-                    .size_limit(MOST_PATTERN_MEMORY)
-                    .dfa_size_limit(MOST_PATTERN_MEMORY);
+                    .size_limit(MAX_PATTERN_MEMORY)
+                    .dfa_size_limit(MAX_PATTERN_MEMORY);
                 let validator = jsonschema::options()
                     .with_draft(draft)
                     .with_base_uri(format!("{BASE}start"))
@@ -441,11 +446,12 @@
                     Err(e) => {
                         // The compiler names a faulty expression, but not its place.
                         let pattern = e.instance().as_ref();
-                        let holds = |at: &&Loc| sources.get(&at.at("pattern")) == Some(pattern);
+                        let holds =
+                            |at: &&NodeLocation| sources.get(&at.at("pattern")) == Some(pattern);
                         let regex = matches!(e.kind(), ValidationErrorKind::Format { format } if format == "regex");
                         match self.met.keys().find(holds).cloned().filter(|_| regex) {
                             Some(at) => {
-                                let most = MOST_PATTERN_MEMORY;
+                                let most = MAX_PATTERN_MEMORY;
                                 let cause =
                                     format!("this expression takes more than {most} bytes, or can't be used");
                                 sources.fault(&at.at("pattern"), cause);
@@ -496,7 +502,7 @@
             if self.one_way {
                 let skipped = match direction {
                     Direction::Request => "readOnly",
-                    Direction::Answer => "writeOnly",
+                    Direction::Response => "writeOnly",
                 };
                 let properties = sources
                     .get(&loc.at("properties"))
@@ -544,7 +550,7 @@
     }
 }
 
-fn address(loc: &Loc) -> String {
+fn address(loc: &NodeLocation) -> String {
     let mut out = format!("{BASE}{}#", loc.file);
     for byte in loc.pointer.bytes() {
         match byte {
@@ -558,11 +564,11 @@
 }
 
 /// The place that an address of the compiler's means: the file's number and the pointer.
-pub fn place_of(address: &str) -> Option<Loc> {
+pub fn place_of(address: &str) -> Option<NodeLocation> {
     let (file, pointer) = address.strip_prefix(BASE)?.split_once('#')?;
-    Some(Loc {
+    Some(NodeLocation {
         file: file.parse().ok()?,
-        pointer: crate::source::decode(pointer)?,
+        pointer: crate::sources::decode(pointer)?,
     })
 }
 
--- a/crates/contract/src/source.rs
+++ b/crates/contract/src/sources.rs
@@ -1,39 +1,39 @@
 //! The files of a description and the references among them. A reference leads to a file beside the description,
 //! never to the network and never out of the description's folder.
 
+use crate::document::{step, Document, MAX_BYTES};
 use crate::fault::{Fault, Faults};
-use crate::tree::{step, Document, MOST_BYTES};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 use std::path::{Path, PathBuf};
 
 /// The most files of one description.
-pub const MOST_FILES: usize = 64;
+pub const MAX_FILES: usize = 64;
 /// The most references that lead from one to the next.
-const MOST_HOPS: usize = 32;
+const MAX_REFERENCE_CHAIN: usize = 32;
 
 /// A node of one of the files.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Loc {
+pub struct NodeLocation {
     /// The file's number.
     pub file: usize,
     /// The node's JSON pointer.
     pub pointer: String,
 }
 
-impl Loc {
+impl NodeLocation {
     /// The member of that name.
-    pub fn at(&self, key: &str) -> Loc {
-        Loc {
+    pub fn at(&self, key: &str) -> NodeLocation {
+        NodeLocation {
             file: self.file,
             pointer: step(&self.pointer, key),
         }
     }
 
     /// The item of that number.
-    pub fn item(&self, number: usize) -> Loc {
-        Loc {
+    pub fn item(&self, number: usize) -> NodeLocation {
+        NodeLocation {
             file: self.file,
             pointer: format!("{}/{number}", self.pointer),
         }
@@ -91,8 +91,8 @@
     }
 
     /// The description's first node.
-    pub fn root(&self) -> Loc {
-        Loc {
+    pub fn root(&self) -> NodeLocation {
+        NodeLocation {
             file: 0,
             pointer: String::new(),
         }
@@ -104,7 +104,7 @@
     }
 
     /// The node at a place.
-    pub fn get(&self, loc: &Loc) -> Option<&Value> {
+    pub fn get(&self, loc: &NodeLocation) -> Option<&Value> {
         self.files.get(loc.file)?.value.pointer(&loc.pointer)
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// A place in words: the file where it isn't the first, and the pointer.
-    pub fn name(&self, loc: &Loc) -> String {
+    pub fn name(&self, loc: &NodeLocation) -> String {
         match (loc.file, self.files.get(loc.file)) {
             (0, _) | (_, None) => format!("#{}", loc.pointer),
             (_, Some(file)) => format!("{}#{}", file.name, loc.pointer),
@@ -131,7 +131,7 @@
     }
 
     /// Notes that something is wrong at a node.
-    pub fn fault(&mut self, loc: &Loc, cause: impl Into<String>) {
+    pub fn fault(&mut self, loc: &NodeLocation, cause: impl Into<String>) {
         if let Some(file) = self.files.get(loc.file) {
             let fault = file.fault(&loc.pointer, cause);
             self.faults.push(fault);
@@ -139,7 +139,7 @@
     }
 
     /// The node itself or, where it is a reference, what that leads to in the end. Faults of the way are noted.
-    pub fn resolve(&mut self, loc: &Loc) -> Option<Loc> {
+    pub fn resolve(&mut self, loc: &NodeLocation) -> Option<NodeLocation> {
         let mut at = loc.clone();
         let mut passed = vec![at.clone()];
         loop {
@@ -159,10 +159,10 @@
                 );
                 return None;
             }
-            if passed.len() > MOST_HOPS {
+            if passed.len() > MAX_REFERENCE_CHAIN {
                 self.fault(
                     loc,
-                    format!("more than {MOST_HOPS} references lead from one to the next"),
+                    format!("more than {MAX_REFERENCE_CHAIN} references lead from one to the next"),
                 );
                 return None;
             }
@@ -172,12 +172,12 @@
     }
 
     /// What a node refers to, if it is a reference.
-    pub fn reference(&self, loc: &Loc) -> Option<String> {
+    pub fn reference(&self, loc: &NodeLocation) -> Option<String> {
         Some(self.get(loc)?.get("$ref")?.as_str()?.to_string())
     }
 
     /// The node that a reference at `from` names. A fault is noted where there is none.
-    pub fn follow(&mut self, from: &Loc, reference: &str) -> Option<Loc> {
+    pub fn follow(&mut self, from: &NodeLocation, reference: &str) -> Option<NodeLocation> {
         match self.find(from.file, reference) {
             Ok(loc) => Some(loc),
             Err(cause) => {
@@ -187,7 +187,7 @@
         }
     }
 
-    fn find(&mut self, from: usize, reference: &str) -> Result<Loc, String> {
+    fn find(&mut self, from: usize, reference: &str) -> Result<NodeLocation, String> {
         let (path, fragment) = reference.split_once('#').unwrap_or((reference, ""));
         let file = if path.is_empty() {
             from
@@ -198,7 +198,7 @@
         if !pointer.is_empty() && !pointer.starts_with('/') {
             return Err("only JSON pointers (#/...) are followed, no anchors".into());
         }
-        let loc = Loc { file, pointer };
+        let loc = NodeLocation { file, pointer };
         match self.get(&loc) {
             Some(_) => Ok(loc),
             None => Err(format!("there is nothing at {}", self.name(&loc))),
@@ -206,9 +206,9 @@
     }
 
     /// What a node leads to among the files that are read, without noting faults.
-    pub fn target(&self, loc: &Loc) -> Option<Loc> {
+    pub fn target(&self, loc: &NodeLocation) -> Option<NodeLocation> {
         let mut at = loc.clone();
-        for _ in 0..MOST_HOPS {
+        for _ in 0..MAX_REFERENCE_CHAIN {
             let Some(reference) = self.reference(&at) else {
                 return Some(at);
             };
@@ -220,7 +220,7 @@
                     self.files.iter().position(|file| file.name == name)?
                 }
             };
-            at = Loc {
+            at = NodeLocation {
                 file,
                 pointer: decode(fragment)?,
             };
@@ -268,8 +268,8 @@
         if self.unreadable.contains(&name) {
             return Err(format!("the file {name} can't be used"));
         }
-        if self.files.len() + self.unreadable.len() >= MOST_FILES {
-            return Err(format!("a description has {MOST_FILES} files at most"));
+        if self.files.len() + self.unreadable.len() >= MAX_FILES {
+            return Err(format!("a description has {MAX_FILES} files at most"));
         }
         let read = self.read_beside(&name);
         if read.is_err() {
@@ -305,9 +305,9 @@
     if !about.is_file() {
         return Err("this is no plain file".into());
     }
-    if about.len() > MOST_BYTES as u64 {
+    if about.len() > MAX_BYTES as u64 {
         return Err(format!(
-            "the file has {} bytes: {MOST_BYTES} at most",
+            "the file has {} bytes: {MAX_BYTES} at most",
             about.len()
         ));
     }
--- a/crates/contract/tests/compare.rs
+++ b/crates/contract/tests/compare.rs
@@ -1,6 +1,6 @@
 //! What changed between two descriptions, and for whom it breaks.
 
-use cairnroad_contract::diff::{diff, Weight};
+use cairnroad_contract::diff::{diff, ChangeImpact};
 use cairnroad_contract::model::Description;
 
 const OLD: &str = r##"
@@ -276,6 +276,6 @@
     .unwrap();
     assert_eq!(
         (breaking[0].weight, breaking[0].what.as_str()),
-        (Weight::Breaking, "it goes the other way")
+        (ChangeImpact::Breaking, "it goes the other way")
     );
 }
--- a/crates/contract/tests/corpus.rs
+++ b/crates/contract/tests/corpus.rs
@@ -1,7 +1,9 @@
 //! The corpus: descriptions that are sound, each with traffic replayed over loopback, and broken ones, each with the
 //! exact words that it must get.
 
-use cairnroad_contract::check::{Answered, Asked, Departs, Departure};
+use cairnroad_contract::conformance::{
+    ObservedRequest, ObservedResponse, Violation, ViolationKind,
+};
 use cairnroad_contract::model::{Description, Kind};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -115,7 +117,7 @@
 }
 
 /// One exchange over loopback, judged by what came off the wire at either end.
-fn exchange(description: &Description, row: &Value) -> Vec<Departure> {
+fn exchange(description: &Description, row: &Value) -> Vec<Violation> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let served = row.clone();
@@ -126,29 +128,29 @@
     let (first, fields, body, whole) = read(&mut BufReader::new(client)).unwrap();
     let asked = server.join().unwrap();
     let words: Vec<&str> = asked.0.split(' ').collect();
-    let request = Asked {
+    let request = ObservedRequest {
         method: words[0],
         target: words[1],
         fields: &asked.1,
         body: &asked.2,
     };
-    let judged = description.judge_request(&request);
+    let judged = description.check_request(&request);
     let mut departures = judged.departures;
     if let Some(number) = judged.number.filter(|_| row["answer"].is_object()) {
         let status = first.split(' ').nth(1).unwrap().parse().unwrap();
-        let answered = Answered {
+        let answered = ObservedResponse {
             status,
             fields: &fields,
             body: &body,
             whole,
         };
-        departures.extend(description.judge_answer(number, &answered).departures);
+        departures.extend(description.check_response(number, &answered).departures);
     }
     departures
 }
 
 /// One message over loopback: a line of head fields, then the payload.
-fn message(description: &Description, row: &Value) -> Vec<Departure> {
+fn message(description: &Description, row: &Value) -> Vec<Violation> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut sender = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let fields = if row["headers"].is_null() {
@@ -164,7 +166,7 @@
     reader.read_to_end(&mut payload).unwrap();
     let fields = serde_json::from_str(&line).unwrap();
     description
-        .judge_message(
+        .check_message(
             &text(&row["channel"]),
             &text(&row["message"]),
             &fields,
@@ -208,7 +210,8 @@
                     "{departure:?}"
                 );
                 // A place in the description is one that can be looked up.
-                let known = departure.kind == Departs::Unknown || departure.described.contains('#');
+                let known =
+                    departure.kind == ViolationKind::Unknown || departure.described.contains('#');
                 assert!(known, "{name}: {departure:?}");
                 if let Some(secret) = row["secret"].as_str() {
                     let shown = format!("{} {}", departure.found, departure.expected);
@@ -254,14 +257,14 @@
         let mut body = json!({"sku": "A-1", "count": 1});
         body[*member] = value.clone();
         let body = body.to_string();
-        let answered = Answered {
+        let answered = ObservedResponse {
             status: 200,
             fields: &kind,
             body: body.as_bytes(),
             whole: true,
         };
         let places = |d: &Description| {
-            let found = d.judge_answer(0, &answered).departures;
+            let found = d.check_response(0, &answered).departures;
             found
                 .into_iter()
                 .map(|departure| (departure.kind, departure.place))
--- a/crates/contract/tests/damage.rs
+++ b/crates/contract/tests/damage.rs
@@ -1,7 +1,7 @@
 //! Damaged and hostile descriptions and messages, from fixed seeds: no panic, and no more time or memory than the
 //! bounds allow.
 
-use cairnroad_contract::check::{Answered, Asked};
+use cairnroad_contract::conformance::{ObservedRequest, ObservedResponse};
 use cairnroad_contract::model::Description;
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{json, Value};
@@ -98,13 +98,13 @@
                 let body = text.as_bytes();
                 let fields = vec![("Content-Type".to_string(), "application/json".to_string())];
                 for operation in 0..description.operations.len() {
-                    let answered = Answered {
+                    let answered = ObservedResponse {
                         status: 200,
                         fields: &fields,
                         body,
                         whole: true,
                     };
-                    description.judge_answer(operation, &answered);
+                    description.check_response(operation, &answered);
                 }
             }
             Err(faults) => {
@@ -177,29 +177,29 @@
             ["aisle", "tag", "filter", "p"][below(&mut gen, 4)],
             String::arbitrary(&mut gen)
         );
-        let asked = Asked {
+        let asked = ObservedRequest {
             method: ["GET", "POST", "PUT"][below(&mut gen, 3)],
             target: &target,
             fields: &fields,
             body: &body,
         };
-        let mut found = description.judge_request(&asked).departures;
+        let mut found = description.check_request(&asked).departures;
         for operation in 0..description.operations.len() {
             let status = u16::arbitrary(&mut gen) % 700;
-            let answered = Answered {
+            let answered = ObservedResponse {
                 status,
                 fields: &fields,
                 body: &body,
                 whole: bool::arbitrary(&mut gen),
             };
-            found.extend(description.judge_answer(operation, &answered).departures);
+            found.extend(description.check_response(operation, &answered).departures);
         }
         for message in &description.messages {
             let (channel, word) = message.name.split_once(' ').unwrap();
             let head = value(&mut gen, 2);
             found.extend(
                 description
-                    .judge_message(channel, word, &head, &body)
+                    .check_message(channel, word, &head, &body)
                     .departures,
             );
         }
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -3,10 +3,10 @@
 
 use crate::cli::{Contract, Kind, Output, Roster as RosterCommand};
 use crate::{configuration, contract, discovery::file_source, published_descriptions};
-use cairnroad_contract::diff::{diff, Weight};
+use cairnroad_contract::diff::{diff, ChangeImpact};
+use cairnroad_contract::document::to_yaml;
 use cairnroad_contract::model::Description;
 use cairnroad_contract::replay::replay;
-use cairnroad_contract::tree::to_yaml;
 use cairnroad_contract::{fault::Faults, publish};
 use cairnroad_endpoint_files::endpoint_set::EndpointSet;
 use cairnroad_endpoint_files::fault::join_lines;
@@ -197,7 +197,7 @@
     }
     if changes
         .iter()
-        .any(|change| change.weight == Weight::Breaking)
+        .any(|change| change.weight == ChangeImpact::Breaking)
     {
         FAULTY
     } else {
@@ -224,7 +224,7 @@
     let mut reader = BufReader::new(source);
     let lines = std::iter::from_fn(|| {
         let mut line = Vec::new();
-        let most = cairnroad_contract::replay::MOST_LINE as u64 + 1;
+        let most = cairnroad_contract::replay::MAX_LINE as u64 + 1;
         match reader.by_ref().take(most).read_until(b'\n', &mut line) {
             Ok(0) => None,
             Ok(_) => Some(line),
--- a/crates/coordinator/src/contract.rs
+++ b/crates/coordinator/src/contract.rs
@@ -6,9 +6,12 @@
 use crate::configuration::{BackendKind, Plan};
 use crate::http;
 use crate::messages::{ContractsInForce, EndpointEntry};
-use cairnroad_contract::check::{Answered, Asked, Departure};
-use cairnroad_contract::decide::{self, Held, InForce, Mode, Room, Sampler};
-use cairnroad_contract::drift::{Interface, Ledger, Observation, Server};
+use cairnroad_contract::conformance::{ObservedRequest, ObservedResponse, Violation};
+use cairnroad_contract::drift::{DriftTracker, Interface, KnownServer, Observation};
+use cairnroad_contract::enforcement::{
+    decide_request, is_response_usable, ActiveContracts, BacklogLimit, InterfaceContract, Mode,
+    RequestDecision, Sampler,
+};
 use cairnroad_contract::model::{Description, Kind};
 use cairnroad_contract::schema::Direction;
 use cairnroad_types::ServerState;
@@ -20,12 +23,12 @@
 
 /// Messages and bytes that may wait to be looked at. At full share this is some tenth of a second of a busy instance;
 /// a thread that is further behind will not catch up by a longer queue.
-const MOST_WAITING: usize = 512;
-const MOST_WAITING_BYTES: usize = 2 * 1024 * 1024;
+const MAX_WAITING: usize = 512;
+const MAX_WAITING_BYTES: usize = 2 * 1024 * 1024;
 /// How often the thread aside looks. Waking it for each message would cost the core's thread more than the message.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Old entries are looked for after so many messages.
-const AGE_EVERY: u64 = 4096;
+const EXPIRE_EVERY_MESSAGES: u64 = 4096;
 
 /// Stands for the operation where none is described.
 const UNKNOWN: &str = "(not described)";
@@ -34,7 +37,7 @@
 
 /// A message, and the description in force for it.
 struct Item {
-    held: Held,
+    held: InterfaceContract,
     interface: Interface,
     party: Arc<str>,
     now: f64,
@@ -68,12 +71,12 @@
 /// What waits to be looked at.
 struct Waiting {
     items: Vec<Item>,
-    room: Room,
+    room: BacklogLimit,
 }
 
 /// A client's request that is looked at, until its answer is known.
 pub struct Watched {
-    held: Held,
+    held: InterfaceContract,
     interface: Interface,
     judged: bool,
     method: String,
@@ -95,7 +98,7 @@
     clock: Clock,
     in_force: RefCell<ContractsInForce>,
     samplers: RefCell<BTreeMap<Interface, Sampler>>,
-    ledger: Arc<Mutex<Ledger>>,
+    ledger: Arc<Mutex<DriftTracker>>,
     waiting: Arc<Mutex<Waiting>>,
     /// Whether the thread aside runs.
     looking: Cell<bool>,
@@ -122,7 +125,7 @@
 pub fn read(
     plans: &[(Interface, Plan)],
     backend: BackendKind,
-) -> Vec<(Interface, Result<Held, String>)> {
+) -> Vec<(Interface, Result<InterfaceContract, String>)> {
     let one = |interface: Interface, plan: &Plan| {
         let description = Description::open(&plan.path).map_err(|faults| faults.to_string())?;
         let wanted = match (interface, backend) {
@@ -137,7 +140,7 @@
                 description.kind
             ));
         }
-        Ok(Held {
+        Ok(InterfaceContract {
             mode: plan.mode,
             share: plan.share,
             description: Arc::new(description.slim()),
@@ -159,7 +162,7 @@
             ledger: Arc::default(),
             waiting: Arc::new(Mutex::new(Waiting {
                 items: Vec::new(),
-                room: Room::new(MOST_WAITING, MOST_WAITING_BYTES),
+                room: BacklogLimit::new(MAX_WAITING, MAX_WAITING_BYTES),
             })),
             looking: Cell::new(false),
             servers: RefCell::default(),
@@ -171,13 +174,16 @@
     }
 
     /// Puts into force what was read, whole or not at all.
-    pub fn adopt(&self, read: Vec<(Interface, Result<Held, String>)>) -> Result<(), String> {
+    pub fn adopt(
+        &self,
+        read: Vec<(Interface, Result<InterfaceContract, String>)>,
+    ) -> Result<(), String> {
         let old = self.in_force.borrow().clone().unwrap_or_default();
-        let (next, changed) = old.next(read)?;
+        let (next, changed) = old.replaced_by(read)?;
         let mut ledger = lock(&self.ledger);
         changed
             .iter()
-            .for_each(|interface| ledger.forget(*interface));
+            .for_each(|interface| ledger.remove(*interface));
         drop(ledger);
         let samplers = next
             .all()
@@ -233,11 +239,11 @@
     /// Tells the ledger who is there.
     fn tell_servers(&self) {
         let servers = self.servers.borrow();
-        let server = |(id, started): (&Arc<str>, &Option<f64>)| Server {
+        let server = |(id, started): (&Arc<str>, &Option<f64>)| KnownServer {
             id: id.clone(),
             started: *started,
         };
-        lock(&self.ledger).servers(&servers.iter().map(server).collect::<Vec<_>>());
+        lock(&self.ledger).update_servers(&servers.iter().map(server).collect::<Vec<_>>());
     }
 
     fn now(&self) -> f64 {
@@ -248,13 +254,13 @@
         self.samplers
             .borrow_mut()
             .get_mut(&interface)
-            .is_some_and(Sampler::take)
+            .is_some_and(Sampler::sample)
     }
 
     /// Hands a message to the thread aside, if there is room.
     fn send(&self, item: Item) {
         let mut waiting = lock(&self.waiting);
-        if waiting.room.enter(item.bytes) {
+        if waiting.room.try_reserve(item.bytes) {
             waiting.items.push(item);
         }
     }
@@ -266,7 +272,7 @@
         party: &Arc<str>,
         operation: Option<&Arc<str>>,
         direction: Direction,
-        found: &[Departure],
+        found: &[Violation],
     ) {
         let operation = operation.unwrap_or(&self.unknown);
         let seen = Observation {
@@ -282,23 +288,23 @@
     /// A client's request. `Err`: it must not be served, for this reason.
     pub fn request(
         &self,
-        in_force: &InForce,
+        in_force: &ActiveContracts,
         interface: Interface,
         request: &http::Request,
     ) -> Result<Option<Watched>, String> {
-        let Some(held) = in_force.of(interface) else {
+        let Some(held) = in_force.get(interface) else {
             return Ok(None);
         };
         let (method, target) = (request.method.as_str(), request.target.as_str());
         let judged = held.mode == Mode::Enforce;
         if judged {
-            let asked = Asked {
+            let asked = ObservedRequest {
                 method,
                 target,
                 fields: request.fields.pairs(),
                 body: &request.body,
             };
-            let found = held.description.judge_request(&asked);
+            let found = held.description.check_request(&asked);
             self.note(
                 interface,
                 &self.clients,
@@ -306,7 +312,7 @@
                 Direction::Request,
                 &found.departures,
             );
-            if let decide::Request::Refuse(reason) = decide::request(held.mode, &found.departures) {
+            if let RequestDecision::Reject(reason) = decide_request(held.mode, &found.departures) {
                 return Err(reason);
             }
         }
@@ -380,12 +386,12 @@
     ) -> bool {
         let Some(held) = judge
             .as_ref()
-            .and_then(|in_force| in_force.of(Interface::Servers))
+            .and_then(|in_force| in_force.get(Interface::Servers))
         else {
             return true;
         };
         let interface = Interface::Servers;
-        let answered = Answered {
+        let answered = ObservedResponse {
             status: response.status,
             fields: response.fields.pairs(),
             body: &response.body,
@@ -396,18 +402,18 @@
             let line = String::from_utf8_lossy(line);
             let mut words = line.split(' ');
             let (method, target) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
-            let number = held.description.operation_of(method, target);
+            let number = held.description.find_operation(method, target);
             // An operation that is not described promises nothing that could be held against its answer.
             let Some(number) = number else { return true };
-            let found = held.description.judge_answer(number, &answered);
+            let found = held.description.check_response(number, &answered);
             self.note(
                 interface,
                 party,
                 found.operation,
-                Direction::Answer,
+                Direction::Response,
                 &found.departures,
             );
-            return decide::usable(held.mode, &found.departures);
+            return is_response_usable(held.mode, &found.departures);
         }
         if !self.sampled(interface) {
             return true;
@@ -451,7 +457,7 @@
         line: impl FnOnce() -> String,
         head: Head,
     ) -> bool {
-        let Some(held) = judge.as_ref().and_then(|in_force| in_force.of(interface)) else {
+        let Some(held) = judge.as_ref().and_then(|in_force| in_force.get(interface)) else {
             return true;
         };
         let Part {
@@ -460,10 +466,10 @@
             direction,
             payload,
         } = part;
-        if held.mode == Mode::Enforce && direction == Direction::Answer {
+        if held.mode == Mode::Enforce && direction == Direction::Response {
             let found = held
                 .description
-                .judge_message(channel, word, &head(&line()), payload);
+                .check_message(channel, word, &head(&line()), payload);
             self.note(
                 interface,
                 party,
@@ -471,7 +477,7 @@
                 direction,
                 &found.departures,
             );
-            return decide::usable(held.mode, &found.departures);
+            return is_response_usable(held.mode, &found.departures);
         }
         if self.sampled(interface) {
             let party = if direction == Direction::Request {
@@ -518,14 +524,14 @@
     /// The drift ledger and what is in force.
     fn drift(&self) -> Value {
         let in_force = self.current().unwrap_or_default();
-        let shown = |(interface, held): (Interface, &Held)| {
+        let shown = |(interface, held): (Interface, &InterfaceContract)| {
             let about = json!({"mode": held.mode, "share": held.share, "title": held.description.title,
                 "format": held.description.version, "files": held.description.files().collect::<Vec<_>>()});
             (interface.to_string(), about)
         };
-        let missed = lock(&self.waiting).room.missed;
+        let missed = lock(&self.waiting).room.rejected;
         let mut ledger = lock(&self.ledger);
-        ledger.age(self.now());
+        ledger.expire(self.now());
         json!({
             "generation": in_force.generation,
             "interfaces": in_force.all().map(shown).collect::<serde_json::Map<_, _>>(),
@@ -539,11 +545,11 @@
 }
 
 /// Notes a message; what is new is logged.
-fn note(ledger: &mut Ledger, now: f64, seen: &Observation) {
-    if ledger.messages.is_multiple_of(AGE_EVERY) {
-        ledger.age(now);
+fn note(ledger: &mut DriftTracker, now: f64, seen: &Observation) {
+    if ledger.messages.is_multiple_of(EXPIRE_EVERY_MESSAGES) {
+        ledger.expire(now);
     }
-    if !ledger.note(now, seen) {
+    if !ledger.record(now, seen) {
         return;
     }
     for departure in seen.departures {
@@ -561,18 +567,20 @@
 }
 
 /// The thread aside: judges what is handed to it for as long as the program lives.
-fn look(waiting: &Mutex<Waiting>, ledger: &Mutex<Ledger>) {
+fn look(waiting: &Mutex<Waiting>, ledger: &Mutex<DriftTracker>) {
     loop {
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(CHECK_INTERVAL);
         let mut waiting = lock(waiting);
         let items = std::mem::take(&mut waiting.items);
-        items.iter().for_each(|item| waiting.room.leave(item.bytes));
+        items
+            .iter()
+            .for_each(|item| waiting.room.release(item.bytes));
         drop(waiting);
         items.into_iter().for_each(|item| look_at(item, ledger));
     }
 }
 
-fn look_at(item: Item, ledger: &Mutex<Ledger>) {
+fn look_at(item: Item, ledger: &Mutex<DriftTracker>) {
     let Item {
         held,
         interface,
@@ -582,7 +590,7 @@
         ..
     } = item;
     let description = &held.description;
-    let note = |operation: Option<&Arc<str>>, direction, found: &[Departure]| {
+    let note = |operation: Option<&Arc<str>>, direction, found: &[Violation]| {
         let unknown = || Arc::from(UNKNOWN);
         let operation = &operation.cloned().unwrap_or_else(unknown);
         let seen = Observation {
@@ -604,28 +612,28 @@
             answer,
         } => {
             let number = match judged {
-                true => description.operation_of(&method, &target),
+                true => description.find_operation(&method, &target),
                 false => {
-                    let asked = Asked {
+                    let asked = ObservedRequest {
                         method: &method,
                         target: &target,
                         fields: &fields,
                         body: &body,
                     };
-                    let found = description.judge_request(&asked);
+                    let found = description.check_request(&asked);
                     note(found.operation, Direction::Request, &found.departures);
                     found.number
                 }
             };
             if let (Some(number), Some((status, fields, body, whole))) = (number, answer) {
-                let answered = Answered {
+                let answered = ObservedResponse {
                     status,
                     fields: &fields,
                     body: &body,
                     whole,
                 };
-                let found = description.judge_answer(number, &answered);
-                note(found.operation, Direction::Answer, &found.departures);
+                let found = description.check_response(number, &answered);
+                note(found.operation, Direction::Response, &found.departures);
             }
         }
         What::Frame {
@@ -636,7 +644,7 @@
             head,
             payload,
         } => {
-            let found = description.judge_message(channel, word, &head(&line), &payload);
+            let found = description.check_message(channel, word, &head(&line), &payload);
             note(found.operation, direction, &found.departures);
         }
     }
--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -202,7 +202,7 @@
         let list = Part {
             channel: "watch",
             word: "list",
-            direction: Direction::Answer,
+            direction: Direction::Response,
             payload,
         };
         contracts.frame(
--- a/crates/coordinator/src/fronts/opensearch.rs
+++ b/crates/coordinator/src/fronts/opensearch.rs
@@ -264,7 +264,7 @@
 
 /// A word of a query string; `None` where its encoding is broken.
 fn decode(text: &str) -> Option<String> {
-    cairnroad_contract::source::decode(&text.replace('+', " "))
+    cairnroad_contract::sources::decode(&text.replace('+', " "))
 }
 
 fn flag(name: &str, value: &str) -> Result<bool, Fault> {
--- a/crates/coordinator/src/messages.rs
+++ b/crates/coordinator/src/messages.rs
@@ -2,7 +2,7 @@
 //! nothing of the program, so that stages, pool, backends, fronts and discovery can each be read alone.
 
 use cairnroad_admin::request::{AdminRequest, AdminResponse};
-use cairnroad_contract::decide::InForce;
+use cairnroad_contract::enforcement::ActiveContracts;
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Outcome, RequestId, ServerState, Time};
 use std::cell::Cell;
@@ -36,7 +36,7 @@
 }
 
 /// The descriptions that were in force when a request came; `None`: none were.
-pub type ContractsInForce = Option<Arc<InForce>>;
+pub type ContractsInForce = Option<Arc<ActiveContracts>>;
 
 /// A request, whichever front it came by.
 #[derive(Debug)]
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -4,11 +4,11 @@
 use crate::contract::Pages;
 use crate::fronts::{self, opensearch};
 use crate::http;
-use cairnroad_contract::publish::{self, Class, Index, Limits, Surface};
+use cairnroad_contract::publish::{self, Class, Index, InterfaceSpec, Limits};
 use cairnroad_types::Idempotency;
 
 /// The surface of a configuration.
-pub fn of(config: &Config) -> Surface {
+pub fn of(config: &Config) -> InterfaceSpec {
     let deployment = &config.offer.deployment;
     let class_name = |class: usize| {
         deployment
@@ -17,7 +17,7 @@
             .cloned()
             .unwrap_or_default()
     };
-    Surface {
+    InterfaceSpec {
         version: env!("CARGO_PKG_VERSION").into(),
         listen: config.listen.to_string(),
         query: config.opensearch.map(|address| address.to_string()),
--- a/crates/coordinator/tests/descriptions.rs
+++ b/crates/coordinator/tests/descriptions.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cairnroad_contract::check::{Answered, Asked};
+use cairnroad_contract::conformance::{ObservedRequest, ObservedResponse};
 use cairnroad_contract::model::Description;
 use common::*;
 use serde_json::{json, Value};
@@ -159,13 +159,13 @@
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
             .collect();
-        let asked = Asked {
+        let asked = ObservedRequest {
             method: case.method,
             target: case.target,
             fields: &owned,
             body: case.body.as_bytes(),
         };
-        let request = document.judge_request(&asked);
+        let request = document.check_request(&asked);
         let number = request
             .number
             .unwrap_or_else(|| panic!("{at} is not described"));
@@ -174,14 +174,14 @@
         }
         let fields: Vec<_> = told.fields.into_iter().collect();
         let body = told.json.to_string();
-        let answered = Answered {
+        let answered = ObservedResponse {
             status: told.status,
             fields: &fields,
             body: body.as_bytes(),
             whole: true,
         };
         assert_eq!(
-            document.judge_answer(number, &answered).departures,
+            document.check_response(number, &answered).departures,
             [],
             "{at}: {body}"
         );
@@ -195,15 +195,15 @@
     assert!(missed.is_empty(), "described but never served: {missed:?}");
     // The checks can fail: an answer without its mark of wholeness is none.
     let kind = [("Content-Type".to_string(), "application/json".to_string())];
-    let number = document.operation_of("POST", "/api").unwrap();
-    let wrong = Answered {
+    let number = document.find_operation("POST", "/api").unwrap();
+    let wrong = ObservedResponse {
         status: 200,
         fields: &kind,
         body: b"{\"hits\":[]}",
         whole: true,
     };
     assert_eq!(
-        document.judge_answer(number, &wrong).departures[0].place,
+        document.check_response(number, &wrong).departures[0].place,
         "body /complete"
     );
 }
@@ -227,7 +227,7 @@
     let mut letters = BTreeSet::new();
     let mut judge = |channel: &str, word: &str, head: Value, payload: &[u8]| {
         letters.insert(word.to_string());
-        let found = document.judge_message(channel, word, &head, payload);
+        let found = document.check_message(channel, word, &head, payload);
         assert_eq!(found.departures, [], "{word} {head}");
     };
     for text in &frames {
@@ -276,7 +276,7 @@
         "a call, a cancel, an ask and a list were seen: {letters:?}"
     );
     assert!(!document
-        .judge_message("frames", "Q", &json!({"id": "1"}), b"")
+        .check_message("frames", "Q", &json!({"id": "1"}), b"")
         .departures
         .is_empty());
 }
