--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -2,7 +2,8 @@
 //!
 //! A message goes by its own name or, where `x-frame` gives one, by the letter that it has on a binary wire.
 
-use crate::model::{DescriptionBuilder, MediaRange, Message, SchemaSlot};
+use crate::builder::DescriptionBuilder;
+use crate::model::{MediaRange, Message, SchemaSlot};
 use crate::schema::Direction;
 use crate::sources::NodeLocation;
 use std::collections::{BTreeMap, BTreeSet};
--- /dev/null
+++ b/crates/contract/src/builder.rs
@@ -0,0 +1,279 @@
+//! A description while its format's parser reads it: typed access to its nodes, and the faults found so far.
+
+use crate::fault::Faults;
+use crate::model::{Description, Kind, Media, MediaRange, Message, Operation, SchemaSlot};
+use crate::routing::Router;
+use crate::schema::{clip, Dialect, Direction, SchemaRegistry};
+use crate::sources::{NodeLocation, Sources};
+use jsonschema::Validator;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// A description while it is read.
+pub(crate) struct DescriptionBuilder {
+    pub kind: Kind,
+    pub version: String,
+    pub sources: Sources,
+    pub registry: SchemaRegistry,
+    pub dialect: Dialect,
+    pub operations: Vec<Operation>,
+    pub messages: Vec<Message>,
+    pub router: Router,
+    wanted: BTreeSet<(NodeLocation, Direction)>,
+}
+
+/// The supported versions, for the sentence that rejects all others.
+const SUPPORTED_VERSIONS: &str = "OpenAPI 3.0 and 3.1, AsyncAPI 2.6 and 3.0 are read";
+/// The keys that name a format's version, the first one found counts.
+const VERSION_KEYS: [(&str, Kind); 3] = [
+    ("openapi", Kind::OpenApi),
+    ("asyncapi", Kind::AsyncApi),
+    ("swagger", Kind::OpenApi),
+];
+
+/// Why a description's version is not supported.
+#[derive(Debug, thiserror::Error)]
+enum VersionError {
+    #[error("neither 'openapi' nor 'asyncapi' names a version here: {SUPPORTED_VERSIONS}")]
+    Missing,
+    #[error("the version must be a string such as \"{major}.{minor}.0\"")]
+    Malformed { major: String, minor: String },
+    #[error("this is {format} {version}: {SUPPORTED_VERSIONS}")]
+    Unsupported {
+        format: &'static str,
+        version: String,
+    },
+}
+
+/// Returns the dialect of a format's version.
+fn parse_dialect(key: &str, value: &Value, version: &str) -> Result<Dialect, VersionError> {
+    let mut numbers = version.split(['.', '-']);
+    let major = numbers.next().unwrap_or("");
+    let minor = numbers.next().unwrap_or("");
+    let has_patch = numbers
+        .next()
+        .is_some_and(|patch| patch.bytes().all(|byte| byte.is_ascii_digit()));
+    let dialect = match (key, major, minor) {
+        ("openapi", "3", "0") => Dialect::OpenApi30,
+        ("openapi", "3", "1") => Dialect::Json2020,
+        ("asyncapi", "2", "6") | ("asyncapi", "3", "0") => Dialect::Json7,
+        _ => {
+            let format = match key {
+                "openapi" => "OpenAPI",
+                "asyncapi" => "AsyncAPI",
+                _ => "Swagger",
+            };
+            let version = clip(version);
+            return Err(VersionError::Unsupported { format, version });
+        }
+    };
+    if !value.is_string() || !has_patch {
+        return Err(VersionError::Malformed {
+            major: major.into(),
+            minor: minor.into(),
+        });
+    }
+    Ok(dialect)
+}
+
+impl DescriptionBuilder {
+    /// Starts with the files of a description, if its version is supported.
+    pub(crate) fn new(mut sources: Sources) -> Result<DescriptionBuilder, Faults> {
+        let root = sources.root();
+        let found = VERSION_KEYS
+            .into_iter()
+            .find_map(|(key, kind)| Some((key, kind, sources.get(&root.at(key)).cloned()?)));
+        let Some((key, kind, value)) = found else {
+            sources.fault(&root, VersionError::Missing.to_string());
+            return Err(sources.faults);
+        };
+        let version = match &value {
+            Value::String(text) => text.clone(),
+            other => other.to_string(),
+        };
+        let dialect = match parse_dialect(key, &value, &version) {
+            Ok(dialect) => dialect,
+            Err(error) => {
+                sources.fault(&root.at(key), error.to_string());
+                return Err(sources.faults);
+            }
+        };
+        Ok(DescriptionBuilder {
+            kind,
+            version,
+            sources,
+            registry: SchemaRegistry::new(dialect),
+            dialect,
+            operations: Vec::new(),
+            messages: Vec::new(),
+            router: Router::default(),
+            wanted: BTreeSet::new(),
+        })
+    }
+
+    /// Takes in the schema at a place, for values that go that way.
+    pub fn slot(&mut self, loc: &NodeLocation, direction: Direction) -> SchemaSlot {
+        self.registry.visit(&mut self.sources, loc);
+        self.wanted.insert((loc.clone(), direction));
+        SchemaSlot {
+            loc: Some(loc.clone()),
+            validator: None,
+            types: self.types(loc),
+        }
+    }
+
+    /// The types that a schema names, its references followed.
+    fn types(&mut self, loc: &NodeLocation) -> Vec<String> {
+        // Faults of the way are reported by the registry.
+        let before = self.sources.faults.clone();
+        let target = self.sources.resolve(loc);
+        self.sources.faults = before;
+        let value = target
+            .and_then(|loc| self.sources.get(&loc).cloned())
+            .unwrap_or_default();
+        match &value["type"] {
+            Value::String(one) => vec![one.clone()],
+            Value::Array(many) => many
+                .iter()
+                .filter_map(|v| v.as_str().map(str::to_string))
+                .collect(),
+            _ => Vec::new(),
+        }
+    }
+
+    pub fn fault(&mut self, loc: &NodeLocation, cause: impl Into<String>) {
+        self.sources.fault(loc, cause);
+    }
+
+    /// The object at a place; a fault where there is something else. Nothing there is no fault.
+    pub fn object(&mut self, loc: &NodeLocation) -> Option<serde_json::Map<String, Value>> {
+        match self.sources.get(loc) {
+            Some(Value::Object(map)) => Some(map.clone()),
+            Some(_) => {
+                self.fault(loc, "this must be an object");
+                None
+            }
+            None => None,
+        }
+    }
+
+    /// The text at a place; a fault where there is something else. Nothing there is no fault.
+    pub fn text(&mut self, loc: &NodeLocation) -> Option<String> {
+        match self.sources.get(loc) {
+            Some(Value::String(text)) => Some(text.clone()),
+            Some(_) => {
+                self.fault(loc, "this must be a string");
+                None
+            }
+            None => None,
+        }
+    }
+
+    /// The flag at a place, false where there is none.
+    pub fn flag(&mut self, loc: &NodeLocation) -> bool {
+        match self.sources.get(loc) {
+            Some(Value::Bool(flag)) => *flag,
+            Some(_) => {
+                self.fault(loc, "this must be true or false");
+                false
+            }
+            None => false,
+        }
+    }
+
+    /// Notes a fault for each key that is missing.
+    pub fn needs(&mut self, loc: &NodeLocation, keys: &[&str]) {
+        for key in keys {
+            if self.sources.get(&loc.at(key)).is_none() {
+                self.fault(loc, format!("'{key}' is missing"));
+            }
+        }
+    }
+
+    /// The body in each media type of a `content` object.
+    pub fn content(&mut self, loc: &NodeLocation, direction: Direction) -> Vec<Media> {
+        let mut all = Vec::new();
+        for key in self.object(loc).unwrap_or_default().keys() {
+            let at = loc.at(key);
+            let Some(range) = MediaRange::read(key) else {
+                self.fault(
+                    &at,
+                    "this is no media type, such as application/json, nor a range, such as text/*",
+                );
+                continue;
+            };
+            self.object(&at);
+            let schema = at.at("schema");
+            let slot = match self.sources.get(&schema).is_some() {
+                true => self.slot(&schema, direction),
+                false => SchemaSlot::default(),
+            };
+            all.push(Media { range, slot });
+        }
+        all
+    }
+
+    /// Compiles the schemas and returns the description, or all faults.
+    pub(crate) fn finish(mut self) -> Result<Description, Faults> {
+        self.registry.weigh(&mut self.sources);
+        if !self.sources.faults.is_empty() {
+            return Err(self.sources.faults);
+        }
+        let compiled = self.registry.compile(&mut self.sources, &self.wanted);
+        if !self.sources.faults.is_empty() {
+            return Err(self.sources.faults);
+        }
+        self.attach_validators(&compiled);
+        let root = self.sources.root();
+        let info = self
+            .sources
+            .get(&root.at("info"))
+            .cloned()
+            .unwrap_or_default();
+        let word = |key: &str| info[key].as_str().unwrap_or("").to_string();
+        Ok(Description {
+            kind: self.kind,
+            version: self.version,
+            title: format!("{} {}", word("title"), word("version")),
+            operations: self.operations,
+            messages: self.messages,
+            fingerprint: self.sources.fingerprint(),
+            router: self.router,
+            secrets: self.registry.secrets,
+            sources: self.sources,
+        })
+    }
+
+    /// Puts each compiled schema where values are checked by it.
+    fn attach_validators(
+        &mut self,
+        compiled: &BTreeMap<(NodeLocation, Direction), Arc<Validator>>,
+    ) {
+        let attach = |slot: &mut SchemaSlot, direction: Direction| {
+            if let Some(location) = &slot.loc {
+                slot.validator = compiled.get(&(location.clone(), direction)).cloned();
+            }
+        };
+        for operation in &mut self.operations {
+            for parameter in &mut operation.parameters {
+                attach(&mut parameter.slot, Direction::Request);
+            }
+            for media in &mut operation.body {
+                attach(&mut media.slot, Direction::Request);
+            }
+            for response in &mut operation.responses {
+                for header in &mut response.headers {
+                    attach(&mut header.slot, Direction::Response);
+                }
+                for media in &mut response.content {
+                    attach(&mut media.slot, Direction::Response);
+                }
+            }
+        }
+        for message in &mut self.messages {
+            attach(&mut message.headers, message.direction);
+            attach(&mut message.payload, message.direction);
+        }
+    }
+}
--- a/crates/contract/src/conformance.rs
+++ b/crates/contract/src/conformance.rs
@@ -1,10 +1,9 @@
 //! Traffic held against a description: what departs from it, where, and from what.
 
 use crate::model::{
-    Description, Media, MediaRange, Operation, Parameter, ParameterLocation, Response, SchemaSlot,
-    Status,
+    best_media, Description, Media, MediaRange, Operation, Parameter, ParameterLocation, Response,
+    SchemaSlot, Status,
 };
-use crate::openapi::best;
 use crate::routing::RouteMatch;
 use crate::schema::{clip, place_of, Direction};
 use crate::sources::{decode, NodeLocation};
@@ -395,7 +394,7 @@
 
     fn body(&mut self, content: &[Media], loc: &NodeLocation, kind: Option<&str>, body: &[u8]) {
         let range = kind.and_then(MediaRange::read);
-        let media = range.as_ref().and_then(|range| best(content, range));
+        let media = range.as_ref().and_then(|range| best_media(content, range));
         let (Some(range), Some(media)) = (range, media) else {
             let words = content
                 .iter()
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -7,6 +7,7 @@
 #![forbid(unsafe_code)]
 
 mod asyncapi;
+mod builder;
 pub mod conformance;
 pub mod diff;
 pub mod document;
@@ -16,6 +17,7 @@
 pub mod model;
 mod openapi;
 pub mod publish;
+mod reader;
 pub mod replay;
 pub mod routing;
 pub mod schema;
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -1,14 +1,10 @@
-//! A description as it is held against traffic.
+//! A description as data: what traffic is checked against.
 
-use crate::fault::{Fault, Faults};
 use crate::routing::Router;
-use crate::schema::{Dialect, Direction, SchemaRegistry};
+use crate::schema::Direction;
 use crate::sources::{NodeLocation, Sources};
-use crate::{asyncapi, openapi};
 use jsonschema::Validator;
-use serde_json::Value;
 use std::collections::BTreeSet;
-use std::path::Path;
 use std::sync::Arc;
 
 /// The two formats.
@@ -224,29 +220,6 @@
 }
 
 impl Description {
-    /// Reads a description and all files beside it that it refers to.
-    pub fn open(path: &Path) -> Result<Description, Faults> {
-        Self::read(Sources::open(path))
-    }
-
-    /// Reads a description from text.
-    pub fn from_text(name: &str, text: &str) -> Result<Description, Faults> {
-        Self::read(Sources::text(name, text))
-    }
-
-    fn read(sources: Result<Sources, Fault>) -> Result<Description, Faults> {
-        let sources = sources.map_err(|fault| Faults {
-            list: vec![fault],
-            more: 0,
-        })?;
-        let mut build = DescriptionBuilder::new(sources)?;
-        match build.kind {
-            Kind::OpenApi => openapi::read(&mut build),
-            Kind::AsyncApi => asyncapi::read(&mut build),
-        }
-        build.finish()
-    }
-
     /// Lets go of the documents' text, which traffic is not held against. Such a description can't be compared.
     pub fn slim(mut self) -> Description {
         self.sources.slim();
@@ -282,241 +255,12 @@
     }
 }
 
-/// A description while it is read.
-pub(crate) struct DescriptionBuilder {
-    pub kind: Kind,
-    pub version: String,
-    pub sources: Sources,
-    pub survey: SchemaRegistry,
-    pub dialect: Dialect,
-    pub operations: Vec<Operation>,
-    pub messages: Vec<Message>,
-    pub router: Router,
-    wanted: BTreeSet<(NodeLocation, Direction)>,
-}
-
-/// What is read, for the sentence that refuses all else.
-const READ: &str = "OpenAPI 3.0 and 3.1, AsyncAPI 2.6 and 3.0 are read";
-
-impl DescriptionBuilder {
-    fn new(mut sources: Sources) -> Result<DescriptionBuilder, Faults> {
-        let root = sources.root();
-        let version = |sources: &Sources, key: &str| sources.get(&root.at(key)).cloned();
-        let words = |value: &Value| {
-            value
-                .as_str()
-                .map_or_else(|| value.to_string(), str::to_string)
-        };
-        let found = [
-            ("openapi", Kind::OpenApi),
-            ("asyncapi", Kind::AsyncApi),
-            ("swagger", Kind::OpenApi),
-        ];
-        let found = found
-            .into_iter()
-            .find_map(|(key, kind)| Some((key, kind, version(&sources, key)?)));
-        let (key, kind, value) = match found {
-            Some(found) => found,
-            None => {
-                let cause =
-                    format!("neither 'openapi' nor 'asyncapi' names a version here: {READ}");
-                sources.fault(&root, cause);
-                return Err(sources.faults);
-            }
-        };
-        let text = words(&value);
-        let mut numbers = text.split(['.', '-']);
-        let minor = (numbers.next().unwrap_or(""), numbers.next().unwrap_or(""));
-        let sound = value.is_string()
-            && numbers
-                .next()
-                .is_some_and(|patch| patch.bytes().all(|b| b.is_ascii_digit()));
-        let dialect = match (key, minor) {
-            ("openapi", ("3", "0")) if sound => Dialect::OpenApi30,
-            ("openapi", ("3", "1")) if sound => Dialect::Json2020,
-            ("asyncapi", ("2", "6") | ("3", "0")) if sound => Dialect::Json7,
-            _ => {
-                let name = match key {
-                    "openapi" => "OpenAPI",
-                    "asyncapi" => "AsyncAPI",
-                    _ => "Swagger",
-                };
-                let known = matches!(
-                    (key, minor),
-                    ("openapi", ("3", "0" | "1")) | ("asyncapi", ("2", "6") | ("3", "0"))
-                );
-                let cause = match known {
-                    true => format!(
-                        "the version must be a string such as \"{}.{}.0\"",
-                        minor.0, minor.1
-                    ),
-                    false => format!("this is {name} {}: {READ}", crate::schema::clip(&text)),
-                };
-                sources.fault(&root.at(key), cause);
-                return Err(sources.faults);
-            }
-        };
-        Ok(DescriptionBuilder {
-            kind,
-            version: text,
-            sources,
-            survey: SchemaRegistry::new(dialect),
-            dialect,
-            operations: Vec::new(),
-            messages: Vec::new(),
-            router: Router::default(),
-            wanted: BTreeSet::new(),
-        })
-    }
-
-    /// Takes in the schema at a place, for values that go that way.
-    pub fn slot(&mut self, loc: &NodeLocation, direction: Direction) -> SchemaSlot {
-        self.survey.visit(&mut self.sources, loc);
-        self.wanted.insert((loc.clone(), direction));
-        SchemaSlot {
-            loc: Some(loc.clone()),
-            validator: None,
-            types: self.types(loc),
-        }
-    }
-
-    /// The types that a schema names, its references followed.
-    fn types(&mut self, loc: &NodeLocation) -> Vec<String> {
-        // Faults of the way are noted by the survey.
-        let before = self.sources.faults.clone();
-        let target = self.sources.resolve(loc);
-        self.sources.faults = before;
-        let value = target
-            .and_then(|loc| self.sources.get(&loc).cloned())
-            .unwrap_or_default();
-        match &value["type"] {
-            Value::String(one) => vec![one.clone()],
-            Value::Array(many) => many
-                .iter()
-                .filter_map(|v| v.as_str().map(str::to_string))
-                .collect(),
-            _ => Vec::new(),
-        }
-    }
-
-    pub fn fault(&mut self, loc: &NodeLocation, cause: impl Into<String>) {
-        self.sources.fault(loc, cause);
-    }
-
-    /// The object at a place; a fault where there is something else. Nothing there is no fault.
-    pub fn object(&mut self, loc: &NodeLocation) -> Option<serde_json::Map<String, Value>> {
-        match self.sources.get(loc) {
-            Some(Value::Object(map)) => Some(map.clone()),
-            Some(_) => {
-                self.fault(loc, "this must be an object");
-                None
-            }
-            None => None,
-        }
-    }
-
-    /// The text at a place; a fault where there is something else. Nothing there is no fault.
-    pub fn text(&mut self, loc: &NodeLocation) -> Option<String> {
-        match self.sources.get(loc) {
-            Some(Value::String(text)) => Some(text.clone()),
-            Some(_) => {
-                self.fault(loc, "this must be a string");
-                None
-            }
-            None => None,
-        }
-    }
-
-    /// The flag at a place, false where there is none.
-    pub fn flag(&mut self, loc: &NodeLocation) -> bool {
-        match self.sources.get(loc) {
-            Some(Value::Bool(flag)) => *flag,
-            Some(_) => {
-                self.fault(loc, "this must be true or false");
-                false
-            }
-            None => false,
-        }
-    }
-
-    /// Notes a fault for each key that is missing.
-    pub fn needs(&mut self, loc: &NodeLocation, keys: &[&str]) {
-        for key in keys {
-            if self.sources.get(&loc.at(key)).is_none() {
-                self.fault(loc, format!("'{key}' is missing"));
-            }
-        }
-    }
-
-    /// The body in each media type of a `content` object.
-    pub fn content(&mut self, loc: &NodeLocation, direction: Direction) -> Vec<Media> {
-        let mut all = Vec::new();
-        for key in self.object(loc).unwrap_or_default().keys() {
-            let at = loc.at(key);
-            let Some(range) = MediaRange::read(key) else {
-                self.fault(
-                    &at,
-                    "this is no media type, such as application/json, nor a range, such as text/*",
-                );
-                continue;
-            };
-            self.object(&at);
-            let schema = at.at("schema");
-            let slot = match self.sources.get(&schema).is_some() {
-                true => self.slot(&schema, direction),
-                false => SchemaSlot::default(),
-            };
-            all.push(Media { range, slot });
-        }
-        all
-    }
-
-    fn finish(mut self) -> Result<Description, Faults> {
-        self.survey.weigh(&mut self.sources);
-        if !self.sources.faults.is_empty() {
-            return Err(self.sources.faults);
-        }
-        let compiled = self.survey.compile(&mut self.sources, &self.wanted);
-        if !self.sources.faults.is_empty() {
-            return Err(self.sources.faults);
-        }
-        let fill = |slot: &mut SchemaSlot, direction: Direction| {
-            if let Some(loc) = &slot.loc {
-                slot.validator = compiled.get(&(loc.clone(), direction)).cloned();
-            }
-        };
-        for operation in &mut self.operations {
-            let asked = operation.parameters.iter_mut().map(|p| &mut p.slot);
-            asked
-                .chain(operation.body.iter_mut().map(|m| &mut m.slot))
-                .for_each(|s| fill(s, Direction::Request));
-            for response in &mut operation.responses {
-                let told = response.headers.iter_mut().map(|p| &mut p.slot);
-                told.chain(response.content.iter_mut().map(|m| &mut m.slot))
-                    .for_each(|s| fill(s, Direction::Response));
-            }
-        }
-        for message in &mut self.messages {
-            fill(&mut message.headers, message.direction);
-            fill(&mut message.payload, message.direction);
-        }
-        let root = self.sources.root();
-        let info = self
-            .sources
-            .get(&root.at("info"))
-            .cloned()
-            .unwrap_or_default();
-        let word = |key: &str| info[key].as_str().unwrap_or("").to_string();
-        Ok(Description {
-            kind: self.kind,
-            version: self.version,
-            title: format!("{} {}", word("title"), word("version")),
-            operations: self.operations,
-            messages: self.messages,
-            fingerprint: self.sources.fingerprint(),
-            router: self.router,
-            secrets: self.survey.secrets,
-            sources: self.sources,
-        })
-    }
+/// The media type that describes a type most exactly.
+pub(crate) fn best_media<'m>(content: &'m [Media], range: &MediaRange) -> Option<&'m Media> {
+    let covering = content
+        .iter()
+        .filter_map(|media| Some((media.range.covers(range)?, media)));
+    covering
+        .min_by_key(|(rank, _)| *rank)
+        .map(|(_, media)| media)
 }
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -1,9 +1,7 @@
 //! OpenAPI 3.0 and 3.1: operations with their parameters, bodies and answers.
 
-use crate::model::{
-    DescriptionBuilder, Media, MediaRange, Operation, Parameter, ParameterLocation, Response,
-    SchemaSlot, Status,
-};
+use crate::builder::DescriptionBuilder;
+use crate::model::{Media, Operation, Parameter, ParameterLocation, Response, SchemaSlot, Status};
 use crate::routing::Template;
 use crate::schema::{Dialect, Direction};
 use crate::sources::NodeLocation;
@@ -443,13 +441,3 @@
     }
     all
 }
-
-/// The best of some media for a type.
-pub(crate) fn best<'m>(content: &'m [Media], range: &MediaRange) -> Option<&'m Media> {
-    let covering = content
-        .iter()
-        .filter_map(|media| Some((media.range.covers(range)?, media)));
-    covering
-        .min_by_key(|(rank, _)| *rank)
-        .map(|(_, media)| media)
-}
--- /dev/null
+++ b/crates/contract/src/reader.rs
@@ -0,0 +1,33 @@
+//! Reading of descriptions: the files, then the parser of their format.
+
+use crate::builder::DescriptionBuilder;
+use crate::fault::{Fault, Faults};
+use crate::model::{Description, Kind};
+use crate::sources::Sources;
+use crate::{asyncapi, openapi};
+use std::path::Path;
+
+impl Description {
+    /// Reads a description and all files beside it that it refers to.
+    pub fn open(path: &Path) -> Result<Description, Faults> {
+        Self::read(Sources::open(path))
+    }
+
+    /// Reads a description from text.
+    pub fn from_text(name: &str, text: &str) -> Result<Description, Faults> {
+        Self::read(Sources::text(name, text))
+    }
+
+    fn read(sources: Result<Sources, Fault>) -> Result<Description, Faults> {
+        let sources = sources.map_err(|fault| Faults {
+            list: vec![fault],
+            more: 0,
+        })?;
+        let mut build = DescriptionBuilder::new(sources)?;
+        match build.kind {
+            Kind::OpenApi => openapi::read(&mut build),
+            Kind::AsyncApi => asyncapi::read(&mut build),
+        }
+        build.finish()
+    }
+}
