--- /dev/null
+++ b/crates/contract/src/diff/mod.rs
@@ -0,0 +1,187 @@
+//! What changed between two descriptions, and whether it breaks those who rely on the old one.
+//!
+//! A request may ask for less and a response may hold less variety without harm; the other way round breaks callers or
+//! readers of the old form.
+
+mod messages;
+mod operations;
+mod parameters;
+mod schema_view;
+mod schemas;
+
+use crate::model::{Description, Kind, SchemaSlot};
+use crate::schema::Direction;
+use crate::sources::NodeLocation;
+use serde::Serialize;
+use serde_json::Value;
+use std::collections::BTreeSet;
+use std::fmt;
+
+/// The most changes that are reported.
+pub const MAX_CHANGES: usize = 1_000;
+
+/// What a change does to those who keep to the old description.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum ChangeImpact {
+    /// What worked may no longer work.
+    Breaking,
+    /// All that worked still works.
+    Compatible,
+    /// Nothing on the wire differs.
+    Cosmetic,
+}
+
+impl fmt::Display for ChangeImpact {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ChangeImpact::Breaking => "breaking",
+            ChangeImpact::Compatible => "compatible",
+            ChangeImpact::Cosmetic => "cosmetic",
+        })
+    }
+}
+
+/// One difference.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+pub struct Change {
+    /// What it does to those who keep to the old description.
+    #[serde(rename = "weight")]
+    pub impact: ChangeImpact,
+    /// The operation or message.
+    pub operation: String,
+    /// Where in the message.
+    pub place: String,
+    /// What is different.
+    pub what: String,
+}
+
+impl fmt::Display for Change {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.impact, self.operation)?;
+        if !self.place.is_empty() {
+            write!(f, ", {}", self.place)?;
+        }
+        write!(f, ": {}", self.what)
+    }
+}
+
+/// The descriptions can't be compared.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DiffError {
+    /// They are of two formats.
+    #[error("an OpenAPI and an AsyncAPI description can't be compared")]
+    DifferentFormats,
+}
+
+/// Returns all differences, the breaking ones first.
+pub fn diff(old: &Description, new: &Description) -> Result<Vec<Change>, DiffError> {
+    if old.kind != new.kind {
+        return Err(DiffError::DifferentFormats);
+    }
+    let mut comparison = Comparison {
+        old,
+        new,
+        changes: BTreeSet::new(),
+        operation: String::new(),
+        compared: BTreeSet::new(),
+    };
+    match old.kind {
+        Kind::OpenApi => comparison.compare_operations(),
+        Kind::AsyncApi => comparison.compare_messages(),
+    }
+    if comparison.changes.is_empty() && contents(old) != contents(new) {
+        comparison.operation = "the description".into();
+        comparison.add(
+            ChangeImpact::Cosmetic,
+            "",
+            "only texts, names, the order or the arrangement differ",
+        );
+    }
+    Ok(comparison.changes.into_iter().collect())
+}
+
+fn contents(description: &Description) -> Vec<&Value> {
+    let files = description.sources.files();
+    files.iter().map(|file| &file.value).collect()
+}
+
+/// A place in a message, and the way that the message goes.
+#[derive(Clone, Copy)]
+struct Position<'p> {
+    direction: Direction,
+    place: &'p str,
+}
+
+/// Two descriptions while they are compared.
+struct Comparison<'d> {
+    old: &'d Description,
+    new: &'d Description,
+    changes: BTreeSet<Change>,
+    /// The operation or message that changes belong to.
+    operation: String,
+    /// Pairs of schemas of this operation that were compared or are being compared.
+    compared: BTreeSet<(NodeLocation, NodeLocation, Direction)>,
+}
+
+impl Comparison<'_> {
+    fn add(&mut self, impact: ChangeImpact, place: &str, what: impl Into<String>) {
+        if self.changes.len() < MAX_CHANGES {
+            self.changes.insert(Change {
+                impact,
+                operation: self.operation.clone(),
+                place: place.into(),
+                what: what.into(),
+            });
+        }
+    }
+
+    /// Fewer values are valid: harmless where they are read, breaking where they are sent.
+    fn add_narrowed(&mut self, at: Position<'_>, what: impl Into<String>) {
+        let impact = match at.direction {
+            Direction::Request => ChangeImpact::Breaking,
+            Direction::Response => ChangeImpact::Compatible,
+        };
+        self.add(impact, at.place, what);
+    }
+
+    /// More values are valid: harmless where they are sent, breaking where they are read.
+    fn add_widened(&mut self, at: Position<'_>, what: impl Into<String>) {
+        let impact = match at.direction {
+            Direction::Request => ChangeImpact::Compatible,
+            Direction::Response => ChangeImpact::Breaking,
+        };
+        self.add(impact, at.place, what);
+    }
+
+    /// Some values are valid that were not, and some are not that were.
+    fn add_replaced(&mut self, at: Position<'_>, what: impl Into<String>) {
+        self.add(ChangeImpact::Breaking, at.place, what);
+    }
+
+    /// Compares texts for people, and whether anything became deprecated.
+    fn compare_annotations(&mut self, place: &str, old: &NodeLocation, new: &NodeLocation) {
+        for key in ["summary", "description", "title"] {
+            let before = self.old.sources.get(&old.at(key));
+            if before != self.new.sources.get(&new.at(key)) {
+                self.add(ChangeImpact::Cosmetic, place, format!("its {key} differs"));
+            }
+        }
+        if !is_deprecated(self.old, old) && is_deprecated(self.new, new) {
+            self.add(ChangeImpact::Compatible, place, "it is deprecated now");
+        }
+    }
+
+    fn compare_slots(&mut self, at: Position<'_>, old: &SchemaSlot, new: &SchemaSlot) {
+        match (&old.loc, &new.loc) {
+            (Some(old), Some(new)) => self.compare_schemas(at, old, new),
+            (None, Some(_)) => self.add_narrowed(at, "it has a schema now"),
+            (Some(_), None) => self.add_widened(at, "its schema is gone"),
+            (None, None) => {}
+        }
+    }
+}
+
+fn is_deprecated(description: &Description, location: &NodeLocation) -> bool {
+    description.sources.get(&location.at("deprecated")) == Some(&Value::Bool(true))
+}
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -41,10 +41,10 @@
             continue;
         }
         let loc = paths.at(path);
-        let template = match Template::read(path) {
+        let template = match Template::parse(path) {
             Ok(template) => template,
             Err(cause) => {
-                build.fault(&loc, cause);
+                build.fault(&loc, cause.to_string());
                 continue;
             }
         };
@@ -229,7 +229,7 @@
         let responses = responses(build, &at.at("responses"));
         let number = build.operations.len();
         for base in &own {
-            if let Ok(template) = Template::read(&format!("{base}{path}")) {
+            if let Ok(template) = Template::parse(&format!("{base}{path}")) {
                 build.router.add(&template, key, number);
             }
         }
--- a/crates/contract/src/routing.rs
+++ b/crates/contract/src/routing.rs
@@ -1,6 +1,6 @@
 //! Which operation a request means: path templates, the most concrete first.
 
-/// A piece of a segment.
+/// A part of a path segment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SegmentPart {
     Text(String),
@@ -16,50 +16,42 @@
 /// The most segments of a template.
 const MAX_SEGMENTS: usize = 64;
 
+/// What is wrong with a path template.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[allow(
+    missing_docs,
+    reason = "a variant's text says what it is; docs would repeat it"
+)]
+pub enum TemplateError {
+    #[error("a path must begin with '/'")]
+    NoLeadingSlash,
+    #[error("a '}}' stands without its '{{'")]
+    UnopenedVariable,
+    #[error("a '{{' stands without its '}}'")]
+    UnclosedVariable,
+    #[error("a variable needs a name between '{{' and '}}'")]
+    UnnamedVariable,
+    #[error("the variable {{{name}}} is there twice")]
+    DuplicateVariable { name: String },
+    #[error("two variables stand side by side: nothing tells where one ends")]
+    AdjacentVariables,
+    #[error("a path has {MAX_SEGMENTS} segments at most")]
+    TooManySegments,
+}
+
 impl Template {
-    /// Reads a template; the error says what is wrong with it.
-    pub fn read(text: &str) -> Result<Template, String> {
-        let Some(path) = text.strip_prefix('/') else {
-            return Err("a path must begin with '/'".into());
-        };
-        let mut names: Vec<String> = Vec::new();
+    /// Parses a template.
+    pub fn parse(text: &str) -> Result<Template, TemplateError> {
+        let path = text
+            .strip_prefix('/')
+            .ok_or(TemplateError::NoLeadingSlash)?;
+        let mut names = Vec::new();
         let mut segments = Vec::new();
         for segment in path.split('/') {
-            let mut pieces = Vec::new();
-            let mut rest = segment;
-            while !rest.is_empty() {
-                let (text, after) = rest
-                    .split_once('{')
-                    .map_or((rest, None), |(text, after)| (text, Some(after)));
-                if text.contains('}') {
-                    return Err("a '}' stands without its '{'".into());
-                }
-                if !text.is_empty() {
-                    pieces.push(SegmentPart::Text(text.into()));
-                }
-                let Some(after) = after else { break };
-                let Some((name, after)) = after.split_once('}') else {
-                    return Err("a '{' stands without its '}'".into());
-                };
-                if name.is_empty() || name.contains('{') {
-                    return Err("a variable needs a name between '{' and '}'".into());
-                }
-                if names.iter().any(|known| known == name) {
-                    return Err(format!("the variable {{{name}}} is there twice"));
-                }
-                if matches!(pieces.last(), Some(SegmentPart::Variable(_))) {
-                    return Err(
-                        "two variables stand side by side: nothing tells where one ends".into(),
-                    );
-                }
-                names.push(name.into());
-                pieces.push(SegmentPart::Variable(name.into()));
-                rest = after;
-            }
-            segments.push(pieces);
+            segments.push(parse_segment(segment, &mut names)?);
         }
         if segments.len() > MAX_SEGMENTS {
-            return Err(format!("a path has {MAX_SEGMENTS} segments at most"));
+            return Err(TemplateError::TooManySegments);
         }
         Ok(Template { segments })
     }
@@ -118,49 +110,110 @@
             return None;
         }
         let mut values = Vec::new();
-        for (pieces, segment) in self.segments.iter().zip(path) {
-            let mut rest = *segment;
-            let mut pieces = pieces.iter().peekable();
-            while let Some(piece) = pieces.next() {
-                match (piece, pieces.peek()) {
-                    (SegmentPart::Text(text), _) => rest = rest.strip_prefix(text.as_str())?,
-                    // The last text of a segment is looked for from its end, so that `{name}.{ending}` takes `a.b.json`.
-                    (SegmentPart::Variable(name), Some(SegmentPart::Text(text))) => {
-                        let mut after = pieces.clone();
-                        after.next();
-                        let last = !after.any(|piece| matches!(piece, SegmentPart::Text(_)));
-                        let at = if last {
-                            rest.rfind(text.as_str())
-                        } else {
-                            rest.find(text.as_str())
-                        }?;
-                        if at == 0 {
-                            return None;
-                        }
-                        values.push((name.as_str(), &rest[..at]));
-                        rest = &rest[at..];
-                    }
-                    (SegmentPart::Variable(name), _) => {
-                        if rest.is_empty() {
-                            return None;
-                        }
-                        values.push((name.as_str(), rest));
-                        rest = "";
-                    }
-                }
-            }
-            if !rest.is_empty() {
-                return None;
-            }
+        for (parts, segment) in self.segments.iter().zip(path) {
+            match_segment(parts, segment, &mut values)?;
         }
         Some(values)
     }
 }
 
-/// A table of templates with the operation that each method of theirs stands for.
+fn parse_segment(
+    segment: &str,
+    names: &mut Vec<String>,
+) -> Result<Vec<SegmentPart>, TemplateError> {
+    let mut parts = Vec::new();
+    let mut rest = segment;
+    while !rest.is_empty() {
+        let (text, variable) = match rest.split_once('{') {
+            Some((text, variable)) => (text, Some(variable)),
+            None => (rest, None),
+        };
+        if text.contains('}') {
+            return Err(TemplateError::UnopenedVariable);
+        }
+        if !text.is_empty() {
+            parts.push(SegmentPart::Text(text.into()));
+        }
+        let Some(variable) = variable else { break };
+        let (name, after) = variable
+            .split_once('}')
+            .ok_or(TemplateError::UnclosedVariable)?;
+        if name.is_empty() || name.contains('{') {
+            return Err(TemplateError::UnnamedVariable);
+        }
+        if names.iter().any(|known| known == name) {
+            let name = name.into();
+            return Err(TemplateError::DuplicateVariable { name });
+        }
+        if matches!(parts.last(), Some(SegmentPart::Variable(_))) {
+            return Err(TemplateError::AdjacentVariables);
+        }
+        names.push(name.into());
+        parts.push(SegmentPart::Variable(name.into()));
+        rest = after;
+    }
+    Ok(parts)
+}
+
+/// Matches one segment and adds its variables' values; `None` if it differs.
+fn match_segment<'t, 'p>(
+    parts: &'t [SegmentPart],
+    segment: &'p str,
+    values: &mut Vec<(&'t str, &'p str)>,
+) -> Option<()> {
+    let mut rest = segment;
+    for (index, part) in parts.iter().enumerate() {
+        let name = match part {
+            SegmentPart::Text(text) => {
+                rest = rest.strip_prefix(text.as_str())?;
+                continue;
+            }
+            SegmentPart::Variable(name) => name,
+        };
+        let end = match parts.get(index + 1) {
+            Some(SegmentPart::Text(text)) => find_text(rest, text, &parts[index + 2..])?,
+            Some(SegmentPart::Variable(_)) | None => rest.len(),
+        };
+        if end == 0 {
+            return None;
+        }
+        values.push((name, &rest[..end]));
+        rest = &rest[end..];
+    }
+    rest.is_empty().then_some(())
+}
+
+/// Where the text after a variable begins. The last text of a segment is looked for from the segment's end, so that
+/// `{name}.{ending}` matches `a.b.json`.
+fn find_text(rest: &str, text: &str, following: &[SegmentPart]) -> Option<usize> {
+    let has_more_text = following
+        .iter()
+        .any(|part| matches!(part, SegmentPart::Text(_)));
+    if has_more_text {
+        rest.find(text)
+    } else {
+        rest.rfind(text)
+    }
+}
+
+/// The operations of one template.
+#[derive(Clone, Debug)]
+struct Route {
+    template: Template,
+    methods: Vec<RouteMethod>,
+}
+
+/// A method, in capitals, and the number of its operation.
+#[derive(Clone, Debug)]
+struct RouteMethod {
+    method: String,
+    operation: usize,
+}
+
+/// A table of templates, the most concrete first.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
-    routes: Vec<(Template, Vec<(String, usize)>)>,
+    routes: Vec<Route>,
 }
 
 /// What a path leads to.
@@ -175,37 +228,47 @@
 }
 
 impl Router {
-    /// Adds an operation. Templates are taken in any order.
+    /// Adds an operation. Templates come in any order.
     pub fn add(&mut self, template: &Template, method: &str, operation: usize) {
-        let entry = (method.to_ascii_uppercase(), operation);
-        match self.routes.iter_mut().find(|(known, _)| known == template) {
-            Some((_, methods)) => methods.push(entry),
-            None => {
-                let at = self
-                    .routes
-                    .partition_point(|(known, _)| known.rank() <= template.rank());
-                self.routes.insert(at, (template.clone(), vec![entry]));
-            }
+        let method = RouteMethod {
+            method: method.to_ascii_uppercase(),
+            operation,
+        };
+        let known = self
+            .routes
+            .iter_mut()
+            .find(|route| route.template == *template);
+        if let Some(route) = known {
+            return route.methods.push(method);
         }
+        let index = self
+            .routes
+            .partition_point(|route| route.template.rank() <= template.rank());
+        let route = Route {
+            template: template.clone(),
+            methods: vec![method],
+        };
+        self.routes.insert(index, route);
     }
 
-    /// Finds the operation of a request. Where the most concrete template that matches has not the method, a less
+    /// Finds the operation of a request. Where the most concrete template that matches doesn't have the method, a less
     /// concrete one may.
     pub fn find<'r, 'p>(&'r self, method: &str, path: &'p str) -> RouteMatch<'r, 'p> {
         let segments: Vec<&str> = path.strip_prefix('/').unwrap_or(path).split('/').collect();
-        let mut others = Vec::new();
-        for (template, methods) in &self.routes {
-            let Some(values) = template.matches(&segments) else {
+        let mut other_methods = Vec::new();
+        for route in &self.routes {
+            let Some(values) = route.template.matches(&segments) else {
                 continue;
             };
-            match methods.iter().find(|(known, _)| known == method) {
-                Some((_, operation)) => return RouteMatch::Operation(*operation, values),
-                None => others.extend(methods.iter().map(|(known, _)| known.as_str())),
+            match route.methods.iter().find(|known| known.method == method) {
+                Some(known) => return RouteMatch::Operation(known.operation, values),
+                None => other_methods.extend(route.methods.iter().map(|m| m.method.as_str())),
             }
         }
-        match others.is_empty() {
-            true => RouteMatch::Nothing,
-            false => RouteMatch::OtherMethods(others),
+        if other_methods.is_empty() {
+            RouteMatch::Nothing
+        } else {
+            RouteMatch::OtherMethods(other_methods)
         }
     }
 }
--- a/crates/contract/src/routing/tests.rs
+++ b/crates/contract/src/routing/tests.rs
@@ -3,7 +3,7 @@
 fn router(paths: &[&str]) -> Router {
     let mut router = Router::default();
     for (at, path) in paths.iter().enumerate() {
-        router.add(&Template::read(path).unwrap(), "get", at);
+        router.add(&Template::parse(path).unwrap(), "get", at);
     }
     router
 }
@@ -61,6 +61,12 @@
         ("/{a}/{a}", "twice"),
         ("/{a}{b}", "side by side"),
     ] {
-        assert!(Template::read(path).unwrap_err().contains(cause), "{path}");
+        assert!(
+            Template::parse(path)
+                .unwrap_err()
+                .to_string()
+                .contains(cause),
+            "{path}"
+        );
     }
 }
--- a/crates/contract/tests/compare.rs
+++ b/crates/contract/tests/compare.rs
@@ -275,7 +275,7 @@
     )
     .unwrap();
     assert_eq!(
-        (breaking[0].weight, breaking[0].what.as_str()),
+        (breaking[0].impact, breaking[0].what.as_str()),
         (ChangeImpact::Breaking, "it goes the other way")
     );
 }
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -184,7 +184,7 @@
     let changes = match diff(&old, &new) {
         Ok(changes) => changes,
         Err(text) => {
-            complain(&text);
+            complain(&text.to_string());
             return UNREADABLE;
         }
     };
@@ -197,7 +197,7 @@
     }
     if changes
         .iter()
-        .any(|change| change.weight == ChangeImpact::Breaking)
+        .any(|change| change.impact == ChangeImpact::Breaking)
     {
         FAULTY
     } else {
