--- a/crates/contract/src/replay.rs
+++ b/crates/contract/src/replay.rs
@@ -73,6 +73,25 @@
 }
 
 impl Outcome {
+    /// Adds one checked message.
+    fn add(
+        &mut self,
+        line: usize,
+        operation: &str,
+        side: &'static str,
+        violations: Vec<Violation>,
+    ) {
+        self.messages += 1;
+        for departure in violations {
+            self.departures.push(ViolationAtLine {
+                line,
+                operation: operation.into(),
+                side,
+                departure,
+            });
+        }
+    }
+
     /// How often each operation departs in each way and place.
     pub fn table(&self) -> BTreeMap<(String, String, ViolationKind), usize> {
         let mut table = BTreeMap::new();
@@ -86,119 +105,113 @@
     }
 }
 
-/// A body as it was on the wire: a string is taken as it stands, anything else as its JSON text.
-fn bytes(value: &Value) -> Vec<u8> {
-    match value {
-        Value::Null => Vec::new(),
-        Value::String(text) => text.clone().into_bytes(),
-        other => other.to_string().into_bytes(),
-    }
+/// Why a line can't be used.
+#[derive(Debug, thiserror::Error)]
+enum LineError {
+    #[error("the line has {bytes} bytes: {MAX_LINE} at most")]
+    TooLong { bytes: usize },
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("'method' and 'target' are needed")]
+    NoExchange,
+    #[error("'channel' and 'message' are needed")]
+    NoMessage,
 }
 
-/// Holds a recording against a description, line by line.
+/// Checks a recording against a description, line by line.
 pub fn replay(description: &Description, lines: impl Iterator<Item = Vec<u8>>) -> Outcome {
     let mut outcome = Outcome::default();
-    for (at, line) in lines.enumerate() {
+    for (index, line) in lines.enumerate() {
         let line = line.trim_ascii();
         if line.is_empty() {
             continue;
         }
-        let read = match line.len() > MAX_LINE {
-            true => Err(format!(
-                "the line has {} bytes: {MAX_LINE} at most",
-                line.len()
-            )),
-            false => serde_json::from_slice::<RecordedLine>(line).map_err(|e| e.to_string()),
-        };
-        if let Err(cause) = read.and_then(|line| one(description, at + 1, line, &mut outcome)) {
-            outcome.unreadable.push((at + 1, cause));
+        let number = index + 1;
+        if let Err(error) = replay_line(description, number, line, &mut outcome) {
+            outcome.unreadable.push((number, error.to_string()));
         }
     }
     outcome
 }
 
-fn one(
+fn replay_line(
+    description: &Description,
+    number: usize,
+    line: &[u8],
+    outcome: &mut Outcome,
+) -> Result<(), LineError> {
+    if line.len() > MAX_LINE {
+        return Err(LineError::TooLong { bytes: line.len() });
+    }
+    let line = serde_json::from_slice::<RecordedLine>(line)?;
+    match description.kind {
+        Kind::OpenApi => replay_exchange(description, number, line, outcome),
+        Kind::AsyncApi => replay_message(description, number, line, outcome),
+    }
+}
+
+fn replay_exchange(
     description: &Description,
     number: usize,
     line: RecordedLine,
     outcome: &mut Outcome,
-) -> Result<(), String> {
-    let mut note = |operation: &str, side, departures: Vec<Violation>| {
-        outcome.messages += 1;
-        let departed = |departure| ViolationAtLine {
-            line: number,
-            operation: operation.into(),
-            side,
-            departure,
+) -> Result<(), LineError> {
+    let (Some(method), Some(target)) = (line.method, line.target) else {
+        return Err(LineError::NoExchange);
+    };
+    let method = method.to_ascii_uppercase();
+    let fields: Vec<_> = line.fields.into_iter().collect();
+    let request = ObservedRequest {
+        method: &method,
+        target: &target,
+        fields: &fields,
+        body: &body_bytes(&line.body),
+    };
+    let checked = description.check_request(&request);
+    let operation = match checked.operation {
+        Some(name) => name.to_string(),
+        None => format!("{method} {target}"),
+    };
+    outcome.add(number, &operation, "request", checked.departures);
+    if let (Some(operation_number), Some(answer)) = (checked.number, line.answer) {
+        let fields: Vec<_> = answer.fields.into_iter().collect();
+        let response = ObservedResponse {
+            status: answer.status,
+            fields: &fields,
+            body: &body_bytes(&answer.body),
+            whole: answer.whole,
         };
-        outcome
-            .departures
-            .extend(departures.into_iter().map(departed));
+        let checked = description.check_response(operation_number, &response);
+        outcome.add(number, &operation, "answer", checked.departures);
+    }
+    Ok(())
+}
+
+fn replay_message(
+    description: &Description,
+    number: usize,
+    line: RecordedLine,
+    outcome: &mut Outcome,
+) -> Result<(), LineError> {
+    let (Some(channel), Some(word)) = (line.channel, line.message) else {
+        return Err(LineError::NoMessage);
     };
-    match (description.kind, line) {
-        (
-            Kind::OpenApi,
-            RecordedLine {
-                method: Some(method),
-                target: Some(target),
-                fields,
-                body,
-                answer,
-                ..
-            },
-        ) => {
-            let fields: Vec<_> = fields.into_iter().collect();
-            let body = bytes(&body);
-            let method = method.to_ascii_uppercase();
-            let asked = ObservedRequest {
-                method: &method,
-                target: &target,
-                fields: &fields,
-                body: &body,
-            };
-            let judged = description.check_request(&asked);
-            let operation = judged
-                .operation
-                .map_or_else(|| format!("{method} {target}"), |name| name.to_string());
-            let known = judged.number;
-            note(&operation, "request", judged.departures);
-            if let (Some(operation_number), Some(answer)) = (known, answer) {
-                let fields: Vec<_> = answer.fields.into_iter().collect();
-                let body = bytes(&answer.body);
-                let answered = ObservedResponse {
-                    status: answer.status,
-                    fields: &fields,
-                    body: &body,
-                    whole: answer.whole,
-                };
-                let judged = description.check_response(operation_number, &answered);
-                note(&operation, "answer", judged.departures);
-            }
-            Ok(())
-        }
-        (Kind::OpenApi, _) => Err("'method' and 'target' are needed".into()),
-        (
-            Kind::AsyncApi,
-            RecordedLine {
-                channel: Some(channel),
-                message: Some(word),
-                headers,
-                payload,
-                ..
-            },
-        ) => {
-            let judged = description.check_message(
-                &channel,
-                &word,
-                &Value::Object(headers),
-                &bytes(&payload),
-            );
-            let operation = judged
-                .operation
-                .map_or_else(|| format!("{channel} {word}"), |name| name.to_string());
-            note(&operation, "message", judged.departures);
-            Ok(())
-        }
-        (Kind::AsyncApi, _) => Err("'channel' and 'message' are needed".into()),
+    let headers = Value::Object(line.headers);
+    let payload = body_bytes(&line.payload);
+    let checked = description.check_message(&channel, &word, &headers, &payload);
+    let operation = match checked.operation {
+        Some(name) => name.to_string(),
+        None => format!("{channel} {word}"),
+    };
+    outcome.add(number, &operation, "message", checked.departures);
+    Ok(())
+}
+
+/// A body as it was on the wire: a string as it stands, anything else as its JSON text.
+fn body_bytes(value: &Value) -> Vec<u8> {
+    match value {
+        Value::Null => Vec::new(),
+        Value::String(text) => text.clone().into_bytes(),
+        other => other.to_string().into_bytes(),
     }
 }
--- a/crates/contract/src/sources.rs
+++ b/crates/contract/src/sources.rs
@@ -6,13 +6,59 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
-use std::path::{Path, PathBuf};
+use std::io;
+use std::path::{Component, Path, PathBuf};
 
 /// The most files of one description.
 pub const MAX_FILES: usize = 64;
 /// The most references that lead from one to the next.
 const MAX_REFERENCE_CHAIN: usize = 32;
 
+/// Why a file can't be read.
+#[derive(Debug, thiserror::Error)]
+pub enum FileError {
+    /// The operating system refused.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A folder, socket or device.
+    #[error("this is no plain file")]
+    NotRegular,
+    /// Longer than [`MAX_BYTES`].
+    #[error("the file has {bytes} bytes: {MAX_BYTES} at most")]
+    TooLarge {
+        /// The file's length.
+        bytes: u64,
+    },
+}
+
+/// Why a reference can't be followed.
+#[derive(Debug, thiserror::Error)]
+enum ReferenceError {
+    #[error("the fragment's percent-encoding is broken")]
+    BrokenFragment,
+    #[error("only JSON pointers (#/...) are followed, no anchors")]
+    Anchor,
+    #[error("there is nothing at {place}")]
+    NothingThere { place: String },
+    #[error("network addresses are not followed: put the file beside the description")]
+    NetworkAddress,
+    #[error("the path's percent-encoding is broken")]
+    BrokenPath,
+    #[error("absolute paths are not followed: put the file beside the description")]
+    AbsolutePath,
+    #[error("this leads out of the description's folder")]
+    OutsideFolder,
+    #[error("a description has {MAX_FILES} files at most")]
+    TooManyFiles,
+    #[error("there is no file {name}")]
+    NoSuchFile { name: String },
+    #[error("the file {name}: {source}")]
+    Unreadable { name: String, source: FileError },
+    /// The file has faults of its own, which are reported with it.
+    #[error("the file {name} can't be used")]
+    Unusable { name: String },
+}
+
 /// A node of one of the files.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodeLocation {
@@ -61,15 +107,15 @@
             .parent()
             .filter(|p| !p.as_os_str().is_empty())
             .unwrap_or(Path::new("."));
-        let fault = |cause: String| Fault {
+        let fault = |error: FileError| Fault {
             file: path.display().to_string(),
             line: 0,
             column: 0,
             pointer: String::new(),
-            cause,
+            cause: error.to_string(),
         };
         let bytes = read(path).map_err(fault)?;
-        let folder = folder.canonicalize().map_err(|e| fault(e.to_string()))?;
+        let folder = folder.canonicalize().map_err(|error| fault(error.into()))?;
         Ok(Sources::new(folder, Document::read(&name, &bytes)?))
     }
 
@@ -187,22 +233,23 @@
         }
     }
 
-    fn find(&mut self, from: usize, reference: &str) -> Result<NodeLocation, String> {
+    fn find(&mut self, from: usize, reference: &str) -> Result<NodeLocation, ReferenceError> {
         let (path, fragment) = reference.split_once('#').unwrap_or((reference, ""));
         let file = if path.is_empty() {
             from
         } else {
-            self.file(from, path)?
+            self.load(from, path)?
         };
-        let pointer = decode(fragment).ok_or("the fragment's percent-encoding is broken")?;
+        let pointer = decode(fragment).ok_or(ReferenceError::BrokenFragment)?;
         if !pointer.is_empty() && !pointer.starts_with('/') {
-            return Err("only JSON pointers (#/...) are followed, no anchors".into());
+            return Err(ReferenceError::Anchor);
         }
-        let loc = NodeLocation { file, pointer };
-        match self.get(&loc) {
-            Some(_) => Ok(loc),
-            None => Err(format!("there is nothing at {}", self.name(&loc))),
+        let location = NodeLocation { file, pointer };
+        if self.get(&location).is_none() {
+            let place = self.name(&location);
+            return Err(ReferenceError::NothingThere { place });
         }
+        Ok(location)
     }
 
     /// What a node leads to among the files that are read, without noting faults.
@@ -216,7 +263,7 @@
             let file = match path.is_empty() {
                 true => at.file,
                 false => {
-                    let name = self.beside(at.file, path).ok()?;
+                    let name = self.resolve_path(at.file, path).ok()?;
                     self.files.iter().position(|file| file.name == name)?
                 }
             };
@@ -228,90 +275,86 @@
         None
     }
 
-    /// The name of the file that a reference in another means.
-    fn beside(&self, from: usize, path: &str) -> Result<String, String> {
+    /// The name of the file that a path in another file means.
+    fn resolve_path(&self, from: usize, path: &str) -> Result<String, ReferenceError> {
         if path.contains(':') || path.starts_with("//") {
-            return Err(
-                "network addresses are not followed: put the file beside the description".into(),
-            );
+            return Err(ReferenceError::NetworkAddress);
         }
-        let path = decode(path).ok_or("the path's percent-encoding is broken")?;
+        let path = decode(path).ok_or(ReferenceError::BrokenPath)?;
         if path.starts_with('/') {
-            return Err(
-                "absolute paths are not followed: put the file beside the description".into(),
-            );
+            return Err(ReferenceError::AbsolutePath);
         }
-        let beside = Path::new(&self.files[from].name)
+        let folder = Path::new(&self.files[from].name)
             .parent()
             .unwrap_or(Path::new(""));
-        // Worked out in words first, so that a way that leads out of the folder and back is refused, too.
+        // Resolved by name first, so that a path that leads out of the folder and back is rejected too.
         let mut parts: Vec<String> = Vec::new();
-        for part in beside.join(&path).components() {
-            match part {
-                std::path::Component::CurDir => {}
-                std::path::Component::ParentDir if parts.pop().is_some() => {}
-                std::path::Component::Normal(name) => {
-                    parts.push(name.to_string_lossy().into_owned())
-                }
-                _ => return Err("this leads out of the description's folder".into()),
+        for component in folder.join(&path).components() {
+            match component {
+                Component::CurDir => {}
+                Component::ParentDir if parts.pop().is_some() => {}
+                Component::Normal(name) => parts.push(name.to_string_lossy().into_owned()),
+                _ => return Err(ReferenceError::OutsideFolder),
             }
         }
         Ok(parts.join("/"))
     }
 
-    /// The number of a file beside another.
-    fn file(&mut self, from: usize, path: &str) -> Result<usize, String> {
-        let name = self.beside(from, path)?;
+    /// The number of the file that a path in another file means, read if it wasn't before.
+    fn load(&mut self, from: usize, path: &str) -> Result<usize, ReferenceError> {
+        let name = self.resolve_path(from, path)?;
         if let Some(known) = self.files.iter().position(|file| file.name == name) {
             return Ok(known);
         }
         if self.unreadable.contains(&name) {
-            return Err(format!("the file {name} can't be used"));
+            return Err(ReferenceError::Unusable { name });
         }
         if self.files.len() + self.unreadable.len() >= MAX_FILES {
-            return Err(format!("a description has {MAX_FILES} files at most"));
+            return Err(ReferenceError::TooManyFiles);
         }
-        let read = self.read_beside(&name);
-        if read.is_err() {
+        let document = self.read_document(&name);
+        if document.is_err() {
             self.unreadable.insert(name);
         }
-        self.files.push(read?);
+        self.files.push(document?);
         Ok(self.files.len() - 1)
     }
 
-    fn read_beside(&mut self, name: &str) -> Result<Document, String> {
+    fn read_document(&mut self, name: &str) -> Result<Document, ReferenceError> {
         if self.folder.as_os_str().is_empty() {
-            return Err(format!("there is no file {name}"));
+            return Err(ReferenceError::NoSuchFile { name: name.into() });
         }
+        let unreadable = |source: FileError| ReferenceError::Unreadable {
+            name: name.into(),
+            source,
+        };
         let path = self.folder.join(name);
         // A link may lead out of the folder although its name doesn't.
-        let real = path
+        let real_path = path
             .canonicalize()
-            .map_err(|e| format!("the file {name}: {e}"))?;
-        if !real.starts_with(&self.folder) {
-            return Err("this leads out of the description's folder".into());
+            .map_err(|error| unreadable(error.into()))?;
+        if !real_path.starts_with(&self.folder) {
+            return Err(ReferenceError::OutsideFolder);
         }
-        let bytes = read(&real).map_err(|cause| format!("the file {name}: {cause}"))?;
+        let bytes = read(&real_path).map_err(unreadable)?;
         Document::read(name, &bytes).map_err(|fault| {
             self.faults.push(fault);
-            format!("the file {name} can't be used")
+            ReferenceError::Unusable { name: name.into() }
         })
     }
 }
 
-/// A file's bytes; one that is too large or no plain file is not read at all.
-fn read(path: &Path) -> Result<Vec<u8>, String> {
-    let about = std::fs::metadata(path).map_err(|e| e.to_string())?;
-    if !about.is_file() {
-        return Err("this is no plain file".into());
+/// A file's bytes. One that is too large or no plain file is not read at all.
+fn read(path: &Path) -> Result<Vec<u8>, FileError> {
+    let metadata = std::fs::metadata(path)?;
+    if !metadata.is_file() {
+        return Err(FileError::NotRegular);
     }
-    if about.len() > MAX_BYTES as u64 {
-        return Err(format!(
-            "the file has {} bytes: {MAX_BYTES} at most",
-            about.len()
-        ));
+    let bytes = metadata.len();
+    if bytes > MAX_BYTES as u64 {
+        return Err(FileError::TooLarge { bytes });
     }
-    std::fs::read(path).map_err(|e| e.to_string())
+    Ok(std::fs::read(path)?)
 }
 
 /// Undoes percent-encoding; `None` where it is broken.
