--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -157,15 +157,26 @@
                 Phase::Starting => {
                     AdminResponse::NotNow("not ready yet: the list of data nodes has not come")
                 }
-                Phase::Drained => AdminResponse::NotNow("drained: activate the coordinator first"),
-                Phase::Stopping | Phase::Closing | Phase::Refusing => {
+                Phase::DrainedByOperator => {
+                    AdminResponse::NotNow("drained: activate the coordinator first")
+                }
+                Phase::ShuttingDown
+                | Phase::IdleConnectionsClosing
+                | Phase::PartialRequestsRejected => {
                     AdminResponse::NotNow("the process was told to stop")
                 }
             };
         }
         let (reply, verdict) = oneshot::channel();
         let busy = AdminResponse::NotNow("the coordinator is too busy: call again");
-        if self.core.try_send(Message::Admin(call, reply)).is_err() {
+        if self
+            .core
+            .try_send(Message::Admin {
+                request: call,
+                reply,
+            })
+            .is_err()
+        {
             return busy;
         }
         match timeout(CARRIED_OUT, verdict).await {
