--- a/crates/contract/src/document.rs
+++ b/crates/contract/src/document.rs
@@ -346,13 +346,13 @@
                         .map(|tag| (tag.handle.as_str(), tag.suffix.as_str())),
                 );
                 (
-                    value.map_err(|cause| bad_at(&span.start, pointer, &cause))?,
+                    value.map_err(|error| bad_at(&span.start, pointer, &error.to_string()))?,
                     anchor,
                 )
             }
             Event::SequenceStart(anchor, tag) => {
                 known_tag(tag.as_deref(), "seq")
-                    .map_err(|cause| bad_at(&span.start, pointer, &cause))?;
+                    .map_err(|error| bad_at(&span.start, pointer, &error.to_string()))?;
                 let mut items = Vec::new();
                 loop {
                     let (event, span) = events.next()?;
@@ -366,7 +366,7 @@
             }
             Event::MappingStart(anchor, tag) => {
                 known_tag(tag.as_deref(), "map")
-                    .map_err(|cause| bad_at(&span.start, pointer, &cause))?;
+                    .map_err(|error| bad_at(&span.start, pointer, &error.to_string()))?;
                 let mut map = Map::new();
                 loop {
                     let (event, span) = events.next()?;
@@ -445,23 +445,40 @@
     }
 }
 
+/// Why a YAML value has no JSON form.
+#[derive(Debug, thiserror::Error)]
+enum ValueError {
+    #[error("the tag {handle}{suffix} is not read")]
+    UnsupportedTag { handle: String, suffix: String },
+    #[error("{text} has no equal in JSON")]
+    NotInJson { text: String },
+}
+
 /// A tag other than the core schema's own asks for a reader's own objects.
-fn known_tag(tag: Option<&Tag>, core: &str) -> Result<(), String> {
+fn known_tag(tag: Option<&Tag>, core: &str) -> Result<(), ValueError> {
     match tag {
         Some(tag) if (tag.handle.as_str(), tag.suffix.as_str()) != ("tag:yaml.org,2002:", core) => {
-            Err(format!("the tag {}{} is not read", tag.handle, tag.suffix))
+            Err(ValueError::UnsupportedTag {
+                handle: tag.handle.clone(),
+                suffix: tag.suffix.clone(),
+            })
         }
         _ => Ok(()),
     }
 }
 
 /// A scalar by YAML 1.2's core schema.
-fn scalar(text: &str, style: ScalarStyle, tag: Option<(&str, &str)>) -> Result<Value, String> {
+fn scalar(text: &str, style: ScalarStyle, tag: Option<(&str, &str)>) -> Result<Value, ValueError> {
     match tag {
         None => {}
         Some(("tag:yaml.org,2002:", "str")) => return Ok(Value::String(text.into())),
         Some(("tag:yaml.org,2002:", "int" | "float" | "bool" | "null")) => {}
-        Some((handle, suffix)) => return Err(format!("the tag {handle}{suffix} is not read")),
+        Some((handle, suffix)) => {
+            return Err(ValueError::UnsupportedTag {
+                handle: handle.into(),
+                suffix: suffix.into(),
+            })
+        }
     }
     if style != ScalarStyle::Plain {
         return Ok(Value::String(text.into()));
@@ -480,7 +497,7 @@
                 .or_else(|| Some(Value::Number(Number::from_f64(whole.parse().ok()?)?)))
         }
         _ if matches!(digits, ".inf" | ".Inf" | ".INF" | ".nan" | ".NaN" | ".NAN") => {
-            return Err(format!("{text} has no equal in JSON"));
+            return Err(ValueError::NotInJson { text: text.into() });
         }
         _ if digits
             .bytes()
--- a/crates/contract/src/enforcement.rs
+++ b/crates/contract/src/enforcement.rs
@@ -3,7 +3,8 @@
 
 use crate::conformance::{Violation, ViolationKind};
 use crate::drift::Interface;
-use crate::model::Description;
+use crate::fault::Faults;
+use crate::model::{Description, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -97,27 +98,38 @@
 /// What becomes of a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestDecision {
-    /// It is served as ever.
+    /// It is served.
     Serve,
-    /// It is answered 400 with this reason, and nothing is sent for it.
-    Reject(String),
+    /// It is answered with status 400 and this reason, and nothing is sent for it.
+    Reject(Rejection),
 }
 
-/// Judges a request. One whose path or method is not described is left to the front, which words that itself: a
+/// Why a request is rejected.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("{}: wanted {}, found {}{}", first.place, first.expected, first.found, count_more(*more))]
+pub struct Rejection {
+    /// The first violation.
+    pub first: Violation,
+    /// How many more there are.
+    pub more: usize,
+}
+
+fn count_more(more: usize) -> String {
+    match more {
+        0 => String::new(),
+        more => format!("; {more} more"),
+    }
+}
+
+/// Decides about a request. One whose path or method is not described is left to the front, which words that itself: a
 /// description may cover a part of an interface, such as all but its health page.
-pub fn decide_request(mode: Mode, departures: &[Violation]) -> RequestDecision {
-    match departures.first() {
+pub fn decide_request(mode: Mode, violations: &[Violation]) -> RequestDecision {
+    match violations.first() {
         Some(first) if mode == Mode::Enforce && first.kind != ViolationKind::Unknown => {
-            let more = departures.len() - 1;
-            let more = if more > 0 {
-                format!("; {more} more")
-            } else {
-                String::new()
-            };
-            RequestDecision::Reject(format!(
-                "{}: wanted {}, found {}{more}",
-                first.place, first.expected, first.found
-            ))
+            RequestDecision::Reject(Rejection {
+                first: first.clone(),
+                more: violations.len() - 1,
+            })
         }
         _ => RequestDecision::Serve,
     }
@@ -141,6 +153,40 @@
     pub description: Arc<Description>,
 }
 
+/// Why an interface's description can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum LoadError {
+    /// It has faults.
+    #[error("{0}")]
+    Faulty(Faults),
+    /// It is of the other format.
+    #[error("{path}: this interface is described in {expected:?}, not in {found:?}")]
+    WrongFormat {
+        /// The description's file.
+        path: String,
+        /// The format of the interface.
+        expected: Kind,
+        /// The description's format.
+        found: Kind,
+    },
+}
+
+/// Descriptions that can't be used, so that none of those read comes into force.
+#[derive(Debug, thiserror::Error)]
+#[error("{}", join_lines(faulty))]
+pub struct FaultyContracts {
+    /// Each interface with what is wrong.
+    pub faulty: Vec<(Interface, LoadError)>,
+}
+
+fn join_lines(faulty: &[(Interface, LoadError)]) -> String {
+    let lines: Vec<String> = faulty
+        .iter()
+        .map(|(interface, error)| format!("contract.{interface}: {error}"))
+        .collect();
+    lines.join("\n")
+}
+
 /// All descriptions in force at one time. A request keeps the ones that were in force when it came.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveContracts {
@@ -165,27 +211,29 @@
         self.by.iter().map(|(interface, held)| (*interface, held))
     }
 
-    /// What is in force after these were read: all of them or, where one is at fault, none; without them, `self`
-    /// stays. Also which interfaces are held against something else than before; the others keep the very same
-    /// description, and what is known of their drift stays true.
+    /// The contracts in force after these were read: all of them or, where one is at fault, none, so that `self`
+    /// stays. Also returns the interfaces whose description changed; the others keep the very same description, and
+    /// what is known of their drift stays true.
     pub fn replaced_by(
         &self,
-        read: Vec<(Interface, Result<InterfaceContract, String>)>,
-    ) -> Result<(ActiveContracts, BTreeSet<Interface>), String> {
-        let faults: Vec<String> = read
-            .iter()
-            .filter_map(|(interface, held)| {
-                Some(format!("contract.{interface}: {}", held.as_ref().err()?))
-            })
-            .collect();
-        if !faults.is_empty() {
-            return Err(faults.join("\n"));
+        read: Vec<(Interface, Result<InterfaceContract, LoadError>)>,
+    ) -> Result<(ActiveContracts, BTreeSet<Interface>), FaultyContracts> {
+        let mut contracts = Vec::new();
+        let mut faulty = Vec::new();
+        for (interface, contract) in read {
+            match contract {
+                Ok(contract) => contracts.push((interface, contract)),
+                Err(error) => faulty.push((interface, error)),
+            }
+        }
+        if !faulty.is_empty() {
+            return Err(FaultyContracts { faulty });
         }
         let mut by = BTreeMap::new();
-        for (interface, held) in read {
-            let Some(mut held) = held.ok().filter(|held| held.mode != Mode::Off) else {
+        for (interface, mut held) in contracts {
+            if held.mode == Mode::Off {
                 continue;
-            };
+            }
             if let Some(old) = self.by.get(&interface) {
                 if old.description.fingerprint == held.description.fingerprint {
                     held.description = old.description.clone();
--- a/crates/contract/src/enforcement/tests.rs
+++ b/crates/contract/src/enforcement/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::fault::Fault;
 
 fn departure(kind: ViolationKind) -> Violation {
     let text = |text: &str| text.to_string();
@@ -12,7 +13,7 @@
 }
 
 #[test]
-fn a_share_is_taken_evenly_and_the_first_always() {
+fn sampling_is_even_and_starts_with_the_first_message() {
     for (share, of) in [(1.0, 1000), (0.1, 100), (0.25, 250), (0.003, 3)] {
         let mut sampler = Sampler::new(share);
         assert!(sampler.sample(), "{share}");
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn what_finds_no_room_is_counted_and_room_comes_back() {
+fn a_full_backlog_rejects_and_counts_until_capacity_is_released() {
     let mut room = BacklogLimit::new(3, 100);
     assert!(
         room.try_reserve(60) && room.try_reserve(40) && !room.try_reserve(1),
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn only_enforce_refuses_and_never_what_is_not_described() {
+fn only_enforce_rejects_and_never_what_is_not_described() {
     let wrong = [
         departure(ViolationKind::Type),
         departure(ViolationKind::Missing),
@@ -53,7 +54,7 @@
     let RequestDecision::Reject(reason) = decide_request(Mode::Enforce, &wrong) else {
         panic!("served")
     };
-    assert_eq!(reason, "body /q: wanted x, found y; 1 more");
+    assert_eq!(reason.to_string(), "body /q: wanted x, found y; 1 more");
     assert_eq!(
         decide_request(Mode::Observe, &wrong),
         RequestDecision::Serve
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn one_faulty_description_leaves_all_as_they_were() {
+fn one_faulty_description_leaves_all_contracts_in_force() {
     let text = r#"{"openapi":"3.1.0","info":{"title":"t","version":"1"},"paths":{}}"#;
     let held = |mode| {
         let description = Description::from_text("a.json", text).unwrap();
@@ -84,12 +85,20 @@
         .replaced_by(vec![(Interface::Query, held(Mode::Observe))])
         .unwrap();
     assert_eq!(changed, [Interface::Query].into());
+    let mut faults = Faults::default();
+    faults.push(Fault {
+        file: "x.yaml".into(),
+        line: 0,
+        column: 0,
+        pointer: String::new(),
+        cause: "bad".into(),
+    });
     let faulty = vec![
         (Interface::Query, held(Mode::Enforce)),
-        (Interface::Servers, Err("x.yaml: bad".into())),
+        (Interface::Servers, Err(LoadError::Faulty(faults))),
     ];
     assert_eq!(
-        first.replaced_by(faulty).unwrap_err(),
+        first.replaced_by(faulty).unwrap_err().to_string(),
         "contract.servers: x.yaml: bad"
     );
     assert_eq!(
--- a/crates/coordinator/src/contract.rs
+++ b/crates/coordinator/src/contract.rs
@@ -9,8 +9,8 @@
 use cairnroad_contract::conformance::{ObservedRequest, ObservedResponse, Violation};
 use cairnroad_contract::drift::{DriftTracker, Interface, KnownServer, Observation};
 use cairnroad_contract::enforcement::{
-    decide_request, is_response_usable, ActiveContracts, BacklogLimit, InterfaceContract, Mode,
-    RequestDecision, Sampler,
+    decide_request, is_response_usable, ActiveContracts, BacklogLimit, FaultyContracts,
+    InterfaceContract, LoadError, Mode, Rejection, RequestDecision, Sampler,
 };
 use cairnroad_contract::model::{Description, Kind};
 use cairnroad_contract::schema::Direction;
@@ -116,6 +116,17 @@
     pub asyncapi: Vec<u8>,
 }
 
+/// Why descriptions that were read don't come into force.
+#[derive(Debug, thiserror::Error)]
+pub enum AdoptError {
+    /// One of them can't be used.
+    #[error(transparent)]
+    Faulty(#[from] FaultyContracts),
+    /// The thread that checks sampled messages can't be started.
+    #[error("a thread: {0}")]
+    Thread(#[source] std::io::Error),
+}
+
 /// A lock whose holder can't have left its content half changed: each change is one call.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -125,20 +136,20 @@
 pub fn read(
     plans: &[(Interface, Plan)],
     backend: BackendKind,
-) -> Vec<(Interface, Result<InterfaceContract, String>)> {
+) -> Vec<(Interface, Result<InterfaceContract, LoadError>)> {
     let one = |interface: Interface, plan: &Plan| {
-        let description = Description::open(&plan.path).map_err(|faults| faults.to_string())?;
+        let description = Description::open(&plan.path).map_err(LoadError::Faulty)?;
         let wanted = match (interface, backend) {
             (Interface::Platform | Interface::Query, _)
             | (Interface::Servers, BackendKind::OpenSearch) => Kind::OpenApi,
             _ => Kind::AsyncApi,
         };
         if description.kind != wanted {
-            let path = plan.path.display();
-            return Err(format!(
-                "{path}: this interface is described in {wanted:?}, not in {:?}",
-                description.kind
-            ));
+            return Err(LoadError::WrongFormat {
+                path: plan.path.display().to_string(),
+                expected: wanted,
+                found: description.kind,
+            });
         }
         Ok(InterfaceContract {
             mode: plan.mode,
@@ -176,8 +187,8 @@
     /// Puts into force what was read, whole or not at all.
     pub fn adopt(
         &self,
-        read: Vec<(Interface, Result<InterfaceContract, String>)>,
-    ) -> Result<(), String> {
+        read: Vec<(Interface, Result<InterfaceContract, LoadError>)>,
+    ) -> Result<(), AdoptError> {
         let old = self.in_force.borrow().clone().unwrap_or_default();
         let (next, changed) = old.replaced_by(read)?;
         let mut ledger = lock(&self.ledger);
@@ -199,7 +210,7 @@
             let thread = std::thread::Builder::new().name("contract".into());
             thread
                 .spawn(move || look(&waiting, &ledger))
-                .map_err(|e| format!("a thread: {e}"))?;
+                .map_err(AdoptError::Thread)?;
             self.looking.set(true);
         }
         // With nothing in force, requests carry nothing and nothing is asked of them.
@@ -291,7 +302,7 @@
         in_force: &ActiveContracts,
         interface: Interface,
         request: &http::Request,
-    ) -> Result<Option<Watched>, String> {
+    ) -> Result<Option<Watched>, Rejection> {
         let Some(held) = in_force.get(interface) else {
             return Ok(None);
         };
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -217,7 +217,10 @@
         Kind::Platform => Interface::Platform,
         Kind::OpenSearch => Interface::Query,
     };
-    front.contracts.request(in_force, interface, request)
+    front
+        .contracts
+        .request(in_force, interface, request)
+        .map_err(|rejection| rejection.to_string())
 }
 
 fn stopping(phase: Phase) -> bool {
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -174,7 +174,9 @@
 async fn adopt(contracts: &Contracts, config: &configuration::Config) -> Result<(), String> {
     let (plans, backend) = (config.contracts.clone(), config.backend);
     let read = tokio::task::spawn_blocking(move || contract::read(&plans, backend)).await;
-    contracts.adopt(read.map_err(|e| format!("reading descriptions: {e}"))?)
+    contracts
+        .adopt(read.map_err(|e| format!("reading descriptions: {e}"))?)
+        .map_err(|error| error.to_string())
 }
 
 async fn serve(
