--- a/crates/coordinator/src/discovery/file_source/endpoint_source.rs
+++ b/crates/coordinator/src/discovery/file_source/endpoint_source.rs
@@ -7,7 +7,7 @@
 use super::scan::{present_stamps, read_files, scan, FileStamps};
 use super::start_times::StartTimes;
 use crate::configuration::Source;
-use crate::discovery::endpoint_list::zone;
+use crate::discovery::endpoint_list::zone_id;
 use crate::messages::{EndpointEntry, Message};
 use cairnroad_endpoint_files::activation_schedule::{ActivationSchedule, EndpointStatus};
 use cairnroad_endpoint_files::debounce::{Debounce, ReadOutcome};
@@ -264,7 +264,7 @@
             id: id.into(),
             address: endpoint.address,
             cell: endpoint.cell,
-            zone: zone(&endpoint.locality),
+            zone: zone_id(&endpoint.locality),
             state,
             size: 1.0,
             weight: status.weight,
