--- a/crates/admin/src/reconfigure/class_slots.rs
+++ b/crates/admin/src/reconfigure/class_slots.rs
@@ -44,7 +44,7 @@
         for (index, (name, class)) in classes_of(new).enumerate() {
             let unchanged = self
                 .in_force
-                .place(name)
+                .class_index(name)
                 .filter(|&slot| self.in_force.policy.classes[slot] == *class)
                 .filter(|&slot| self.names[slot].is_empty());
             if let Some(slot) = unchanged {
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -434,11 +434,11 @@
 #[test]
 fn sweep_interval_and_silence_limit_follow_from_the_settings() {
     let mut deployment = crate::configuration::tests::sample()
-        .offer
+        .served
         .deployment
         .clone();
     for keepalive in [0.2, 1.0, 1.6, 15.0, 60.0] {
-        deployment.keepalive = keepalive;
+        deployment.idle_timeout = keepalive;
         assert!(
             IDLE_SHARE * keepalive + sweep_interval(&deployment) <= 0.81 * keepalive,
             "{keepalive}"
--- a/crates/coordinator/src/discovery/file_source/endpoint_source.rs
+++ b/crates/coordinator/src/discovery/file_source/endpoint_source.rs
@@ -6,7 +6,7 @@
 use super::publisher::{CoreStopped, Publisher, WEIGHT_UPDATE_INTERVAL};
 use super::scan::{present_stamps, read_files, scan, FileStamps};
 use super::start_times::StartTimes;
-use crate::configuration::Source;
+use crate::configuration::EndpointFilesSettings;
 use crate::discovery::endpoint_list::zone_id;
 use crate::messages::{EndpointEntry, Message};
 use cairnroad_endpoint_files::activation_schedule::{ActivationSchedule, EndpointStatus};
@@ -27,7 +27,7 @@
 
 /// The thread's state.
 pub(super) struct EndpointSource {
-    source: Source,
+    settings: EndpointFilesSettings,
     /// `None` without a state folder.
     store: Option<SnapshotStore<StateDirectory>>,
     publisher: Publisher,
@@ -44,13 +44,16 @@
 
 impl EndpointSource {
     /// A source that has read nothing yet.
-    pub(super) fn new(source: Source, core: mpsc::Sender<Message>) -> EndpointSource {
-        let store = source
-            .state
+    pub(super) fn new(
+        settings: EndpointFilesSettings,
+        core: mpsc::Sender<Message>,
+    ) -> EndpointSource {
+        let store = settings
+            .state_dir
             .clone()
             .map(|folder| SnapshotStore::new(StateDirectory(folder)));
         EndpointSource {
-            source,
+            settings,
             store,
             publisher: Publisher::new(core),
             schedule: ActivationSchedule::default(),
@@ -69,7 +72,7 @@
 
     fn follow_files(&mut self) -> Result<(), CoreStopped> {
         let started_at = Instant::now();
-        let mut watcher = ChangeWatcher::new(&self.source.path);
+        let mut watcher = ChangeWatcher::new(&self.settings.path);
         let mut debounce = Debounce::new(started_at.elapsed());
         self.restore_snapshot()?;
         let outcome = self.check_files()?;
@@ -120,7 +123,7 @@
 
     /// Puts the stored set in force, so that a start with broken files serves.
     fn restore_snapshot(&mut self) -> Result<(), CoreStopped> {
-        let (Some(folder), Some(store)) = (&self.source.state, &mut self.store) else {
+        let (Some(folder), Some(store)) = (&self.settings.state_dir, &mut self.store) else {
             return Ok(());
         };
         let recovery = store.recover();
@@ -144,7 +147,7 @@
 
     /// Whether the files hold a set that is accepted after this one.
     fn files_may_follow(&self, in_force: &EndpointSet) -> bool {
-        let Ok(endpoint_set) = parse_files(&read_files(&self.source.path)) else {
+        let Ok(endpoint_set) = parse_files(&read_files(&self.settings.path)) else {
             return false;
         };
         let decision = self.decide(Some(in_force), &endpoint_set);
@@ -152,19 +155,24 @@
     }
 
     fn decide(&self, in_force: Option<&EndpointSet>, new: &EndpointSet) -> UpdateDecision {
-        decide_update(in_force, new, &self.source.layout, self.source.shrink)
+        decide_update(
+            in_force,
+            new,
+            &self.settings.layout,
+            self.settings.max_removed_share,
+        )
     }
 
     /// Reads the files, unless they are those of the set in force, and applies what they hold.
     fn check_files(&mut self) -> Result<ReadOutcome, CoreStopped> {
         // A large list is not parsed again at every rescan.
-        let present = present_stamps(&self.source.path);
+        let present = present_stamps(&self.settings.path);
         if !present.is_empty() && present == self.stamps_in_force {
             return Ok(ReadOutcome::InForce);
         }
         self.stamps_in_force.clear();
-        let scan = scan(&self.source.path);
-        if !scan.stamps.is_empty() && scan.stamps != present_stamps(&self.source.path) {
+        let scan = scan(&self.settings.path);
+        if !scan.stamps.is_empty() && scan.stamps != present_stamps(&self.settings.path) {
             // Written while it was read: the texts may be a mix that no writer meant.
             return Ok(ReadOutcome::NotUsable);
         }
@@ -199,7 +207,7 @@
     fn apply(&mut self, endpoint_set: EndpointSet) -> Result<(), CoreStopped> {
         let empty = EndpointSet::default();
         let in_force = self.schedule.endpoint_set().unwrap_or(&empty);
-        let plan = plan_update(in_force, &endpoint_set, &self.source.layout);
+        let plan = plan_update(in_force, &endpoint_set, &self.settings.layout);
         let generation = endpoint_set.generation;
         let now = unix_now();
         self.start_times.update(&endpoint_set, now);
@@ -211,7 +219,7 @@
 
     /// Stores a set. A disk that fails doesn't keep it from coming into force.
     fn save(&mut self, endpoint_set: &EndpointSet, now: UnixSeconds) {
-        let (Some(folder), Some(store)) = (&self.source.state, &mut self.store) else {
+        let (Some(folder), Some(store)) = (&self.settings.state_dir, &mut self.store) else {
             return;
         };
         let saved = store.save(endpoint_set, now);
--- a/crates/coordinator/src/discovery/file_source/mod.rs
+++ b/crates/coordinator/src/discovery/file_source/mod.rs
@@ -13,7 +13,7 @@
 
 pub use scan::read_files;
 
-use crate::configuration::Source;
+use crate::configuration::EndpointFilesSettings;
 use crate::messages::Message;
 use endpoint_source::EndpointSource;
 use tokio::sync::mpsc;
@@ -24,8 +24,11 @@
 pub struct SpawnError(#[source] std::io::Error);
 
 /// Starts the thread that owns the files' state. It ends when the core's receiver is dropped.
-pub fn start(source: Source, core: mpsc::Sender<Message>) -> Result<(), SpawnError> {
-    let endpoint_source = EndpointSource::new(source, core);
+pub fn start(
+    settings: EndpointFilesSettings,
+    core: mpsc::Sender<Message>,
+) -> Result<(), SpawnError> {
+    let endpoint_source = EndpointSource::new(settings, core);
     std::thread::Builder::new()
         .name("endpoint-files".into())
         .spawn(move || endpoint_source.run())
--- a/crates/coordinator/src/pipeline/router_driver.rs
+++ b/crates/coordinator/src/pipeline/router_driver.rs
@@ -21,7 +21,7 @@
 impl RouterDriver {
     /// A driver of a new router with the configuration's settings and seed.
     pub fn new(config: &Config) -> Self {
-        let settings = config.offer.deployment.policy.clone();
+        let settings = config.served.deployment.policy.clone();
         RouterDriver {
             latency_objectives: latency_objectives(&settings),
             router: RequestRouter::new(settings, config.seed),
