--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -10,7 +10,7 @@
 mod open_connections;
 pub mod suspension_store;
 
-use crate::cluster::Peers;
+use crate::cluster::ClusterHandle;
 use crate::messages::{Message, Phase};
 use cairnroad_admin::request::{AdminRequest, AdminResponse, UnavailableReason};
 use open_connections::{OpenConnections, RequestReceived};
@@ -29,7 +29,7 @@
 struct AdminApi {
     pipeline: mpsc::Sender<Message>,
     phase: Rc<watch::Sender<Phase>>,
-    cluster: Option<Rc<Peers>>,
+    cluster: Option<Rc<ClusterHandle>>,
 }
 
 /// Accepts admin connections for as long as the process lives, and spawns a task for each.
@@ -37,7 +37,7 @@
     listener: TcpListener,
     pipeline: mpsc::Sender<Message>,
     phase: Rc<watch::Sender<Phase>>,
-    cluster: Option<Rc<Peers>>,
+    cluster: Option<Rc<ClusterHandle>>,
 ) {
     let api = Rc::new(AdminApi {
         pipeline,
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -1,255 +1,357 @@
-//! This coordinator's part in its group, on a socket of its own. All that is decided is decided in `cairnroad_cluster`;
-//! here are the datagrams, the time, the log, and the words that go to and from the core.
+//! This coordinator's part in its cluster: a task that owns the UDP socket.
+//!
+//! All decisions are made by [`Membership`]; the task gives it datagrams and the time, sends what it returns, logs
+//! changes, and exchanges outliers with the core.
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+mod page;
 
 use crate::clock::Clock;
 use crate::configuration;
 use crate::messages::{LocalOutliers, Message, Phase};
-use cairnroad_cluster::envelope::MOST_BYTES;
-use cairnroad_cluster::facts::{self, What};
-use cairnroad_cluster::model::{may, State, FEATURES};
-use cairnroad_cluster::{advice, Group, Out, Setup, TICK};
-use cairnroad_types::Time;
-use serde_json::json;
+use cairnroad_cluster::datagram::MAX_DATAGRAM_BYTES;
+use cairnroad_cluster::gossip_state::{self, GossipValue};
+use cairnroad_cluster::identity::MemberId;
+use cairnroad_cluster::view::MemberState;
+use cairnroad_cluster::{outlier_advice, Membership, MembershipConfig, Output, TICK_INTERVAL};
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::{Interval, MissedTickBehavior};
 
-/// Datagrams that are taken between two ticks. A flood must not take the whole core.
-const MOST_AT_ONCE: usize = 1_024;
-/// How often others' doubts are handed to the core, in ticks.
-const ADVICE_TICKS: u32 = 10;
-/// Calls for the view that may wait.
-const CALLS: usize = 16;
-/// How long the last words may take to leave this machine.
-const LAST_WORDS: Duration = Duration::from_millis(100);
+/// Most datagrams that are read in one tick: a flood must not occupy the core's thread.
+const MAX_DATAGRAMS_PER_TICK: usize = 1_024;
+/// How often outlier advice is passed to the core, in ticks.
+const ADVICE_INTERVAL_TICKS: u32 = 10;
+/// Capacity of the channel of requests to the task.
+const MAX_WAITING_REQUESTS: usize = 16;
+/// How long the announcement that this coordinator leaves may take to be sent.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why this coordinator can't take part.
+/// Why this coordinator can't join its cluster.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
-    #[error("peers.listen: {address}: {cause}")]
+pub enum ClusterError {
+    /// The socket can't be bound.
+    #[error("peers.listen: {address}: {source}")]
     Listen {
+        /// The address of the setting `peers.listen`.
         address: SocketAddr,
-        cause: std::io::Error,
+        /// Why not.
+        source: std::io::Error,
     },
 }
 
-impl Fault {
+impl ClusterError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Fault::Listen { .. } => {
+            ClusterError::Listen { .. } => {
                 "free the port, or name another in 'peers.listen'; 0 takes any, which 'peers.advertise' can't name"
             }
         }
     }
 }
 
-/// The way to the task that takes part.
-pub struct Peers {
-    calls: mpsc::Sender<Call>,
+/// Sends requests to the cluster task.
+pub struct ClusterHandle {
+    requests: mpsc::Sender<ClusterRequest>,
 }
 
-enum Call {
+/// A request to the cluster task, with the channel for its answer.
+enum ClusterRequest {
+    /// Render the page of `GET /v1/peers`.
     View(oneshot::Sender<String>),
+    /// Announce that this coordinator leaves, and end the task.
     Leave(oneshot::Sender<()>),
 }
 
-impl Peers {
-    /// What this coordinator sees, as JSON.
+impl ClusterHandle {
+    /// What this coordinator sees, as JSON. `None` if the task has ended or has too many requests waiting.
     pub async fn view(&self) -> Option<String> {
         let (reply, view) = oneshot::channel();
-        self.calls.try_send(Call::View(reply)).ok()?;
+        self.requests.try_send(ClusterRequest::View(reply)).ok()?;
         view.await.ok()
     }
 
-    /// Leaves by its own word.
+    /// Announces to the other members that this coordinator leaves.
     pub async fn leave(&self) {
         let (reply, left) = oneshot::channel();
-        if self.calls.send(Call::Leave(reply)).await.is_ok() {
-            let _ = tokio::time::timeout(LAST_WORDS, left).await;
+        if self
+            .requests
+            .send(ClusterRequest::Leave(reply))
+            .await
+            .is_ok()
+        {
+            // Unannounced, the others find this coordinator failed instead.
+            let _ = tokio::time::timeout(LEAVE_TIMEOUT, left).await;
         }
     }
 }
 
-/// What the task is given beside its settings.
-pub struct Given {
+/// What the cluster task needs of the program beside its settings.
+pub struct ClusterDependencies {
+    /// This coordinator's name.
     pub name: String,
+    /// Seeds the random generator.
     pub seed: u64,
+    /// The program's clock.
     pub clock: Clock,
+    /// The program's phase, published to the cluster.
     pub phases: watch::Receiver<Phase>,
-    /// The data nodes that this coordinator's own answers make it doubt, and how many its list names.
-    pub doubts: watch::Receiver<LocalOutliers>,
+    /// The data nodes that this coordinator's own requests show to be outliers, published to the cluster.
+    pub local_outliers: watch::Receiver<LocalOutliers>,
+    /// The core, which receives outlier advice.
     pub core: mpsc::Sender<Message>,
 }
 
-/// Begins to take part.
+/// Binds the socket and spawns the cluster task on the current thread. The task ends with
+/// [`ClusterHandle::leave`].
 pub async fn start(
     settings: &configuration::ClusterSettings,
-    given: Given,
-) -> Result<Peers, Fault> {
-    let fault = |cause| Fault::Listen {
+    dependencies: ClusterDependencies,
+) -> Result<ClusterHandle, ClusterError> {
+    let listen_error = |source| ClusterError::Listen {
         address: settings.listen,
-        cause,
+        source,
     };
-    let socket = UdpSocket::bind(settings.listen).await.map_err(fault)?;
-    let bound = socket.local_addr().map_err(fault)?;
+    let socket = UdpSocket::bind(settings.listen)
+        .await
+        .map_err(listen_error)?;
+    let bound = socket.local_addr().map_err(listen_error)?;
     let address = settings.advertise.unwrap_or(bound);
-    tracing::info!(peers = %bound, %address, cluster = settings.cluster, "takes part in its group");
-    let now = given.clock.now();
-    let setup = Setup {
+    tracing::info!(listen = %bound, %address, cluster = settings.cluster, "joining the cluster");
+    let now = dependencies.clock.now();
+    let config = MembershipConfig {
         cluster: settings.cluster.clone(),
-        name: given.name.clone(),
+        name: dependencies.name.clone(),
         room: settings.room.clone(),
         offers: settings.offers.clone(),
         address,
         generation: (now.0 / 1_000) as u64,
         group: settings.group.clone(),
         seeds: settings.seeds.clone(),
-        seed: given.seed,
+        seed: dependencies.seed,
+    };
+    let (sender, requests) = mpsc::channel(MAX_WAITING_REQUESTS);
+    let task = ClusterTask {
+        socket,
+        membership: Membership::new(config, now),
+        requests,
+        dependencies,
+        buffer: [0; MAX_DATAGRAM_BYTES + 1],
+        ticks: 0,
+        confirmed_outliers: Vec::new(),
     };
-    let (calls, called) = mpsc::channel(CALLS);
-    tokio::task::spawn_local(run(socket, Group::new(setup, now), called, given));
-    Ok(Peers { calls })
+    tokio::task::spawn_local(task.run());
+    Ok(ClusterHandle { requests: sender })
 }
 
-async fn run(
+struct ClusterTask {
     socket: UdpSocket,
-    mut group: Group,
-    mut calls: mpsc::Receiver<Call>,
-    mut given: Given,
-) {
-    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK));
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut buffer = [0; MOST_BYTES + 1];
-    let mut told = Vec::new();
-    let mut ticked = 0u32;
-    let clock = given.clock.clone();
-    // What it was before this task began is told, too.
-    given.phases.mark_changed();
-    loop {
-        let mut out = Vec::new();
+    membership: Membership,
+    requests: mpsc::Receiver<ClusterRequest>,
+    dependencies: ClusterDependencies,
+    /// One byte longer than a datagram may be, so that a longer one is seen to be.
+    buffer: [u8; MAX_DATAGRAM_BYTES + 1],
+    ticks: u32,
+    /// The outlier advice that was logged last.
+    confirmed_outliers: Vec<String>,
+}
+
+/// What wakes the cluster task.
+enum Input {
+    Tick,
+    /// A datagram of this length is in the buffer.
+    Datagram(usize),
+    /// Nothing could be read from the socket.
+    ReceiveFailed,
+    PhaseChanged,
+    OutliersChanged,
+    Request(ClusterRequest),
+}
+
+/// Whether the task goes on.
+#[derive(PartialEq)]
+enum Progress {
+    Continue,
+    Finished,
+}
+
+impl ClusterTask {
+    async fn run(mut self) {
+        let mut interval = tokio::time::interval(Duration::from_secs_f64(TICK_INTERVAL));
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        // The phase that was reached before this task began is published, too.
+        self.dependencies.phases.mark_changed();
+        loop {
+            let input = self.next_input(&mut interval).await;
+            if self.handle(input) == Progress::Finished {
+                return;
+            }
+        }
+    }
+
+    async fn next_input(&mut self, interval: &mut Interval) -> Input {
         tokio::select! {
             biased;
-            _ = ticks.tick() => {
-                // What came during a stop is read before any of its time is judged.
-                for _ in 0..MOST_AT_ONCE {
-                    match socket.try_recv_from(&mut buffer) {
-                        Ok((bytes, _)) => group.datagram(clock.now(), &buffer[..bytes], &mut out),
-                        Err(cause) if cause.kind() == std::io::ErrorKind::WouldBlock => break,
-                        // A peer's port that nobody listens at tells so here; it says nothing of this socket.
-                        Err(_) => {}
-                    }
-                }
-                group.tick(clock.now(), &mut out);
-                ticked = ticked.wrapping_add(1);
-                if ticked.is_multiple_of(ADVICE_TICKS) {
-                    advise(&group, &given, &mut told);
-                }
-            }
-            got = socket.recv_from(&mut buffer) => {
-                if let Ok((bytes, _)) = got {
-                    group.datagram(clock.now(), &buffer[..bytes], &mut out);
-                }
-            }
-            Ok(()) = given.phases.changed() => {
-                let phase = match *given.phases.borrow_and_update() {
-                    Phase::Starting => facts::Phase::Starting,
-                    Phase::Serving => facts::Phase::Serving,
-                    Phase::DrainedByOperator => facts::Phase::Draining,
-                    Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected => facts::Phase::Stopping,
-                };
-                group.say(clock.now(), What::Phase(phase));
+            _ = interval.tick() => Input::Tick,
+            received = self.socket.recv_from(&mut self.buffer) => match received {
+                Ok((length, _)) => Input::Datagram(length),
+                Err(_) => Input::ReceiveFailed,
+            },
+            Ok(()) = self.dependencies.phases.changed() => Input::PhaseChanged,
+            Ok(()) = self.dependencies.local_outliers.changed() => Input::OutliersChanged,
+            Some(request) = self.requests.recv() => Input::Request(request),
+        }
+    }
+
+    fn handle(&mut self, input: Input) -> Progress {
+        match input {
+            Input::Tick => self.tick(),
+            Input::Datagram(length) => self.handle_datagram(length),
+            Input::ReceiveFailed => {}
+            Input::PhaseChanged => self.publish_phase(),
+            Input::OutliersChanged => self.publish_outliers(),
+            Input::Request(ClusterRequest::View(reply)) => {
+                let now = self.dependencies.clock.now();
+                let page = page::render(&self.membership, &self.dependencies.name, now);
+                // An asker that has gone needs no answer.
+                let _ = reply.send(page);
             }
-            Ok(()) = given.doubts.changed() => {
-                let doubts = given.doubts.borrow_and_update().endpoint_ids.clone();
-                group.say(clock.now(), What::Doubts(doubts));
+            Input::Request(ClusterRequest::Leave(reply)) => {
+                self.leave();
+                let _ = reply.send(());
+                return Progress::Finished;
             }
-            Some(call) = calls.recv() => match call {
-                Call::View(reply) => drop(reply.send(view(&group, &given.name, clock.now()))),
-                Call::Leave(reply) => {
-                    group.leave(clock.now(), &mut out);
-                    carry_out(&socket, out);
-                    let _ = reply.send(());
-                    return;
+        }
+        Progress::Continue
+    }
+
+    fn tick(&mut self) {
+        let mut out = Vec::new();
+        self.read_waiting_datagrams(&mut out);
+        self.membership
+            .tick(self.dependencies.clock.now(), &mut out);
+        self.ticks = self.ticks.wrapping_add(1);
+        if self.ticks.is_multiple_of(ADVICE_INTERVAL_TICKS) {
+            self.pass_on_advice();
+        }
+        self.carry_out(out);
+    }
+
+    /// What arrived during a pause is read before the pause itself is judged.
+    fn read_waiting_datagrams(&mut self, out: &mut Vec<Output>) {
+        for _ in 0..MAX_DATAGRAMS_PER_TICK {
+            match self.socket.try_recv_from(&mut self.buffer) {
+                Ok((length, _)) => {
+                    let now = self.dependencies.clock.now();
+                    self.membership
+                        .on_datagram(now, &self.buffer[..length], out);
                 }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                // A peer's port that is closed is reported here; it says nothing of this socket.
+                Err(_) => {}
             }
         }
-        carry_out(&socket, out);
     }
-}
 
-/// Hands the core what others doubt, where that changes or still holds.
-fn advise(group: &Group, given: &Given, told: &mut Vec<String>) {
-    let listed = given.doubts.borrow().endpoint_count;
-    let heeded = advice::heeded(&group.advice(), group.view().there(), listed);
-    if !heeded.is_empty() {
-        let _ = given.core.try_send(Message::OutlierAdvice(heeded.clone()));
+    fn handle_datagram(&mut self, length: usize) {
+        let mut out = Vec::new();
+        let now = self.dependencies.clock.now();
+        self.membership
+            .on_datagram(now, &self.buffer[..length], &mut out);
+        self.carry_out(out);
+    }
+
+    fn publish_phase(&mut self) {
+        let phase = gossip_phase(*self.dependencies.phases.borrow_and_update());
+        let now = self.dependencies.clock.now();
+        self.membership.publish(now, GossipValue::Phase(phase));
     }
-    if heeded != *told {
-        tracing::info!(servers = heeded.join(", "), "peers doubt these data nodes");
-        *told = heeded;
+
+    fn publish_outliers(&mut self) {
+        let servers = self
+            .dependencies
+            .local_outliers
+            .borrow_and_update()
+            .endpoint_ids
+            .clone();
+        let now = self.dependencies.clock.now();
+        self.membership.publish(now, GossipValue::Outliers(servers));
+    }
+
+    fn leave(&mut self) {
+        let mut out = Vec::new();
+        self.membership
+            .leave(self.dependencies.clock.now(), &mut out);
+        self.carry_out(out);
+    }
+
+    /// Passes on the outliers that enough members report, as long as there are any, and logs changes.
+    fn pass_on_advice(&mut self) {
+        let listed_servers = self.dependencies.local_outliers.borrow().endpoint_count;
+        let reports = self.membership.outlier_reports();
+        let live_members = self.membership.view().live_count();
+        let confirmed = outlier_advice::confirmed_outliers(&reports, live_members, listed_servers);
+        if !confirmed.is_empty() {
+            // A core that is too busy gets the advice anew at the next interval.
+            let advice = Message::OutlierAdvice(confirmed.clone());
+            let _ = self.dependencies.core.try_send(advice);
+        }
+        if confirmed != self.confirmed_outliers {
+            tracing::info!(
+                servers = confirmed.join(", "),
+                "outliers reported by the cluster"
+            );
+            self.confirmed_outliers = confirmed;
+        }
     }
-}
 
-fn carry_out(socket: &UdpSocket, out: Vec<Out>) {
-    for out in out {
-        match out {
-            // A datagram that finds no room is one that was lost, which the group bears.
-            Out::Send { to, bytes } => drop(socket.try_send_to(&bytes, to)),
-            Out::Member { id, name, state } => {
-                let peer = name.unwrap_or_else(|| format!("{:016x}", id.name.0));
-                match state {
-                    State::Alive => tracing::info!(peer, address = %id.address, "peer is there"),
-                    State::Suspected => tracing::info!(peer, "peer is suspected"),
-                    State::Failed => tracing::warn!(peer, "peer has failed"),
-                    State::Left => tracing::info!(peer, "peer has left"),
+    fn carry_out(&self, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::SendDatagram { to, bytes } => {
+                    // A datagram that can't be sent is one that was lost, which the protocol tolerates.
+                    let _ = self.socket.try_send_to(&bytes, to);
+                }
+                Output::MemberChanged { id, name, state } => log_member_change(&id, name, state),
+                Output::Replaced { earlier, later } => tracing::warn!(
+                    member = format!("{:016x}", later.name.0),
+                    previous = %earlier.address,
+                    current = %later.address,
+                    "member replaced by a newer process"
+                ),
+                Output::QuorumChanged(quorum_view) => {
+                    tracing::info!(?quorum_view, "quorum view changed");
                 }
+                Output::Rejoined => tracing::warn!("rejoined the cluster"),
+                Output::Paused(seconds) => tracing::warn!(seconds, "process was paused"),
             }
-            Out::Replaced { earlier, later } => tracing::warn!(
-                earlier = %earlier.address, later = %later.address, name = format!("{:016x}", later.name.0),
-                "a later process took a name over"
-            ),
-            Out::Standing(standing) => tracing::info!(?standing, "peers: standing"),
-            Out::Returned => tracing::warn!("peers: came back under a later number"),
-            Out::Late(secs) => tracing::warn!(secs, "peers: this process did not run for a while"),
         }
     }
 }
 
-/// The view for people and programs.
-fn view(group: &Group, name: &str, now: Time) -> String {
-    let view = group.view();
-    let members: Vec<_> = view
-        .members
-        .iter()
-        .map(|member| {
-            group.told_by(&member.id, |card, phase| {
-                json!({
-                    "name": card.map(|card| card.0), "room": card.map(|card| card.1), "offers": card.map(|card| card.2),
-                    "state": member.state, "for_s": ((now - member.since) * 10.0).round() / 10.0, "phase": phase,
-                    "address": member.id.address.to_string(), "generation": member.id.generation,
-                    "returns": member.id.returns, "incarnation": member.incarnation,
-                })
-            })
-        })
-        .collect();
-    let allowed = |feature: &cairnroad_cluster::model::Feature| {
-        (
-            format!("{feature:?}").to_lowercase(),
-            json!(may(view.standing, *feature)),
-        )
-    };
-    let dropped =
-        |(cause, count): (cairnroad_cluster::Dropped, u64)| (cause.to_string(), json!(count));
-    json!({
-        "name": name, "address": view.own.address.to_string(), "generation": view.own.generation,
-        "returns": view.own.returns, "standing": view.standing, "epoch": view.epoch,
-        "digest": format!("{:016x}", view.digest), "doubt": view.doubt, "there": view.there(),
-        "agree": view.agree, "differ": view.differ, "replaced_by": view.replaced_by.map(|id| id.address.to_string()),
-        "may": FEATURES.iter().map(allowed).collect::<serde_json::Map<_, _>>(),
-        "doubted": group.advice(), "members": members,
-        "dropped": group.dropped().map(dropped).collect::<serde_json::Map<_, _>>(),
-    })
-    .to_string()
+/// Logs a member's new state. A member whose name has not arrived yet is logged by its hash.
+fn log_member_change(id: &MemberId, name: Option<String>, state: MemberState) {
+    let member = name.unwrap_or_else(|| format!("{:016x}", id.name.0));
+    match state {
+        MemberState::Alive => tracing::info!(member, address = %id.address, "member alive"),
+        MemberState::Suspected => tracing::info!(member, "member suspected"),
+        MemberState::Failed => tracing::warn!(member, "member failed"),
+        MemberState::Left => tracing::info!(member, "member left"),
+    }
+}
+
+/// The phase that is published to other members.
+fn gossip_phase(phase: Phase) -> gossip_state::Phase {
+    match phase {
+        Phase::Starting => gossip_state::Phase::Starting,
+        Phase::Serving => gossip_state::Phase::Serving,
+        Phase::DrainedByOperator => gossip_state::Phase::Draining,
+        Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected => {
+            gossip_state::Phase::Stopping
+        }
+    }
 }
--- a/crates/coordinator/src/configuration/error.rs
+++ b/crates/coordinator/src/configuration/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong with the configuration, from a missing file down to a single value.
 
-use cairnroad_cluster::names;
+use cairnroad_cluster::member_names::MemberNamesError;
 use cairnroad_settings::SettingsError;
 use std::io;
 use std::path::PathBuf;
@@ -95,7 +95,7 @@
     #[error("NODE_INHERITED_FD: '{0}' is not a descriptor above 2")]
     InvalidDescriptor(String),
     /// A member of a group of coordinators needs a name that its datagrams can carry.
-    #[error("'name': '{0}' can't be a peer's: {help}", help = names::Fault::Name(String::new()).help())]
+    #[error("'name': '{0}' can't be a peer's: {help}", help = MemberNamesError::InvalidName(String::new()).help())]
     InvalidMemberName(String),
 }
 
@@ -175,10 +175,10 @@
     InvalidIndexName(String),
     /// The name of a group of coordinators is not allowed.
     #[error(transparent)]
-    InvalidClusterName(names::Fault),
+    InvalidClusterName(MemberNamesError),
     /// The member names of a group of coordinators are faulty.
     #[error("{0}: {help}", help = .0.help())]
-    InvalidMemberNames(names::Fault),
+    InvalidMemberNames(MemberNamesError),
     /// A text is too long for a datagram.
     #[error("'{value}' is longer than {limit} bytes")]
     TooLong {
--- a/crates/coordinator/src/server/error.rs
+++ b/crates/coordinator/src/server/error.rs
@@ -71,7 +71,7 @@
     Descriptions(#[from] DescriptionsError),
     /// The coordinator can't become a member of its group.
     #[error("{0}: {help}", help = .0.help())]
-    Cluster(#[from] cluster::Fault),
+    Cluster(#[from] cluster::ClusterError),
     /// The endpoint list's files can't be watched.
     #[error("{0}")]
     EndpointFiles(#[source] Source),
