--- a/crates/contract/src/tree.rs
+++ b/crates/contract/src/document.rs
@@ -9,11 +9,11 @@
 use std::collections::HashMap;
 
 /// The largest file that is read, in bytes. Descriptions of large public interfaces have a few MB.
-pub const MOST_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_BYTES: usize = 4 * 1024 * 1024;
 /// How deep values may nest. Deeper ones would cost stack in every later walk.
-pub const MOST_DEPTH: usize = 64;
+pub const MAX_DEPTH: usize = 64;
 /// The most nodes of a file, those that aliases repeat included: a few lines of aliases can stand for billions.
-pub const MOST_NODES: usize = 200_000;
+pub const MAX_NODES: usize = 200_000;
 
 /// A file, read.
 #[derive(Clone, Debug)]
@@ -36,12 +36,12 @@
             pointer: pointer.into(),
             cause,
         };
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_BYTES {
             return Err(fault(
                 0,
                 0,
                 "",
-                format!("the file has {} bytes: {MOST_BYTES} at most", bytes.len()),
+                format!("the file has {} bytes: {MAX_BYTES} at most", bytes.len()),
             ));
         }
         let text = std::str::from_utf8(bytes).map_err(|e| {
@@ -203,10 +203,10 @@
     /// Counts a node and notes its place; an error where a bound is passed.
     fn enter(&mut self, pointer: &str, depth: usize, place: (usize, usize)) -> Result<(), Bad> {
         self.nodes += 1;
-        let cause = if depth > MOST_DEPTH {
-            format!("values nest deeper than {MOST_DEPTH} levels")
-        } else if self.nodes > MOST_NODES {
-            format!("there are more than {MOST_NODES} values")
+        let cause = if depth > MAX_DEPTH {
+            format!("values nest deeper than {MAX_DEPTH} levels")
+        } else if self.nodes > MAX_NODES {
+            format!("there are more than {MAX_NODES} values")
         } else {
             self.places.insert(pointer.into(), place);
             return Ok(());
@@ -346,13 +346,13 @@
                         .map(|tag| (tag.handle.as_str(), tag.suffix.as_str())),
                 );
                 (
-                    value.map_err(|cause| bad_at(&span.start, pointer, &cause))?,
+                    value.map_err(|error| bad_at(&span.start, pointer, &error.to_string()))?,
                     anchor,
                 )
             }
             Event::SequenceStart(anchor, tag) => {
                 known_tag(tag.as_deref(), "seq")
-                    .map_err(|cause| bad_at(&span.start, pointer, &cause))?;
+                    .map_err(|error| bad_at(&span.start, pointer, &error.to_string()))?;
                 let mut items = Vec::new();
                 loop {
                     let (event, span) = events.next()?;
@@ -366,7 +366,7 @@
             }
             Event::MappingStart(anchor, tag) => {
                 known_tag(tag.as_deref(), "map")
-                    .map_err(|cause| bad_at(&span.start, pointer, &cause))?;
+                    .map_err(|error| bad_at(&span.start, pointer, &error.to_string()))?;
                 let mut map = Map::new();
                 loop {
                     let (event, span) = events.next()?;
@@ -445,23 +445,40 @@
     }
 }
 
+/// Why a YAML value has no JSON form.
+#[derive(Debug, thiserror::Error)]
+enum ValueError {
+    #[error("the tag {handle}{suffix} is not read")]
+    UnsupportedTag { handle: String, suffix: String },
+    #[error("{text} has no equal in JSON")]
+    NotInJson { text: String },
+}
+
 /// A tag other than the core schema's own asks for a reader's own objects.
-fn known_tag(tag: Option<&Tag>, core: &str) -> Result<(), String> {
+fn known_tag(tag: Option<&Tag>, core: &str) -> Result<(), ValueError> {
     match tag {
         Some(tag) if (tag.handle.as_str(), tag.suffix.as_str()) != ("tag:yaml.org,2002:", core) => {
-            Err(format!("the tag {}{} is not read", tag.handle, tag.suffix))
+            Err(ValueError::UnsupportedTag {
+                handle: tag.handle.clone(),
+                suffix: tag.suffix.clone(),
+            })
         }
         _ => Ok(()),
     }
 }
 
 /// A scalar by YAML 1.2's core schema.
-fn scalar(text: &str, style: ScalarStyle, tag: Option<(&str, &str)>) -> Result<Value, String> {
+fn scalar(text: &str, style: ScalarStyle, tag: Option<(&str, &str)>) -> Result<Value, ValueError> {
     match tag {
         None => {}
         Some(("tag:yaml.org,2002:", "str")) => return Ok(Value::String(text.into())),
         Some(("tag:yaml.org,2002:", "int" | "float" | "bool" | "null")) => {}
-        Some((handle, suffix)) => return Err(format!("the tag {handle}{suffix} is not read")),
+        Some((handle, suffix)) => {
+            return Err(ValueError::UnsupportedTag {
+                handle: handle.into(),
+                suffix: suffix.into(),
+            })
+        }
     }
     if style != ScalarStyle::Plain {
         return Ok(Value::String(text.into()));
@@ -480,7 +497,7 @@
                 .or_else(|| Some(Value::Number(Number::from_f64(whole.parse().ok()?)?)))
         }
         _ if matches!(digits, ".inf" | ".Inf" | ".INF" | ".nan" | ".NaN" | ".NAN") => {
-            return Err(format!("{text} has no equal in JSON"));
+            return Err(ValueError::NotInJson { text: text.into() });
         }
         _ if digits
             .bytes()
--- a/crates/contract/src/decide.rs
+++ b/crates/contract/src/enforcement.rs
@@ -1,9 +1,10 @@
 //! What is done about a departure: which traffic is looked at, what is refused, what counts as failed, and which
 //! descriptions are in force. Free of I/O and clock.
 
-use crate::check::{Departs, Departure};
+use crate::conformance::{Violation, ViolationKind};
 use crate::drift::Interface;
-use crate::model::Description;
+use crate::fault::Faults;
+use crate::model::{Description, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -42,7 +43,7 @@
     }
 
     /// Whether the next message is looked at.
-    pub fn take(&mut self) -> bool {
+    pub fn sample(&mut self) -> bool {
         self.credit += self.share;
         // A sum of shares such as 0.1 falls short of 1 by less than this.
         let take = self.credit >= 1.0 - 1e-9;
@@ -53,33 +54,33 @@
     }
 }
 
-/// Room for messages that wait to be looked at. What finds none is counted, never waited for.
+/// BacklogLimit for messages that wait to be looked at. What finds none is counted, never waited for.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct BacklogLimit {
     messages: usize,
     bytes: usize,
-    most_messages: usize,
-    most_bytes: usize,
+    max_messages: usize,
+    max_bytes: usize,
     /// Messages that found no room.
-    pub missed: u64,
+    pub rejected: u64,
 }
 
-impl Room {
+impl BacklogLimit {
     /// For so many messages of so many bytes in all.
-    pub fn new(most_messages: usize, most_bytes: usize) -> Room {
-        Room {
+    pub fn new(max_messages: usize, max_bytes: usize) -> BacklogLimit {
+        BacklogLimit {
             messages: 0,
             bytes: 0,
-            most_messages,
-            most_bytes,
-            missed: 0,
+            max_messages,
+            max_bytes,
+            rejected: 0,
         }
     }
 
     /// Whether a message may wait; if so, its room is taken.
-    pub fn enter(&mut self, bytes: usize) -> bool {
-        if self.messages >= self.most_messages || bytes > self.most_bytes - self.bytes {
-            self.missed += 1;
+    pub fn try_reserve(&mut self, bytes: usize) -> bool {
+        if self.messages >= self.max_messages || bytes > self.max_bytes - self.bytes {
+            self.rejected += 1;
             return false;
         }
         self.messages += 1;
@@ -88,7 +89,7 @@
     }
 
     /// A message no longer waits.
-    pub fn leave(&mut self, bytes: usize) {
+    pub fn release(&mut self, bytes: usize) {
         self.messages = self.messages.saturating_sub(1);
         self.bytes = self.bytes.saturating_sub(bytes);
     }
@@ -96,43 +97,54 @@
 
 /// What becomes of a client's request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Request {
-    /// It is served as ever.
+pub enum RequestDecision {
+    /// It is served.
     Serve,
-    /// It is answered 400 with this reason, and nothing is sent for it.
-    Refuse(String),
+    /// It is answered with status 400 and this reason, and nothing is sent for it.
+    Reject(Rejection),
 }
 
-/// Judges a request. One whose path or method is not described is left to the front, which words that itself: a
+/// Why a request is rejected.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("{}: wanted {}, found {}{}", first.place, first.expected, first.found, count_more(*more))]
+pub struct Rejection {
+    /// The first violation.
+    pub first: Violation,
+    /// How many more there are.
+    pub more: usize,
+}
+
+fn count_more(more: usize) -> String {
+    match more {
+        0 => String::new(),
+        more => format!("; {more} more"),
+    }
+}
+
+/// Decides about a request. One whose path or method is not described is left to the front, which words that itself: a
 /// description may cover a part of an interface, such as all but its health page.
-pub fn request(mode: Mode, departures: &[Departure]) -> Request {
-    match departures.first() {
-        Some(first) if mode == Mode::Enforce && first.kind != Departs::Unknown => {
-            let more = departures.len() - 1;
-            let more = if more > 0 {
-                format!("; {more} more")
-            } else {
-                String::new()
-            };
-            Request::Refuse(format!(
-                "{}: wanted {}, found {}{more}",
-                first.place, first.expected, first.found
-            ))
+pub fn decide_request(mode: Mode, violations: &[Violation]) -> RequestDecision {
+    match violations.first() {
+        Some(first) if mode == Mode::Enforce && first.kind != ViolationKind::Unknown => {
+            RequestDecision::Reject(Rejection {
+                first: first.clone(),
+                more: violations.len() - 1,
+            })
         }
-        _ => Request::Serve,
+        _ => RequestDecision::Serve,
     }
 }
 
 /// Whether a server's answer may be used for what it says. One that departs under `enforce` is a failed attempt that
 /// may have run, whatever it claims: a server that does not keep to its description is not believed that it never
 /// began, either.
-pub fn usable(mode: Mode, departures: &[Departure]) -> bool {
+pub fn is_response_usable(mode: Mode, departures: &[Violation]) -> bool {
     mode != Mode::Enforce || departures.is_empty()
 }
 
 /// An interface with the description that its traffic is held against.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct InterfaceContract {
     /// How.
     pub mode: Mode,
     /// The share of messages that is looked at under `observe`.
@@ -141,17 +153,51 @@
     pub description: Arc<Description>,
 }
 
+/// Why an interface's description can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum LoadError {
+    /// It has faults.
+    #[error("{0}")]
+    Faulty(Faults),
+    /// It is of the other format.
+    #[error("{path}: this interface is described in {expected:?}, not in {found:?}")]
+    WrongFormat {
+        /// The description's file.
+        path: String,
+        /// The format of the interface.
+        expected: Kind,
+        /// The description's format.
+        found: Kind,
+    },
+}
+
+/// Descriptions that can't be used, so that none of those read comes into force.
+#[derive(Debug, thiserror::Error)]
+#[error("{}", join_lines(faulty))]
+pub struct FaultyContracts {
+    /// Each interface with what is wrong.
+    pub faulty: Vec<(Interface, LoadError)>,
+}
+
+fn join_lines(faulty: &[(Interface, LoadError)]) -> String {
+    let lines: Vec<String> = faulty
+        .iter()
+        .map(|(interface, error)| format!("contract.{interface}: {error}"))
+        .collect();
+    lines.join("\n")
+}
+
 /// All descriptions in force at one time. A request keeps the ones that were in force when it came.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
+pub struct ActiveContracts {
     /// Counts up with each change.
     pub generation: u64,
-    by: BTreeMap<Interface, Held>,
+    by: BTreeMap<Interface, InterfaceContract>,
 }
 
-impl InForce {
+impl ActiveContracts {
     /// The description of an interface; `None` where it is off.
-    pub fn of(&self, interface: Interface) -> Option<&Held> {
+    pub fn get(&self, interface: Interface) -> Option<&InterfaceContract> {
         self.by.get(&interface)
     }
 
@@ -161,31 +207,33 @@
     }
 
     /// All that are on.
-    pub fn all(&self) -> impl Iterator<Item = (Interface, &Held)> {
+    pub fn all(&self) -> impl Iterator<Item = (Interface, &InterfaceContract)> {
         self.by.iter().map(|(interface, held)| (*interface, held))
     }
 
-    /// What is in force after these were read: all of them or, where one is at fault, none; without them, `self`
-    /// stays. Also which interfaces are held against something else than before; the others keep the very same
-    /// description, and what is known of their drift stays true.
-    pub fn next(
+    /// The contracts in force after these were read: all of them or, where one is at fault, none, so that `self`
+    /// stays. Also returns the interfaces whose description changed; the others keep the very same description, and
+    /// what is known of their drift stays true.
+    pub fn replaced_by(
         &self,
-        read: Vec<(Interface, Result<Held, String>)>,
-    ) -> Result<(InForce, BTreeSet<Interface>), String> {
-        let faults: Vec<String> = read
-            .iter()
-            .filter_map(|(interface, held)| {
-                Some(format!("contract.{interface}: {}", held.as_ref().err()?))
-            })
-            .collect();
-        if !faults.is_empty() {
-            return Err(faults.join("\n"));
+        read: Vec<(Interface, Result<InterfaceContract, LoadError>)>,
+    ) -> Result<(ActiveContracts, BTreeSet<Interface>), FaultyContracts> {
+        let mut contracts = Vec::new();
+        let mut faulty = Vec::new();
+        for (interface, contract) in read {
+            match contract {
+                Ok(contract) => contracts.push((interface, contract)),
+                Err(error) => faulty.push((interface, error)),
+            }
+        }
+        if !faulty.is_empty() {
+            return Err(FaultyContracts { faulty });
         }
         let mut by = BTreeMap::new();
-        for (interface, held) in read {
-            let Some(mut held) = held.ok().filter(|held| held.mode != Mode::Off) else {
+        for (interface, mut held) in contracts {
+            if held.mode == Mode::Off {
                 continue;
-            };
+            }
             if let Some(old) = self.by.get(&interface) {
                 if old.description.fingerprint == held.description.fingerprint {
                     held.description = old.description.clone();
@@ -205,7 +253,7 @@
             .copied()
             .collect();
         Ok((
-            InForce {
+            ActiveContracts {
                 generation: self.generation + 1,
                 by,
             },
--- a/crates/coordinator/src/backends/frames/contracts.rs
+++ b/crates/coordinator/src/backends/frames/contracts.rs
@@ -90,7 +90,7 @@
 }
 
 fn reply<'p>(word: &'static str, payload: &'p [u8]) -> Part<'p> {
-    message(word, Direction::Answer, payload)
+    message(word, Direction::Response, payload)
 }
 
 fn message<'p>(word: &'static str, direction: Direction, payload: &'p [u8]) -> Part<'p> {
--- a/crates/coordinator/src/commands/check_config.rs
+++ b/crates/coordinator/src/commands/check_config.rs
@@ -5,7 +5,7 @@
 use crate::cli::OutputOptions;
 use crate::configuration::{self, Config, ConfigError};
 use crate::contract;
-use cairnroad_contract::tree::to_yaml;
+use cairnroad_contract::document::to_yaml;
 use serde_json::json;
 
 /// Why the configuration would not start.
--- a/crates/coordinator/src/commands/contract/diff.rs
+++ b/crates/coordinator/src/commands/contract/diff.rs
@@ -5,7 +5,7 @@
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json, report};
 use crate::commands::CommandStatus;
-use cairnroad_contract::diff::{self, Change, Weight};
+use cairnroad_contract::diff::{self, Change, ChangeImpact};
 use cairnroad_contract::model::Description;
 use serde_json::json;
 use std::path::Path;
@@ -16,7 +16,7 @@
     let changes =
         diff::diff(&old, &new).map_err(|cause| CommandError::Incomparable(cause.into()))?;
     print_changes(&changes, output);
-    let is_breaking = |change: &Change| change.weight == Weight::Breaking;
+    let is_breaking = |change: &Change| change.impact == ChangeImpact::Breaking;
     Ok(CommandStatus::of(changes.iter().any(is_breaking)))
 }
 
--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -5,7 +5,7 @@
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json};
 use crate::commands::CommandStatus;
-use cairnroad_contract::replay::{self, Outcome, MOST_LINE};
+use cairnroad_contract::replay::{self, Outcome, MAX_LINE};
 use serde_json::json;
 use std::fmt::Write;
 use std::fs::File;
@@ -62,7 +62,7 @@
 
     /// The next line, cut one byte above the limit, so that the replay sees that it is too long.
     fn next(&mut self) -> Option<Vec<u8>> {
-        let limit = MOST_LINE as u64 + 1;
+        let limit = MAX_LINE as u64 + 1;
         let mut line = Vec::new();
         let mut limited = self.reader.by_ref().take(limit);
         match limited.read_until(b'\n', &mut line) {
--- a/crates/coordinator/src/commands/contract/show.rs
+++ b/crates/coordinator/src/commands/contract/show.rs
@@ -5,8 +5,8 @@
 use crate::commands::output::print;
 use crate::commands::CommandStatus;
 use crate::{configuration, published_descriptions};
+use cairnroad_contract::document::to_yaml;
 use cairnroad_contract::publish;
-use cairnroad_contract::tree::to_yaml;
 use serde_json::Value;
 
 /// Runs the command.
--- a/crates/coordinator/src/commands/error.rs
+++ b/crates/coordinator/src/commands/error.rs
@@ -3,7 +3,7 @@
 use super::CommandStatus;
 use crate::configuration::ConfigError;
 use cairnroad_contract::fault::Faults;
-use cairnroad_endpoint_files::model::{lines, Fault};
+use cairnroad_endpoint_files::fault::{join_lines, Fault};
 use std::error::Error;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -41,10 +41,10 @@
     #[error("{}: no list is kept here", .0.display())]
     NoSnapshot(PathBuf),
     /// The files of an endpoint list are faulty.
-    #[error("{}", lines(.0))]
+    #[error("{}", join_lines(.0))]
     Roster(Vec<Fault>),
     /// A new endpoint list must not replace the one in force.
-    #[error("nothing was written: {}", lines(.0))]
+    #[error("nothing was written: {}", join_lines(.0))]
     RosterRejected(Vec<Fault>),
 }
 
--- a/crates/coordinator/src/commands/roster/apply.rs
+++ b/crates/coordinator/src/commands/roster/apply.rs
@@ -6,11 +6,12 @@
 use crate::commands::CommandStatus;
 use crate::configuration::EndpointFilesSettings;
 use crate::discovery::file_source;
-use cairnroad_endpoint_files::decide::{judge, Verdict};
-use cairnroad_endpoint_files::keep::{recover, replace, Folder};
-use cairnroad_endpoint_files::model::Roster;
-use cairnroad_endpoint_files::plan::plan;
-use cairnroad_endpoint_files::read::{read, write};
+use cairnroad_endpoint_files::endpoint_set::EndpointSet;
+use cairnroad_endpoint_files::parse::parse_files;
+use cairnroad_endpoint_files::render::to_toml;
+use cairnroad_endpoint_files::snapshot_store::{self, SnapshotStore, StateDirectory};
+use cairnroad_endpoint_files::update_plan::plan_update;
+use cairnroad_endpoint_files::validation::{decide_update, UpdateDecision};
 use std::path::{Path, PathBuf};
 
 /// The file that a list is written to where the configuration names a folder.
@@ -25,7 +26,7 @@
     roster.allow_shrink |= allow_shrink;
     check_replacement(in_force.as_ref(), &roster, &configured)?;
     let target = write_roster(&configured, &roster)?;
-    let plan = plan(&in_force.unwrap_or_default(), &roster, &configured.layout);
+    let plan = plan_update(&in_force.unwrap_or_default(), &roster, &configured.layout);
     print(&format!(
         "generation {} written to {}\n{plan}",
         roster.generation,
@@ -35,11 +36,14 @@
 }
 
 /// The later of the files as they are and the snapshot, which is in force where the files are faulty.
-fn roster_in_force(configured: &EndpointFilesSettings) -> Option<Roster> {
-    let files = read(&file_source::files(&configured.path)).ok();
+fn roster_in_force(configured: &EndpointFilesSettings) -> Option<EndpointSet> {
+    let files = parse_files(&file_source::read_files(&configured.path)).ok();
     let state_dir = configured.state_dir.clone();
-    let snapshot = state_dir.and_then(|state_dir| recover(&Folder(state_dir)).0);
-    let snapshot = snapshot.map(|snapshot| snapshot.roster);
+    let snapshot = state_dir.and_then(|state_dir| {
+        let mut store = SnapshotStore::new(StateDirectory(state_dir));
+        store.recover().snapshot
+    });
+    let snapshot = snapshot.map(|snapshot| snapshot.endpoint_set);
     [files, snapshot]
         .into_iter()
         .flatten()
@@ -47,13 +51,13 @@
 }
 
 fn check_replacement(
-    old: Option<&Roster>,
-    new: &Roster,
+    old: Option<&EndpointSet>,
+    new: &EndpointSet,
     configured: &EndpointFilesSettings,
 ) -> Result<(), CommandError> {
-    match judge(old, new, &configured.layout, configured.max_removed_share) {
-        Verdict::Refuse(faults) => Err(CommandError::RosterRejected(faults)),
-        Verdict::Take | Verdict::Same => Ok(()),
+    match decide_update(old, new, &configured.layout, configured.max_removed_share) {
+        UpdateDecision::Reject(faults) => Err(CommandError::RosterRejected(faults)),
+        UpdateDecision::Apply | UpdateDecision::Unchanged => Ok(()),
     }
 }
 
@@ -61,7 +65,7 @@
 /// rejects the folder as a mix.
 fn write_roster(
     configured: &EndpointFilesSettings,
-    roster: &Roster,
+    roster: &EndpointSet,
 ) -> Result<PathBuf, CommandError> {
     let folder = &configured.path;
     if !folder.is_dir() {
@@ -70,15 +74,16 @@
     }
     let target = folder.join(ROSTER_FILE);
     replace_file(&target, roster)?;
-    for (name, _) in file_source::files(folder) {
-        if name != ROSTER_FILE {
-            let path = folder.join(name);
+    for file in file_source::read_files(folder) {
+        if file.name != ROSTER_FILE {
+            let path = folder.join(file.name);
             std::fs::remove_file(&path).map_err(|source| CommandError::file(&path, source))?;
         }
     }
     Ok(target)
 }
 
-fn replace_file(path: &Path, roster: &Roster) -> Result<(), CommandError> {
-    replace(path, write(roster).as_bytes()).map_err(|source| CommandError::file(path, source))
+fn replace_file(path: &Path, roster: &EndpointSet) -> Result<(), CommandError> {
+    snapshot_store::replace_file(path, to_toml(roster).as_bytes())
+        .map_err(|source| CommandError::file(path, source))
 }
--- a/crates/coordinator/src/commands/roster/check.rs
+++ b/crates/coordinator/src/commands/roster/check.rs
@@ -6,9 +6,9 @@
 use crate::commands::output::{print, print_json};
 use crate::commands::CommandStatus;
 use crate::discovery::file_source;
-use cairnroad_endpoint_files::decide::sound;
-use cairnroad_endpoint_files::model::lines;
-use cairnroad_endpoint_files::read::read;
+use cairnroad_endpoint_files::fault::join_lines;
+use cairnroad_endpoint_files::parse::parse_files;
+use cairnroad_endpoint_files::validation::validate;
 use serde_json::json;
 use std::path::Path;
 
@@ -17,9 +17,9 @@
     let configured = configured_files()?;
     let path = path.unwrap_or(&configured.path);
     check_exists(path)?;
-    let roster = read(&file_source::files(path));
+    let roster = parse_files(&file_source::read_files(path));
     let faults = match &roster {
-        Ok(roster) => sound(roster, &configured.layout),
+        Ok(roster) => validate(roster, &configured.layout),
         Err(faults) => faults.clone(),
     };
     let status = CommandStatus::of(!faults.is_empty());
@@ -37,10 +37,10 @@
             "{}: sound: generation {}, {} servers, {} of them active\n",
             path.display(),
             roster.generation,
-            roster.servers.len(),
-            roster.active()
+            roster.endpoints.len(),
+            roster.active_count()
         )),
-        _ => print(&format!("{}\n", lines(&faults))),
+        _ => print(&format!("{}\n", join_lines(&faults))),
     }
     Ok(status)
 }
--- a/crates/coordinator/src/commands/roster/diff.rs
+++ b/crates/coordinator/src/commands/roster/diff.rs
@@ -5,7 +5,7 @@
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json};
 use crate::commands::CommandStatus;
-use cairnroad_endpoint_files::plan::plan;
+use cairnroad_endpoint_files::update_plan::plan_update;
 use serde_json::json;
 use std::path::Path;
 
@@ -18,7 +18,7 @@
     let configured = configured_files()?;
     let old = read_roster(old.unwrap_or(&configured.path))?;
     let new = read_roster(new)?;
-    let plan = plan(&old, &new, &configured.layout);
+    let plan = plan_update(&old, &new, &configured.layout);
     if output.json {
         print_json(&json!(plan));
     } else {
--- a/crates/coordinator/src/commands/roster/mod.rs
+++ b/crates/coordinator/src/commands/roster/mod.rs
@@ -13,8 +13,8 @@
 use super::error::CommandError;
 use crate::configuration::{self, EndpointFilesSettings};
 use crate::discovery::file_source;
-use cairnroad_endpoint_files::model::Roster;
-use cairnroad_endpoint_files::read::read;
+use cairnroad_endpoint_files::endpoint_set::EndpointSet;
+use cairnroad_endpoint_files::parse::parse_files;
 use std::path::Path;
 
 /// The configured files of the endpoint list.
@@ -24,9 +24,9 @@
 }
 
 /// Reads an endpoint list that a command uses.
-fn read_roster(path: &Path) -> Result<Roster, CommandError> {
+fn read_roster(path: &Path) -> Result<EndpointSet, CommandError> {
     check_exists(path)?;
-    read(&file_source::files(path)).map_err(CommandError::Roster)
+    parse_files(&file_source::read_files(path)).map_err(CommandError::Roster)
 }
 
 fn check_exists(path: &Path) -> Result<(), CommandError> {
--- a/crates/coordinator/src/configuration/contracts.rs
+++ b/crates/coordinator/src/configuration/contracts.rs
@@ -2,8 +2,8 @@
 
 use super::error::{ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
-use cairnroad_contract::decide::Mode;
 use cairnroad_contract::drift::Interface;
+use cairnroad_contract::enforcement::Mode;
 use serde::Deserialize;
 use std::path::PathBuf;
 
--- a/crates/coordinator/src/configuration/endpoint_files.rs
+++ b/crates/coordinator/src/configuration/endpoint_files.rs
@@ -2,8 +2,8 @@
 
 use super::error::{ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
-use cairnroad_endpoint_files::decide::USUAL_SHRINK;
-use cairnroad_endpoint_files::model::Layout;
+use cairnroad_endpoint_files::shard_layout::ShardLayout;
+use cairnroad_endpoint_files::validation::DEFAULT_MAX_SHRINK;
 use cairnroad_settings::Deployment;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -40,7 +40,7 @@
     /// The share of active servers that one list may remove, from 0 to 1.
     pub max_removed_share: f64,
     /// The cells and shards that servers have to cover.
-    pub layout: Layout,
+    pub layout: ShardLayout,
 }
 
 /// The files of the endpoint list; `None` where a discovery agent serves it.
@@ -55,7 +55,7 @@
     let Some(path) = table.path else {
         return Err(file.error("membership.path", ValueError::NoEndpointFiles));
     };
-    let max_removed_share = table.shrink.unwrap_or(USUAL_SHRINK);
+    let max_removed_share = table.shrink.unwrap_or(DEFAULT_MAX_SHRINK);
     if !(0.0..=1.0).contains(&max_removed_share) {
         let error = ValueError::InvalidShare(max_removed_share);
         return Err(file.error("membership.shrink", error));
@@ -64,9 +64,9 @@
         path: file.folder.join(path),
         state_dir: table.state.map(|state| file.folder.join(state)),
         max_removed_share,
-        layout: Layout {
+        layout: ShardLayout {
             cells: deployment.policy.cells,
-            reach: deployment.policy.cells_per_shard,
+            cells_per_shard: deployment.policy.cells_per_shard,
             shards: deployment.shards,
         },
     }))
--- a/crates/coordinator/src/configuration/tests.rs
+++ b/crates/coordinator/src/configuration/tests.rs
@@ -5,8 +5,8 @@
 use super::limits::DEFAULT_SOCKETS;
 use super::project_file::ProjectFile;
 use super::{BackendKind, Config, ContractSettings, Limits};
-use cairnroad_contract::decide::Mode;
 use cairnroad_contract::drift::Interface;
+use cairnroad_contract::enforcement::Mode;
 use std::path::Path;
 
 const SETTINGS: &str = r#"{"classes":[
--- a/crates/coordinator/src/discovery/watch_task.rs
+++ b/crates/coordinator/src/discovery/watch_task.rs
@@ -132,7 +132,7 @@
         let part = Part {
             channel: CONTRACT_CHANNEL,
             word: "list",
-            direction: Direction::Answer,
+            direction: Direction::Response,
             payload,
         };
         self.contracts.frame(
--- a/crates/coordinator/src/fronts/opensearch/parameters.rs
+++ b/crates/coordinator/src/fronts/opensearch/parameters.rs
@@ -84,7 +84,7 @@
 
 /// Decodes a word of a query string; `None` where its encoding is malformed.
 pub fn decode(text: &str) -> Option<String> {
-    cairnroad_contract::source::decode(&text.replace('+', " "))
+    cairnroad_contract::sources::decode(&text.replace('+', " "))
 }
 
 fn parse_bool(name: &str, value: &str) -> Result<bool, QueryError> {
--- a/crates/coordinator/src/fronts/session.rs
+++ b/crates/coordinator/src/fronts/session.rs
@@ -128,7 +128,8 @@
             None => Ok(None),
             Some(in_force) => {
                 let interface = self.front.interface();
-                self.front.contracts.request(in_force, interface, request)
+                let checked = self.front.contracts.request(in_force, interface, request);
+                checked.map_err(|rejection| rejection.to_string())
             }
         }
     }
--- a/crates/coordinator/src/messages/request.rs
+++ b/crates/coordinator/src/messages/request.rs
@@ -1,7 +1,7 @@
 //! Requests as the fronts hand them to the core.
 
 use super::Answer;
-use cairnroad_contract::decide::InForce;
+use cairnroad_contract::enforcement::ActiveContracts;
 use cairnroad_types::{Seconds, Time};
 use std::sync::Arc;
 use tokio::sync::oneshot;
@@ -34,7 +34,7 @@
 }
 
 /// The API descriptions in force when a request arrived; `None` where none were.
-pub type ContractsInForce = Option<Arc<InForce>>;
+pub type ContractsInForce = Option<Arc<ActiveContracts>>;
 
 /// A client's request, independent of the front that read it.
 #[derive(Debug)]
--- a/crates/coordinator/tests/endpoint_files.rs
+++ b/crates/coordinator/tests/endpoint_files.rs
@@ -175,9 +175,8 @@
         switches.push((Instant::now(), turn));
         // A long run writes faster than the log tells.
         match rewrites <= 36 {
-            true => {
-                coordinator.wait_for_log_line(&format!("roster in force generation={generation} "))
-            }
+            true => coordinator
+                .wait_for_log_line(&format!("endpoint list in force generation={generation} ")),
             false => thread::sleep(Duration::from_millis(60)),
         }
         slowest = slowest.max(begun.elapsed());
@@ -314,15 +313,13 @@
         // With invalid files the program starts on what was stored, and logs it.
         std::fs::write(&path, "generation = ").unwrap();
         coordinator.restart();
-        coordinator.wait_for_log_line(&format!(
-            "the list kept last is in force generation={stored} "
-        ));
+        coordinator.wait_for_log_line(&format!("stored list in force generation={stored} "));
         let answer =
             coordinator.post_api(&format!("k{round}"), "stock-search", "2.0", &[1, 2], "~1~");
         assert_eq!(answer.status, 200, "{}", answer.json);
         newest = newest.max(stored) + 1;
         write(0, &path, &roster(newest, &all));
-        coordinator.wait_for_log_line(&format!("roster in force generation={newest} "));
+        coordinator.wait_for_log_line(&format!("endpoint list in force generation={newest} "));
     }
 }
 
@@ -336,7 +333,7 @@
     let mut coordinator = start(&data_nodes, &[("servers.d/servers.toml", &roster(1, &all))]);
     let path = coordinator.folder.join("servers.d/servers.toml");
     write(0, &path, &roster(2, &all));
-    coordinator.wait_for_log_line("roster in force generation=2 ");
+    coordinator.wait_for_log_line("endpoint list in force generation=2 ");
     coordinator.child.kill().unwrap();
     coordinator.child.wait().unwrap();
     let slot = coordinator.folder.join("state/roster.b");
@@ -347,7 +344,7 @@
     std::fs::write(&path, "").unwrap();
     coordinator.restart();
     coordinator.wait_for_log_line("roster.b: its checksum is wrong");
-    coordinator.wait_for_log_line("the list kept last is in force generation=1 ");
+    coordinator.wait_for_log_line("stored list in force generation=1 ");
     assert_eq!(
         coordinator
             .post_api("d-1", "stock-search", "2.0", &[1], "~1~")
@@ -370,7 +367,7 @@
             ("servers.d/minami.toml", &roster(1, &all[2..4])),
         ],
     );
-    coordinator.wait_for_log_line("roster in force generation=1 ");
+    coordinator.wait_for_log_line("endpoint list in force generation=1 ");
     let run = |args: &[&str], code: i32, words: &str| {
         let output = cairnroad(&coordinator.folder, args);
         assert_eq!(
@@ -421,14 +418,14 @@
         "nowhere.toml: No such file",
     );
     run(&["roster", "apply", &storm], 0, "generation 2 written to");
-    coordinator.wait_for_log_line("roster in force generation=2 added=2 removed=0");
+    coordinator.wait_for_log_line("endpoint list in force generation=2 added=2 removed=0");
     run(&["roster", "show"], 0, "generation = 2");
     run(
         &["roster", "apply", &small, "--allow-shrink"],
         0,
         "remove: s-2, s-3, s-4, s-5",
     );
-    coordinator.wait_for_log_line("roster in force generation=3 added=0 removed=4");
+    coordinator.wait_for_log_line("endpoint list in force generation=3 added=0 removed=4");
     assert_eq!(
         coordinator
             .post_api("s-1", "stock-search", "2.0", &[1, 2], "~1~")
@@ -444,7 +441,7 @@
         coordinator.folder.join("elsewhere"),
     )
     .unwrap();
-    coordinator.wait_for_log_line("the files are refused, the list in force stays");
+    coordinator.wait_for_log_line("endpoint files rejected");
     assert_eq!(
         coordinator
             .post_api("s-2", "stock-search", "2.0", &[1, 2], "~2~")
--- /dev/null
+++ b/crates/endpoint-files/src/debounce/tests.rs
@@ -0,0 +1,37 @@
+use super::{Debounce, ReadOutcome, MAX_RETRIES, RESCAN_INTERVAL};
+use std::time::Duration;
+
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
+
+#[test]
+fn files_are_read_after_a_quiet_period_and_within_the_bound() {
+    let mut debounce = Debounce::new(ms(0));
+    assert_eq!(debounce.next_read_at(), RESCAN_INTERVAL);
+    debounce.on_change(ms(500));
+    assert_eq!(debounce.next_read_at(), ms(530));
+    for step in 1..100 {
+        debounce.on_change(ms(500 + step));
+    }
+    assert_eq!(
+        debounce.next_read_at(),
+        ms(560),
+        "a writer that never rests"
+    );
+    debounce.on_read(ms(560), ReadOutcome::NotUsable);
+    let mut reads = 0;
+    let mut now = ms(560);
+    while debounce.next_read_at() - now < ms(100) {
+        now = debounce.next_read_at();
+        debounce.on_read(now, ReadOutcome::NotUsable);
+        reads += 1;
+    }
+    assert_eq!(
+        reads, MAX_RETRIES,
+        "rejected files are read again a few times, then at the rescan interval"
+    );
+    debounce.on_change(now);
+    debounce.on_read(now + ms(30), ReadOutcome::InForce);
+    assert!(debounce.next_read_at() - now > ms(1000));
+}
