--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -1,111 +1,50 @@
 //! AsyncAPI 2.6 and 3.0: messages on channels, and who sends them.
 //!
-//! A message goes by its own name or, where `x-frame` gives one, by the letter that it has on a binary wire.
+//! A message is known by its own name or, where `x-frame` gives one, by its type letter on a binary wire.
+
+mod version_2;
+mod version_3;
 
 use crate::builder::DescriptionBuilder;
 use crate::model::{MediaRange, Message, SchemaSlot};
 use crate::schema::Direction;
 use crate::sources::NodeLocation;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 /// The most messages of a description.
 const MAX_MESSAGES: usize = 5_000;
+/// The beginnings of the schema formats that are read: JSON Schema's and AsyncAPI's own.
+const SCHEMA_FORMATS: [&str; 3] = [
+    "application/vnd.aai.asyncapi",
+    "application/schema+json",
+    "application/schema+yaml",
+];
 
+/// Reads the whole description into the builder, which collects messages and faults.
 pub(crate) fn read(build: &mut DescriptionBuilder) {
     let root = build.sources.root();
     build.needs(&root, &["info"]);
     if build.object(&root.at("info")).is_some() {
         build.needs(&root.at("info"), &["title", "version"]);
     }
-    for name in build
-        .object(&root.at("components").at("schemas"))
-        .unwrap_or_default()
-        .keys()
-    {
-        build.slot(
-            &root.at("components").at("schemas").at(name),
-            Direction::Request,
-        );
+    let schemas = root.at("components").at("schemas");
+    for name in build.object(&schemas).unwrap_or_default().keys() {
+        build.slot(&schemas.at(name), Direction::Request);
     }
-    let usual = build.text(&root.at("defaultContentType"));
+    let default_content_type = build.text(&root.at("defaultContentType"));
     match build.version.starts_with("2.") {
-        true => two(build, &root, usual.as_deref()),
-        false => three(build, &root, usual.as_deref()),
+        true => version_2::read(build, &root, default_content_type.as_deref()),
+        false => version_3::read(build, &root, default_content_type.as_deref()),
     }
 }
 
-/// 2.6: a channel's `subscribe` is what the described side sends, `publish` what it takes.
-fn two(build: &mut DescriptionBuilder, root: &NodeLocation, usual: Option<&str>) {
-    build.needs(root, &["channels"]);
-    let channels = root.at("channels");
-    let mut ids: BTreeMap<String, NodeLocation> = BTreeMap::new();
-    for name in build.object(&channels).unwrap_or_default().keys() {
-        let Some(loc) = build.sources.resolve(&channels.at(name)) else {
-            continue;
-        };
-        let Some(map) = build.object(&loc) else {
-            continue;
-        };
-        variables(build, &loc, name);
-        for key in map.keys().filter(|key| !key.starts_with("x-")) {
-            let direction = match key.as_str() {
-                "publish" => Direction::Request,
-                "subscribe" => Direction::Response,
-                "$ref" | "description" | "servers" | "parameters" | "bindings" => continue,
-                _ => {
-                    build.fault(
-                        &loc.at(key),
-                        format!("'{key}' is no part of a channel: publish and subscribe are"),
-                    );
-                    continue;
-                }
-            };
-            let at = loc.at(key);
-            if build.object(&at).is_none() {
-                continue;
-            }
-            if let Some(id) = build.text(&at.at("operationId")) {
-                if let Some(other) = ids.insert(id.clone(), at.clone()) {
-                    let other = build.sources.name(&other);
-                    build.fault(
-                        &at.at("operationId"),
-                        format!("'{id}' is the operation's id at {other}, too"),
-                    );
-                }
-            }
-            let one = at.at("message");
-            let all = match build
-                .sources
-                .get(&one.at("oneOf"))
-                .and_then(|v| v.as_array())
-                .map(Vec::len)
-            {
-                Some(count) => (0..count)
-                    .map(|number| one.at("oneOf").item(number))
-                    .collect(),
-                None if build.sources.get(&one).is_some() => vec![one],
-                None => Vec::new(),
-            };
-            for at in all {
-                let target = build.sources.resolve(&at);
-                let named = target
-                    .as_ref()
-                    .and_then(|loc| build.sources.get(&loc.at("name")).cloned());
-                let last = target
-                    .as_ref()
-                    .and_then(|loc| Some(loc.pointer.rsplit('/').next()?.to_string()));
-                let word = named
-                    .and_then(|name| name.as_str().map(str::to_string))
-                    .or(last)
-                    .unwrap_or_default();
-                message(build, name, &word, &at, direction, usual);
-            }
-        }
-    }
+/// The number of items of the list at a place; `None` where there is no list.
+fn list_length(build: &DescriptionBuilder, loc: &NodeLocation) -> Option<usize> {
+    build.sources.get(loc)?.as_array().map(Vec::len)
 }
 
-/// A channel's address names variables; each must be declared.
-fn variables(build: &mut DescriptionBuilder, loc: &NodeLocation, address: &str) {
+/// Checks that the variables of a channel's address and the declared parameters are the same.
+fn check_address_variables(build: &mut DescriptionBuilder, loc: &NodeLocation, address: &str) {
     let declared = build.object(&loc.at("parameters")).unwrap_or_default();
     let mut rest = address;
     let mut named = BTreeSet::new();
@@ -133,134 +72,21 @@
     }
 }
 
-/// 3.0: channels hold messages; operations say who sends which.
-fn three(build: &mut DescriptionBuilder, root: &NodeLocation, usual: Option<&str>) {
-    // By channel: its name, and its messages' places with their names.
-    let mut channels: BTreeMap<NodeLocation, (String, Vec<(NodeLocation, String)>)> =
-        BTreeMap::new();
-    let mut addresses: BTreeMap<String, String> = BTreeMap::new();
-    for name in build
-        .object(&root.at("channels"))
-        .unwrap_or_default()
-        .keys()
-    {
-        let Some(loc) = build.sources.resolve(&root.at("channels").at(name)) else {
-            continue;
-        };
-        if build.object(&loc).is_none() {
-            continue;
-        }
-        let address = match build.sources.get(&loc.at("address")) {
-            Some(serde_json::Value::Null) | None => None,
-            Some(_) => build.text(&loc.at("address")),
-        };
-        variables(build, &loc, address.as_deref().unwrap_or(""));
-        if let Some(address) = address {
-            if let Some(other) = addresses.insert(address, name.clone()) {
-                build.fault(
-                    &loc.at("address"),
-                    format!("this is the address of the channel '{other}', too"),
-                );
-            }
-        }
-        let messages = build.object(&loc.at("messages")).unwrap_or_default();
-        let messages = messages
-            .keys()
-            .map(|word| (loc.at("messages").at(word), word.clone()))
-            .collect();
-        channels.insert(loc, (name.clone(), messages));
-    }
-    let mut sent: BTreeMap<(NodeLocation, String), Direction> = BTreeMap::new();
-    for name in build
-        .object(&root.at("operations"))
-        .unwrap_or_default()
-        .keys()
-    {
-        let Some(loc) = build.sources.resolve(&root.at("operations").at(name)) else {
-            continue;
-        };
-        if build.object(&loc).is_none() {
-            continue;
-        }
-        build.needs(&loc, &["action", "channel"]);
-        let direction = match build.text(&loc.at("action")).as_deref() {
-            Some("receive") => Direction::Request,
-            Some("send") => Direction::Response,
-            Some(other) => {
-                build.fault(
-                    &loc.at("action"),
-                    format!("'{other}' is neither send nor receive"),
-                );
-                continue;
-            }
-            None => continue,
-        };
-        let Some(reference) = build.sources.reference(&loc.at("channel")) else {
-            if build.sources.get(&loc.at("channel")).is_some() {
-                build.fault(&loc.at("channel"), "this must be a reference to a channel");
-            }
-            continue;
-        };
-        let Some(target) = build.sources.follow(&loc.at("channel"), &reference) else {
-            continue;
-        };
-        let Some((_, messages)) = channels.get(&target).cloned() else {
-            build.fault(&loc.at("channel"), format!("'{reference}' is no channel"));
-            continue;
-        };
-        let own = match build
-            .sources
-            .get(&loc.at("messages"))
-            .and_then(|v| v.as_array())
-            .map(Vec::len)
-        {
-            None => messages,
-            Some(count) => {
-                let mut own = Vec::new();
-                for number in 0..count {
-                    let at = loc.at("messages").item(number);
-                    let Some(reference) = build.sources.reference(&at) else {
-                        build.fault(&at, "this must be a reference to a message of the channel");
-                        continue;
-                    };
-                    let Some(found) = build.sources.follow(&at, &reference) else {
-                        continue;
-                    };
-                    match messages.iter().find(|(loc, _)| *loc == found) {
-                        Some(message) => own.push(message.clone()),
-                        None => build.fault(
-                            &at,
-                            format!("'{reference}' is no message of the operation's channel"),
-                        ),
-                    }
-                }
-                own
-            }
-        };
-        for (_, word) in own {
-            sent.insert((target.clone(), word), direction);
-        }
-    }
-    for (loc, (name, messages)) in channels {
-        for (at, word) in messages {
-            let direction = sent
-                .get(&(loc.clone(), word.clone()))
-                .copied()
-                .unwrap_or(Direction::Request);
-            message(build, &name, &word, &at, direction, usual);
-        }
-    }
+/// A message where its channel names it.
+struct MessageEntry<'c> {
+    channel: &'c str,
+    name: &'c str,
+    at: &'c NodeLocation,
+    direction: Direction,
 }
 
-fn message(
+/// Reads a message. Two messages of one channel can't have the same name.
+fn read_message(
     build: &mut DescriptionBuilder,
-    channel: &str,
-    word: &str,
-    at: &NodeLocation,
-    direction: Direction,
-    usual: Option<&str>,
+    entry: &MessageEntry,
+    default_content_type: Option<&str>,
 ) {
-    let Some(loc) = build.sources.resolve(at) else {
+    let Some(loc) = build.sources.resolve(entry.at) else {
         return;
     };
     if build.object(&loc).is_none() {
@@ -269,70 +95,72 @@
     if build.messages.len() >= MAX_MESSAGES {
         return build.fault(&loc, format!("there are more than {MAX_MESSAGES} messages"));
     }
+    let channel = entry.channel;
     let frame = build.text(&loc.at("x-frame"));
-    let name = format!("{channel} {word}").into();
-    let word = frame.unwrap_or_else(|| word.to_string());
+    let word = frame.unwrap_or_else(|| entry.name.to_string());
     if build
         .messages
         .iter()
         .any(|known| known.channel == channel && known.word == word)
     {
         return build.fault(
-            at,
+            entry.at,
             format!("the channel '{channel}' has two messages '{word}'"),
         );
     }
-    let kind = build
-        .text(&loc.at("contentType"))
-        .or(usual.map(str::to_string));
-    let range = kind.as_deref().map(MediaRange::read);
-    if range == Some(None) {
-        build.fault(
-            &loc.at("contentType"),
-            "this is no media type, such as application/json",
-        );
-    }
-    let json = range.flatten().is_none_or(|range| range.is_json());
-    let slots = ["headers", "payload"].map(|key| schema(build, &loc.at(key), direction));
-    let [headers, payload] = slots;
-    let channel = channel.to_string();
+    let json = read_is_json(build, &loc.at("contentType"), default_content_type);
+    let headers = read_schema(build, &loc.at("headers"), entry.direction);
+    let payload = read_schema(build, &loc.at("payload"), entry.direction);
     build.messages.push(Message {
-        name,
-        channel,
+        name: format!("{channel} {}", entry.name).into(),
+        channel: channel.to_string(),
         word,
         loc,
         headers,
         payload,
         json,
-        direction,
+        direction: entry.direction,
     });
 }
 
-/// A schema, plain or in a multi-format object; of the formats, only JSON Schema's and AsyncAPI's own are read.
-fn schema(build: &mut DescriptionBuilder, loc: &NodeLocation, direction: Direction) -> SchemaSlot {
+/// Whether a content type, or the description's default one, is JSON. Without either it is.
+fn read_is_json(
+    build: &mut DescriptionBuilder,
+    loc: &NodeLocation,
+    default_content_type: Option<&str>,
+) -> bool {
+    let content_type = build
+        .text(loc)
+        .or_else(|| default_content_type.map(str::to_string));
+    let Some(content_type) = content_type else {
+        return true;
+    };
+    match MediaRange::read(&content_type) {
+        Some(range) => range.is_json(),
+        None => {
+            build.fault(loc, "this is no media type, such as application/json");
+            true
+        }
+    }
+}
+
+/// Reads a schema, plain or in a multi-format object.
+fn read_schema(
+    build: &mut DescriptionBuilder,
+    loc: &NodeLocation,
+    direction: Direction,
+) -> SchemaSlot {
     let Some(value) = build.sources.get(loc) else {
         return SchemaSlot::default();
     };
-    let wrapped = value.get("schemaFormat").is_some();
-    let beside = loc.pointer.ends_with("/payload").then(|| {
-        let message = NodeLocation {
-            file: loc.file,
-            pointer: loc.pointer.trim_end_matches("/payload").into(),
-        };
-        message.at("schemaFormat")
-    });
-    let format = match (wrapped, beside) {
-        (true, _) => build.text(&loc.at("schemaFormat")),
-        (false, Some(beside)) => build.text(&beside),
-        _ => None,
+    let is_multi_format = value.get("schemaFormat").is_some();
+    let format = if is_multi_format {
+        build.text(&loc.at("schemaFormat"))
+    } else {
+        sibling_schema_format(loc).and_then(|at| build.text(&at))
     };
     if let Some(format) = format {
-        let known = [
-            "application/vnd.aai.asyncapi",
-            "application/schema+json",
-            "application/schema+yaml",
-        ];
-        if !known.iter().any(|known| format.starts_with(known)) {
+        if !SCHEMA_FORMATS.iter().any(|known| format.starts_with(known)) {
             build.fault(
                 loc,
                 format!(
@@ -342,12 +170,19 @@
             return SchemaSlot::default();
         }
     }
-    build.slot(
-        &if wrapped {
-            loc.at("schema")
-        } else {
-            loc.clone()
-        },
-        direction,
-    )
+    match is_multi_format {
+        true => build.slot(&loc.at("schema"), direction),
+        false => build.slot(loc, direction),
+    }
+}
+
+/// Where a message names the format of its payload (AsyncAPI 2.6): beside it.
+fn sibling_schema_format(loc: &NodeLocation) -> Option<NodeLocation> {
+    loc.pointer.ends_with("/payload").then(|| {
+        let message = NodeLocation {
+            file: loc.file,
+            pointer: loc.pointer.trim_end_matches("/payload").into(),
+        };
+        message.at("schemaFormat")
+    })
 }
--- a/crates/contract/src/builder.rs
+++ b/crates/contract/src/builder.rs
@@ -170,6 +170,24 @@
         }
     }
 
+    /// The operation id at a place, if there is one; a fault where another operation has the same.
+    pub(crate) fn operation_id(
+        &mut self,
+        operation: &NodeLocation,
+        ids: &mut BTreeMap<String, NodeLocation>,
+    ) -> Option<String> {
+        let loc = operation.at("operationId");
+        let id = self.text(&loc)?;
+        if let Some(other) = ids.insert(id.clone(), operation.clone()) {
+            let other = self.sources.name(&other);
+            self.fault(
+                &loc,
+                format!("'{id}' is the operation's id at {other}, too"),
+            );
+        }
+        Some(id)
+    }
+
     /// The flag at a place, false where there is none.
     pub fn flag(&mut self, loc: &NodeLocation) -> bool {
         match self.sources.get(loc) {
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -1,19 +1,32 @@
-//! OpenAPI 3.0 and 3.1: operations with their parameters, bodies and answers.
+//! OpenAPI 3.0 and 3.1: operations with their parameters, bodies and responses.
+
+mod parameters;
 
 use crate::builder::DescriptionBuilder;
-use crate::model::{Media, Operation, Parameter, ParameterLocation, Response, SchemaSlot, Status};
+use crate::model::{Media, Operation, Parameter, ParameterLocation, Response, Status};
 use crate::routing::Template;
 use crate::schema::{Dialect, Direction};
 use crate::sources::NodeLocation;
+use parameters::{read_header, read_parameters};
+use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// The methods that a path item may describe.
 const METHODS: [&str; 8] = [
     "get", "put", "post", "delete", "options", "head", "patch", "trace",
 ];
+/// The members of a path item that are no methods.
+const PATH_ITEM_KEYS: [&str; 5] = ["$ref", "summary", "description", "servers", "parameters"];
 /// The most operations of a description.
 const MAX_OPERATIONS: usize = 5_000;
 
+/// A path as it is written, with its template.
+struct TemplatedPath<'t> {
+    text: &'t str,
+    template: Template,
+}
+
+/// Reads the whole description into the builder, which collects operations and faults.
 pub(crate) fn read(build: &mut DescriptionBuilder) {
     let root = build.sources.root();
     build.needs(&root, &["info"]);
@@ -31,33 +44,38 @@
             "one of 'paths', 'webhooks' and 'components' must be there",
         );
     }
-    components(build, &root.at("components"));
-    let bases = bases(build, &root.at("servers"));
-    let paths = root.at("paths");
+    read_component_schemas(build, &root.at("components"));
+    let server_paths = read_server_paths(build, &root.at("servers"));
+    read_paths(build, &root.at("paths"), &server_paths);
+}
+
+/// Reads all path items. Two templates that match the same paths are a fault.
+fn read_paths(build: &mut DescriptionBuilder, paths: &NodeLocation, server_paths: &[String]) {
     let mut shapes: BTreeMap<String, String> = BTreeMap::new();
     let mut ids: BTreeMap<String, NodeLocation> = BTreeMap::new();
-    for path in build.object(&paths).unwrap_or_default().keys() {
-        if path.starts_with("x-") {
+    for text in build.object(paths).unwrap_or_default().keys() {
+        if text.starts_with("x-") {
             continue;
         }
-        let loc = paths.at(path);
-        let template = match Template::parse(path) {
+        let loc = paths.at(text);
+        let template = match Template::parse(text) {
             Ok(template) => template,
             Err(cause) => {
                 build.fault(&loc, cause.to_string());
                 continue;
             }
         };
-        if let Some(other) = shapes.insert(template.shape(), path.clone()) {
+        if let Some(other) = shapes.insert(template.shape(), text.clone()) {
             build.fault(&loc, format!("no path tells this template from {other}"));
             continue;
         }
-        item(build, &loc, path, &template, &bases, &mut ids);
+        let path = TemplatedPath { text, template };
+        path_item(build, &loc, &path, server_paths, &mut ids);
     }
 }
 
-/// Schemas that nothing refers to are still read: an integrator would copy them.
-fn components(build: &mut DescriptionBuilder, loc: &NodeLocation) {
+/// Reads the schemas among the components, also those without a reference to them: a client's author may copy them.
+fn read_component_schemas(build: &mut DescriptionBuilder, loc: &NodeLocation) {
     if build.object(loc).is_none() {
         return;
     }
@@ -77,8 +95,8 @@
     }
 }
 
-/// The paths that servers' addresses put before all templates.
-fn bases(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<String> {
+/// Reads the paths of the servers' addresses, which precede every template.
+fn read_server_paths(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<String> {
     let Some(value) = build.sources.get(loc).cloned() else {
         return vec![String::new()];
     };
@@ -86,54 +104,66 @@
         build.fault(loc, "this must be a list of servers");
         return vec![String::new()];
     };
-    let mut bases = Vec::new();
-    for (at, server) in servers.iter().enumerate() {
-        let at = loc.item(at);
+    let mut server_paths = Vec::new();
+    for (index, server) in servers.iter().enumerate() {
+        let at = loc.item(index);
         build.needs(&at, &["url"]);
-        let Some(mut url) = build.text(&at.at("url")) else {
+        let Some(url) = build.text(&at.at("url")) else {
             continue;
         };
-        for (name, variable) in server["variables"].as_object().into_iter().flatten() {
-            if variable["default"].as_str().is_none() {
-                build.fault(&at.at("variables").at(name), "'default' is missing");
-            }
-            url = url.replace(
-                &format!("{{{name}}}"),
-                variable["default"].as_str().unwrap_or(""),
-            );
-        }
-        if let Some((_, rest)) = url.split_once('{') {
-            let name = rest.split('}').next().unwrap_or("");
-            build.fault(
-                &at.at("url"),
-                format!("the variable {{{name}}} is not declared in 'variables'"),
-            );
+        let url = expand_server_variables(build, &at, url, server);
+        server_paths.push(server_path(&url));
+    }
+    server_paths.sort();
+    server_paths.dedup();
+    if server_paths.is_empty() {
+        server_paths.push(String::new());
+    }
+    server_paths
+}
+
+/// Puts the defaults of a server's variables into its address.
+fn expand_server_variables(
+    build: &mut DescriptionBuilder,
+    at: &NodeLocation,
+    mut url: String,
+    server: &Value,
+) -> String {
+    for (name, variable) in server["variables"].as_object().into_iter().flatten() {
+        let default = variable["default"].as_str();
+        if default.is_none() {
+            build.fault(&at.at("variables").at(name), "'default' is missing");
         }
-        let path = match url.split_once("://") {
-            Some((_, rest)) => rest.split_once('/').map_or("", |(_, path)| path),
-            None => url.trim_start_matches('/'),
-        };
-        let path = path.trim_end_matches('/');
-        bases.push(if path.is_empty() {
-            String::new()
-        } else {
-            format!("/{path}")
-        });
+        url = url.replace(&format!("{{{name}}}"), default.unwrap_or(""));
     }
-    bases.sort();
-    bases.dedup();
-    match bases.is_empty() {
-        true => vec![String::new()],
-        false => bases,
+    if let Some((_, rest)) = url.split_once('{') {
+        let name = rest.split('}').next().unwrap_or("");
+        build.fault(
+            &at.at("url"),
+            format!("the variable {{{name}}} is not declared in 'variables'"),
+        );
+    }
+    url
+}
+
+/// The path of a server's address, without a slash at its end: empty or beginning with a slash.
+fn server_path(url: &str) -> String {
+    let path = match url.split_once("://") {
+        Some((_, rest)) => rest.split_once('/').map_or("", |(_, path)| path),
+        None => url.trim_start_matches('/'),
+    };
+    match path.trim_end_matches('/') {
+        "" => String::new(),
+        path => format!("/{path}"),
     }
 }
 
-fn item(
+/// Reads a path item: its shared parameters, and an operation for each method.
+fn path_item(
     build: &mut DescriptionBuilder,
     loc: &NodeLocation,
-    path: &str,
-    template: &Template,
-    bases: &[String],
+    path: &TemplatedPath,
+    server_paths: &[String],
     ids: &mut BTreeMap<String, NodeLocation>,
 ) {
     let Some(loc) = build.sources.resolve(loc) else {
@@ -142,14 +172,13 @@
     let Some(map) = build.object(&loc) else {
         return;
     };
-    let own = match map.contains_key("servers") {
-        true => self::bases(build, &loc.at("servers")),
-        false => bases.to_vec(),
+    let server_paths = match map.contains_key("servers") {
+        true => read_server_paths(build, &loc.at("servers")),
+        false => server_paths.to_vec(),
     };
-    let shared = parameters(build, &loc.at("parameters"));
+    let shared = read_parameters(build, &loc.at("parameters"));
     for key in map.keys() {
-        let known = ["$ref", "summary", "description", "servers", "parameters"];
-        if key.starts_with("x-") || known.contains(&key.as_str()) {
+        if key.starts_with("x-") || PATH_ITEM_KEYS.contains(&key.as_str()) {
             continue;
         }
         let at = loc.at(key);
@@ -166,234 +195,121 @@
                 format!("there are more than {MAX_OPERATIONS} operations"),
             );
         }
-        let Some(operation) = build.object(&at) else {
+        let Some(operation) = read_operation(build, at, key, path, &shared, ids) else {
             continue;
         };
-        let id = build.text(&at.at("operationId"));
-        if let Some(id) = &id {
-            if let Some(other) = ids.insert(id.clone(), at.clone()) {
-                let other = build.sources.name(&other);
-                build.fault(
-                    &at.at("operationId"),
-                    format!("'{id}' is the operation's id at {other}, too"),
-                );
-            }
-        }
-        let mut all = parameters(build, &at.at("parameters"));
-        let inherited: Vec<Parameter> = shared
-            .iter()
-            .filter(|s| {
-                !all.iter()
-                    .any(|own| own.name == s.name && own.within == s.within)
-            })
-            .cloned()
-            .collect();
-        all.extend(inherited);
-        for name in template.variables() {
-            if !all
-                .iter()
-                .any(|p| p.within == ParameterLocation::Path && p.name == name)
-            {
-                build.fault(
-                    &at,
-                    format!("the path's variable {{{name}}} is not declared among the parameters"),
-                );
-            }
-        }
-        for parameter in all.iter().filter(|p| p.within == ParameterLocation::Path) {
-            if !template.variables().any(|name| name == parameter.name) {
-                let loc = parameter.loc.clone();
-                build.fault(
-                    &loc,
-                    format!("the path {path} has no variable {{{}}}", parameter.name),
-                );
-            }
-        }
-        let body = at.at("requestBody");
-        let (body_required, body) = match build.sources.get(&body).is_some() {
-            true => match build.sources.resolve(&body) {
-                Some(body) => {
-                    build.needs(&body, &["content"]);
-                    (
-                        build.flag(&body.at("required")),
-                        build.content(&body.at("content"), Direction::Request),
-                    )
-                }
-                None => (false, Vec::new()),
-            },
-            false => (false, Vec::new()),
-        };
-        if !operation.contains_key("responses") && build.dialect == Dialect::OpenApi30 {
-            build.fault(&at, "'responses' is missing");
-        }
-        let responses = responses(build, &at.at("responses"));
-        let number = build.operations.len();
-        for base in &own {
-            if let Ok(template) = Template::parse(&format!("{base}{path}")) {
-                build.router.add(&template, key, number);
-            }
-        }
-        let name = format!("{} {path}", key.to_ascii_uppercase()).into();
-        build.operations.push(Operation {
-            name,
-            id,
-            loc: at,
-            parameters: all,
-            body_required,
-            body,
-            responses,
-        });
+        add_routes(build, &server_paths, path.text, key);
+        build.operations.push(operation);
     }
 }
 
-fn parameters(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<Parameter> {
-    let Some(value) = build.sources.get(loc) else {
-        return Vec::new();
-    };
-    let Some(count) = value.as_array().map(Vec::len) else {
-        build.fault(loc, "this must be a list of parameters");
-        return Vec::new();
+/// Reads the operation of one method.
+fn read_operation(
+    build: &mut DescriptionBuilder,
+    at: NodeLocation,
+    method: &str,
+    path: &TemplatedPath,
+    shared: &[Parameter],
+    ids: &mut BTreeMap<String, NodeLocation>,
+) -> Option<Operation> {
+    let operation = build.object(&at)?;
+    let id = build.operation_id(&at, ids);
+    let own = read_parameters(build, &at.at("parameters"));
+    let parameters = with_inherited(own, shared);
+    check_path_parameters(build, &at, path, &parameters);
+    let (body_required, body) = read_request_body(build, &at.at("requestBody"));
+    if !operation.contains_key("responses") && build.dialect == Dialect::OpenApi30 {
+        build.fault(&at, "'responses' is missing");
+    }
+    let responses = read_responses(build, &at.at("responses"));
+    Some(Operation {
+        name: format!("{} {}", method.to_ascii_uppercase(), path.text).into(),
+        id,
+        loc: at,
+        parameters,
+        body_required,
+        body,
+        responses,
+    })
+}
+
+/// Adds the path item's parameters that the operation does not replace by its own.
+fn with_inherited(mut own: Vec<Parameter>, shared: &[Parameter]) -> Vec<Parameter> {
+    let replaced = |inherited: &Parameter| {
+        own.iter()
+            .any(|p| p.name == inherited.name && p.within == inherited.within)
     };
-    let mut all: Vec<Parameter> = Vec::new();
-    for at in 0..count {
-        let named = loc.item(at);
-        let Some(at) = build.sources.resolve(&named) else {
-            continue;
-        };
-        if build.object(&at).is_none() {
-            continue;
-        }
-        build.needs(&at, &["name", "in"]);
-        let (Some(name), Some(word)) = (build.text(&at.at("name")), build.text(&at.at("in")))
-        else {
-            continue;
-        };
-        let Some(within) = ParameterLocation::read(&word) else {
-            build.fault(
-                &at.at("in"),
-                format!("'{word}' is none of path, query, header and cookie"),
-            );
-            continue;
-        };
-        if all
+    let inherited: Vec<Parameter> = shared.iter().filter(|p| !replaced(p)).cloned().collect();
+    own.extend(inherited);
+    own
+}
+
+/// Checks that the template's variables and the path parameters are the same.
+fn check_path_parameters(
+    build: &mut DescriptionBuilder,
+    at: &NodeLocation,
+    path: &TemplatedPath,
+    parameters: &[Parameter],
+) {
+    let in_path = || {
+        parameters
             .iter()
-            .any(|known| known.name == name && known.within == within)
-        {
+            .filter(|p| p.within == ParameterLocation::Path)
+    };
+    for name in path.template.variables() {
+        if !in_path().any(|p| p.name == name) {
             build.fault(
-                &named,
-                format!("the {word} parameter '{name}' is there twice"),
+                at,
+                format!("the path's variable {{{name}}} is not declared among the parameters"),
             );
-            continue;
         }
-        let required = build.flag(&at.at("required"));
-        if within == ParameterLocation::Path && !required {
+    }
+    for parameter in in_path() {
+        if !path.template.variables().any(|name| name == parameter.name) {
             build.fault(
-                &at,
-                format!("the path parameter '{name}' must have 'required': true"),
+                &parameter.loc,
+                format!(
+                    "the path {} has no variable {{{}}}",
+                    path.text, parameter.name
+                ),
             );
         }
-        all.push(parameter(
-            build,
-            &at,
-            name,
-            within,
-            required,
-            Direction::Request,
-        ));
     }
-    all
 }
 
-/// What a parameter and a header have in common.
-fn parameter(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
-    name: String,
-    within: ParameterLocation,
-    required: bool,
-    direction: Direction,
-) -> Parameter {
-    let has = |build: &DescriptionBuilder, key: &str| build.sources.get(&loc.at(key)).is_some();
-    let (schema, content) = (has(build, "schema"), has(build, "content"));
-    if schema == content {
-        let cause = if schema {
-            "'schema' and 'content' exclude each other"
-        } else {
-            "'schema' or 'content' is missing"
-        };
-        build.fault(loc, cause);
-    }
-    let style = build.text(&loc.at("style"));
-    let explode = build
-        .sources
-        .get(&loc.at("explode"))
-        .is_some()
-        .then(|| build.flag(&loc.at("explode")));
-    let usual = if matches!(within, ParameterLocation::Query | ParameterLocation::Cookie) {
-        "form"
-    } else {
-        "simple"
-    };
-    let style = style.unwrap_or_else(|| usual.into());
-    let styles: &[&str] = match within {
-        ParameterLocation::Path => &["simple", "label", "matrix"],
-        ParameterLocation::Query => &["form", "spaceDelimited", "pipeDelimited", "deepObject"],
-        ParameterLocation::Header => &["simple"],
-        ParameterLocation::Cookie => &["form"],
-    };
-    if !styles.contains(&style.as_str()) {
-        let cause = format!(
-            "'{style}' is no style of a {} parameter: {}",
-            within.word(),
-            styles.join(", ")
-        );
-        build.fault(&loc.at("style"), cause);
+/// Reads a request body: whether it is required, and its media types.
+fn read_request_body(build: &mut DescriptionBuilder, loc: &NodeLocation) -> (bool, Vec<Media>) {
+    if build.sources.get(loc).is_none() {
+        return (false, Vec::new());
     }
-    let parted_by = match style.as_str() {
-        "form" if explode.unwrap_or(true) => None,
-        "spaceDelimited" => Some(' '),
-        "pipeDelimited" => Some('|'),
-        _ => Some(','),
+    let Some(body) = build.sources.resolve(loc) else {
+        return (false, Vec::new());
     };
-    let mut slot = SchemaSlot::default();
-    let mut json = false;
-    if schema {
-        slot = build.slot(&loc.at("schema"), direction);
-    } else if content {
-        let all = build.content(&loc.at("content"), direction);
-        if all.len() != 1 {
-            build.fault(&loc.at("content"), "a parameter has exactly one media type");
-        }
-        if let Some(Media { range, slot: found }) = all.into_iter().next() {
-            json = range.is_json();
-            slot = found;
+    build.needs(&body, &["content"]);
+    let required = build.flag(&body.at("required"));
+    let content = build.content(&body.at("content"), Direction::Request);
+    (required, content)
+}
+
+/// Routes the path below each server path to the operation that is pushed next.
+fn add_routes(build: &mut DescriptionBuilder, server_paths: &[String], path: &str, method: &str) {
+    let number = build.operations.len();
+    for server_path in server_paths {
+        if let Ok(template) = Template::parse(&format!("{server_path}{path}")) {
+            build.router.add(&template, method, number);
         }
     }
-    // Forms whose text this program does not take apart are there or not there, and no more is said of them.
-    if matches!(style.as_str(), "label" | "matrix" | "deepObject") {
-        slot = SchemaSlot::default();
-    }
-    let empty = within == ParameterLocation::Query && build.flag(&loc.at("allowEmptyValue"));
-    Parameter {
-        name,
-        within,
-        required,
-        loc: loc.clone(),
-        slot,
-        json,
-        empty,
-        parted_by,
-    }
 }
 
-fn responses(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<Response> {
+/// Reads an operation's responses by status.
+fn read_responses(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<Response> {
     let Some(map) = build.object(loc) else {
         return Vec::new();
     };
     if !map.keys().any(|key| !key.starts_with("x-")) {
         build.fault(loc, "at least one answer must be described");
     }
-    let mut all = Vec::new();
+    let mut responses = Vec::new();
     for key in map.keys().filter(|key| !key.starts_with("x-")) {
         let Some(status) = Status::read(key) else {
             build.fault(
@@ -409,35 +325,33 @@
             continue;
         }
         build.needs(&at, &["description"]);
-        let mut headers = Vec::new();
-        for name in build.object(&at.at("headers")).unwrap_or_default().keys() {
-            // The format gives `Content-Type` to `content` alone.
-            if name.eq_ignore_ascii_case("content-type") {
-                continue;
-            }
-            let Some(header) = build.sources.resolve(&at.at("headers").at(name)) else {
-                continue;
-            };
-            if build.object(&header).is_none() {
-                continue;
-            }
-            let required = build.flag(&header.at("required"));
-            headers.push(parameter(
-                build,
-                &header,
-                name.clone(),
-                ParameterLocation::Header,
-                required,
-                Direction::Response,
-            ));
-        }
+        let headers = read_response_headers(build, &at.at("headers"));
         let content = build.content(&at.at("content"), Direction::Response);
-        all.push(Response {
+        responses.push(Response {
             status,
             loc: at,
             headers,
             content,
         });
     }
-    all
+    responses
+}
+
+/// Reads the headers of a response.
+fn read_response_headers(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<Parameter> {
+    let mut headers = Vec::new();
+    for name in build.object(loc).unwrap_or_default().keys() {
+        // The format reserves `Content-Type` for `content`.
+        if name.eq_ignore_ascii_case("content-type") {
+            continue;
+        }
+        let Some(at) = build.sources.resolve(&loc.at(name)) else {
+            continue;
+        };
+        if build.object(&at).is_none() {
+            continue;
+        }
+        headers.push(read_header(build, &at, name));
+    }
+    headers
 }
