--- a/crates/contract/src/builder.rs
+++ b/crates/contract/src/builder.rs
@@ -234,7 +234,7 @@
 
     /// Compiles the schemas and returns the description, or all faults.
     pub(crate) fn finish(mut self) -> Result<Description, Faults> {
-        self.registry.weigh(&mut self.sources);
+        self.registry.check_visits(&mut self.sources);
         if !self.sources.faults.is_empty() {
             return Err(self.sources.faults);
         }
--- /dev/null
+++ b/crates/contract/src/schema/keyword_checks.rs
@@ -0,0 +1,96 @@
+//! Faults of single keywords that the compiler would not report, or not with their place.
+
+use super::{clip, Dialect};
+use crate::sources::{NodeLocation, Sources};
+use serde_json::Value;
+
+/// The longest regular expression, in bytes. Expressions run without backtracking, in time linear in the text.
+const MAX_PATTERN_BYTES: usize = 1_000;
+/// The most expressions of a description: each costs up to some milliseconds to compile.
+const MAX_PATTERNS: usize = 1_000;
+/// The names of the types of JSON Schema.
+const TYPES: [&str; 7] = [
+    "array", "boolean", "integer", "null", "number", "object", "string",
+];
+
+/// Checks the keywords of one schema. `pattern_count` counts the expressions of the whole description.
+pub(super) fn check_keywords(
+    sources: &mut Sources,
+    loc: &NodeLocation,
+    schema: &Value,
+    dialect: Dialect,
+    pattern_count: &mut usize,
+) {
+    for keyword in ["$dynamicRef", "$recursiveRef"] {
+        if schema.get(keyword).is_some() {
+            sources.fault(&loc.at(keyword), format!("{keyword} is not read: use $ref"));
+        }
+    }
+    if let Some(pattern) = schema.get("pattern").and_then(Value::as_str) {
+        check_pattern(sources, &loc.at("pattern"), pattern);
+        *pattern_count += 1;
+        // Reported once, where the bound is passed.
+        if *pattern_count == MAX_PATTERNS + 1 {
+            sources.fault(
+                &loc.at("pattern"),
+                format!("there are more than {MAX_PATTERNS} expressions"),
+            );
+        }
+    }
+    check_types(sources, &loc.at("type"), schema.get("type"));
+    if dialect == Dialect::OpenApi30 {
+        check_openapi_30(sources, loc, schema);
+    }
+}
+
+fn check_pattern(sources: &mut Sources, loc: &NodeLocation, pattern: &str) {
+    if pattern.len() > MAX_PATTERN_BYTES {
+        let cause = format!(
+            "the expression has {} bytes: {MAX_PATTERN_BYTES} at most",
+            pattern.len()
+        );
+        sources.fault(loc, cause);
+    } else if let Err(error) = regex_syntax::Parser::new().parse(pattern) {
+        // The last line says what is wrong; those before it draw where.
+        let text = error.to_string();
+        let last_line = text.lines().last().unwrap_or("");
+        let cause = last_line.trim_start_matches("error: ");
+        sources.fault(loc, format!("this expression can't be used: {cause}"));
+    }
+}
+
+fn check_types(sources: &mut Sources, loc: &NodeLocation, types: Option<&Value>) {
+    let types: Vec<&Value> = match types {
+        Some(Value::Array(many)) => many.iter().collect(),
+        one => one.into_iter().collect(),
+    };
+    for name in types {
+        if name.as_str().is_some_and(|name| TYPES.contains(&name)) {
+            continue;
+        }
+        let cause = format!(
+            "{} is no type: {} are",
+            clip(&name.to_string()),
+            TYPES.join(", ")
+        );
+        sources.fault(loc, cause);
+    }
+}
+
+/// Checks for forms that OpenAPI 3.1 has and 3.0 has not.
+fn check_openapi_30(sources: &mut Sources, loc: &NodeLocation, schema: &Value) {
+    if schema.get("type").is_some_and(Value::is_array) {
+        sources.fault(
+            &loc.at("type"),
+            "OpenAPI 3.0 has one type, or 'nullable': true beside it",
+        );
+    }
+    for keyword in ["exclusiveMinimum", "exclusiveMaximum"] {
+        if schema.get(keyword).is_some_and(Value::is_number) {
+            sources.fault(
+                &loc.at(keyword),
+                format!("in OpenAPI 3.0 {keyword} is true or false"),
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/contract/src/schema/visits.rs
@@ -0,0 +1,109 @@
+//! Counts how often schemas visit one value, to find those that recur without end or cost too much.
+
+use super::subschemas::Subschema;
+use super::SchemaRegistry;
+use crate::sources::{NodeLocation, Sources};
+use std::collections::BTreeMap;
+
+/// The most visits of one value, counted over `allOf`, `anyOf`, `oneOf` and the like with their references. A few
+/// schemas that each name two others twice could otherwise ask for more visits than there is time.
+pub const MAX_VISITS: u64 = 10_000;
+
+/// How far the count of a schema is.
+#[derive(Clone, Copy)]
+enum Count {
+    /// The schema is on the current path, so that reaching it again is a recursion.
+    InProgress,
+    Done(u64),
+}
+
+/// A schema on the current path of the depth-first search.
+struct Frame<'s> {
+    loc: &'s NodeLocation,
+    remaining: std::slice::Iter<'s, Subschema>,
+    visits: u64,
+}
+
+impl<'s> Frame<'s> {
+    fn new(loc: &'s NodeLocation, subschemas: &'s [Subschema]) -> Frame<'s> {
+        Frame {
+            loc,
+            remaining: subschemas.iter(),
+            visits: 1,
+        }
+    }
+}
+
+impl SchemaRegistry {
+    /// Reports schemas that apply themselves to the value they are applied to, and those that visit one value more
+    /// than [`MAX_VISITS`] times. Call it once all schemas are registered.
+    pub fn check_visits(&self, sources: &mut Sources) {
+        let mut counts: BTreeMap<&NodeLocation, Count> = BTreeMap::new();
+        for start in self.schemas.keys() {
+            self.count_visits(sources, start, &mut counts);
+        }
+        let visits = |loc: &NodeLocation| match counts.get(loc) {
+            Some(Count::Done(visits)) => *visits,
+            _ => 0,
+        };
+        for (loc, subschemas) in &self.schemas {
+            let most_within = subschemas
+                .iter()
+                .filter(|subschema| subschema.is_in_place())
+                .map(|subschema| visits(&subschema.loc))
+                .max()
+                .unwrap_or(0);
+            // Reported at the innermost schema only, not at all that contain it.
+            if visits(loc) > MAX_VISITS && most_within <= MAX_VISITS {
+                let cause = format!(
+                    "one value would be looked at {} times: {MAX_VISITS} at most",
+                    visits(loc)
+                );
+                sources.fault(loc, cause);
+            }
+        }
+    }
+
+    /// Counts a schema and those that it reaches. The search keeps its own stack, since chains of references may be
+    /// longer than the thread's stack allows.
+    fn count_visits<'s>(
+        &'s self,
+        sources: &mut Sources,
+        start: &'s NodeLocation,
+        counts: &mut BTreeMap<&'s NodeLocation, Count>,
+    ) {
+        if counts.contains_key(start) {
+            return;
+        }
+        counts.insert(start, Count::InProgress);
+        let mut path = vec![Frame::new(start, &self.schemas[start])];
+        while let Some(frame) = path.last_mut() {
+            let Some(subschema) = frame.remaining.find(|next| next.is_in_place()) else {
+                counts.insert(frame.loc, Count::Done(frame.visits));
+                let visits = frame.visits;
+                path.pop();
+                if let Some(parent) = path.last_mut() {
+                    parent.visits = parent.visits.saturating_add(visits);
+                }
+                continue;
+            };
+            let Some((loc, subschemas)) = self.schemas.get_key_value(&subschema.loc) else {
+                continue;
+            };
+            match counts.get(loc) {
+                Some(Count::Done(visits)) => {
+                    frame.visits = frame.visits.saturating_add(*visits);
+                }
+                Some(Count::InProgress) => {
+                    let cause =
+                        format!("this schema only leads to itself, by {}", sources.name(loc));
+                    sources.fault(frame.loc, cause);
+                }
+                None => {
+                    counts.insert(loc, Count::InProgress);
+                    path.push(Frame::new(loc, subschemas));
+                }
+            }
+        }
+    }
+}
