--- a/crates/admin/src/reconfigure.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -92,7 +92,8 @@
 
 /// Returns the keys that differ and that [`live_policy`] and [`reconfigure`] leave as they were.
 fn keys_that_require_restart(in_force: &Deployment, new: &Deployment) -> Vec<&'static str> {
-    let (old_policy, new_policy) = (&in_force.policy, &new.policy);
+    let old_policy = &in_force.policy;
+    let new_policy = &new.policy;
     let report_differs = in_force.report_names != new.report_names
         || old_policy.health_check_value != new_policy.health_check_value;
     let differences = [
--- a/crates/coordinator/src/backends/frames/contracts.rs
+++ b/crates/coordinator/src/backends/frames/contracts.rs
@@ -81,7 +81,8 @@
     line: impl FnOnce() -> String,
     fields: Head,
 ) -> bool {
-    let (contracts, server) = (&handle.contracts, &handle.server);
+    let contracts = &handle.contracts;
+    let server = &handle.server;
     contracts.frame(in_force, Interface::Servers, server, message, line, fields)
 }
 
--- a/crates/coordinator/src/backends/opensearch/connection.rs
+++ b/crates/coordinator/src/backends/opensearch/connection.rs
@@ -32,7 +32,8 @@
             read = stream.read_buf(&mut buffer) => {
                 if matches!(read, Ok(bytes) if bytes > 0) {
                     let fault = ConnectionFault::UnsolicitedBytes;
-                    let (cause, help) = (fault.to_string(), fault.help());
+                    let cause = fault.to_string();
+                    let help = fault.help();
                     tracing::warn!(server = %handle.address, cause, help, "server connection closed");
                     unsent_outcome = Outcome::NotSent;
                 }
@@ -231,7 +232,8 @@
 
     /// Checks a response against the description of this interface. Returns whether it may be used.
     fn check_response(&self, response: &Response, complete: bool) -> bool {
-        let (part, handle) = (&self.part, &self.handle);
+        let part = &self.part;
+        let handle = &self.handle;
         let contracts = &handle.contracts;
         contracts.exchange(
             &part.contracts,
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -3,6 +3,8 @@
 //! Plain data without I/O and without a clock. A router is fed [`Event`]s and returns [`Action`]s; the
 //! [`Settings`] are told to it once and again when they are reloaded.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 mod action;
 mod endpoint;
 mod event;
