--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -2,6 +2,8 @@
 //!
 //! A message is known by its own name or, where `x-frame` gives one, by its type letter on a binary wire.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 mod version_2;
 mod version_3;
 
--- a/crates/contract/src/builder.rs
+++ b/crates/contract/src/builder.rs
@@ -1,5 +1,7 @@
 //! A description while its format's parser reads it: typed access to its nodes, and the faults found so far.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 use crate::fault::Faults;
 use crate::model::{Description, Kind, Media, MediaRange, Message, Operation, SchemaSlot};
 use crate::routing::Router;
@@ -112,7 +114,7 @@
         })
     }
 
-    /// Takes in the schema at a place, for values that go that way.
+    /// Registers the schema at a location for values of a direction.
     pub fn slot(&mut self, loc: &NodeLocation, direction: Direction) -> SchemaSlot {
         self.registry.visit(&mut self.sources, loc);
         self.wanted.insert((loc.clone(), direction));
@@ -123,9 +125,9 @@
         }
     }
 
-    /// The types that a schema names, its references followed.
+    /// The types that a schema names, after following references.
     fn types(&mut self, loc: &NodeLocation) -> Vec<String> {
-        // Faults of the way are reported by the registry.
+        // The registry reports faults of the references.
         let before = self.sources.faults.clone();
         let target = self.sources.resolve(loc);
         self.sources.faults = before;
@@ -142,11 +144,12 @@
         }
     }
 
+    /// Adds a fault at a node.
     pub fn fault(&mut self, loc: &NodeLocation, cause: impl Into<String>) {
         self.sources.fault(loc, cause);
     }
 
-    /// The object at a place; a fault where there is something else. Nothing there is no fault.
+    /// The object at a location; another value is a fault, an absent one is not.
     pub fn object(&mut self, loc: &NodeLocation) -> Option<serde_json::Map<String, Value>> {
         match self.sources.get(loc) {
             Some(Value::Object(map)) => Some(map.clone()),
@@ -158,7 +161,7 @@
         }
     }
 
-    /// The text at a place; a fault where there is something else. Nothing there is no fault.
+    /// The string at a location; another value is a fault, an absent one is not.
     pub fn text(&mut self, loc: &NodeLocation) -> Option<String> {
         match self.sources.get(loc) {
             Some(Value::String(text)) => Some(text.clone()),
@@ -170,7 +173,7 @@
         }
     }
 
-    /// The operation id at a place, if there is one; a fault where another operation has the same.
+    /// The `operationId` of an operation, if it has one; an id that another operation has is a fault.
     pub(crate) fn operation_id(
         &mut self,
         operation: &NodeLocation,
@@ -188,7 +191,7 @@
         Some(id)
     }
 
-    /// The flag at a place, false where there is none.
+    /// The boolean at a location, false if absent; another value is a fault.
     pub fn flag(&mut self, loc: &NodeLocation) -> bool {
         match self.sources.get(loc) {
             Some(Value::Bool(flag)) => *flag,
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Notes a fault for each key that is missing.
+    /// Adds a fault for each missing key.
     pub fn needs(&mut self, loc: &NodeLocation, keys: &[&str]) {
         for key in keys {
             if self.sources.get(&loc.at(key)).is_none() {
@@ -209,7 +212,7 @@
         }
     }
 
-    /// The body in each media type of a `content` object.
+    /// The media types of a `content` object with their schemas.
     pub fn content(&mut self, loc: &NodeLocation, direction: Direction) -> Vec<Media> {
         let mut all = Vec::new();
         for key in self.object(loc).unwrap_or_default().keys() {
@@ -263,7 +266,7 @@
         })
     }
 
-    /// Puts each compiled schema where values are checked by it.
+    /// Stores each compiled schema in the slots that refer to it.
     fn attach_validators(
         &mut self,
         compiled: &BTreeMap<(NodeLocation, Direction), Arc<Validator>>,
--- a/crates/contract/src/diff/mod.rs
+++ b/crates/contract/src/diff/mod.rs
@@ -3,6 +3,8 @@
 //! A request may ask for less and a response may hold less variety without harm; the other way round breaks callers or
 //! readers of the old form.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 mod messages;
 mod operations;
 mod parameters;
--- a/crates/contract/src/document.rs
+++ b/crates/contract/src/document.rs
@@ -1,6 +1,8 @@
 //! JSON and YAML as one tree of values with the position of every node, within bounds on size, depth and number of
 //! nodes. A description may come from anywhere: it must not cost more than these bounds allow.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 mod json;
 mod syntax;
 mod yaml;
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,8 +1,9 @@
-//! Descriptions of interfaces, in OpenAPI and AsyncAPI: read with all their faults, held against traffic, published
-//! from a configuration and compared.
+//! Descriptions of interfaces, in OpenAPI and AsyncAPI: reading with all faults reported, checking of traffic,
+//! publishing from a configuration, and comparison.
 //!
-//! A description is read once ([`model::Description`]) and then judges messages without I/O ([`conformance`]). What is done
-//! about a departure is decided in [`enforcement`]; where and since when an interface departs is kept in [`drift`].
+//! A description is read once ([`model::Description`]) and then checks messages without I/O ([`conformance`]).
+//! [`enforcement`] decides what is done about a violation; [`drift`] records where and since when an interface differs
+//! from its description.
 
 #![forbid(unsafe_code)]
 
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -1,5 +1,7 @@
 //! A description as data: what traffic is checked against.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 use crate::routing::Router;
 use crate::schema::Direction;
 use crate::sources::{NodeLocation, Sources};
@@ -7,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The two formats.
+/// The format of a description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -17,12 +19,12 @@
     AsyncApi,
 }
 
-/// A place for a value: where its schema stands, and the schema compiled.
+/// The schema of a value: its location, and its compiled form. Without a location any value is valid.
 #[derive(Clone, Debug, Default)]
 pub struct SchemaSlot {
     pub(crate) loc: Option<NodeLocation>,
     pub(crate) validator: Option<Arc<Validator>>,
-    /// The types that the schema names, if it does: a parameter's text is read by them.
+    /// The types that the schema names, by which a parameter's text is parsed; empty if it names none.
     pub(crate) types: Vec<String>,
 }
 
@@ -34,7 +36,7 @@
 }
 
 impl MediaRange {
-    /// Reads one; parameters such as `charset` are left aside.
+    /// Parses a media type or range, without its parameters such as `charset`; `None` if it is malformed.
     pub fn read(text: &str) -> Option<MediaRange> {
         let essence = text.split(';').next()?.trim().to_ascii_lowercase();
         let (kind, sub) = essence.split_once('/')?;
@@ -49,7 +51,7 @@
         })
     }
 
-    /// How exactly it covers a type; `None`: not at all.
+    /// How exactly it covers a type: 0 for the same type, 1 for a range of subtypes, 2 for `*/*`; `None` if it does not.
     pub fn covers(&self, other: &MediaRange) -> Option<u8> {
         match (
             self.kind == other.kind,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Whether bodies of it are JSON.
+    /// Whether bodies of this type are JSON.
     pub fn is_json(&self) -> bool {
         self.sub == "json" || self.sub.ends_with("+json")
     }
@@ -83,14 +85,14 @@
     pub(crate) slot: SchemaSlot,
 }
 
-/// Where a parameter stands.
+/// The part of a request that holds a parameter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ParameterLocation {
     /// In the path.
     Path,
     /// In the query string.
     Query,
-    /// In the head.
+    /// In a header field.
     Header,
     /// In the `Cookie` header.
     Cookie,
@@ -107,7 +109,7 @@
         })
     }
 
-    /// The word of the format.
+    /// The value of `in` for it.
     pub fn word(self) -> &'static str {
         match self {
             ParameterLocation::Path => "path",
@@ -118,7 +120,7 @@
     }
 }
 
-/// A parameter of a request or a header of an answer.
+/// A parameter of a request or a header of a response.
 #[derive(Clone, Debug)]
 pub struct Parameter {
     pub(crate) name: String,
@@ -126,22 +128,22 @@
     pub(crate) required: bool,
     pub(crate) loc: NodeLocation,
     pub(crate) slot: SchemaSlot,
-    /// Its value is JSON text.
+    /// Whether its value is JSON text.
     pub(crate) json: bool,
-    /// It may stand without a value.
+    /// Whether its value may be empty (`allowEmptyValue`).
     pub(crate) empty: bool,
-    /// Items are parted by this; `None`: each item is a pair of its own.
+    /// The separator of a list's items; `None`: each item is a pair of its own.
     pub(crate) parted_by: Option<char>,
 }
 
-/// Which statuses an answer is for.
+/// The statuses that a described response is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Status {
-    /// One.
+    /// One status.
     Exactly(u16),
-    /// A hundred, such as `2XX`.
+    /// A range such as `2XX`, by its first digit.
     Range(u16),
-    /// All that no other names.
+    /// All statuses that no other response names.
     Default,
 }
 
@@ -161,7 +163,7 @@
     }
 }
 
-/// An answer.
+/// A described response.
 #[derive(Clone, Debug)]
 pub struct Response {
     pub(crate) status: Status,
@@ -170,12 +172,12 @@
     pub(crate) content: Vec<Media>,
 }
 
-/// What a client may ask.
+/// An operation of an OpenAPI description: a method of a path.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// Its name: the method and the path template.
+    /// The method and the path template.
     pub name: Arc<str>,
-    /// The description's own id for it.
+    /// The description's `operationId`.
     pub id: Option<String>,
     pub(crate) loc: NodeLocation,
     pub(crate) parameters: Vec<Parameter>,
@@ -184,25 +186,26 @@
     pub(crate) responses: Vec<Response>,
 }
 
-/// A message on a channel.
+/// A message on a channel of an AsyncAPI description.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its name: the channel's and its own.
+    /// The channel's name and its own, as reports show it.
     pub name: Arc<str>,
     pub(crate) channel: String,
+    /// The name that it goes by on the wire: its own, or `x-frame`.
     pub(crate) word: String,
     pub(crate) loc: NodeLocation,
     pub(crate) headers: SchemaSlot,
     pub(crate) payload: SchemaSlot,
     pub(crate) json: bool,
-    /// Who sends it, as far as an operation says.
+    /// Who sends it; to the described side where no operation says so.
     pub(crate) direction: Direction,
 }
 
-/// A description, read and found sound.
+/// A description without faults, as it was read.
 #[derive(Clone, Debug)]
 pub struct Description {
-    /// Its format.
+    /// The format.
     pub kind: Kind,
     /// The format's version.
     pub version: String,
@@ -212,7 +215,7 @@
     pub operations: Vec<Operation>,
     /// The messages of an AsyncAPI description.
     pub messages: Vec<Message>,
-    /// Tells whether two descriptions say the same in the same files.
+    /// A hash of the files' names and contents: equal for equal descriptions.
     pub fingerprint: u64,
     pub(crate) router: Router,
     pub(crate) secrets: BTreeSet<String>,
@@ -220,18 +223,18 @@
 }
 
 impl Description {
-    /// Lets go of the documents' text, which traffic is not held against. Such a description can't be compared.
+    /// Drops the documents, which checking traffic does not need. Such a description can't be compared.
     pub fn slim(mut self) -> Description {
         self.sources.slim();
         self
     }
 
-    /// The files that it stands in.
+    /// The names of the files, the first one first.
     pub fn files(&self) -> impl Iterator<Item = &str> {
         self.sources.files().iter().map(|file| file.name.as_str())
     }
 
-    /// The number of the operation that a request means, without judging it.
+    /// The index of the operation that a request is for, without checking the request.
     pub fn find_operation(&self, method: &str, target: &str) -> Option<usize> {
         match self
             .router
@@ -242,12 +245,12 @@
         }
     }
 
-    /// A place in words.
+    /// A location as reports show it.
     pub fn place(&self, loc: &NodeLocation) -> String {
         self.sources.name(loc)
     }
 
-    /// The message of a channel that goes by this name.
+    /// The message of a channel by its name on the wire.
     pub fn message(&self, channel: &str, word: &str) -> Option<&Message> {
         self.messages
             .iter()
@@ -255,7 +258,7 @@
     }
 }
 
-/// The media type that describes a type most exactly.
+/// The described media type that covers a type most exactly.
 pub(crate) fn best_media<'m>(content: &'m [Media], range: &MediaRange) -> Option<&'m Media> {
     let covering = content
         .iter()
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -1,5 +1,7 @@
 //! OpenAPI 3.0 and 3.1: operations with their parameters, bodies and responses.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 mod parameters;
 
 use crate::builder::DescriptionBuilder;
--- a/crates/contract/src/reader.rs
+++ b/crates/contract/src/reader.rs
@@ -1,5 +1,7 @@
 //! Reading of descriptions: the files, then the parser of their format.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 use crate::builder::DescriptionBuilder;
 use crate::fault::{Fault, Faults};
 use crate::model::{Description, Kind};
--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -2,6 +2,8 @@
 //! compiled. OpenAPI 3.1 and 3.0 are compiled as JSON Schema 2020-12 (3.0's dialect is translated), AsyncAPI's
 //! superset of JSON Schema as draft 7.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 mod bundle;
 mod compilation;
 mod keyword_checks;
--- a/crates/contract/src/sources.rs
+++ b/crates/contract/src/sources.rs
@@ -1,6 +1,8 @@
 //! The files of a description and the references among them. A reference leads to a file beside the description,
 //! never to the network and never out of the description's folder.
 
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
 use crate::document::{step, Document, MAX_BYTES};
 use crate::fault::{Fault, Faults};
 use serde_json::Value;
@@ -91,13 +93,14 @@
 pub struct Sources {
     folder: PathBuf,
     files: Vec<Document>,
+    /// Files that could not be read, whose faults are reported once.
     unreadable: BTreeSet<String>,
-    /// What is wrong so far.
+    /// The faults found so far.
     pub faults: Faults,
 }
 
 impl Sources {
-    /// Reads the description's first file.
+    /// Reads the description's first file; others are read as references lead to them.
     pub fn open(path: &Path) -> Result<Sources, Fault> {
         let name = path
             .file_name()
@@ -119,7 +122,7 @@
         Ok(Sources::new(folder, Document::read(&name, &bytes)?))
     }
 
-    /// A description that is at hand as text. References to other files find none.
+    /// Reads a description from text. References to other files are faults.
     pub fn text(name: &str, text: &str) -> Result<Sources, Fault> {
         Ok(Sources::new(
             PathBuf::new(),
@@ -136,7 +139,7 @@
         }
     }
 
-    /// The description's first node.
+    /// The root of the description's first file.
     pub fn root(&self) -> NodeLocation {
         NodeLocation {
             file: 0,
@@ -144,7 +147,7 @@
         }
     }
 
-    /// All files.
+    /// The files read so far, the description's first one first.
     pub fn files(&self) -> &[Document] {
         &self.files
     }
@@ -154,7 +157,7 @@
         self.files.get(loc.file)?.value.pointer(&loc.pointer)
     }
 
-    /// Tells whether two descriptions say the same in the same files.
+    /// A hash of the files' names and contents.
     pub(crate) fn fingerprint(&self) -> u64 {
         let mut hasher = std::hash::DefaultHasher::new();
         for file in &self.files {
@@ -163,12 +166,12 @@
         hasher.finish()
     }
 
-    /// Lets go of what the files hold; their names stay.
+    /// Drops the contents of the files; their names stay.
     pub(crate) fn slim(&mut self) {
         self.files.iter_mut().for_each(Document::slim);
     }
 
-    /// A place in words: the file where it isn't the first, and the pointer.
+    /// A location as reports show it: the file, unless it is the first, and the pointer.
     pub fn name(&self, loc: &NodeLocation) -> String {
         match (loc.file, self.files.get(loc.file)) {
             (0, _) | (_, None) => format!("#{}", loc.pointer),
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Notes that something is wrong at a node.
+    /// Adds a fault at a node.
     pub fn fault(&mut self, loc: &NodeLocation, cause: impl Into<String>) {
         if let Some(file) = self.files.get(loc.file) {
             let fault = file.fault(&loc.pointer, cause);
@@ -184,45 +187,49 @@
         }
     }
 
-    /// The node itself or, where it is a reference, what that leads to in the end. Faults of the way are noted.
+    /// The node itself or, if it is a reference, the node at the end of the chain. Broken, circular and overlong chains
+    /// are added as faults.
     pub fn resolve(&mut self, loc: &NodeLocation) -> Option<NodeLocation> {
         let mut at = loc.clone();
-        let mut passed = vec![at.clone()];
+        let mut visited = vec![at.clone()];
         loop {
             let Some(reference) = self.reference(&at) else {
                 return Some(at);
             };
             let next = self.follow(&at, &reference)?;
-            if passed.contains(&next) {
-                let way: Vec<_> = passed
+            if visited.contains(&next) {
+                let chain: Vec<_> = visited
                     .iter()
                     .chain([&next])
                     .map(|loc| self.name(loc))
                     .collect();
                 self.fault(
                     loc,
-                    format!("this reference only leads to itself: {}", way.join(" -> ")),
+                    format!(
+                        "this reference only leads to itself: {}",
+                        chain.join(" -> ")
+                    ),
                 );
                 return None;
             }
-            if passed.len() > MAX_REFERENCE_CHAIN {
+            if visited.len() > MAX_REFERENCE_CHAIN {
                 self.fault(
                     loc,
                     format!("more than {MAX_REFERENCE_CHAIN} references lead from one to the next"),
                 );
                 return None;
             }
-            passed.push(next.clone());
+            visited.push(next.clone());
             at = next;
         }
     }
 
-    /// What a node refers to, if it is a reference.
+    /// The `$ref` of a node, if it has one.
     pub fn reference(&self, loc: &NodeLocation) -> Option<String> {
         Some(self.get(loc)?.get("$ref")?.as_str()?.to_string())
     }
 
-    /// The node that a reference at `from` names. A fault is noted where there is none.
+    /// The node that a reference at `from` names. Without such a node a fault is added.
     pub fn follow(&mut self, from: &NodeLocation, reference: &str) -> Option<NodeLocation> {
         match self.find(from.file, reference) {
             Ok(loc) => Some(loc),
@@ -252,7 +259,7 @@
         Ok(location)
     }
 
-    /// What a node leads to among the files that are read, without noting faults.
+    /// The node at the end of a chain of references among the files that are read, without adding faults.
     pub fn target(&self, loc: &NodeLocation) -> Option<NodeLocation> {
         let mut at = loc.clone();
         for _ in 0..MAX_REFERENCE_CHAIN {
@@ -275,7 +282,7 @@
         None
     }
 
-    /// The name of the file that a path in another file means.
+    /// The name of the file that a path in the file `from` refers to.
     fn resolve_path(&self, from: usize, path: &str) -> Result<String, ReferenceError> {
         if path.contains(':') || path.starts_with("//") {
             return Err(ReferenceError::NetworkAddress);
@@ -300,7 +307,7 @@
         Ok(parts.join("/"))
     }
 
-    /// The number of the file that a path in another file means, read if it wasn't before.
+    /// The index of the file that a path in the file `from` refers to. It is read unless it was before.
     fn load(&mut self, from: usize, path: &str) -> Result<usize, ReferenceError> {
         let name = self.resolve_path(from, path)?;
         if let Some(known) = self.files.iter().position(|file| file.name == name) {
@@ -344,7 +351,7 @@
     }
 }
 
-/// A file's bytes. One that is too large or no plain file is not read at all.
+/// Reads a file, unless it is too large or not a regular file.
 fn read(path: &Path) -> Result<Vec<u8>, FileError> {
     let metadata = std::fs::metadata(path)?;
     if !metadata.is_file() {
@@ -357,7 +364,7 @@
     Ok(std::fs::read(path)?)
 }
 
-/// Undoes percent-encoding; `None` where it is broken.
+/// Decodes percent-encoding; `None` if it is malformed.
 pub fn decode(text: &str) -> Option<String> {
     if !text.contains('%') {
         return Some(text.into());
