--- a/crates/contract/src/diff/mod.rs
+++ b/crates/contract/src/diff/mod.rs
@@ -1,7 +1,6 @@
 //! What changed between two descriptions, and whether it breaks those who rely on the old one.
 //!
-//! A request may ask for less and a response may hold less variety without harm; the other way round breaks callers or
-//! readers of the old form.
+//! Requests may be widened and responses narrowed without harm; the reverse breaks clients of the old form.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
@@ -108,7 +107,7 @@
     files.iter().map(|file| &file.value).collect()
 }
 
-/// A place in a message, and the way that the message goes.
+/// A place in a message, and the direction of the message.
 #[derive(Clone, Copy)]
 struct Position<'p> {
     direction: Direction,
--- a/crates/contract/src/diff/schema_view.rs
+++ b/crates/contract/src/diff/schema_view.rs
@@ -1,4 +1,4 @@
-//! What a schema asks for, in a form that two schemas can be compared in.
+//! The constraints of a schema, in a form in which two schemas can be compared.
 
 use crate::schema::Direction;
 use crate::sources::{NodeLocation, Sources};
@@ -64,8 +64,8 @@
 }
 
 impl SchemaView {
-    /// The schema at a place, for values that go one way: `readOnly` members are not asked for in requests,
-    /// `writeOnly` ones not given in responses.
+    /// The schema at a location, for values of a direction: `readOnly` members are not required in requests,
+    /// `writeOnly` ones not in responses.
     pub(super) fn new(
         sources: &Sources,
         location: &NodeLocation,
--- a/crates/contract/src/document/json.rs
+++ b/crates/contract/src/document/json.rs
@@ -17,7 +17,7 @@
     reader.value(root, "", 0)
 }
 
-/// The error of a text that is no JSON. Its position is a field of its own and is cut from the parser's words.
+/// The error of a text that is no JSON. The position is cut from the parser's text, since faults have it as a field.
 fn document_error(error: serde_json::Error) -> ParseError {
     let position = Position {
         line: error.line(),
--- a/crates/contract/src/document/yaml_scalar.rs
+++ b/crates/contract/src/document/yaml_scalar.rs
@@ -43,39 +43,56 @@
     plain_value(text)
 }
 
-/// The value of a scalar without quotes, whose type follows from its text.
+/// The value of a scalar without quotes, whose type follows from its text. A number that JSON can't hold is a string.
 fn plain_value(text: &str) -> Result<Value, SyntaxError> {
-    let number = |value: Option<i64>| value.map(|v| Value::Number(v.into()));
-    let digits = text.strip_prefix(['-', '+']).unwrap_or(text);
+    let unsigned = text.strip_prefix(['-', '+']).unwrap_or(text);
     let value = match text {
         "" | "~" | "null" | "Null" | "NULL" => Some(Value::Null),
         "true" | "True" | "TRUE" => Some(Value::Bool(true)),
         "false" | "False" | "FALSE" => Some(Value::Bool(false)),
-        _ if text.starts_with("0x") => number(i64::from_str_radix(&text[2..], 16).ok()),
-        _ if text.starts_with("0o") => number(i64::from_str_radix(&text[2..], 8).ok()),
-        _ if !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit()) => {
-            let whole = text.strip_prefix('+').unwrap_or(text);
-            number(whole.parse().ok())
-                .or_else(|| Some(Value::Number(Number::from_f64(whole.parse().ok()?)?)))
+        _ if text.starts_with("0x") => integer(&text[2..], 16),
+        _ if text.starts_with("0o") => integer(&text[2..], 8),
+        _ if is_decimal(unsigned) => {
+            let signed = text.strip_prefix('+').unwrap_or(text);
+            // One that 64 bits can't hold is kept as the nearest float.
+            integer(signed, 10).or_else(|| float(signed))
         }
-        _ if matches!(digits, ".inf" | ".Inf" | ".INF" | ".nan" | ".NaN" | ".NAN") => {
-            return Err(SyntaxError::NotInJson { text: text.into() });
-        }
-        _ if digits
-            .bytes()
-            .next()
-            .is_some_and(|b| b.is_ascii_digit() || b == b'.')
-            && digits.bytes().any(|b| b.is_ascii_digit())
-            && digits
-                .bytes()
-                .all(|b| b.is_ascii_digit() || b".eE+-".contains(&b)) =>
+        _ if matches!(
+            unsigned,
+            ".inf" | ".Inf" | ".INF" | ".nan" | ".NaN" | ".NAN"
+        ) =>
         {
-            text.parse::<f64>()
-                .ok()
-                .and_then(Number::from_f64)
-                .map(Value::Number)
+            return Err(SyntaxError::NotInJson { text: text.into() });
         }
+        _ if is_float(unsigned) => float(text),
         _ => None,
     };
     Ok(value.unwrap_or_else(|| Value::String(text.into())))
 }
+
+fn integer(digits: &str, radix: u32) -> Option<Value> {
+    let value = i64::from_str_radix(digits, radix).ok()?;
+    Some(Value::Number(value.into()))
+}
+
+fn float(text: &str) -> Option<Value> {
+    let value = text.parse::<f64>().ok()?;
+    Number::from_f64(value).map(Value::Number)
+}
+
+fn is_decimal(text: &str) -> bool {
+    !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())
+}
+
+/// Whether a text has the characters of a float; whether it is one, parsing says.
+fn is_float(text: &str) -> bool {
+    let starts_like_one = text
+        .bytes()
+        .next()
+        .is_some_and(|byte| byte.is_ascii_digit() || byte == b'.');
+    let has_digit = text.bytes().any(|byte| byte.is_ascii_digit());
+    let has_only_known = text
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || b".eE+-".contains(&byte));
+    starts_like_one && has_digit && has_only_known
+}
--- a/crates/contract/tests/compare.rs
+++ b/crates/contract/tests/compare.rs
@@ -1,4 +1,4 @@
-//! What changed between two descriptions, and for whom it breaks.
+//! Differences between two descriptions, and whom they break.
 
 use cairnroad_contract::diff::{diff, ChangeImpact};
 use cairnroad_contract::model::Description;
@@ -43,13 +43,13 @@
         .collect()
 }
 
-/// One edit of the old text, and all that it changes.
+/// All changes that one edit of the old text makes.
 fn edited(from: &str, to: &str) -> Vec<String> {
     assert!(OLD.contains(from), "{from}");
     changes(OLD, &OLD.replacen(from, to, 1))
 }
 
-/// The same edit breaks one side and not the other: what may be asked for widens, what is given narrows.
+/// The same edit breaks one side and not the other: requests may widen, responses may narrow.
 #[test]
 fn a_shared_schema_breaks_the_side_that_relies_on_it() {
     let get = "GET /stock/{sku}, answer 200";
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn operations_parameters_and_answers_break_where_they_are_relied_on() {
+fn operations_parameters_and_responses_break_where_they_are_relied_on() {
     let one = |from: &str, to: &str, wanted: &[&str]| {
         let found = edited(from, to);
         assert_eq!(found, wanted, "{from} -> {to}");
@@ -214,9 +214,9 @@
     );
 }
 
-/// Guards against a rearrangement that is told as a change: the meaning is the same.
+/// Guards against a rearrangement that is reported as a change although the meaning is the same.
 #[test]
-fn an_arrangement_is_no_change() {
+fn a_rearrangement_is_no_change() {
     let flat = OLD.replace(
         "      type: object\n      required: [sku, count]\n      properties:\n        sku: {type: string, maxLength: 20}\n",
         "      allOf:\n        - {type: object, required: [count, sku]}\n        - {properties: {sku: {$ref: \"#/components/schemas/Sku\"}}}\n      properties:\n",
@@ -247,7 +247,7 @@
 ";
 
 #[test]
-fn messages_break_by_their_direction() {
+fn a_message_change_breaks_by_its_direction() {
     let edited = |from: &str, to: &str| changes(FRAMES, &FRAMES.replacen(from, to, 1));
     assert_eq!(
         edited("required: [n], ", ""),
--- a/crates/contract/tests/corpus.rs
+++ b/crates/contract/tests/corpus.rs
@@ -1,5 +1,5 @@
-//! The corpus: descriptions that are sound, each with traffic replayed over loopback, and broken ones, each with the
-//! exact words that it must get.
+//! The corpus: valid descriptions, each with traffic that is replayed over loopback, and broken ones, each with the
+//! exact text of its faults.
 
 use cairnroad_contract::conformance::{
     ObservedRequest, ObservedResponse, Violation, ViolationKind,
@@ -28,9 +28,9 @@
     all
 }
 
-/// Guards against a fault that is not told, is told elsewhere, or in words that don't say what to do.
+/// Guards against a fault that is not reported, is reported elsewhere, or in a text that doesn't say what to do.
 #[test]
-fn each_broken_description_gets_its_words() {
+fn each_broken_description_reports_exactly_its_faults() {
     let all = files("broken");
     assert!(all.len() >= 60, "{}", all.len());
     for path in all {
@@ -90,7 +90,7 @@
     format!("{first}\r\n{fields}Content-Length: {length}\r\n\r\n")
 }
 
-/// A stand-in server that gives the recorded answer to whatever it is asked.
+/// A stand-in server that sends the recorded response to any request.
 fn answer(stream: TcpStream, row: &Value) -> (String, Fields, Vec<u8>, bool) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let asked = read(&mut reader).unwrap();
@@ -116,7 +116,7 @@
     asked
 }
 
-/// One exchange over loopback, judged by what came off the wire at either end.
+/// One exchange over loopback, checked by what was received at either end.
 fn exchange(description: &Description, row: &Value) -> Vec<Violation> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -175,9 +175,9 @@
         .departures
 }
 
-/// Guards against right traffic that is reported and wrong traffic that is not, or elsewhere than it is wrong.
+/// Guards against valid traffic that is reported, and invalid traffic that is not or at another place.
 #[test]
-fn traffic_over_loopback_departs_where_it_should_and_nowhere_else() {
+fn traffic_over_loopback_violates_exactly_what_it_should() {
     let (mut right, mut wrong) = (0, 0);
     let mut kinds = BTreeSet::new();
     for path in files("valid") {
@@ -233,9 +233,9 @@
     assert_eq!(kinds.len(), 14, "each kind but 'other' is shown: {kinds:?}");
 }
 
-/// 3.0's own words mean what 3.1 says in others.
+/// The keywords of OpenAPI 3.0 are translated to those of 3.1 with the same meaning.
 #[test]
-fn openapi_30_and_its_31_twin_judge_alike() {
+fn openapi_30_and_its_31_equivalent_accept_the_same_values() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus/valid");
     let [old, new] = ["30", "31"]
         .map(|v| Description::open(&folder.join(format!("openapi-{v}-stock.yaml"))).unwrap());
