--- a/crates/coordinator/src/backends/frames/contracts.rs
+++ b/crates/coordinator/src/backends/frames/contracts.rs
@@ -2,7 +2,7 @@
 
 use super::codec::{part_id, remaining_ms, Answer};
 use crate::connections::handle::ConnectionHandle;
-use crate::contract::{Head, Part};
+use crate::contract::{HeaderParser, ObservedMessage};
 use crate::messages::{ContractsInForce, OutboundAttempt};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::schema::Direction;
@@ -77,26 +77,26 @@
 fn check(
     handle: &ConnectionHandle,
     in_force: &ContractsInForce,
-    message: Part<'_>,
+    message: ObservedMessage<'_>,
     line: impl FnOnce() -> String,
-    fields: Head,
+    fields: HeaderParser,
 ) -> bool {
     let (contracts, server) = (&handle.contracts, &handle.server);
-    contracts.frame(in_force, Interface::Servers, server, message, line, fields)
+    contracts.check_message(in_force, Interface::Servers, server, message, line, fields)
 }
 
-fn request<'p>(word: &'static str, payload: &'p [u8]) -> Part<'p> {
-    message(word, Direction::Request, payload)
+fn request<'p>(name: &'static str, payload: &'p [u8]) -> ObservedMessage<'p> {
+    message(name, Direction::Request, payload)
 }
 
-fn reply<'p>(word: &'static str, payload: &'p [u8]) -> Part<'p> {
-    message(word, Direction::Response, payload)
+fn reply<'p>(name: &'static str, payload: &'p [u8]) -> ObservedMessage<'p> {
+    message(name, Direction::Response, payload)
 }
 
-fn message<'p>(word: &'static str, direction: Direction, payload: &'p [u8]) -> Part<'p> {
-    Part {
+fn message<'p>(name: &'static str, direction: Direction, payload: &'p [u8]) -> ObservedMessage<'p> {
+    ObservedMessage {
         channel: "frames",
-        word,
+        name,
         direction,
         payload,
     }
--- a/crates/coordinator/src/backends/opensearch/connection.rs
+++ b/crates/coordinator/src/backends/opensearch/connection.rs
@@ -233,7 +233,7 @@
     fn check_response(&self, response: &Response, complete: bool) -> bool {
         let (part, handle) = (&self.part, &self.handle);
         let contracts = &handle.contracts;
-        contracts.exchange(
+        contracts.check_exchange(
             &part.contracts,
             &handle.server,
             &self.request,
--- a/crates/coordinator/src/discovery/watch_task.rs
+++ b/crates/coordinator/src/discovery/watch_task.rs
@@ -3,7 +3,7 @@
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use crate::clock::Clock;
-use crate::contract::{Contracts, Part};
+use crate::contract::{Contracts, ObservedMessage};
 use crate::discovery::agent_connection::{target, AgentConnection};
 use crate::discovery::endpoint_list::EndpointListPage;
 use crate::http;
@@ -111,17 +111,17 @@
 
     /// Holds a poll against the contracts, which only observe discovery.
     fn check_poll(&self, in_force: &ContractsInForce, target: &str) {
-        let part = Part {
+        let message = ObservedMessage {
             channel: CONTRACT_CHANNEL,
-            word: "ask",
+            name: "ask",
             direction: Direction::Request,
             payload: b"",
         };
-        self.contracts.frame(
+        self.contracts.check_message(
             in_force,
             Interface::Discovery,
             &Arc::from(CONTRACT_PARTY),
-            part,
+            message,
             || target.to_string(),
             query_parameters,
         );
@@ -129,17 +129,17 @@
 
     /// Holds an endpoint list against the contracts, which only observe discovery.
     fn check_list(&self, in_force: &ContractsInForce, payload: &[u8]) {
-        let part = Part {
+        let message = ObservedMessage {
             channel: CONTRACT_CHANNEL,
-            word: "list",
+            name: "list",
             direction: Direction::Response,
             payload,
         };
-        self.contracts.frame(
+        self.contracts.check_message(
             in_force,
             Interface::Discovery,
             &Arc::from(CONTRACT_PARTY),
-            part,
+            message,
             String::new,
             |_| json!({}),
         );
--- a/crates/coordinator/src/fronts/session.rs
+++ b/crates/coordinator/src/fronts/session.rs
@@ -8,9 +8,10 @@
 use super::front::{Front, FrontKind};
 use super::reply::Reply;
 use super::{health, opensearch, platform};
-use crate::contract::Watched;
+use crate::contract::SampledRequest;
 use crate::http;
 use crate::messages::{ContractsInForce, Phase};
+use cairnroad_contract::enforcement::Rejection;
 use cairnroad_types::Time;
 use lingering_close::{IDLE_LINGER_TIMEOUT, LINGER_TIMEOUT};
 use next_request::NextRequest;
@@ -101,14 +102,14 @@
             health::reply(&self.front, &request.method)
         } else if overloaded {
             self.front.retry_later_reply(503, "too many connections")
-        } else if let Err(reason) = &checked {
-            self.front.error_reply(400, reason)
+        } else if let Err(rejection) = &checked {
+            self.front.error_reply(400, &rejection.to_string())
         } else {
             self.forward(request, arrived, contracts).await?
         };
-        if let Ok(Some(watched)) = checked {
-            self.front.contracts.answered(
-                watched,
+        if let Ok(Some(sampled)) = checked {
+            self.front.contracts.on_response(
+                sampled,
                 reply.status,
                 reply.content_type,
                 &reply.headers,
@@ -123,13 +124,13 @@
         &self,
         contracts: &ContractsInForce,
         request: &http::Request,
-    ) -> Result<Option<Watched>, String> {
+    ) -> Result<Option<SampledRequest>, Rejection> {
         match contracts {
             None => Ok(None),
             Some(in_force) => {
                 let interface = self.front.interface();
-                let checked = self.front.contracts.request(in_force, interface, request);
-                checked.map_err(|rejection| rejection.to_string())
+                let contracts = &self.front.contracts;
+                contracts.check_request(in_force, interface, request)
             }
         }
     }
--- a/crates/coordinator/src/pipeline/core/endpoints.rs
+++ b/crates/coordinator/src/pipeline/core/endpoints.rs
@@ -14,7 +14,8 @@
 impl Core {
     /// Applies an update of the endpoint list. `cached`: it was stored by an earlier process.
     pub(super) fn on_endpoint_update(&mut self, update: &EndpointListUpdate, cached: bool) {
-        self.contracts.note_list(&update.rows, update.complete);
+        self.contracts
+            .on_endpoint_update(&update.rows, update.complete);
         if !update.rows.is_empty() {
             self.metrics.add(if update.complete {
                 Counter::EndpointSnapshots
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -1,7 +1,7 @@
 //! What this instance offers and uses, for its own descriptions.
 
 use crate::configuration::{BackendKind, Config};
-use crate::contract::Pages;
+use crate::contract::PublishedDescriptions;
 use crate::fronts::{self, opensearch};
 use crate::http;
 use cairnroad_contract::publish::{self, Class, Index, InterfaceSpec, Limits};
@@ -58,9 +58,9 @@
 }
 
 /// A configuration's own descriptions, as they are served.
-pub fn pages(config: &Config) -> Pages {
+pub fn pages(config: &Config) -> PublishedDescriptions {
     let surface = of(config);
-    Pages {
+    PublishedDescriptions {
         openapi: publish::openapi(&surface).to_string().into_bytes(),
         asyncapi: publish::asyncapi(&surface).to_string().into_bytes(),
     }
