--- a/crates/coordinator/src/commands/contract/show.rs
+++ b/crates/coordinator/src/commands/contract/show.rs
@@ -12,10 +12,10 @@
 /// Runs the command.
 pub fn show(kind: DescriptionKind, yaml: bool) -> Result<CommandStatus, CommandError> {
     let config = configuration::load()?;
-    let surface = published_descriptions::of(&config);
+    let spec = published_descriptions::interface_spec(&config);
     let document = match kind {
-        DescriptionKind::Openapi => publish::openapi(&surface),
-        DescriptionKind::Asyncapi => publish::asyncapi(&surface),
+        DescriptionKind::Openapi => publish::openapi(&spec),
+        DescriptionKind::Asyncapi => publish::asyncapi(&spec),
     };
     let text = match yaml {
         true => to_yaml(&document),
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -1,67 +1,73 @@
-//! What this instance offers and uses, for its own descriptions.
+//! Builds this instance's own descriptions from its configuration.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use crate::configuration::{BackendKind, Config};
 use crate::contract::PublishedDescriptions;
 use crate::fronts::{self, opensearch};
 use crate::http;
 use cairnroad_contract::publish::{self, Class, Index, InterfaceSpec, Limits};
+use cairnroad_settings::OfferedClass;
 use cairnroad_types::Idempotency;
 
-/// The surface of a configuration.
-pub fn of(config: &Config) -> InterfaceSpec {
+/// Returns what an instance with this configuration offers and uses.
+pub fn interface_spec(config: &Config) -> InterfaceSpec {
     let deployment = &config.served.deployment;
-    let class_name = |class: usize| {
-        deployment
-            .class_names
-            .get(class)
-            .cloned()
-            .unwrap_or_default()
-    };
     InterfaceSpec {
         version: env!("CARGO_PKG_VERSION").into(),
-        listen: config.listen.to_string(),
-        query: config.opensearch_listen.map(|address| address.to_string()),
-        classes: deployment
-            .offered_classes()
-            .map(
-                |cairnroad_settings::OfferedClass { name, class, .. }| Class {
-                    name: name.into(),
-                    aim: class.latency_objective,
-                    deadline: class.deadline,
-                    repeatable: class.idempotency != Idempotency::AtMostOnce,
-                    floor: class.minimum_share,
-                },
-            )
-            .collect(),
-        shards: deployment.shards,
-        indices: config
-            .served
-            .indices
-            .iter()
-            .map(|index| Index {
-                name: index.name.clone(),
-                class: class_name(index.class),
-                shards: (index.first_shard, index.last_shard),
-            })
-            .collect(),
-        frames: config.backend == BackendKind::Frames,
-        report: deployment.report_names.clone(),
-        limits: Limits {
-            body: http::MAX_BODY,
-            head: http::MAX_HEAD,
-            fields: http::MAX_FIELDS,
-            slow: fronts::REQUEST_READ_TIMEOUT.as_secs_f64(),
-            window: opensearch::MAX_RESULT_WINDOW,
-            searches: opensearch::MAX_SEARCHES,
-        },
+        platform_listen: config.listen.to_string(),
+        query_listen: config.opensearch_listen.map(|address| address.to_string()),
+        classes: deployment.offered_classes().map(class).collect(),
+        shard_count: deployment.shards,
+        indices: indices(config),
+        uses_frames: config.backend == BackendKind::Frames,
+        load_report_fields: deployment.report_names.clone(),
+        limits: limits(),
+    }
+}
+
+fn class(offered: OfferedClass) -> Class {
+    let class = offered.class;
+    Class {
+        name: offered.name.into(),
+        latency_objective_seconds: class.latency_objective,
+        deadline_seconds: class.deadline,
+        is_idempotent: class.idempotency != Idempotency::AtMostOnce,
+        minimum_share: class.minimum_share,
+    }
+}
+
+fn indices(config: &Config) -> Vec<Index> {
+    let class_names = &config.served.deployment.class_names;
+    config
+        .served
+        .indices
+        .iter()
+        .map(|index| Index {
+            name: index.name.clone(),
+            class: class_names.get(index.class).cloned().unwrap_or_default(),
+            first_shard: index.first_shard,
+            last_shard: index.last_shard,
+        })
+        .collect()
+}
+
+fn limits() -> Limits {
+    Limits {
+        max_body_bytes: http::MAX_BODY,
+        max_head_bytes: http::MAX_HEAD,
+        max_head_fields: http::MAX_FIELDS,
+        read_timeout_seconds: fronts::REQUEST_READ_TIMEOUT.as_secs_f64(),
+        max_result_window: opensearch::MAX_RESULT_WINDOW,
+        max_searches: opensearch::MAX_SEARCHES,
     }
 }
 
-/// A configuration's own descriptions, as they are served.
-pub fn pages(config: &Config) -> PublishedDescriptions {
-    let surface = of(config);
+/// Returns the descriptions of an instance with this configuration, as they are served.
+pub fn publish(config: &Config) -> PublishedDescriptions {
+    let spec = interface_spec(config);
     PublishedDescriptions {
-        openapi: publish::openapi(&surface).to_string().into_bytes(),
-        asyncapi: publish::asyncapi(&surface).to_string().into_bytes(),
+        openapi: publish::openapi(&spec).to_string().into_bytes(),
+        asyncapi: publish::asyncapi(&spec).to_string().into_bytes(),
     }
 }
--- a/crates/coordinator/src/server/descriptions.rs
+++ b/crates/coordinator/src/server/descriptions.rs
@@ -9,8 +9,8 @@
 
 /// Publishes the coordinator's own descriptions, and puts those that the configuration names into force.
 pub async fn start(config: &Config, clock: &Clock) -> Result<Rc<Contracts>, DescriptionsError> {
-    let pages = published_descriptions::pages(config);
-    let contracts = Contracts::new(clock.clone(), pages);
+    let published = published_descriptions::publish(config);
+    let contracts = Contracts::new(clock.clone(), published);
     if !config.contracts.is_empty() {
         adopt(&contracts, config).await?;
     }
--- a/crates/coordinator/src/server/reload.rs
+++ b/crates/coordinator/src/server/reload.rs
@@ -49,8 +49,8 @@
             return Err(ReloadError::MissingKey(key));
         }
         self.config.served = reconfigure(&self.messages, &fresh.served).await?;
-        let pages = published_descriptions::pages(&self.config);
-        self.contracts.republish(pages);
+        let published = published_descriptions::publish(&self.config);
+        self.contracts.republish(published);
         let keys = self.config.needs_restart(&fresh);
         if !keys.is_empty() {
             tracing::warn!(keys = keys.join(", "), "reload needs restart");
