--- a/crates/contract/benches/check.rs
+++ b/crates/contract/benches/check.rs
@@ -1,4 +1,4 @@
-//! The cost of one check, by the size of the answer: `cargo bench -p cairnroad-contract`.
+//! Measures the CPU time of one check by the size of the response: `cargo bench -p cairnroad-contract`.
 
 use cairnroad_contract::conformance::{ObservedRequest, ObservedResponse};
 use cairnroad_contract::model::Description;
@@ -36,54 +36,72 @@
         _source: {type: object, required: [sku, count], properties: {sku: {type: string}, count: {type: integer, minimum: 0}, room: {enum: [kita, higashi, minami]}}}
 "##;
 
-fn body(hits: usize) -> Vec<u8> {
-    let hit = |at: usize| json!({"_id": format!("h-{at}"), "_score": 1.5, "_source": {"sku": "A-17", "count": at, "room": "kita"}});
-    json!({"took": 3, "hits": {"hits": (0..hits).map(hit).collect::<Vec<_>>()}})
+/// The body of a search response with so many hits.
+fn response_body(hit_count: usize) -> Vec<u8> {
+    let hit = |number: usize| {
+        let source = json!({"sku": "A-17", "count": number, "room": "kita"});
+        json!({"_id": format!("h-{number}"), "_score": 1.5, "_source": source})
+    };
+    let hits: Vec<_> = (0..hit_count).map(hit).collect();
+    json!({"took": 3, "hits": {"hits": hits}})
         .to_string()
         .into_bytes()
 }
 
-fn checks(c: &mut Criterion) {
+fn json_fields() -> Vec<(String, String)> {
+    vec![("Content-Type".to_string(), "application/json".to_string())]
+}
+
+fn response_check(criterion: &mut Criterion) {
     let description = Description::from_text("bench.yaml", DESCRIPTION).unwrap();
-    let fields = vec![("Content-Type".to_string(), "application/json".to_string())];
-    for (name, hits, wrong) in [
+    let fields = json_fields();
+    for (name, hit_count, has_violation) in [
         ("200 bytes", 2, false),
         ("20 KB", 245, false),
-        ("20 KB, departing", 245, true),
+        ("20 KB, with a violation", 245, true),
     ] {
-        let mut body = body(hits);
-        if wrong {
-            let at = body.iter().rposition(|&b| b == b'k').unwrap();
-            body[at] = b'x';
+        let mut body = response_body(hit_count);
+        if has_violation {
+            // The last hit's room becomes one that is not listed.
+            let room = body.iter().rposition(|&byte| byte == b'k').unwrap();
+            body[room] = b'x';
         }
-        let answered = ObservedResponse {
+        let response = ObservedResponse {
             status: 200,
             fields: &fields,
             body: &body,
             whole: true,
         };
         assert_eq!(
-            description.check_response(0, &answered).departures.len(),
-            usize::from(wrong)
+            description.check_response(0, &response).departures.len(),
+            usize::from(has_violation)
         );
         println!("{name}: {} bytes", body.len());
-        c.bench_function(&format!("answer of {name}"), |b| {
-            b.iter(|| black_box(description.check_response(0, black_box(&answered))));
+        criterion.bench_function(&format!("response of {name}"), |bencher| {
+            bencher.iter(|| black_box(description.check_response(0, black_box(&response))));
         });
     }
-    let asked = ObservedRequest {
+}
+
+fn request_check(criterion: &mut Criterion) {
+    let description = Description::from_text("bench.yaml", DESCRIPTION).unwrap();
+    let fields = json_fields();
+    let request = ObservedRequest {
         method: "POST",
         target: "/stock/_search?size=20",
         fields: &fields,
         body: br#"{"query":{"match":{"sku":"A-17"}}}"#,
     };
-    c.bench_function("request of 34 bytes", |b| {
-        b.iter(|| black_box(description.check_request(black_box(&asked))))
+    criterion.bench_function("request of 34 bytes", |bencher| {
+        bencher.iter(|| black_box(description.check_request(black_box(&request))));
     });
-    c.bench_function("reading the description", |b| {
-        b.iter(|| black_box(Description::from_text("bench.yaml", DESCRIPTION).unwrap()));
+}
+
+fn reading(criterion: &mut Criterion) {
+    criterion.bench_function("reading the description", |bencher| {
+        bencher.iter(|| black_box(Description::from_text("bench.yaml", DESCRIPTION).unwrap()));
     });
 }
 
-criterion_group!(benches, checks);
+criterion_group!(benches, response_check, request_check, reading);
 criterion_main!(benches);
--- a/crates/coordinator/benches/contract.rs
+++ b/crates/coordinator/benches/contract.rs
@@ -1,26 +1,33 @@
-//! What checking costs the running program: CPU of the core's thread a query and latency, with descriptions off,
-//! observed at full share and enforced, in turns: `cargo bench -p cairnroad-coordinator --bench contract [ROUNDS]`.
+//! Measures what contract checks cost the running program: CPU time a query and latency, with contracts off, observed
+//! at a share of 1 and enforced: `cargo bench -p cairnroad-coordinator --bench contract [ROUNDS]`.
 //!
-//! Queries of three parts come at a fixed rate on eight connections. Figures are the median over rounds with the least
-//! and the most.
+//! The modes take turns. Queries of three parts are sent at a fixed rate on eight connections. Figures are the median
+//! over the rounds with minimum and maximum.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::*;
+use common::{read_response, start_data_nodes, Behavior, DataNodes, TestCoordinator, WireFormat};
 use hdrhistogram::Histogram;
 use serde_json::json;
 use std::io::{BufReader, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Queries a second, on so many connections, for so long.
-const RATE: f64 = 400.0;
+/// Queries a second over all connections.
+const QUERY_RATE: f64 = 400.0;
+/// Client connections.
 const CONNECTIONS: usize = 8;
-const SPAN: Duration = Duration::from_secs(3);
-const WARM: Duration = Duration::from_millis(700);
+/// How long a round is measured.
+const MEASUREMENT: Duration = Duration::from_secs(3);
+/// How long a round runs before it is measured.
+const WARM_UP: Duration = Duration::from_millis(700);
+/// Rounds a mode, unless the command line says otherwise.
+const DEFAULT_ROUNDS: usize = 5;
+/// The modes that are compared.
+const MODES: [&str; 3] = ["off", "observe", "enforce"];
 
 const PLATFORM: &str = r##"
 openapi: 3.1.0
@@ -62,150 +69,191 @@
       answer: {x-frame: A, contentType: text/plain, headers: {type: object, required: [id, end], properties: {end: {enum: [ok, err, busy]}}}, payload: {type: string, pattern: "^value"}}
 "##;
 
-/// Nanoseconds that a thread of the program has run.
-fn ran(pid: u32, core: bool) -> u64 {
-    let tasks = std::fs::read_dir(format!("/proc/{pid}/task"))
-        .unwrap()
-        .flatten();
-    let of = |name: std::ffi::OsString| {
-        let text = std::fs::read_to_string(format!(
-            "/proc/{pid}/task/{}/schedstat",
-            name.to_string_lossy()
-        ))
-        .ok()?;
-        text.split(' ').next()?.parse::<u64>().ok()
-    };
+/// Threads of the program whose CPU time is measured together.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Threads {
+    /// The core's thread, which is the process's first.
+    Core,
+    /// All others.
+    Background,
+}
+
+/// CPU time that the chosen threads of a process have used, in nanoseconds.
+fn cpu_nanoseconds(pid: u32, threads: Threads) -> u64 {
+    let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).unwrap();
     tasks
-        .filter(|task| (task.file_name().to_string_lossy() == pid.to_string()) == core)
-        .filter_map(|t| of(t.file_name()))
+        .flatten()
+        .map(|task| task.file_name().to_string_lossy().into_owned())
+        .filter(|thread| (*thread == pid.to_string()) == (threads == Threads::Core))
+        .filter_map(|thread| thread_nanoseconds(pid, &thread))
         .sum()
 }
 
+/// CPU time of one thread; `None` where it has ended.
+fn thread_nanoseconds(pid: u32, thread: &str) -> Option<u64> {
+    let path = format!("/proc/{pid}/task/{thread}/schedstat");
+    let text = std::fs::read_to_string(path).ok()?;
+    text.split(' ').next()?.parse().ok()
+}
+
+/// CPU time of a process at one moment, in nanoseconds.
+struct CpuTimes {
+    core: u64,
+    background: u64,
+}
+
+impl CpuTimes {
+    fn read(pid: u32) -> CpuTimes {
+        CpuTimes {
+            core: cpu_nanoseconds(pid, Threads::Core),
+            background: cpu_nanoseconds(pid, Threads::Background),
+        }
+    }
+}
+
+/// The figures of a round. CPU times are microseconds a query, latencies are milliseconds.
 struct Figures {
     core_us: f64,
-    aside_us: f64,
+    background_us: f64,
     p50_ms: f64,
     p99_ms: f64,
 }
 
-fn round(wire: WireFormat, mode: &str) -> Figures {
+/// Runs one round and measures it after the warm-up.
+fn run_round(wire: WireFormat, mode: &str) -> Figures {
+    let coordinator = start_coordinator(wire, mode);
+    let pid = coordinator.child.id();
+    let start = Instant::now();
+    let clients: Vec<_> = (0..CONNECTIONS)
+        .map(|number| {
+            let address = coordinator.platform;
+            thread::spawn(move || run_client(address, number, start))
+        })
+        .collect();
+    sleep_until(start + WARM_UP);
+    let before = CpuTimes::read(pid);
+    sleep_until(start + WARM_UP + MEASUREMENT);
+    let after = CpuTimes::read(pid);
+    let mut latencies = Histogram::<u64>::new(3).unwrap();
+    for client in clients {
+        latencies.add(client.join().unwrap()).unwrap();
+    }
+    let queries = latencies.len() as f64;
+    Figures {
+        core_us: (after.core - before.core) as f64 / 1000.0 / queries,
+        background_us: (after.background - before.background) as f64 / 1000.0 / queries,
+        p50_ms: latencies.value_at_quantile(0.5) as f64 / 1000.0,
+        p99_ms: latencies.value_at_quantile(0.99) as f64 / 1000.0,
+    }
+}
+
+fn start_coordinator(wire: WireFormat, mode: &str) -> Arc<TestCoordinator> {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let members = start_data_nodes(wire, &data_nodes);
-    let own = match mode {
-        "off" => String::new(),
-        mode => ["platform", "servers"]
-            .map(|name| {
-                format!("[contract.{name}]\nmode = \"{mode}\"\ndescription = \"{name}.yaml\"\n")
-            })
-            .concat(),
-    };
-    let servers = if wire == WireFormat::OpenSearch {
-        SEARCH
-    } else {
-        FRAMES
+    let servers = match wire {
+        WireFormat::OpenSearch => SEARCH,
+        _ => FRAMES,
     };
     let files = [("platform.yaml", PLATFORM), ("servers.yaml", servers)];
-    let coordinator = Arc::new(TestCoordinator::start_with_files(
+    Arc::new(TestCoordinator::start_with_files(
         wire,
         data_nodes,
         (1000, 1024),
         members,
-        &own,
+        &contract_settings(mode),
         &files,
-    ));
-    let pid = coordinator.child.id();
-    let start = Instant::now();
-    let client = |number: usize| {
-        let to = coordinator.platform;
-        thread::spawn(move || {
-            let mut stream = TcpStream::connect(to).unwrap();
-            stream.set_nodelay(true).unwrap();
-            let mut reader = BufReader::new(stream.try_clone().unwrap());
-            let mut seen = Histogram::<u64>::new(3).unwrap();
-            let gap = Duration::from_secs_f64(CONNECTIONS as f64 / RATE);
-            let first = start + gap.mul_f64(number as f64 / CONNECTIONS as f64);
-            for turn in 0.. {
-                let due = first + gap * turn;
-                if due > start + WARM + SPAN {
-                    break;
-                }
-                thread::sleep(due.saturating_duration_since(Instant::now()));
-                let shards: Vec<_> = (0..3)
-                    .map(|at| json!({"shard": (turn as usize + at) % 8, "weight": 1.0 / 3.0}))
-                    .collect();
-                let body =
-                    json!({"shards": shards, "q": format!("~{}~", turn as usize * CONNECTIONS + number)})
-                        .to_string();
-                let id = format!("b{number}-{turn}");
-                let head = format!(
-                    "POST /api HTTP/1.1\r\nHost: b\r\nX-Request-Id: {id}\r\nX-Class: stock-search\r\nX-Deadline: 2.0\r\n\
-                     Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
-                    body.len()
-                );
-                stream.write_all(head.as_bytes()).unwrap();
-                let answer = read_response(&mut reader);
-                assert_eq!(answer.status, 200, "{}", answer.json);
-                if due > start + WARM {
-                    // From when it was due: a client that is held up by one answer still counts what it missed.
-                    seen.record(due.elapsed().as_micros() as u64).unwrap();
-                }
-            }
-            seen
-        })
-    };
-    let clients: Vec<_> = (0..CONNECTIONS).map(client).collect();
-    thread::sleep((start + WARM).saturating_duration_since(Instant::now()));
-    let (core, aside) = (ran(pid, true), ran(pid, false));
-    thread::sleep((start + WARM + SPAN).saturating_duration_since(Instant::now()));
-    let (core, aside) = (ran(pid, true) - core, ran(pid, false) - aside);
-    let mut seen = Histogram::<u64>::new(3).unwrap();
-    for client in clients {
-        seen.add(client.join().unwrap()).unwrap();
+    ))
+}
+
+fn contract_settings(mode: &str) -> String {
+    if mode == "off" {
+        return String::new();
     }
-    let queries = seen.len() as f64;
-    Figures {
-        core_us: core as f64 / 1000.0 / queries,
-        aside_us: aside as f64 / 1000.0 / queries,
-        p50_ms: seen.value_at_quantile(0.5) as f64 / 1000.0,
-        p99_ms: seen.value_at_quantile(0.99) as f64 / 1000.0,
+    ["platform", "servers"]
+        .map(|name| {
+            format!("[contract.{name}]\nmode = \"{mode}\"\ndescription = \"{name}.yaml\"\n")
+        })
+        .concat()
+}
+
+/// Sends queries at this connection's part of the rate until the round ends. Returns the latencies in microseconds.
+fn run_client(address: SocketAddr, number: usize, start: Instant) -> Histogram<u64> {
+    let mut stream = TcpStream::connect(address).unwrap();
+    stream.set_nodelay(true).unwrap();
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    let mut latencies = Histogram::<u64>::new(3).unwrap();
+    let interval = Duration::from_secs_f64(CONNECTIONS as f64 / QUERY_RATE);
+    let first = start + interval.mul_f64(number as f64 / CONNECTIONS as f64);
+    for sequence in 0.. {
+        let due = first + interval * sequence;
+        if due > start + WARM_UP + MEASUREMENT {
+            break;
+        }
+        sleep_until(due);
+        let query = query(number, sequence as usize);
+        stream.write_all(query.as_bytes()).unwrap();
+        let answer = read_response(&mut reader);
+        assert_eq!(answer.status, 200, "{}", answer.json);
+        if due > start + WARM_UP {
+            // Measured from when the query was due: a client that one answer delays still counts what it missed.
+            latencies.record(due.elapsed().as_micros() as u64).unwrap();
+        }
     }
+    latencies
+}
+
+/// A query of three parts, as the bytes of its request.
+fn query(connection: usize, sequence: usize) -> String {
+    let shards: Vec<_> = (0..3)
+        .map(|offset| json!({"shard": (sequence + offset) % 8, "weight": 1.0 / 3.0}))
+        .collect();
+    let text = format!("~{}~", sequence * CONNECTIONS + connection);
+    let body = json!({"shards": shards, "q": text}).to_string();
+    format!(
+        "POST /api HTTP/1.1\r\nHost: b\r\nX-Request-Id: b{connection}-{sequence}\r\nX-Class: stock-search\r\n\
+         X-Deadline: 2.0\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+}
+
+fn sleep_until(time: Instant) {
+    thread::sleep(time.saturating_duration_since(Instant::now()));
 }
 
 fn main() {
     let rounds = std::env::args()
         .skip(1)
-        .find_map(|word| word.parse().ok())
-        .unwrap_or(5);
+        .find_map(|argument| argument.parse().ok())
+        .unwrap_or(DEFAULT_ROUNDS);
     println!(
-        "{RATE} queries a second of three parts, {rounds} rounds in turns: median (least to most)"
+        "{QUERY_RATE} queries a second of three parts, {rounds} rounds in turns: median (minimum to maximum)"
     );
     for wire in [WireFormat::Platform, WireFormat::OpenSearch] {
-        let modes = ["off", "observe", "enforce"];
-        let mut all: Vec<Vec<Figures>> = modes.iter().map(|_| Vec::new()).collect();
+        let mut figures = MODES.map(|_| Vec::new());
         for _ in 0..rounds {
-            for (at, mode) in modes.iter().enumerate() {
-                all[at].push(round(wire, mode));
+            for (figures, mode) in figures.iter_mut().zip(MODES) {
+                figures.push(run_round(wire, mode));
             }
         }
         println!("servers that speak {wire:?}");
-        for (mode, figures) in modes.iter().zip(&all) {
-            let show = |pick: fn(&Figures) -> f64| {
-                let mut values: Vec<f64> = figures.iter().map(pick).collect();
-                values.sort_by(f64::total_cmp);
-                format!(
-                    "{:7.2} ({:.2} to {:.2})",
-                    values[values.len() / 2],
-                    values[0],
-                    values[values.len() - 1]
-                )
-            };
+        for (mode, figures) in MODES.iter().zip(&figures) {
             println!(
-                "  {mode:8} core us a query {}, aside {}, p50 ms {}, p99 ms {}",
-                show(|f| f.core_us),
-                show(|f| f.aside_us),
-                show(|f| f.p50_ms),
-                show(|f| f.p99_ms)
+                "  {mode:8} core us a query {}, background {}, p50 ms {}, p99 ms {}",
+                summarize(figures, |round| round.core_us),
+                summarize(figures, |round| round.background_us),
+                summarize(figures, |round| round.p50_ms),
+                summarize(figures, |round| round.p99_ms)
             );
         }
     }
 }
+
+/// The median of one figure over the rounds, with minimum and maximum.
+fn summarize(rounds: &[Figures], figure: fn(&Figures) -> f64) -> String {
+    let mut values: Vec<f64> = rounds.iter().map(figure).collect();
+    values.sort_by(f64::total_cmp);
+    let median = values[values.len() / 2];
+    let minimum = values[0];
+    let maximum = values[values.len() - 1];
+    format!("{median:7.2} ({minimum:.2} to {maximum:.2})")
+}
