--- a/crates/coordinator/src/contract/client_traffic.rs
+++ b/crates/coordinator/src/contract/client_traffic.rs
@@ -80,7 +80,7 @@
         );
         match decide_request(contract.mode, &found.departures) {
             RequestDecision::Reject(rejection) => Err(rejection),
-            _ => Ok(()),
+            RequestDecision::Serve => Ok(()),
         }
     }
 
--- a/crates/coordinator/src/contract/loading.rs
+++ b/crates/coordinator/src/contract/loading.rs
@@ -18,7 +18,7 @@
     #[error(transparent)]
     Faulty(#[from] FaultyContracts),
     /// The thread that checks sampled messages can't be started.
-    #[error("a thread: {0}")]
+    #[error("the thread that checks messages can't be started: {0}")]
     Thread(#[source] std::io::Error),
 }
 
