--- a/crates/coordinator/src/backends/opensearch/connection.rs
+++ b/crates/coordinator/src/backends/opensearch/connection.rs
@@ -235,7 +235,7 @@
         let part = &self.part;
         let handle = &self.handle;
         let contracts = &handle.contracts;
-        contracts.exchange(
+        contracts.check_exchange(
             &part.contracts,
             &handle.server,
             &self.request,
