--- a/crates/contract/benches/check.rs
+++ b/crates/contract/benches/check.rs
@@ -60,10 +60,10 @@
             status: 200,
             fields: &fields,
             body: &body,
-            whole: true,
+            complete: true,
         };
         assert_eq!(
-            description.check_response(0, &answered).departures.len(),
+            description.check_response(0, &answered).violations.len(),
             usize::from(wrong)
         );
         println!("{name}: {} bytes", body.len());
--- a/crates/contract/src/conformance.rs
+++ b/crates/contract/src/conformance.rs
@@ -78,7 +78,7 @@
     /// The operation's number, for the answer to come.
     pub number: Option<usize>,
     /// What departs; empty where nothing does.
-    pub departures: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
 /// A request.
@@ -104,7 +104,7 @@
     /// The body.
     pub body: &'m [u8],
     /// Whether all of it came.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 fn field<'m>(fields: &'m [(String, String)], name: &str) -> Option<&'m str> {
@@ -144,7 +144,7 @@
                 return Conformance {
                     operation: None,
                     number: None,
-                    departures: report.all,
+                    violations: report.all,
                 };
             }
             RouteMatch::Nothing => {
@@ -158,7 +158,7 @@
                 return Conformance {
                     operation: None,
                     number: None,
-                    departures: report.all,
+                    violations: report.all,
                 };
             }
         };
@@ -216,7 +216,7 @@
         Conformance {
             operation: Some(&operation.name),
             number: Some(number),
-            departures: report.all,
+            violations: report.all,
         }
     }
 
@@ -230,15 +230,15 @@
             return Conformance {
                 operation: None,
                 number: None,
-                departures: Vec::new(),
+                violations: Vec::new(),
             };
         };
         let judged = |all| Conformance {
             operation: Some(&operation.name),
             number: Some(number),
-            departures: all,
+            violations: all,
         };
-        if !answered.whole {
+        if !answered.complete {
             let bytes = format!("{} bytes, then the end", answered.body.len());
             report.add(
                 ViolationKind::Truncated,
@@ -319,7 +319,7 @@
             return Conformance {
                 operation: None,
                 number: None,
-                departures: report.all,
+                violations: report.all,
             };
         };
         report.value(&message.headers, "head", headers);
@@ -332,7 +332,7 @@
         Conformance {
             operation: Some(&message.name),
             number: None,
-            departures: report.all,
+            violations: report.all,
         }
     }
 
--- a/crates/contract/src/drift.rs
+++ b/crates/contract/src/drift.rs
@@ -60,19 +60,19 @@
     /// Which way it went.
     pub direction: Direction,
     /// What departs in it.
-    pub departures: &'o [Violation],
+    pub violations: &'o [Violation],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Operation {
+struct ObservedOperation {
     interface: Interface,
     operation: Arc<str>,
     direction: Direction,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
-    operation: Operation,
+struct EntryKey {
+    operation: ObservedOperation,
     place: String,
     kind: ViolationKind,
 }
@@ -99,7 +99,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Checked {
+struct OperationCounts {
     count: u64,
     by: BTreeMap<Arc<str>, u64>,
 }
@@ -115,7 +115,7 @@
 
 /// An entry as it is shown.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Row {
+pub struct DriftEntry {
     /// Whose traffic it is.
     pub interface: Interface,
     /// The operation's name.
@@ -147,8 +147,8 @@
 /// See the module's page.
 #[derive(Clone, Debug, Default)]
 pub struct DriftTracker {
-    entries: BTreeMap<Key, Entry>,
-    checked: BTreeMap<Operation, Checked>,
+    entries: BTreeMap<EntryKey, Entry>,
+    checked: BTreeMap<ObservedOperation, OperationCounts>,
     servers: BTreeMap<Arc<str>, Option<f64>>,
     /// Messages looked at, and those of them that depart.
     pub messages: u64,
@@ -170,40 +170,40 @@
 
 impl DriftTracker {
     /// Notes one message. Returns whether it shows something new: an entry, or a party of one.
-    pub fn record(&mut self, now: f64, seen: &Observation) -> bool {
+    pub fn record(&mut self, now: f64, observation: &Observation) -> bool {
         self.messages += 1;
-        let operation = Operation {
-            interface: seen.interface,
-            operation: seen.operation.clone(),
-            direction: seen.direction,
+        let operation = ObservedOperation {
+            interface: observation.interface,
+            operation: observation.operation.clone(),
+            direction: observation.direction,
         };
         let room = self.checked.len() < MAX_OPERATIONS;
         let mut good_before = 0;
         if room || self.checked.contains_key(&operation) {
             let checked = self.checked.entry(operation.clone()).or_default();
             checked.count += 1;
-            if checked.by.len() < MAX_PARTIES || checked.by.contains_key(seen.party) {
-                let count = checked.by.entry(seen.party.clone()).or_default();
+            if checked.by.len() < MAX_PARTIES || checked.by.contains_key(observation.party) {
+                let count = checked.by.entry(observation.party.clone()).or_default();
                 good_before = *count;
                 *count += 1;
             }
         }
-        if seen.departures.is_empty() {
+        if observation.violations.is_empty() {
             return false;
         }
         self.departing += 1;
         let mut new = false;
         // A message counts once for each place, however many items of a list depart there.
         let mut places = BTreeSet::new();
-        for departure in seen.departures {
+        for departure in observation.violations {
             let place = place_of(&departure.place);
             if places.insert((place.clone(), departure.kind)) {
-                let key = Key {
+                let key = EntryKey {
                     operation: operation.clone(),
                     place,
                     kind: departure.kind,
                 };
-                new |= self.enter(now, key, seen.party, departure, good_before);
+                new |= self.enter(now, key, observation.party, departure, good_before);
             }
         }
         new
@@ -212,7 +212,7 @@
     fn enter(
         &mut self,
         now: f64,
-        mut key: Key,
+        mut key: EntryKey,
         party: &Arc<str>,
         departure: &Violation,
         good_before: u64,
@@ -317,8 +317,8 @@
     }
 
     /// All entries, the latest first.
-    pub fn rows(&self) -> Vec<Row> {
-        let mut rows: Vec<Row> = self
+    pub fn rows(&self) -> Vec<DriftEntry> {
+        let mut rows: Vec<DriftEntry> = self
             .entries
             .iter()
             .map(|(key, entry)| self.row(key, entry))
@@ -328,13 +328,13 @@
     }
 
     /// The entry of a departure that was just noted, in one sentence.
-    pub fn summary(&self, seen: &Observation, departure: &Violation) -> Option<String> {
-        let operation = Operation {
-            interface: seen.interface,
-            operation: seen.operation.clone(),
-            direction: seen.direction,
+    pub fn summary(&self, observation: &Observation, departure: &Violation) -> Option<String> {
+        let operation = ObservedOperation {
+            interface: observation.interface,
+            operation: observation.operation.clone(),
+            direction: observation.direction,
         };
-        let mut key = Key {
+        let mut key = EntryKey {
             operation,
             place: place_of(&departure.place),
             kind: departure.kind,
@@ -347,7 +347,7 @@
             .map(|entry| self.row(&key, entry).summary)
     }
 
-    fn row(&self, key: &Key, entry: &Entry) -> Row {
+    fn row(&self, key: &EntryKey, entry: &Entry) -> DriftEntry {
         let checked = self.checked.get(&key.operation);
         let looked_at = checked
             .map_or(entry.count, |checked| checked.count)
@@ -357,7 +357,7 @@
         let all = checked
             .map_or(parties.len(), |checked| checked.by.len())
             .max(parties.len());
-        Row {
+        DriftEntry {
             interface: key.operation.interface,
             operation: key.operation.operation.to_string(),
             direction: key.operation.direction,
@@ -379,7 +379,7 @@
 
     fn sentence(
         &self,
-        key: &Key,
+        key: &EntryKey,
         entry: &Entry,
         parties: &[(&Arc<str>, &PartyRecord)],
         all: usize,
--- a/crates/contract/src/drift/tests.rs
+++ b/crates/contract/src/drift/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn departure(place: &str) -> Violation {
+fn violation(place: &str) -> Violation {
     Violation {
         kind: ViolationKind::Type,
         place: place.into(),
@@ -11,13 +11,13 @@
 }
 
 fn note(ledger: &mut DriftTracker, now: f64, party: &str, places: &[&str]) -> bool {
-    let departures: Vec<Violation> = places.iter().map(|place| departure(place)).collect();
+    let violations: Vec<Violation> = places.iter().map(|place| violation(place)).collect();
     let seen = Observation {
         interface: Interface::Servers,
         party: &party.into(),
         operation: &"A".into(),
         direction: Direction::Response,
-        departures: &departures,
+        violations: &violations,
     };
     ledger.record(now, &seen)
 }
@@ -137,7 +137,7 @@
             party: &"clients".into(),
             operation: &format!("GET /{operation}").into(),
             direction: Direction::Request,
-            departures: &[departure("body")],
+            violations: &[violation("body")],
         };
         ledger.record(9_000.0 + f64::from(operation), &seen);
     }
--- a/crates/contract/src/enforcement.rs
+++ b/crates/contract/src/enforcement.rs
@@ -138,8 +138,8 @@
 /// Whether a server's answer may be used for what it says. One that departs under `enforce` is a failed attempt that
 /// may have run, whatever it claims: a server that does not keep to its description is not believed that it never
 /// began, either.
-pub fn is_response_usable(mode: Mode, departures: &[Violation]) -> bool {
-    mode != Mode::Enforce || departures.is_empty()
+pub fn is_response_usable(mode: Mode, violations: &[Violation]) -> bool {
+    mode != Mode::Enforce || violations.is_empty()
 }
 
 /// An interface with the description that its traffic is held against.
--- a/crates/contract/src/enforcement/tests.rs
+++ b/crates/contract/src/enforcement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::fault::Fault;
 
-fn departure(kind: ViolationKind) -> Violation {
+fn violation(kind: ViolationKind) -> Violation {
     let text = |text: &str| text.to_string();
     Violation {
         kind,
@@ -48,8 +48,8 @@
 #[test]
 fn only_enforce_rejects_and_never_what_is_not_described() {
     let wrong = [
-        departure(ViolationKind::Type),
-        departure(ViolationKind::Missing),
+        violation(ViolationKind::Type),
+        violation(ViolationKind::Missing),
     ];
     let RequestDecision::Reject(reason) = decide_request(Mode::Enforce, &wrong) else {
         panic!("served")
@@ -60,7 +60,7 @@
         RequestDecision::Serve
     );
     assert_eq!(
-        decide_request(Mode::Enforce, &[departure(ViolationKind::Unknown)]),
+        decide_request(Mode::Enforce, &[violation(ViolationKind::Unknown)]),
         RequestDecision::Serve
     );
     assert!(
--- a/crates/contract/src/replay.rs
+++ b/crates/contract/src/replay.rs
@@ -39,8 +39,8 @@
     fields: BTreeMap<String, String>,
     #[serde(default)]
     body: Value,
-    #[serde(default = "yes")]
-    whole: bool,
+    #[serde(rename = "whole", default = "yes")]
+    complete: bool,
 }
 
 fn yes() -> bool {
@@ -58,7 +58,7 @@
     pub side: &'static str,
     /// The departure.
     #[serde(flatten)]
-    pub departure: Violation,
+    pub violation: Violation,
 }
 
 /// What came of a recording.
@@ -67,7 +67,8 @@
     /// Messages held against the description: a request and its answer are two.
     pub messages: usize,
     /// What departs.
-    pub departures: Vec<ViolationAtLine>,
+    #[serde(rename = "departures")]
+    pub violations: Vec<ViolationAtLine>,
     /// Lines that can't be read, and why.
     pub unreadable: Vec<(usize, String)>,
 }
@@ -82,12 +83,12 @@
         violations: Vec<Violation>,
     ) {
         self.messages += 1;
-        for departure in violations {
-            self.departures.push(ViolationAtLine {
+        for violation in violations {
+            self.violations.push(ViolationAtLine {
                 line,
                 operation: operation.into(),
                 side,
-                departure,
+                violation,
             });
         }
     }
@@ -95,10 +96,10 @@
     /// How often each operation departs in each way and place.
     pub fn table(&self) -> BTreeMap<(String, String, ViolationKind), usize> {
         let mut table = BTreeMap::new();
-        for departed in &self.departures {
-            let place = format!("{} {}", departed.side, departed.departure.place);
+        for found in &self.violations {
+            let place = format!("{} {}", found.side, found.violation.place);
             *table
-                .entry((departed.operation.clone(), place, departed.departure.kind))
+                .entry((found.operation.clone(), place, found.violation.kind))
                 .or_default() += 1;
         }
         table
@@ -172,17 +173,17 @@
         Some(name) => name.to_string(),
         None => format!("{method} {target}"),
     };
-    outcome.add(number, &operation, "request", checked.departures);
+    outcome.add(number, &operation, "request", checked.violations);
     if let (Some(operation_number), Some(answer)) = (checked.number, line.answer) {
         let fields: Vec<_> = answer.fields.into_iter().collect();
         let response = ObservedResponse {
             status: answer.status,
             fields: &fields,
             body: &body_bytes(&answer.body),
-            whole: answer.whole,
+            complete: answer.complete,
         };
         let checked = description.check_response(operation_number, &response);
-        outcome.add(number, &operation, "answer", checked.departures);
+        outcome.add(number, &operation, "answer", checked.violations);
     }
     Ok(())
 }
@@ -203,7 +204,7 @@
         Some(name) => name.to_string(),
         None => format!("{channel} {word}"),
     };
-    outcome.add(number, &operation, "message", checked.departures);
+    outcome.add(number, &operation, "message", checked.violations);
     Ok(())
 }
 
--- a/crates/contract/tests/corpus.rs
+++ b/crates/contract/tests/corpus.rs
@@ -135,18 +135,18 @@
         body: &asked.2,
     };
     let judged = description.check_request(&request);
-    let mut departures = judged.departures;
+    let mut violations = judged.violations;
     if let Some(number) = judged.number.filter(|_| row["answer"].is_object()) {
         let status = first.split(' ').nth(1).unwrap().parse().unwrap();
         let answered = ObservedResponse {
             status,
             fields: &fields,
             body: &body,
-            whole,
+            complete: whole,
         };
-        departures.extend(description.check_response(number, &answered).departures);
+        violations.extend(description.check_response(number, &answered).violations);
     }
-    departures
+    violations
 }
 
 /// One message over loopback: a line of head fields, then the payload.
@@ -172,7 +172,7 @@
             &fields,
             &payload,
         )
-        .departures
+        .violations
 }
 
 /// Guards against right traffic that is reported and wrong traffic that is not, or elsewhere than it is wrong.
@@ -261,10 +261,10 @@
             status: 200,
             fields: &kind,
             body: body.as_bytes(),
-            whole: true,
+            complete: true,
         };
         let places = |d: &Description| {
-            let found = d.check_response(0, &answered).departures;
+            let found = d.check_response(0, &answered).violations;
             found
                 .into_iter()
                 .map(|departure| (departure.kind, departure.place))
--- a/crates/contract/tests/damage.rs
+++ b/crates/contract/tests/damage.rs
@@ -102,7 +102,7 @@
                         status: 200,
                         fields: &fields,
                         body,
-                        whole: true,
+                        complete: true,
                     };
                     description.check_response(operation, &answered);
                 }
@@ -154,7 +154,7 @@
     let read = |(name, text): (String, String)| Description::from_text(&name, &text).ok();
     let all: Vec<Description> = corpus().into_iter().filter_map(read).collect();
     assert!(all.len() >= 10, "one of the corpus is split over files");
-    let mut departures = 0;
+    let mut violations = 0;
     for seed in 0..4_000_u64 {
         let mut gen = Gen::from_size_and_seed(30, seed);
         let description = &all[below(&mut gen, all.len())];
@@ -183,16 +183,16 @@
             fields: &fields,
             body: &body,
         };
-        let mut found = description.check_request(&asked).departures;
+        let mut found = description.check_request(&asked).violations;
         for operation in 0..description.operations.len() {
             let status = u16::arbitrary(&mut gen) % 700;
             let answered = ObservedResponse {
                 status,
                 fields: &fields,
                 body: &body,
-                whole: bool::arbitrary(&mut gen),
+                complete: bool::arbitrary(&mut gen),
             };
-            found.extend(description.check_response(operation, &answered).departures);
+            found.extend(description.check_response(operation, &answered).violations);
         }
         for message in &description.messages {
             let (channel, word) = message.name.split_once(' ').unwrap();
@@ -200,10 +200,10 @@
             found.extend(
                 description
                     .check_message(channel, word, &head, &body)
-                    .departures,
+                    .violations,
             );
         }
-        departures += found.len();
+        violations += found.len();
         assert!(
             found
                 .iter()
@@ -211,7 +211,7 @@
             "seed {seed}: {found:?}"
         );
     }
-    assert!(departures > 4_000, "{departures}");
+    assert!(violations > 4_000, "{violations}");
 }
 
 /// Descriptions made to cost: each must be refused, or be read and checked, within the bounds.
--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -38,7 +38,7 @@
     if !outcome.unreadable.is_empty() {
         return Ok(CommandStatus::Unreadable);
     }
-    Ok(CommandStatus::of(!outcome.departures.is_empty()))
+    Ok(CommandStatus::of(!outcome.violations.is_empty()))
 }
 
 fn open_traffic(path: &Path) -> Result<Box<dyn Read>, CommandError> {
@@ -81,7 +81,7 @@
     let mut text = format!(
         "{} messages, {} departures\n",
         outcome.messages,
-        outcome.departures.len()
+        outcome.violations.len()
     );
     // Writing to a string can't fail.
     let _ = write_counts(outcome, &mut text)
@@ -100,18 +100,18 @@
 }
 
 fn write_departures(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for found in &outcome.departures {
-        let departure = &found.departure;
+    for found in &outcome.violations {
+        let violation = &found.violation;
         writeln!(
             text,
             "line {}: {} {}, {}: wanted {}, found {} (see {})",
             found.line,
             found.operation,
             found.side,
-            departure.place,
-            departure.expected,
-            departure.found,
-            departure.described
+            violation.place,
+            violation.expected,
+            violation.found,
+            violation.described
         )?;
     }
     Ok(())
--- a/crates/coordinator/src/contract.rs
+++ b/crates/coordinator/src/contract.rs
@@ -291,7 +291,7 @@
             party,
             operation,
             direction,
-            departures: found,
+            violations: found,
         };
         note(&mut lock(&self.ledger), self.now(), &seen);
     }
@@ -321,9 +321,9 @@
                 &self.clients,
                 found.operation,
                 Direction::Request,
-                &found.departures,
+                &found.violations,
             );
-            if let RequestDecision::Reject(reason) = decide_request(held.mode, &found.departures) {
+            if let RequestDecision::Reject(reason) = decide_request(held.mode, &found.violations) {
                 return Err(reason);
             }
         }
@@ -406,7 +406,7 @@
             status: response.status,
             fields: response.fields.pairs(),
             body: &response.body,
-            whole,
+            complete: whole,
         };
         if held.mode == Mode::Enforce {
             let line = request.split(|&b| b == b'\r').next().unwrap_or(&[]);
@@ -422,9 +422,9 @@
                 party,
                 found.operation,
                 Direction::Response,
-                &found.departures,
+                &found.violations,
             );
-            return is_response_usable(held.mode, &found.departures);
+            return is_response_usable(held.mode, &found.violations);
         }
         if !self.sampled(interface) {
             return true;
@@ -486,9 +486,9 @@
                 party,
                 found.operation,
                 direction,
-                &found.departures,
+                &found.violations,
             );
-            return is_response_usable(held.mode, &found.departures);
+            return is_response_usable(held.mode, &found.violations);
         }
         if self.sampled(interface) {
             let party = if direction == Direction::Request {
@@ -563,7 +563,7 @@
     if !ledger.record(now, seen) {
         return;
     }
-    for departure in seen.departures {
+    for departure in seen.violations {
         let summary = ledger.summary(seen, departure).unwrap_or_default();
         tracing::warn!(
             interface = %seen.interface,
@@ -609,7 +609,7 @@
             party: &party,
             operation,
             direction,
-            departures: found,
+            violations: found,
         };
         note(&mut lock(ledger), now, &seen);
     };
@@ -632,7 +632,7 @@
                         body: &body,
                     };
                     let found = description.check_request(&asked);
-                    note(found.operation, Direction::Request, &found.departures);
+                    note(found.operation, Direction::Request, &found.violations);
                     found.number
                 }
             };
@@ -641,10 +641,10 @@
                     status,
                     fields: &fields,
                     body: &body,
-                    whole,
+                    complete: whole,
                 };
                 let found = description.check_response(number, &answered);
-                note(found.operation, Direction::Response, &found.departures);
+                note(found.operation, Direction::Response, &found.violations);
             }
         }
         What::Frame {
@@ -656,7 +656,7 @@
             payload,
         } => {
             let found = description.check_message(channel, word, &head(&line), &payload);
-            note(found.operation, direction, &found.departures);
+            note(found.operation, direction, &found.violations);
         }
     }
 }
--- a/crates/coordinator/tests/published_descriptions.rs
+++ b/crates/coordinator/tests/published_descriptions.rs
@@ -172,7 +172,7 @@
             .number
             .unwrap_or_else(|| panic!("{at} is not described"));
         if answer.status == 200 {
-            assert_eq!(request.departures, [], "{at}");
+            assert_eq!(request.violations, [], "{at}");
         }
         let fields: Vec<_> = answer.fields.into_iter().collect();
         let body = answer.json.to_string();
@@ -180,10 +180,10 @@
             status: answer.status,
             fields: &fields,
             body: body.as_bytes(),
-            whole: true,
+            complete: true,
         };
         assert_eq!(
-            document.check_response(number, &answered).departures,
+            document.check_response(number, &answered).violations,
             [],
             "{at}: {body}"
         );
@@ -202,10 +202,10 @@
         status: 200,
         fields: &kind,
         body: b"{\"hits\":[]}",
-        whole: true,
+        complete: true,
     };
     assert_eq!(
-        document.check_response(number, &wrong).departures[0].place,
+        document.check_response(number, &wrong).violations[0].place,
         "body /complete"
     );
 }
@@ -247,7 +247,7 @@
     let mut judge = |channel: &str, word: &str, head: Value, payload: &[u8]| {
         letters.insert(word.to_string());
         let found = document.check_message(channel, word, &head, payload);
-        assert_eq!(found.departures, [], "{word} {head}");
+        assert_eq!(found.violations, [], "{word} {head}");
     };
     for text in &frames {
         match text.split_at(1) {
@@ -301,6 +301,6 @@
     );
     assert!(!document
         .check_message("frames", "Q", &json!({"id": "1"}), b"")
-        .departures
+        .violations
         .is_empty());
 }
