--- /dev/null
+++ b/crates/contract/src/conformance/mod.rs
@@ -0,0 +1,20 @@
+//! Checks messages against a description: what violates it, where, and which rule.
+//!
+//! [`Description`](crate::model::Description) has a check for each direction: `check_request`, `check_response` and
+//! `check_message`. They do no I/O, never fail on input, and report a bounded number of violations.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+mod channel_message;
+mod expectation;
+mod parameter_values;
+mod redaction;
+mod report;
+mod request;
+mod response;
+mod types;
+
+pub use types::{Conformance, ObservedRequest, ObservedResponse, Violation, ViolationKind};
+
+/// The most violations reported of one message: a list of ten thousand wrong numbers is one mistake, not many.
+pub const MAX_VIOLATIONS: usize = 16;
--- /dev/null
+++ b/crates/contract/src/conformance/redaction.rs
@@ -0,0 +1,60 @@
+//! How values of messages are shown in reports: short, and without secrets.
+
+use crate::schema::clip;
+use serde_json::Value;
+use std::collections::BTreeSet;
+
+/// What is shown in place of a secret value.
+const REDACTED: &str = "(left out)";
+/// A longer list is shown by its length: only the beginning would be shown, so it need not be written out.
+const MAX_LIST_ITEMS_SHOWN: usize = 40;
+
+/// A value as truncated text. Nothing is shown if a step of its JSON pointer names a secret, and secret members within
+/// it are blanked.
+pub(super) fn redacted(pointer: &str, value: &Value, secrets: &BTreeSet<String>) -> String {
+    let is_secret = pointer
+        .split('/')
+        .any(|step| secrets.contains(&pointer_key(step)));
+    if is_secret {
+        REDACTED.to_string()
+    } else {
+        clip(&to_text(value, secrets))
+    }
+}
+
+/// The key that an escaped step of a JSON pointer stands for.
+fn pointer_key(step: &str) -> String {
+    step.replace("~1", "/").replace("~0", "~")
+}
+
+fn to_text(value: &Value, secrets: &BTreeSet<String>) -> String {
+    match value {
+        Value::Array(items) if items.len() > MAX_LIST_ITEMS_SHOWN => {
+            format!("a list of {} values", items.len())
+        }
+        Value::Object(_) | Value::Array(_) if !secrets.is_empty() => {
+            let mut value = value.clone();
+            blank_secrets(&mut value, secrets);
+            value.to_string()
+        }
+        other => other.to_string(),
+    }
+}
+
+fn blank_secrets(value: &mut Value, secrets: &BTreeSet<String>) {
+    match value {
+        Value::Object(members) => {
+            for (key, member) in members {
+                if secrets.contains(key) {
+                    *member = Value::String(REDACTED.into());
+                } else {
+                    blank_secrets(member, secrets);
+                }
+            }
+        }
+        Value::Array(items) => items
+            .iter_mut()
+            .for_each(|item| blank_secrets(item, secrets)),
+        _ => {}
+    }
+}
