--- a/crates/contract/src/replay.rs
+++ b/crates/contract/src/replay.rs
@@ -1,16 +1,20 @@
-//! Recorded traffic against a description: one exchange or message a line, as JSON.
+//! Checks recorded traffic against a description.
 //!
-//! An exchange has `method`, `target`, and where they matter `fields` (an object), `body` (a string, or JSON that is
-//! taken as its text), and `answer` with `status`, `fields`, `body` and `whole` (false: the connection ended first).
-//! A message has `channel`, `message` (its name or letter), `headers` (an object) and `payload`.
+//! A recording holds one exchange or message per line, as a JSON object. An exchange has `method` and `target`, and
+//! optionally `fields` (an object), `body` (a string, or JSON that stands for its text) and `answer` with `status`,
+//! `fields`, `body` and `whole` (false if the connection ended early). A message has `channel`, `message` (its name or
+//! letter), `headers` (an object) and `payload`.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use crate::conformance::{ObservedRequest, ObservedResponse, Violation, ViolationKind};
 use crate::model::{Description, Kind};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// The longest line that is read, in bytes.
+/// The longest line that is accepted, in bytes.
 pub const MAX_LINE: usize = 4 * 1024 * 1024;
 
 #[derive(Deserialize)]
@@ -47,41 +51,85 @@
     true
 }
 
-/// A departure of one line.
+/// Which message of a line is meant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum MessageSide {
+    /// The request of an exchange.
+    Request,
+    /// The response of an exchange.
+    #[serde(rename = "answer")]
+    Response,
+    /// A message of a channel.
+    Message,
+}
+
+impl fmt::Display for MessageSide {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            MessageSide::Request => "request",
+            MessageSide::Response => "answer",
+            MessageSide::Message => "message",
+        })
+    }
+}
+
+/// A violation with the line that it was found in.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ViolationAtLine {
-    /// The line, from 1.
+    /// Number of the line, from 1.
     pub line: usize,
-    /// The operation's or message's name, or what was asked for.
+    /// Name of the operation or message; if it is not described, the method and target, or the channel and message.
     pub operation: String,
-    /// `request`, `answer` or `message`.
-    pub side: &'static str,
-    /// The departure.
+    /// The message of the line.
+    pub side: MessageSide,
+    /// The violation.
     #[serde(flatten)]
     pub violation: Violation,
 }
 
-/// What came of a recording.
+/// A line that can't be used. Serialized as a pair.
+#[derive(Clone, Debug, Serialize)]
+#[serde(into = "(usize, String)")]
+pub struct UnreadableLine {
+    /// Number of the line, from 1.
+    pub line: usize,
+    /// What is wrong with it.
+    pub cause: String,
+}
+
+impl From<UnreadableLine> for (usize, String) {
+    fn from(unreadable: UnreadableLine) -> Self {
+        (unreadable.line, unreadable.cause)
+    }
+}
+
+/// What the violations of a recording are counted by.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ViolationGroup {
+    /// See [`ViolationAtLine::operation`].
+    pub operation: String,
+    /// The side, and the place in the message.
+    pub place: String,
+    /// The rule that is violated.
+    pub kind: ViolationKind,
+}
+
+/// The result of checking a recording.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// Messages held against the description: a request and its answer are two.
+    /// Messages checked; a request and its response are two.
     pub messages: usize,
-    /// What departs.
+    /// The violations, by line.
     #[serde(rename = "departures")]
     pub violations: Vec<ViolationAtLine>,
-    /// Lines that can't be read, and why.
-    pub unreadable: Vec<(usize, String)>,
+    /// Lines that can't be used.
+    pub unreadable: Vec<UnreadableLine>,
 }
 
 impl Outcome {
     /// Adds one checked message.
-    fn add(
-        &mut self,
-        line: usize,
-        operation: &str,
-        side: &'static str,
-        violations: Vec<Violation>,
-    ) {
+    fn add(&mut self, line: usize, operation: &str, side: MessageSide, violations: Vec<Violation>) {
         self.messages += 1;
         for violation in violations {
             self.violations.push(ViolationAtLine {
@@ -93,16 +141,18 @@
         }
     }
 
-    /// How often each operation departs in each way and place.
-    pub fn table(&self) -> BTreeMap<(String, String, ViolationKind), usize> {
-        let mut table = BTreeMap::new();
+    /// How many violations there are of each operation, place and kind.
+    pub fn table(&self) -> BTreeMap<ViolationGroup, usize> {
+        let mut counts = BTreeMap::new();
         for found in &self.violations {
-            let place = format!("{} {}", found.side, found.violation.place);
-            *table
-                .entry((found.operation.clone(), place, found.violation.kind))
-                .or_default() += 1;
+            let group = ViolationGroup {
+                operation: found.operation.clone(),
+                place: format!("{} {}", found.side, found.violation.place),
+                kind: found.violation.kind,
+            };
+            *counts.entry(group).or_default() += 1;
         }
-        table
+        counts
     }
 }
 
@@ -129,7 +179,10 @@
         }
         let number = index + 1;
         if let Err(error) = replay_line(description, number, line, &mut outcome) {
-            outcome.unreadable.push((number, error.to_string()));
+            outcome.unreadable.push(UnreadableLine {
+                line: number,
+                cause: error.to_string(),
+            });
         }
     }
     outcome
@@ -173,7 +226,7 @@
         Some(name) => name.to_string(),
         None => format!("{method} {target}"),
     };
-    outcome.add(number, &operation, "request", checked.violations);
+    outcome.add(number, &operation, MessageSide::Request, checked.violations);
     if let (Some(operation_number), Some(answer)) = (checked.number, line.answer) {
         let fields: Vec<_> = answer.fields.into_iter().collect();
         let response = ObservedResponse {
@@ -183,7 +236,12 @@
             complete: answer.complete,
         };
         let checked = description.check_response(operation_number, &response);
-        outcome.add(number, &operation, "answer", checked.violations);
+        outcome.add(
+            number,
+            &operation,
+            MessageSide::Response,
+            checked.violations,
+        );
     }
     Ok(())
 }
@@ -204,11 +262,11 @@
         Some(name) => name.to_string(),
         None => format!("{channel} {word}"),
     };
-    outcome.add(number, &operation, "message", checked.violations);
+    outcome.add(number, &operation, MessageSide::Message, checked.violations);
     Ok(())
 }
 
-/// A body as it was on the wire: a string as it stands, anything else as its JSON text.
+/// The bytes of a recorded body: those of a string, or the JSON text of any other value.
 fn body_bytes(value: &Value) -> Vec<u8> {
     match value {
         Value::Null => Vec::new(),
--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -91,9 +91,11 @@
 }
 
 fn write_counts(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for ((operation, place, kind), count) in outcome.table() {
-        let kind = json!(kind);
+    for (group, count) in outcome.table() {
+        let kind = json!(group.kind);
         let kind = kind.as_str().unwrap_or("");
+        let operation = group.operation;
+        let place = group.place;
         writeln!(text, "{count:6}  {kind:14} {operation}, {place}")?;
     }
     Ok(())
@@ -118,7 +120,9 @@
 }
 
 fn write_unreadable_lines(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for (line, cause) in &outcome.unreadable {
+    for unreadable in &outcome.unreadable {
+        let line = unreadable.line;
+        let cause = &unreadable.cause;
         writeln!(text, "line {line}: can't be read: {cause}")?;
     }
     Ok(())
