--- a/crates/contract/src/enforcement.rs
+++ b/crates/contract/src/enforcement.rs
@@ -1,5 +1,7 @@
-//! What is done about a departure: which traffic is looked at, what is refused, what counts as failed, and which
-//! descriptions are in force. Free of I/O and clock.
+//! Decides what is done about violations: which messages are checked, which requests are rejected, which responses
+//! count as failed, and which descriptions are in force. Does no I/O and reads no clock.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use crate::conformance::{Violation, ViolationKind};
 use crate::drift::Interface;
@@ -8,28 +10,31 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How an interface's traffic is held against its description.
+/// How an interface's traffic is checked against its description.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// Not at all: nothing is read and nothing costs.
+    /// Not at all, at no cost.
     #[default]
     Off,
-    /// Aside: departures are told, and change nothing.
+    /// In the background: violations are reported and change nothing.
     Observe,
-    /// Before anything is done with a message: one that departs is not used.
+    /// Before a message is used: one with a violation is not used.
     Enforce,
 }
 
-/// Takes a share of the messages, evenly: of a share of 0.25 every fourth.
+/// Selects an even share of the messages: with a share of 0.25, every fourth.
 #[derive(Clone, Debug)]
 pub struct Sampler {
     share: f64,
     credit: f64,
 }
 
+/// How far the sum of shares such as 0.1 may fall short of 1 by rounding.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+
 impl Sampler {
-    /// For a share from 0 to 1. The first message is taken, so that a share however small shows something.
+    /// For a share from 0 to 1. The first message is always selected, so that even a tiny share shows something.
     pub fn new(share: f64) -> Sampler {
         let share = if share.is_finite() {
             share.clamp(0.0, 1.0)
@@ -42,31 +47,30 @@
         }
     }
 
-    /// Whether the next message is looked at.
+    /// Whether the next message is to be checked.
     pub fn sample(&mut self) -> bool {
         self.credit += self.share;
-        // A sum of shares such as 0.1 falls short of 1 by less than this.
-        let take = self.credit >= 1.0 - 1e-9;
-        if take {
+        let is_selected = self.credit >= 1.0 - ROUNDING_TOLERANCE;
+        if is_selected {
             self.credit -= 1.0;
         }
-        take
+        is_selected
     }
 }
 
-/// BacklogLimit for messages that wait to be looked at. What finds none is counted, never waited for.
+/// Bounds the messages that wait to be checked. A message beyond the bound is counted and not checked, never waited for.
 #[derive(Clone, Debug)]
 pub struct BacklogLimit {
     messages: usize,
     bytes: usize,
     max_messages: usize,
     max_bytes: usize,
-    /// Messages that found no room.
+    /// Messages beyond the bound.
     pub rejected: u64,
 }
 
 impl BacklogLimit {
-    /// For so many messages of so many bytes in all.
+    /// At most `max_messages` messages, with `max_bytes` bytes in total.
     pub fn new(max_messages: usize, max_bytes: usize) -> BacklogLimit {
         BacklogLimit {
             messages: 0,
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Whether a message may wait; if so, its room is taken.
+    /// Reserves capacity for a message of this many bytes. Returns false, and counts it as rejected, if there is none.
     pub fn try_reserve(&mut self, bytes: usize) -> bool {
         if self.messages >= self.max_messages || bytes > self.max_bytes - self.bytes {
             self.rejected += 1;
@@ -88,19 +92,19 @@
         true
     }
 
-    /// A message no longer waits.
+    /// Releases the capacity of a message that no longer waits.
     pub fn release(&mut self, bytes: usize) {
         self.messages = self.messages.saturating_sub(1);
         self.bytes = self.bytes.saturating_sub(bytes);
     }
 }
 
-/// What becomes of a client's request.
+/// What is done with a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestDecision {
     /// It is served.
     Serve,
-    /// It is answered with status 400 and this reason, and nothing is sent for it.
+    /// It is answered with status 400 and this reason, and no attempt is made.
     Reject(Rejection),
 }
 
@@ -121,8 +125,8 @@
     }
 }
 
-/// Decides about a request. One whose path or method is not described is left to the front, which words that itself: a
-/// description may cover a part of an interface, such as all but its health page.
+/// Decides whether a request is served. One whose path or method is not described is left to the front, which has its
+/// own responses for those: a description may cover only a part of an interface, such as all but its health page.
 pub fn decide_request(mode: Mode, violations: &[Violation]) -> RequestDecision {
     match violations.first() {
         Some(first) if mode == Mode::Enforce && first.kind != ViolationKind::Unknown => {
@@ -135,31 +139,30 @@
     }
 }
 
-/// Whether a server's answer may be used for what it says. One that departs under `enforce` is a failed attempt that
-/// may have run, whatever it claims: a server that does not keep to its description is not believed that it never
-/// began, either.
+/// Whether a server's response may be used. Under `enforce`, one with a violation is a failed attempt that may have
+/// been executed: a server that violates its description isn't trusted when it claims not to have started, either.
 pub fn is_response_usable(mode: Mode, violations: &[Violation]) -> bool {
     mode != Mode::Enforce || violations.is_empty()
 }
 
-/// An interface with the description that its traffic is held against.
+/// The description that an interface's traffic is checked against.
 #[derive(Clone, Debug)]
 pub struct InterfaceContract {
-    /// How.
+    /// How it is checked.
     pub mode: Mode,
-    /// The share of messages that is looked at under `observe`.
+    /// The share of messages that is checked under `observe`, from 0 to 1.
     pub share: f64,
-    /// Against what.
+    /// The description.
     pub description: Arc<Description>,
 }
 
 /// Why an interface's description can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// It has faults.
+    /// The description is faulty.
     #[error("{0}")]
     Faulty(Faults),
-    /// It is of the other format.
+    /// The description has another format than the interface needs.
     #[error("{path}: this interface is described in {expected:?}, not in {found:?}")]
     WrongFormat {
         /// The description's file.
@@ -171,11 +174,11 @@
     },
 }
 
-/// Descriptions that can't be used, so that none of those read comes into force.
+/// Descriptions that can't be used; the ones that were loaded with them are not put into force either.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", join_lines(faulty))]
 pub struct FaultyContracts {
-    /// Each interface with what is wrong.
+    /// The interfaces, each with what is wrong.
     pub faulty: Vec<(Interface, LoadError)>,
 }
 
@@ -187,78 +190,97 @@
     lines.join("\n")
 }
 
-/// All descriptions in force at one time. A request keeps the ones that were in force when it came.
+/// All descriptions in force at one time. A request keeps those that were in force when it arrived.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveContracts {
-    /// Counts up with each change.
+    /// Incremented with each change.
     pub generation: u64,
-    by: BTreeMap<Interface, InterfaceContract>,
+    by_interface: BTreeMap<Interface, InterfaceContract>,
 }
 
 impl ActiveContracts {
-    /// The description of an interface; `None` where it is off.
+    /// The contract of an interface; `None` if checks are off.
     pub fn get(&self, interface: Interface) -> Option<&InterfaceContract> {
-        self.by.get(&interface)
+        self.by_interface.get(&interface)
     }
 
-    /// Whether nothing is looked at at all.
+    /// Whether checks are off for all interfaces.
     pub fn is_off(&self) -> bool {
-        self.by.is_empty()
+        self.by_interface.is_empty()
     }
 
-    /// All that are on.
+    /// The contracts of all interfaces whose checks are on.
     pub fn all(&self) -> impl Iterator<Item = (Interface, &InterfaceContract)> {
-        self.by.iter().map(|(interface, held)| (*interface, held))
+        self.by_interface
+            .iter()
+            .map(|(interface, contract)| (*interface, contract))
     }
 
-    /// The contracts in force after these were read: all of them or, where one is at fault, none, so that `self`
-    /// stays. Also returns the interfaces whose description changed; the others keep the very same description, and
-    /// what is known of their drift stays true.
+    /// The contracts in force after a reload, and the interfaces whose description changed.
+    ///
+    /// If one of the loaded contracts is faulty, none is put into force. An interface whose description is unchanged
+    /// keeps the very same one, so that its drift counts stay valid.
     pub fn replaced_by(
         &self,
-        read: Vec<(Interface, Result<InterfaceContract, LoadError>)>,
+        loaded: Vec<(Interface, Result<InterfaceContract, LoadError>)>,
     ) -> Result<(ActiveContracts, BTreeSet<Interface>), FaultyContracts> {
-        let mut contracts = Vec::new();
-        let mut faulty = Vec::new();
-        for (interface, contract) in read {
-            match contract {
-                Ok(contract) => contracts.push((interface, contract)),
-                Err(error) => faulty.push((interface, error)),
+        let mut by_interface = BTreeMap::new();
+        for (interface, contract) in all_or_faulty(loaded)? {
+            if contract.mode != Mode::Off {
+                by_interface.insert(interface, self.with_known_description(interface, contract));
             }
         }
-        if !faulty.is_empty() {
-            return Err(FaultyContracts { faulty });
-        }
-        let mut by = BTreeMap::new();
-        for (interface, mut held) in contracts {
-            if held.mode == Mode::Off {
-                continue;
-            }
-            if let Some(old) = self.by.get(&interface) {
-                if old.description.fingerprint == held.description.fingerprint {
-                    held.description = old.description.clone();
-                }
+        let next = ActiveContracts {
+            generation: self.generation + 1,
+            by_interface,
+        };
+        let changed = self.changed_interfaces(&next);
+        Ok((next, changed))
+    }
+
+    /// The contract with the description in force, if that is the same text.
+    fn with_known_description(
+        &self,
+        interface: Interface,
+        mut contract: InterfaceContract,
+    ) -> InterfaceContract {
+        if let Some(known) = self.get(interface) {
+            if known.description.fingerprint == contract.description.fingerprint {
+                contract.description = known.description.clone();
             }
-            by.insert(interface, held);
         }
-        let same = |interface: &Interface| match (self.by.get(interface), by.get(interface)) {
+        contract
+    }
+
+    fn changed_interfaces(&self, next: &ActiveContracts) -> BTreeSet<Interface> {
+        let is_same = |interface: Interface| match (self.get(interface), next.get(interface)) {
             (Some(old), Some(new)) => Arc::ptr_eq(&old.description, &new.description),
             (old, new) => old.is_none() && new.is_none(),
         };
-        let changed = self
-            .by
+        self.by_interface
             .keys()
-            .chain(by.keys())
-            .filter(|interface| !same(interface))
+            .chain(next.by_interface.keys())
             .copied()
-            .collect();
-        Ok((
-            ActiveContracts {
-                generation: self.generation + 1,
-                by,
-            },
-            changed,
-        ))
+            .filter(|interface| !is_same(*interface))
+            .collect()
+    }
+}
+
+fn all_or_faulty(
+    loaded: Vec<(Interface, Result<InterfaceContract, LoadError>)>,
+) -> Result<Vec<(Interface, InterfaceContract)>, FaultyContracts> {
+    let mut contracts = Vec::new();
+    let mut faulty = Vec::new();
+    for (interface, contract) in loaded {
+        match contract {
+            Ok(contract) => contracts.push((interface, contract)),
+            Err(error) => faulty.push((interface, error)),
+        }
+    }
+    if faulty.is_empty() {
+        Ok(contracts)
+    } else {
+        Err(FaultyContracts { faulty })
     }
 }
 
--- a/crates/contract/src/enforcement/tests.rs
+++ b/crates/contract/src/enforcement/tests.rs
@@ -1,5 +1,11 @@
-use super::*;
+use super::{
+    decide_request, is_response_usable, ActiveContracts, BacklogLimit, Faults, Interface,
+    InterfaceContract, LoadError, Mode, RequestDecision, Sampler,
+};
+use crate::conformance::{Violation, ViolationKind};
 use crate::fault::Fault;
+use crate::model::Description;
+use std::sync::Arc;
 
 fn violation(kind: ViolationKind) -> Violation {
     let text = |text: &str| text.to_string();
@@ -17,8 +23,8 @@
     for (share, of) in [(1.0, 1000), (0.1, 100), (0.25, 250), (0.003, 3)] {
         let mut sampler = Sampler::new(share);
         assert!(sampler.sample(), "{share}");
-        let taken = 1 + (1..1000).filter(|_| sampler.sample()).count();
-        assert!(taken.abs_diff(of) <= 1, "{share}: {taken}");
+        let selected = 1 + (1..1000).filter(|_| sampler.sample()).count();
+        assert!(selected.abs_diff(of) <= 1, "{share}: {selected}");
     }
     for share in [0.0, -1.0, f64::NAN] {
         let mut sampler = Sampler::new(share);
@@ -28,17 +34,17 @@
 
 #[test]
 fn a_full_backlog_rejects_and_counts_until_capacity_is_released() {
-    let mut room = BacklogLimit::new(3, 100);
+    let mut backlog = BacklogLimit::new(3, 100);
     assert!(
-        room.try_reserve(60) && room.try_reserve(40) && !room.try_reserve(1),
+        backlog.try_reserve(60) && backlog.try_reserve(40) && !backlog.try_reserve(1),
         "bytes"
     );
-    room.release(60);
+    backlog.release(60);
     assert!(
-        room.try_reserve(1) && room.try_reserve(1) && !room.try_reserve(1),
+        backlog.try_reserve(1) && backlog.try_reserve(1) && !backlog.try_reserve(1),
         "messages"
     );
-    assert_eq!(room.rejected, 2);
+    assert_eq!(backlog.rejected, 2);
     assert!(
         !BacklogLimit::new(3, 100).try_reserve(101),
         "one that never fits"
@@ -73,7 +79,7 @@
 #[test]
 fn one_faulty_description_leaves_all_contracts_in_force() {
     let text = r#"{"openapi":"3.1.0","info":{"title":"t","version":"1"},"paths":{}}"#;
-    let held = |mode| {
+    let contract = |mode| {
         let description = Description::from_text("a.json", text).unwrap();
         Ok(InterfaceContract {
             mode,
@@ -82,7 +88,7 @@
         })
     };
     let (first, changed) = ActiveContracts::default()
-        .replaced_by(vec![(Interface::Query, held(Mode::Observe))])
+        .replaced_by(vec![(Interface::Query, contract(Mode::Observe))])
         .unwrap();
     assert_eq!(changed, [Interface::Query].into());
     let mut faults = Faults::default();
@@ -94,7 +100,7 @@
         cause: "bad".into(),
     });
     let faulty = vec![
-        (Interface::Query, held(Mode::Enforce)),
+        (Interface::Query, contract(Mode::Enforce)),
         (Interface::Servers, Err(LoadError::Faulty(faults))),
     ];
     assert_eq!(
@@ -107,11 +113,11 @@
     );
     // The same text read again is the same description, in another mode.
     let (again, changed) = first
-        .replaced_by(vec![(Interface::Query, held(Mode::Enforce))])
+        .replaced_by(vec![(Interface::Query, contract(Mode::Enforce))])
         .unwrap();
     assert!(changed.is_empty() && again.get(Interface::Query).unwrap().mode == Mode::Enforce);
     let (off, changed) = again
-        .replaced_by(vec![(Interface::Query, held(Mode::Off))])
+        .replaced_by(vec![(Interface::Query, contract(Mode::Off))])
         .unwrap();
     assert!(off.is_off() && off.generation == 3 && changed.len() == 1);
 }
--- a/crates/contract/src/fault.rs
+++ b/crates/contract/src/fault.rs
@@ -1,18 +1,20 @@
-//! What is wrong with a description: where, and what to do about it.
+//! The faults of a description: where each is, and what would be right.
+
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use serde::Serialize;
 use std::fmt;
 
-/// The most faults of one description that are told. More would not be read, and a hostile description could hold
-/// any number.
+/// The most faults of one description that are reported. Nobody reads more, and a hostile description could have any
+/// number.
 pub const MAX_FAULTS: usize = 100;
 
-/// One thing that is wrong with a description.
+/// One fault of a description.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Fault {
-    /// The file, as it was named or referred to.
+    /// The file, as the operator or a reference names it.
     pub file: String,
-    /// Its line, from 1; 0 where no place in the file is meant.
+    /// The line, from 1; 0 if the fault has no position in the file.
     pub line: usize,
     /// The column, from 1.
     pub column: usize,
@@ -35,32 +37,34 @@
     }
 }
 
-/// All faults of a description, in the order in which they were found.
+/// The faults of a description, in the order in which they were found.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Faults {
-    /// The first of them.
+    /// The first ones, at most [`MAX_FAULTS`].
     pub list: Vec<Fault>,
     /// How many more there are.
     pub more: usize,
 }
 
 impl Faults {
-    /// Notes one, once.
+    /// Adds a fault, unless it is already listed.
     pub fn push(&mut self, fault: Fault) {
         if self.list.contains(&fault) {
-        } else if self.list.len() < MAX_FAULTS {
+            return;
+        }
+        if self.list.len() < MAX_FAULTS {
             self.list.push(fault);
         } else {
             self.more += 1;
         }
     }
 
-    /// Whether nothing is wrong.
+    /// Whether there are no faults.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Whether no further fault would be told.
+    /// Whether a further fault would only be counted.
     pub fn is_full(&self) -> bool {
         self.list.len() >= MAX_FAULTS
     }
@@ -68,8 +72,8 @@
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, fault) in self.list.iter().enumerate() {
-            if at > 0 {
+        for (index, fault) in self.list.iter().enumerate() {
+            if index > 0 {
                 f.write_str("\n")?;
             }
             write!(f, "{fault}")?;
