--- a/crates/contract/src/conformance/request.rs
+++ b/crates/contract/src/conformance/request.rs
@@ -3,7 +3,7 @@
 use super::report::ViolationReport;
 use super::types::{header, Conformance, ObservedRequest, ViolationKind};
 use crate::model::{Description, Operation, Parameter, ParameterLocation};
-use crate::routing::RouteMatch;
+use crate::routing::{PathVariable, RouteMatch};
 use crate::schema::clip;
 use crate::sources::decode;
 
@@ -12,7 +12,7 @@
 
 /// The parts of a request that parameters are read from.
 struct ParameterSources<'m> {
-    path_variables: Vec<(&'m str, &'m str)>,
+    path_variables: Vec<PathVariable<'m, 'm>>,
     query: &'m str,
     fields: &'m [(String, String)],
 }
@@ -101,8 +101,8 @@
     fn path_texts(&self, name: &str) -> Vec<Option<String>> {
         self.path_variables
             .iter()
-            .filter(|(known, _)| *known == name)
-            .map(|(_, text)| decode(text))
+            .filter(|variable| variable.name == name)
+            .map(|variable| decode(variable.value))
             .collect()
     }
 
--- a/crates/contract/src/routing.rs
+++ b/crates/contract/src/routing.rs
@@ -1,6 +1,10 @@
-//! Which operation a request means: path templates, the most concrete first.
+//! Finds the operation of a request by its method and path: path templates, the most concrete first.
 
-/// A part of a path segment.
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+
+use std::cmp::Reverse;
+
+/// A part of a path segment: literal text, or a variable by its name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SegmentPart {
     Text(String),
@@ -13,28 +17,34 @@
     segments: Vec<Vec<SegmentPart>>,
 }
 
-/// The most segments of a template.
+/// The most segments of a template, which bounds the cost of matching.
 const MAX_SEGMENTS: usize = 64;
 
 /// What is wrong with a path template.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[allow(
-    missing_docs,
-    reason = "a variant's text says what it is; docs would repeat it"
-)]
 pub enum TemplateError {
+    /// The path doesn't begin with a slash.
     #[error("a path must begin with '/'")]
     NoLeadingSlash,
+    /// A closing brace without an opening one.
     #[error("a '}}' stands without its '{{'")]
     UnopenedVariable,
+    /// An opening brace without a closing one.
     #[error("a '{{' stands without its '}}'")]
     UnclosedVariable,
+    /// A variable without a name.
     #[error("a variable needs a name between '{{' and '}}'")]
     UnnamedVariable,
+    /// Two variables of the same name.
     #[error("the variable {{{name}}} is there twice")]
-    DuplicateVariable { name: String },
+    DuplicateVariable {
+        /// Name of the variable.
+        name: String,
+    },
+    /// Two variables without text between them.
     #[error("two variables stand side by side: nothing tells where one ends")]
     AdjacentVariables,
+    /// Too many segments.
     #[error("a path has {MAX_SEGMENTS} segments at most")]
     TooManySegments,
 }
@@ -56,64 +66,76 @@
         Ok(Template { segments })
     }
 
-    /// The names of its variables.
+    /// The names of its variables, in order.
     pub fn variables(&self) -> impl Iterator<Item = &str> {
         self.segments
             .iter()
             .flatten()
-            .filter_map(|piece| match piece {
+            .filter_map(|part| match part {
                 SegmentPart::Variable(name) => Some(name.as_str()),
                 SegmentPart::Text(_) => None,
             })
     }
 
-    /// The template with its variables' names left out: two of one shape match the same paths.
+    /// The template without the names of its variables: templates of the same shape match the same paths.
     pub fn shape(&self) -> String {
-        let piece = |piece: &SegmentPart| match piece {
+        let part_shape = |part: &SegmentPart| match part {
             SegmentPart::Text(text) => text.clone(),
             SegmentPart::Variable(_) => "{}".into(),
         };
         self.segments
             .iter()
-            .map(|s| format!("/{}", s.iter().map(piece).collect::<String>()))
+            .map(|parts| format!("/{}", parts.iter().map(part_shape).collect::<String>()))
             .collect()
     }
 
-    /// How concrete it is, segment by segment: the most concrete sorts first.
-    fn rank(&self) -> Vec<(u8, usize)> {
-        let rank = |pieces: &Vec<SegmentPart>| {
-            let text: usize = pieces
-                .iter()
-                .map(|p| {
-                    if let SegmentPart::Text(text) = p {
-                        text.len()
-                    } else {
-                        0
-                    }
-                })
-                .sum();
-            match pieces
-                .iter()
-                .any(|piece| matches!(piece, SegmentPart::Variable(_)))
-            {
-                false => (0, 0),
-                true if text > 0 => (1, usize::MAX - text),
-                true => (2, 0),
-            }
-        };
-        self.segments.iter().map(rank).collect()
+    /// How concrete it is, segment by segment; the most concrete template sorts first.
+    fn rank(&self) -> Vec<SegmentRank> {
+        self.segments
+            .iter()
+            .map(|parts| SegmentRank::of(parts))
+            .collect()
     }
 
-    /// The variables' values if the path matches, still percent-encoded.
-    fn matches<'p>(&self, path: &[&'p str]) -> Option<Vec<(&str, &'p str)>> {
+    /// The variables if the path matches.
+    fn matches<'p>(&self, path: &[&'p str]) -> Option<Vec<PathVariable<'_, 'p>>> {
         if path.len() != self.segments.len() {
             return None;
         }
-        let mut values = Vec::new();
+        let mut variables = Vec::new();
         for (parts, segment) in self.segments.iter().zip(path) {
-            match_segment(parts, segment, &mut values)?;
+            match_segment(parts, segment, &mut variables)?;
+        }
+        Some(variables)
+    }
+}
+
+/// How concrete a segment of a template is, from the most concrete to the least.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum SegmentRank {
+    /// No variables.
+    Literal,
+    /// Text and variables: more text is more concrete.
+    Mixed(Reverse<usize>),
+    /// Only a variable.
+    Variable,
+}
+
+impl SegmentRank {
+    fn of(parts: &[SegmentPart]) -> SegmentRank {
+        let mut text_length = 0;
+        let mut has_variable = false;
+        for part in parts {
+            match part {
+                SegmentPart::Text(text) => text_length += text.len(),
+                SegmentPart::Variable(_) => has_variable = true,
+            }
+        }
+        match (has_variable, text_length) {
+            (false, _) => SegmentRank::Literal,
+            (true, 0) => SegmentRank::Variable,
+            (true, length) => SegmentRank::Mixed(Reverse(length)),
         }
-        Some(values)
     }
 }
 
@@ -155,11 +177,11 @@
     Ok(parts)
 }
 
-/// Matches one segment and adds its variables' values; `None` if it differs.
+/// Matches one segment and adds its variables; `None` if it doesn't match.
 fn match_segment<'t, 'p>(
     parts: &'t [SegmentPart],
     segment: &'p str,
-    values: &mut Vec<(&'t str, &'p str)>,
+    variables: &mut Vec<PathVariable<'t, 'p>>,
 ) -> Option<()> {
     let mut rest = segment;
     for (index, part) in parts.iter().enumerate() {
@@ -177,13 +199,16 @@
         if end == 0 {
             return None;
         }
-        values.push((name, &rest[..end]));
+        variables.push(PathVariable {
+            name,
+            value: &rest[..end],
+        });
         rest = &rest[end..];
     }
     rest.is_empty().then_some(())
 }
 
-/// Where the text after a variable begins. The last text of a segment is looked for from the segment's end, so that
+/// Where the text after a variable begins. The last text of a segment is searched from the segment's end, so that
 /// `{name}.{ending}` matches `a.b.json`.
 fn find_text(rest: &str, text: &str, following: &[SegmentPart]) -> Option<usize> {
     let has_more_text = following
@@ -203,7 +228,7 @@
     methods: Vec<RouteMethod>,
 }
 
-/// A method, in capitals, and the number of its operation.
+/// A method, in capitals, and the index of its operation.
 #[derive(Clone, Debug)]
 struct RouteMethod {
     method: String,
@@ -216,11 +241,20 @@
     routes: Vec<Route>,
 }
 
+/// A variable of a path.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PathVariable<'r, 'p> {
+    /// Its name in the template.
+    pub name: &'r str,
+    /// Its text in the path, still percent-encoded.
+    pub value: &'p str,
+}
+
 /// What a path leads to.
 #[derive(Debug, PartialEq)]
 pub enum RouteMatch<'r, 'p> {
-    /// The operation's number and the variables' values.
-    Operation(usize, Vec<(&'r str, &'p str)>),
+    /// The index of the operation, and the path's variables.
+    Operation(usize, Vec<PathVariable<'r, 'p>>),
     /// The path is described, but not with this method.
     OtherMethods(Vec<&'r str>),
     /// No template matches.
@@ -228,7 +262,7 @@
 }
 
 impl Router {
-    /// Adds an operation. Templates come in any order.
+    /// Adds an operation. Templates may be added in any order.
     pub fn add(&mut self, template: &Template, method: &str, operation: usize) {
         let method = RouteMethod {
             method: method.to_ascii_uppercase(),
@@ -251,17 +285,17 @@
         self.routes.insert(index, route);
     }
 
-    /// Finds the operation of a request. Where the most concrete template that matches doesn't have the method, a less
-    /// concrete one may.
+    /// Finds the operation of a request. A less concrete template is used if the more concrete ones that match don't have
+    /// the method.
     pub fn find<'r, 'p>(&'r self, method: &str, path: &'p str) -> RouteMatch<'r, 'p> {
         let segments: Vec<&str> = path.strip_prefix('/').unwrap_or(path).split('/').collect();
         let mut other_methods = Vec::new();
         for route in &self.routes {
-            let Some(values) = route.template.matches(&segments) else {
+            let Some(variables) = route.template.matches(&segments) else {
                 continue;
             };
             match route.methods.iter().find(|known| known.method == method) {
-                Some(known) => return RouteMatch::Operation(known.operation, values),
+                Some(known) => return RouteMatch::Operation(known.operation, variables),
                 None => other_methods.extend(route.methods.iter().map(|m| m.method.as_str())),
             }
         }
--- a/crates/contract/src/routing/tests.rs
+++ b/crates/contract/src/routing/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{PathVariable, RouteMatch, Router, Template};
 
 fn router(paths: &[&str]) -> Router {
     let mut router = Router::default();
@@ -37,12 +37,16 @@
 }
 
 #[test]
-fn variables_take_whole_pieces_and_never_nothing() {
+fn variables_match_complete_parts_and_never_empty_text() {
     let router = router(&["/files/{name}.json", "/{a}"]);
-    let RouteMatch::Operation(0, values) = router.find("GET", "/files/a.b.json") else {
+    let RouteMatch::Operation(0, variables) = router.find("GET", "/files/a.b.json") else {
         panic!()
     };
-    assert_eq!(values, [("name", "a.b")]);
+    let expected = PathVariable {
+        name: "name",
+        value: "a.b",
+    };
+    assert_eq!(variables, [expected]);
     assert_eq!(router.find("GET", "/files/.json"), RouteMatch::Nothing);
     assert_eq!(router.find("GET", "/"), RouteMatch::Nothing);
     assert_eq!(
@@ -52,7 +56,7 @@
 }
 
 #[test]
-fn templates_that_cannot_be_read_say_why() {
+fn an_invalid_template_says_why() {
     for (path, cause) in [
         ("a", "begin with '/'"),
         ("/{a", "without its '}'"),
--- a/crates/contract/tests/damage.rs
+++ b/crates/contract/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Damaged and hostile descriptions and messages, from fixed seeds: no panic, and no more time or memory than the
-//! bounds allow.
+//! Damaged and hostile descriptions and messages, generated from fixed seeds: no panic, and no more time or memory than
+//! the bounds allow.
 
 use cairnroad_contract::conformance::{ObservedRequest, ObservedResponse};
 use cairnroad_contract::model::Description;
@@ -8,8 +8,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Far more than any of these takes on a slow machine, far less than what an unbounded one would.
-const SOON: Duration = Duration::from_secs(20);
+/// Far more than any case takes on a slow machine, and far less than an unbounded one would.
+const TIME_LIMIT: Duration = Duration::from_secs(20);
 
 fn corpus() -> Vec<(String, String)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus/valid");
@@ -31,11 +31,11 @@
     paths.into_iter().map(read).collect()
 }
 
-fn below(gen: &mut Gen, most: usize) -> usize {
-    usize::arbitrary(gen) % most.max(1)
+fn below(gen: &mut Gen, bound: usize) -> usize {
+    usize::arbitrary(gen) % bound.max(1)
 }
 
-/// A text with some words, lines or letters taken out, doubled, swapped or replaced.
+/// A text with some words, lines or characters removed, duplicated, swapped or replaced.
 fn damage(gen: &mut Gen, text: &str) -> String {
     let mut lines: Vec<String> = text.lines().map(str::to_string).collect();
     for _ in 0..1 + below(gen, 4) {
@@ -86,7 +86,8 @@
 #[test]
 fn damaged_descriptions_never_panic() {
     let corpus = corpus();
-    let (mut sound, mut broken) = (0, 0);
+    let mut valid = 0;
+    let mut faulty = 0;
     for seed in 0..3_000_u64 {
         let mut gen = Gen::from_size_and_seed(40, seed);
         let (name, text) = &corpus[below(&mut gen, corpus.len())];
@@ -94,21 +95,21 @@
         let start = Instant::now();
         match Description::from_text(name, &text) {
             Ok(description) => {
-                sound += 1;
+                valid += 1;
                 let body = text.as_bytes();
                 let fields = vec![("Content-Type".to_string(), "application/json".to_string())];
                 for operation in 0..description.operations.len() {
-                    let answered = ObservedResponse {
+                    let response = ObservedResponse {
                         status: 200,
                         fields: &fields,
                         body,
                         complete: true,
                     };
-                    description.check_response(operation, &answered);
+                    description.check_response(operation, &response);
                 }
             }
             Err(faults) => {
-                broken += 1;
+                faulty += 1;
                 assert!(faults.list.len() <= 100 && !faults.to_string().is_empty());
                 assert!(
                     faults.list.iter().all(|fault| !fault.cause.is_empty()),
@@ -116,11 +117,11 @@
                 );
             }
         }
-        assert!(start.elapsed() < SOON, "seed {seed}");
+        assert!(start.elapsed() < TIME_LIMIT, "seed {seed}");
     }
     assert!(
-        sound > 100 && broken > 1_000,
-        "{sound} sound, {broken} broken"
+        valid > 100 && faulty > 1_000,
+        "{valid} valid, {faulty} faulty"
     );
 }
 
@@ -177,22 +178,22 @@
             ["aisle", "tag", "filter", "p"][below(&mut gen, 4)],
             String::arbitrary(&mut gen)
         );
-        let asked = ObservedRequest {
+        let request = ObservedRequest {
             method: ["GET", "POST", "PUT"][below(&mut gen, 3)],
             target: &target,
             fields: &fields,
             body: &body,
         };
-        let mut found = description.check_request(&asked).violations;
+        let mut found = description.check_request(&request).violations;
         for operation in 0..description.operations.len() {
             let status = u16::arbitrary(&mut gen) % 700;
-            let answered = ObservedResponse {
+            let response = ObservedResponse {
                 status,
                 fields: &fields,
                 body: &body,
                 complete: bool::arbitrary(&mut gen),
             };
-            found.extend(description.check_response(operation, &answered).violations);
+            found.extend(description.check_response(operation, &response).violations);
         }
         for message in &description.messages {
             let (channel, word) = message.name.split_once(' ').unwrap();
@@ -214,7 +215,7 @@
     assert!(violations > 4_000, "{violations}");
 }
 
-/// Descriptions made to cost: each must be refused, or be read and checked, within the bounds.
+/// Descriptions made to be expensive: each must be rejected, or loaded, within the time limit.
 #[test]
 fn hostile_descriptions_cost_a_bounded_time() {
     let head =
@@ -273,7 +274,11 @@
     for (name, text) in hostile {
         let start = Instant::now();
         let read = Description::from_text(name, &text);
-        assert!(start.elapsed() < SOON, "{name}: {:?}", start.elapsed());
+        assert!(
+            start.elapsed() < TIME_LIMIT,
+            "{name}: {:?}",
+            start.elapsed()
+        );
         assert_eq!(
             read.is_ok(),
             name == "wide.yaml",
