--- a/crates/contract/benches/check.rs
+++ b/crates/contract/benches/check.rs
@@ -70,10 +70,10 @@
             status: 200,
             fields: &fields,
             body: &body,
-            whole: true,
+            complete: true,
         };
         assert_eq!(
-            description.check_response(0, &response).departures.len(),
+            description.check_response(0, &response).violations.len(),
             usize::from(has_violation)
         );
         println!("{name}: {} bytes", body.len());
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -4,6 +4,7 @@
 //! A description is read once ([`model::Description`]) and then checks messages without I/O ([`conformance`]).
 //! [`enforcement`] decides what is done about a violation; [`drift`] records where and since when an interface differs
 //! from its description.
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 #![forbid(unsafe_code)]
 
--- a/crates/coordinator/src/contract/background_check.rs
+++ b/crates/coordinator/src/contract/background_check.rs
@@ -159,7 +159,7 @@
             let description = &contract.description;
             let found =
                 description.check_message(frame.channel, frame.name, &headers, &frame.payload);
-            recorder.record(found.operation, frame.direction, &found.departures);
+            recorder.record(found.operation, frame.direction, &found.violations);
         }
     }
 }
@@ -178,7 +178,7 @@
             body: &request.body,
         };
         let found = description.check_request(&observed);
-        recorder.record(found.operation, Direction::Request, &found.departures);
+        recorder.record(found.operation, Direction::Request, &found.violations);
         found.number
     };
     let Some(operation) = operation else { return };
@@ -186,10 +186,10 @@
         status: response.status,
         fields: &response.fields,
         body: &response.body,
-        whole: response.complete,
+        complete: response.complete,
     };
     let found = description.check_response(operation, &observed);
-    recorder.record(found.operation, Direction::Response, &found.departures);
+    recorder.record(found.operation, Direction::Response, &found.violations);
 }
 
 /// Records the results of one message's checks.
@@ -211,7 +211,7 @@
             party: &self.party,
             operation: &operation,
             direction,
-            departures: violations,
+            violations,
         };
         drift_log::record(&mut lock(self.drift), self.seen_at, &observation);
     }
--- a/crates/coordinator/src/contract/client_traffic.rs
+++ b/crates/coordinator/src/contract/client_traffic.rs
@@ -76,9 +76,9 @@
             &self.client_party,
             found.operation,
             Direction::Request,
-            &found.departures,
+            &found.violations,
         );
-        match decide_request(contract.mode, &found.departures) {
+        match decide_request(contract.mode, &found.violations) {
             RequestDecision::Reject(rejection) => Err(rejection),
             RequestDecision::Serve => Ok(()),
         }
--- a/crates/coordinator/src/contract/drift_log.rs
+++ b/crates/coordinator/src/contract/drift_log.rs
@@ -16,7 +16,7 @@
     if !drift.record(now, observation) {
         return;
     }
-    for violation in observation.departures {
+    for violation in observation.violations {
         let summary = drift.summary(observation, violation).unwrap_or_default();
         tracing::warn!(
             interface = %observation.interface,
--- a/crates/coordinator/src/contract/mod.rs
+++ b/crates/coordinator/src/contract/mod.rs
@@ -196,7 +196,7 @@
             party,
             operation: operation.unwrap_or(&self.unknown_operation),
             direction,
-            departures: violations,
+            violations,
         };
         drift_log::record(&mut lock(&self.drift), self.now(), &observation);
     }
--- a/crates/coordinator/src/contract/server_traffic.rs
+++ b/crates/coordinator/src/contract/server_traffic.rs
@@ -76,7 +76,7 @@
             status: response.status,
             fields: response.fields.pairs(),
             body: &response.body,
-            whole: complete,
+            complete,
         };
         let found = contract.description.check_response(operation, &observed);
         self.record(
@@ -84,9 +84,9 @@
             server,
             found.operation,
             Direction::Response,
-            &found.departures,
+            &found.violations,
         );
-        is_response_usable(contract.mode, &found.departures)
+        is_response_usable(contract.mode, &found.violations)
     }
 
     fn queue_exchange(
@@ -158,9 +158,9 @@
                 party,
                 found.operation,
                 direction,
-                &found.departures,
+                &found.violations,
             );
-            return is_response_usable(contract.mode, &found.departures);
+            return is_response_usable(contract.mode, &found.violations);
         }
         if self.is_sampled(interface) {
             let sender = match direction {
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -2,6 +2,7 @@
 //! `cairnroad_routing`, and sends them to servers over one of two backends. See `ARCHITECTURE.md`.
 //!
 //! `main` parses the command line and calls: `server` runs the coordinator, `commands` does everything else.
+#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 mod admin_api;
 mod backends;
