--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -5,7 +5,6 @@
 //! [`enforcement`] decides what is done about a violation; [`drift`] records where and since when an interface differs
 //! from its description.
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 #![forbid(unsafe_code)]
 
 mod asyncapi;
