--- a/crates/admin/src/reconfigure.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -84,7 +84,7 @@
         cells: in_force.cells,
         cells_per_shard: in_force.cells_per_shard,
         max_parts_per_call: in_force.max_parts_per_call,
-        health_check_value: in_force.health_check_value,
+        in_flight_report_index: in_force.in_flight_report_index,
         max_poll_interval: in_force.max_poll_interval,
         ..new.clone()
     }
@@ -95,7 +95,7 @@
     let old_policy = &in_force.policy;
     let new_policy = &new.policy;
     let report_differs = in_force.report_names != new.report_names
-        || old_policy.health_check_value != new_policy.health_check_value;
+        || old_policy.in_flight_report_index != new_policy.in_flight_report_index;
     let differences = [
         ("tickS", old_policy.tick != new_policy.tick),
         ("extra.positions", old_policy.cells != new_policy.cells),
--- a/crates/coordinator/src/discovery/server_directory.rs
+++ b/crates/coordinator/src/discovery/server_directory.rs
@@ -100,7 +100,7 @@
         cell: entry.cell,
         zone: entry.zone,
         state: entry.state,
-        size: entry.size,
+        relative_capacity: entry.size,
         weight: entry.weight,
         generation: entry.generation,
         ready_at: entry.ready_at,
--- a/crates/coordinator/src/observability/metrics.rs
+++ b/crates/coordinator/src/observability/metrics.rs
@@ -101,9 +101,11 @@
     /// Counts an action of the router.
     pub fn record_action(&mut self, action: &Action) {
         match action {
-            Action::Answer { complete: true, .. } => self.add(Counter::Complete),
             Action::Answer {
-                complete: false, ..
+                is_complete: true, ..
+            } => self.add(Counter::Complete),
+            Action::Answer {
+                is_complete: false, ..
             } => self.add(Counter::Partial),
             Action::Reject { .. } => self.add(Counter::Rejected),
             Action::Fail { .. } => self.add(Counter::Failed),
--- a/crates/coordinator/src/pipeline/admission.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -68,9 +68,9 @@
         id,
         class,
         number: id.0,
-        due: deadline,
-        work: expected_work,
-        client_retry,
+        deadline,
+        expected_work,
+        is_client_retry: client_retry,
     });
     for (part, spec) in parts {
         router.push(part_event(id, part, &spec));
@@ -80,7 +80,7 @@
 fn part_event(request: RequestId, part: RequestId, spec: &PartSpec) -> Event {
     Event::Part {
         id: part,
-        number: request.0,
+        query_number: request.0,
         shard: spec.shard,
         weight: spec.weight,
     }
--- a/crates/coordinator/src/pipeline/core.rs
+++ b/crates/coordinator/src/pipeline/core.rs
@@ -218,7 +218,7 @@
         self.requests.record_result(&result);
         let Attempt { part, number } = result.attempt;
         self.router.push(Event::AttemptEnded {
-            id: part,
+            part,
             attempt: number,
             outcome: result.outcome,
         });
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -21,10 +21,10 @@
         Action::Send {
             part,
             server,
-            until,
+            deadline,
         } => {
-            if let Some(outbound) = requests.next_attempt(now, part, until) {
-                timers.insert(until, Timer::AttemptDeadline(outbound.attempt));
+            if let Some(outbound) = requests.next_attempt(now, part, deadline) {
+                timers.insert(deadline, Timer::AttemptDeadline(outbound.attempt));
                 pool.stage(server, outbound);
             }
         }
--- a/crates/coordinator/src/pipeline/respond.rs
+++ b/crates/coordinator/src/pipeline/respond.rs
@@ -43,8 +43,8 @@
     metrics: &mut Metrics,
 ) -> Answer {
     match *action {
-        Action::Answer { complete, .. } => Answer::Served {
-            complete,
+        Action::Answer { is_complete, .. } => Answer::Served {
+            complete: is_complete,
             parts: open.answers(),
         },
         Action::Reject { retry_after, .. } => {
--- a/crates/flow-control/src/health_check_schedule.rs
+++ b/crates/flow-control/src/health_check_schedule.rs
@@ -16,7 +16,7 @@
     credit: f64,
     typical_in_flight: f64,
     /// Whether a timer for the next health check is set.
-    pub scheduled: bool,
+    pub is_scheduled: bool,
 }
 
 impl Default for HealthCheckSchedule {
@@ -24,7 +24,7 @@
         HealthCheckSchedule {
             credit: 0.0,
             typical_in_flight: 1.0,
-            scheduled: false,
+            is_scheduled: false,
         }
     }
 }
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -22,4 +22,4 @@
 pub use sliding_window::SlidingWindow;
 pub use throughput_estimate::{ServerThroughput, ThroughputEstimate};
 pub use timer_queue::TimerQueue;
-pub use weighted_round_robin::{weighted_round_robin, Turn};
+pub use weighted_round_robin::{weighted_round_robin, RotationEntry};
--- a/crates/flow-control/src/random.rs
+++ b/crates/flow-control/src/random.rs
@@ -21,7 +21,7 @@
     }
 
     /// Returns the next number, from 0 to below 1.
-    pub fn next_unit(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         self.state = self.state.wrapping_add(STATE_INCREMENT);
         let mut mixed = self.state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/flow-control/src/random/tests.rs
+++ b/crates/flow-control/src/random/tests.rs
@@ -13,6 +13,6 @@
     let mut random = Random::new(1_234_567);
     for output in published {
         let unit = (output >> 11) as f64 / 2f64.powi(53);
-        assert_eq!(random.next_unit(), unit);
+        assert_eq!(random.next_f64(), unit);
     }
 }
--- a/crates/flow-control/src/throughput_estimate.rs
+++ b/crates/flow-control/src/throughput_estimate.rs
@@ -8,7 +8,7 @@
     /// Parts that it answered.
     pub answers: f64,
     /// Its size as listed; 1 is a standard server.
-    pub size: f64,
+    pub relative_capacity: f64,
 }
 
 /// The best throughput of a warm server of size 1 so far, in answers a second.
@@ -27,7 +27,7 @@
     }
 
     /// Returns whether a sample is due, which it is once a moment, and marks it as taken.
-    pub fn start_sample(&mut self, now: Time) -> bool {
+    pub fn try_start_sample(&mut self, now: Time) -> bool {
         self.last_sample.replace(now) != Some(now)
     }
 
@@ -37,7 +37,7 @@
         let mut size = 0.0;
         for server in servers {
             answers += server.answers;
-            size += server.size;
+            size += server.relative_capacity;
         }
         self.best = self.best.max(answers / observed / f64::max(size, 1.0));
     }
--- a/crates/flow-control/src/throughput_estimate/tests.rs
+++ b/crates/flow-control/src/throughput_estimate/tests.rs
@@ -2,11 +2,16 @@
 
 #[test]
 fn the_best_sample_is_kept_and_sampling_is_due_once_a_moment() {
-    let server = |answers, size| ServerThroughput { answers, size };
+    let server = |answers, relative_capacity| ServerThroughput {
+        answers,
+        relative_capacity,
+    };
     let mut estimate = ThroughputEstimate::default();
     let at = Time::from_secs(1.0);
     assert!(
-        estimate.start_sample(at) && !estimate.start_sample(at) && estimate.start_sample(at + 0.1)
+        estimate.try_start_sample(at)
+            && !estimate.try_start_sample(at)
+            && estimate.try_start_sample(at + 0.1)
     );
     estimate.record([server(30.0, 1.0), server(60.0, 2.0)].into_iter(), 10.0);
     assert_eq!(estimate.best(), 3.0);
--- a/crates/flow-control/src/weighted_round_robin.rs
+++ b/crates/flow-control/src/weighted_round_robin.rs
@@ -4,7 +4,7 @@
 
 /// One replica's place in the rotation.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
+pub struct RotationEntry {
     /// Its share of turns, relative to the other replicas' weights.
     pub weight: f64,
     /// The turns it is owed, in units of weight.
@@ -17,7 +17,7 @@
 ///
 /// Turns are shared in proportion to the weights and smoothly: the heaviest replica gets no bursts. Replicas
 /// with equal credit take turns. Returns `None` if there are no replicas or all weigh the same.
-pub fn weighted_round_robin(turns: &mut [Turn]) -> Option<usize> {
+pub fn weighted_round_robin(turns: &mut [RotationEntry]) -> Option<usize> {
     let first_weight = turns.first()?.weight;
     if turns.iter().all(|turn| turn.weight == first_weight) {
         return None;
@@ -35,8 +35,8 @@
 }
 
 /// Orders by credit, then by how long ago the last turn was. Credits that can't be compared are equal.
-fn by_credit_then_wait(a: &Turn, b: &Turn) -> Ordering {
-    let key = |turn: &Turn| (turn.credit, -turn.last_turn);
+fn by_credit_then_wait(a: &RotationEntry, b: &RotationEntry) -> Ordering {
+    let key = |turn: &RotationEntry| (turn.credit, -turn.last_turn);
     key(a).partial_cmp(&key(b)).unwrap_or(Ordering::Equal)
 }
 
--- a/crates/flow-control/src/weighted_round_robin/tests.rs
+++ b/crates/flow-control/src/weighted_round_robin/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn turn(weight: f64, credit: f64) -> Turn {
-    Turn {
+fn turn(weight: f64, credit: f64) -> RotationEntry {
+    RotationEntry {
         weight,
         credit,
         last_turn: 0,
--- a/crates/routing/src/arrivals.rs
+++ b/crates/routing/src/arrivals.rs
@@ -17,9 +17,9 @@
             id,
             class,
             number,
-            due,
-            work,
-            client_retry,
+            deadline: client_deadline,
+            expected_work,
+            is_client_retry,
         } = event
         else {
             return;
@@ -32,10 +32,10 @@
             .settings
             .classes
             .get(class)
-            .map(|class| (class.latency_objective_for(work), class.deadline))
+            .map(|class| (class.latency_objective_for(expected_work), class.deadline))
             .unwrap_or_default();
-        let finish_at = due.min(now + deadline) + -margin;
-        let asked_at = first_asked_at(now, due, deadline, client_retry);
+        let finish_at = client_deadline.min(now + deadline) + -margin;
+        let asked_at = first_asked_at(now, client_deadline, deadline, is_client_retry);
         let answer_within = objective - margin.max(objective * OBJECTIVE_MARGIN);
         let query = Query {
             class,
@@ -44,7 +44,7 @@
             objective_at: finish_at.min(asked_at + answer_within),
             finish_at,
             generation: self.list_generation,
-            client_retry,
+            client_retry: is_client_retry,
             fingerprint: QueryFingerprint { class, shards: 0 },
             ..Query::default()
         };
@@ -58,14 +58,14 @@
     pub(crate) fn on_part(&mut self, now: Time, event: &Event) -> Option<RequestId> {
         let &Event::Part {
             id,
-            number,
+            query_number,
             shard,
             weight,
         } = event
         else {
             return None;
         };
-        let query_id = *self.queries_by_number.get(&number)?;
+        let query_id = *self.queries_by_number.get(&query_number)?;
         let query = self.queries.get_mut(&query_id)?;
         if self.parts.contains_key(&id) {
             return None;
--- a/crates/routing/src/completion.rs
+++ b/crates/routing/src/completion.rs
@@ -123,7 +123,7 @@
         let step_follows = !query.second_step && class.second_step_parts > 0;
         actions.push(Action::Answer {
             query: id,
-            complete,
+            is_complete: complete,
         });
         if step_follows {
             query.second_step = true;
@@ -209,7 +209,7 @@
 
     /// Cancels an attempt in flight, if the deployment cancels at all; else its outcome is still awaited.
     pub(crate) fn cancel(&mut self, now: Time, id: AttemptId, actions: &mut Vec<Action>) {
-        if !self.settings.cancellation {
+        if !self.settings.cancellation_enabled {
             return;
         }
         let Some(attempt) = self.finish_attempt(id) else {
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -44,7 +44,7 @@
         actions.push(Action::Send {
             part: part_id,
             server: server_id,
-            until: query.finish_at,
+            deadline: query.finish_at,
         });
         if is_first_send {
             self.on_first_send(now, part_id, class, hedge_delay);
@@ -59,7 +59,7 @@
         self.part_sends.push(now, self.long_recent_span());
         self.health_checks.add_credit(self.servers.len() as f64);
         let idempotency = self.settings.classes[class].idempotency;
-        if idempotency != Idempotency::AtMostOnce && self.settings.hedging {
+        if idempotency != Idempotency::AtMostOnce && self.settings.hedging_enabled {
             self.timers.insert(now + hedge_delay, Timer::Hedge(part));
         }
     }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -36,7 +36,7 @@
 
     /// Schedules the next poll after a failed one.
     fn on_poll_failed(&mut self, now: Time) {
-        let random = self.random.next_unit();
+        let random = self.random.next_f64();
         let max_poll_interval = self.settings.max_poll_interval.unwrap_or(0.0);
         let wait = self.poll_backoff.on_failure(max_poll_interval, random);
         self.timers.insert(now + wait, Timer::PollEndpoints);
@@ -62,10 +62,10 @@
 
     /// Adds a server or updates what the list says of it.
     fn apply_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
-        let first_turn = -((self.random.next_unit() * FIRST_TURN_RANGE) as i64) - 1;
+        let first_turn = -((self.random.next_f64() * FIRST_TURN_RANGE) as i64) - 1;
         // Starts at random, so that coordinators with little traffic don't send their first parts in step.
         let slow_start_credit = SlowStartCredit {
-            parts: self.random.next_unit(),
+            parts: self.random.next_f64(),
             updated_at: now,
         };
         let id = endpoint.server;
@@ -93,7 +93,8 @@
         server.state = endpoint.state;
         server.ready_at = endpoint.ready_at;
         server.weight = scale_or_default(endpoint.weight, endpoint.weight >= 0.0);
-        server.size = scale_or_default(endpoint.size, endpoint.size > 0.0);
+        server.relative_capacity =
+            scale_or_default(endpoint.relative_capacity, endpoint.relative_capacity > 0.0);
         self.list_generation = self.list_generation.max(endpoint.generation);
     }
 
--- a/crates/routing/src/event_loop.rs
+++ b/crates/routing/src/event_loop.rs
@@ -75,17 +75,17 @@
             }
             Event::Part { .. } => follow_ups.started_queries.extend(self.on_part(now, event)),
             &Event::AttemptEnded {
-                id,
+                part,
                 attempt,
                 outcome,
             } => {
-                let Some(query) = self.on_attempt_ended(now, id, attempt, outcome) else {
+                let Some(query) = self.on_attempt_ended(now, part, attempt, outcome) else {
                     return;
                 };
                 follow_ups.changed_queries.insert(query);
                 match outcome {
-                    Outcome::Ok => follow_ups.answered_parts.push(id),
-                    _ => follow_ups.failed_parts.push(id),
+                    Outcome::Ok => follow_ups.answered_parts.push(part),
+                    _ => follow_ups.failed_parts.push(part),
                 }
             }
             Event::HealthCheckEnded {
@@ -121,7 +121,7 @@
     ///
     /// A process back from a stall finds all hedge timers expired at once, and answers still unread.
     fn spread_after_stall(&mut self, now: Time, timer: Timer) {
-        let delay = self.shortest_objective * HEDGE_DELAY_SHARE * self.random.next_unit();
+        let delay = self.shortest_objective * HEDGE_DELAY_SHARE * self.random.next_f64();
         self.timers
             .insert(now + delay.max(self.settings.tick), timer);
     }
--- a/crates/routing/src/health_checks.rs
+++ b/crates/routing/src/health_checks.rs
@@ -10,10 +10,10 @@
 impl RequestRouter {
     /// Starts health checks once a server is found to be an outlier, if the deployment has any.
     pub(crate) fn schedule_health_checks(&mut self, now: Time) {
-        if self.health_checks.scheduled || self.settings.health_check_value.is_none() {
+        if self.health_checks.is_scheduled || self.settings.in_flight_report_index.is_none() {
             return;
         }
-        self.health_checks.scheduled = true;
+        self.health_checks.is_scheduled = true;
         self.timers.insert(now, Timer::HealthCheck);
     }
 
@@ -27,7 +27,7 @@
         };
         let in_flight = self
             .settings
-            .health_check_value
+            .in_flight_report_index
             .and_then(|index| report.get(index))
             .copied();
         let ratio = self
@@ -53,7 +53,7 @@
         let any_outlier = self
             .ready_servers()
             .any(|(_, server)| self.is_outlier(now, server));
-        self.health_checks.scheduled = any_outlier;
+        self.health_checks.is_scheduled = any_outlier;
         if !any_outlier {
             return;
         }
@@ -70,7 +70,7 @@
                 }
             }
         }
-        let delay = HealthCheckSchedule::delay(self.shortest_objective, self.random.next_unit());
+        let delay = HealthCheckSchedule::delay(self.shortest_objective, self.random.next_f64());
         self.timers
             .insert(now + delay.max(self.settings.tick), Timer::HealthCheck);
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -27,33 +27,33 @@
 //!         idempotency: Idempotency::Idempotent,
 //!         dedup_window: 0.0, complete_threshold: 1.0, minimum_share: 1.0, partial_answer_share: 0.0, second_step_parts: 0,
 //!     }],
-//!     group_size: 1, cells: 2, cells_per_shard: 2, max_parts_per_call: 1, tick: 0.005, max_attempts: 3,
-//!     health_check_value: None, cancellation: true,
-//!     hedging: true, max_retry_after: Some(0.5), max_poll_interval: None, drain_grace: 1.0, slow_start_share: 0.2,
+//!     coordinator_count: 1, cells: 2, cells_per_shard: 2, max_parts_per_call: 1, tick: 0.005, max_attempts: 3,
+//!     in_flight_report_index: None, cancellation_enabled: true,
+//!     hedging_enabled: true, max_retry_after: Some(0.5), max_poll_interval: None, drain_grace: 1.0, slow_start_share: 0.2,
 //!     slow_start_duration: 10.0,
 //!     overload_multiple: 2.0, overload_window: 2.0, retry_budget: None,
 //! };
 //! let mut router = RequestRouter::new(settings, 7);
 //! let server = |id, cell| Endpoint {
-//!     server: ServerId(id), cell, zone: 0, state: ServerState::Ready, size: 1.0, weight: 1.0, generation: 0,
+//!     server: ServerId(id), cell, zone: 0, state: ServerState::Ready, relative_capacity: 1.0, weight: 1.0, generation: 0,
 //!     ready_at: None,
 //! };
 //! let now = Time::from_secs(100.0);
 //! let events = [
 //!     Event::Endpoints(EndpointUpdate::Snapshot(vec![server(1, 0), server(2, 1)])),
 //!     Event::Query {
-//!         id: RequestId(1), class: ClassId(0), number: 1, due: now + 3.0, work: None, client_retry: false,
+//!         id: RequestId(1), class: ClassId(0), number: 1, deadline: now + 3.0, expected_work: None, is_client_retry: false,
 //!     },
-//!     Event::Part { id: RequestId(2), number: 1, shard: 0, weight: 1.0 },
+//!     Event::Part { id: RequestId(2), query_number: 1, shard: 0, weight: 1.0 },
 //! ];
 //! let mut actions = Vec::new();
 //! router.handle(now, &events, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { part: RequestId(2), .. }));
 //!
 //! actions.clear();
-//! let answer = Event::AttemptEnded { id: RequestId(2), attempt: 0, outcome: Outcome::Ok };
+//! let answer = Event::AttemptEnded { part: RequestId(2), attempt: 0, outcome: Outcome::Ok };
 //! router.handle(now + 0.1, &[answer], &mut actions);
-//! assert_eq!(actions[0], Action::Answer { query: RequestId(1), complete: true });
+//! assert_eq!(actions[0], Action::Answer { query: RequestId(1), is_complete: true });
 //! ```
 
 #![forbid(unsafe_code)]
--- a/crates/routing/src/load_shedding.rs
+++ b/crates/routing/src/load_shedding.rs
@@ -98,7 +98,7 @@
         let slowest = latency.typical * slowest_factor * spans.min(0.0).exp();
         let share = slowest / time_left.max(MIN_LATENCY);
         let probability = (share - RANDOM_SHED_FROM) / (RANDOM_SHED_FULL - RANDOM_SHED_FROM);
-        self.random.next_unit() < probability.min(MAX_SHED_PROBABILITY)
+        self.random.next_f64() < probability.min(MAX_SHED_PROBABILITY)
     }
 
     /// The longest expected latency of a part in seconds with which a query of this class is still admitted.
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -3,7 +3,7 @@
 use crate::router::RequestRouter;
 use crate::server::Server;
 use crate::tuning::OUTLIER_RATIO;
-use cairnroad_flow_control::{weighted_round_robin, Turn};
+use cairnroad_flow_control::{weighted_round_robin, RotationEntry};
 use cairnroad_types::{Class, Idempotency, RequestId, Seconds, ServerId, ServerState, Time};
 
 /// Shortest gap between trial parts of an outlier at the threshold, as a share of the shortest latency
@@ -171,7 +171,7 @@
             .filter(|candidate| candidate.rank == Rank::InRotation)
             .map(|candidate| candidate.server)
             .collect();
-        let mut turns: Vec<Turn> = in_rotation.iter().map(|&id| self.turn(id)).collect();
+        let mut turns: Vec<RotationEntry> = in_rotation.iter().map(|&id| self.turn(id)).collect();
         let selected = weighted_round_robin(&mut turns)?;
         for (id, turn) in in_rotation.iter().zip(turns) {
             self.servers.get_mut(id)?.round_robin_credit = turn.credit;
@@ -179,9 +179,9 @@
         in_rotation.get(selected).copied()
     }
 
-    fn turn(&self, id: ServerId) -> Turn {
+    fn turn(&self, id: ServerId) -> RotationEntry {
         let server = &self.servers[&id];
-        Turn {
+        RotationEntry {
             weight: server.weight,
             credit: server.round_robin_credit,
             last_turn: server.last_turn,
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -46,7 +46,7 @@
     /// 0 if the list doesn't tell it.
     pub(crate) zone: u32,
     /// Capacity relative to a standard server.
-    pub(crate) size: f64,
+    pub(crate) relative_capacity: f64,
     /// Its share of turns, relative to the other replicas.
     pub(crate) weight: f64,
     pub(crate) state: ServerState,
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -31,7 +31,7 @@
             * settings.overload_multiple
             * ramp(settings, age)
             * self.throughput.best()
-            * server.size;
+            * server.relative_capacity;
         let limit = (rate * settings.overload_window * BURST_SHARE).max(1.0);
         server.slow_start_credit.accrue(now, rate, limit);
         server.slow_start_credit.parts >= 1.0
@@ -39,7 +39,7 @@
 
     /// Samples, once a moment, what a warm server of size 1 answers this coordinator a second.
     fn sample_throughput(&mut self, now: Time) {
-        if !self.throughput.start_sample(now) {
+        if !self.throughput.try_start_sample(now) {
             return;
         }
         let span = self.throughput_span();
@@ -52,7 +52,7 @@
             .filter(|server| is_warm(now, server, slow_start))
             .map(|server| ServerThroughput {
                 answers: server.recent_answers.count(now, span),
-                size: server.size,
+                relative_capacity: server.relative_capacity,
             });
         self.throughput.record(samples, observed);
     }
--- a/crates/routing/src/zone_recovery.rs
+++ b/crates/routing/src/zone_recovery.rs
@@ -6,7 +6,7 @@
 use crate::server::Server;
 use crate::tuning::{HEDGE_DELAY_SHARE, MAX_SLOWNESS_RATIO};
 use cairnroad_types::{ServerId, Time};
-use cairnroad_zone_outage::ZoneObservation;
+use cairnroad_zone_outage::ServerObservation;
 
 /// A zone that was unreachable for this share of the slow-start duration may have restarted, and goes through
 /// slow start as if it had.
@@ -15,11 +15,11 @@
 impl RequestRouter {
     /// Makes all servers of a zone outliers once the zone is found to be unreachable.
     pub(crate) fn detect_zone_outages(&mut self, now: Time) {
-        let observations: Vec<ZoneObservation> = self
+        let observations: Vec<ServerObservation> = self
             .ready_servers()
             .map(|(_, server)| self.zone_observation(now, server))
             .collect();
-        let unreachable = self.zone_outages.detect_outage(now, &observations);
+        let unreachable = self.zone_outages.detect_outages(now, &observations);
         for server in self.servers.values_mut() {
             if unreachable.contains(&server.zone) {
                 server.slowness_ratio = MAX_SLOWNESS_RATIO;
@@ -28,8 +28,8 @@
         }
     }
 
-    fn zone_observation(&self, now: Time, server: &Server) -> ZoneObservation {
-        ZoneObservation {
+    fn zone_observation(&self, now: Time, server: &Server) -> ServerObservation {
+        ServerObservation {
             zone: server.zone,
             last_answered_send: server.last_answered_send,
             unanswered_since: server
@@ -56,7 +56,7 @@
         };
         server.unanswered_since = None;
         let zone = server.zone;
-        let Some(outage_duration) = self.zone_outages.recovered(now, zone) else {
+        let Some(outage_duration) = self.zone_outages.end_outage(now, zone) else {
             return;
         };
         let restarted = outage_duration > self.settings.slow_start_duration * RESTART_SHARE;
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -24,15 +24,15 @@
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         classes,
-        group_size: 1,
+        coordinator_count: 1,
         cells: 3,
         cells_per_shard: 3,
         max_parts_per_call: 1,
         tick: 0.005,
         max_attempts: 3,
-        health_check_value: None,
-        cancellation: true,
-        hedging: true,
+        in_flight_report_index: None,
+        cancellation_enabled: true,
+        hedging_enabled: true,
         max_retry_after: Some(0.5),
         max_poll_interval: None,
         drain_grace: 0.25,
@@ -55,7 +55,7 @@
         cell: id % 3,
         zone: 0,
         state,
-        size: 1.0,
+        relative_capacity: 1.0,
         weight: 1.0,
         generation: 0,
         ready_at,
@@ -64,7 +64,7 @@
 
 pub fn attempt_ended(part: u64, attempt: u8, outcome: Outcome) -> Event {
     Event::AttemptEnded {
-        id: RequestId(part),
+        part: RequestId(part),
         attempt,
         outcome,
     }
@@ -122,14 +122,14 @@
         let number = self.next;
         let id = number * 1000;
         self.next += 1;
-        let due = self.now + 3.0;
+        let deadline = self.now + 3.0;
         let mut events = vec![Event::Query {
             id: RequestId(id),
             class: ClassId(class),
             number,
-            due,
-            work: None,
-            client_retry: false,
+            deadline,
+            expected_work: None,
+            is_client_retry: false,
         }];
         let mut parts = Vec::new();
         for (at, &shard) in shards.iter().enumerate() {
@@ -137,7 +137,7 @@
             parts.push(part);
             events.push(Event::Part {
                 id: RequestId(part),
-                number,
+                query_number: number,
                 shard,
                 weight,
             });
--- a/crates/routing/tests/decisions/completion.rs
+++ b/crates/routing/tests/decisions/completion.rs
@@ -49,7 +49,7 @@
     let actions = harness.handle_after(0.9, &[Event::TimerFired]);
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        complete: false
+        is_complete: false
     }));
     let (events, id, _) = harness.query(0, &[0, 1]);
     harness.handle(&events);
@@ -73,7 +73,7 @@
     let actions = harness.handle(&in_time[2..]);
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        complete: true
+        is_complete: true
     }));
     assert!(actions.contains(&Action::Cancel {
         part: RequestId(parts[3]),
@@ -91,11 +91,11 @@
     let actions = harness.handle_after(0.1, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        complete: true
+        is_complete: true
     }));
     let second = Event::Part {
         id: RequestId(77),
-        number: 1,
+        query_number: 1,
         shard: 1,
         weight: 1.0,
     };
@@ -103,14 +103,14 @@
     let actions = harness.handle_after(0.1, &[attempt_ended(77, 0, Outcome::Ok)]);
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        complete: true
+        is_complete: true
     }));
     let (events, id, parts) = harness.query(0, &[0]);
     harness.handle(&events);
     harness.handle_after(0.5, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
     harness.handle(&[Event::Part {
         id: RequestId(78),
-        number: 2,
+        query_number: 2,
         shard: 1,
         weight: 1.0,
     }]);
@@ -176,7 +176,7 @@
         assert!(
             actions.contains(&Action::Answer {
                 query: RequestId(id),
-                complete: true
+                is_complete: true
             }),
             "{actions:?}"
         );
@@ -192,7 +192,7 @@
             let actions = harness.handle_after(0.97, &[Event::TimerFired]);
             let partial = actions.contains(&Action::Answer {
                 query: RequestId(id),
-                complete: false,
+                is_complete: false,
             });
             assert_eq!(partial, answered, "weights of {weight}: {in_time} of 94");
             harness.handle_after(3.0, &[Event::TimerFired]);
--- a/crates/routing/tests/decisions/hedging.rs
+++ b/crates/routing/tests/decisions/hedging.rs
@@ -27,7 +27,7 @@
     }));
     assert!(actions.contains(&Action::Answer {
         query: RequestId(id),
-        complete: true
+        is_complete: true
     }));
 }
 
--- a/crates/routing/tests/decisions/load_shedding.rs
+++ b/crates/routing/tests/decisions/load_shedding.rs
@@ -33,10 +33,12 @@
         let (mut events, id, _) = harness.query(0, &[0]);
         let now = harness.now;
         if let Event::Query {
-            due, client_retry, ..
+            deadline,
+            is_client_retry,
+            ..
         } = &mut events[0]
         {
-            (*due, *client_retry) = (now + time_left, retry);
+            (*deadline, *is_client_retry) = (now + time_left, retry);
         }
         (harness.handle(&events), id)
     };
@@ -87,14 +89,18 @@
     let mut harness = Harness::new(idempotent_settings());
     harness.serve_quick(30);
     let (mut events, _, parts) = harness.query(0, &[0]);
-    if let Event::Query { due, .. } = &mut events[0] {
-        *due = harness.now + 0.4;
+    if let Event::Query { deadline, .. } = &mut events[0] {
+        *deadline = harness.now + 0.4;
     }
     assert_eq!(sends(&harness.handle(&events)).len(), 1);
     let actions = harness.handle_after(0.1, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
-    assert!(actions
-        .iter()
-        .any(|a| matches!(a, Action::Answer { complete: true, .. })));
+    assert!(actions.iter().any(|a| matches!(
+        a,
+        Action::Answer {
+            is_complete: true,
+            ..
+        }
+    )));
 }
 
 #[test]
--- a/crates/routing/tests/decisions/outlier_detection.rs
+++ b/crates/routing/tests/decisions/outlier_detection.rs
@@ -85,7 +85,7 @@
 #[test]
 fn health_checks_follow_an_outlier_and_are_overridden_by_answers() {
     let mut drawn = idempotent_settings();
-    drawn.health_check_value = Some(0);
+    drawn.in_flight_report_index = Some(0);
     let mut harness = Harness::new(drawn);
     harness.serve_quick(30);
     let checked = |actions: &[Action]| -> Vec<u32> {
--- a/crates/routing/tests/decisions/replica_selection.rs
+++ b/crates/routing/tests/decisions/replica_selection.rs
@@ -67,7 +67,7 @@
         max_parts_per_call: 2,
         ..idempotent_settings()
     };
-    settings.group_size = 1;
+    settings.coordinator_count = 1;
     let mut harness = Harness::new(settings);
     let in_cell = |id| Endpoint {
         cell: id % 2,
--- a/crates/routing/tests/decisions/retry.rs
+++ b/crates/routing/tests/decisions/retry.rs
@@ -99,8 +99,11 @@
     );
     for (shards, sent) in [(&[0, 1], 0), (&[0, 2], 2)] {
         let (mut events, _, _) = harness.query(0, shards);
-        if let Event::Query { client_retry, .. } = &mut events[0] {
-            *client_retry = true;
+        if let Event::Query {
+            is_client_retry, ..
+        } = &mut events[0]
+        {
+            *is_client_retry = true;
         }
         assert_eq!(
             sends(&harness.handle_after(0.1, &events)).len(),
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -67,7 +67,7 @@
             Action::Send {
                 part: RequestId(id),
                 server: ServerId(server),
-                until,
+                deadline,
             } => {
                 assert!(
                     !self.not_ready.contains(&server),
@@ -78,7 +78,7 @@
                     .queries
                     .get(&view.query)
                     .expect("a send for a finished query");
-                assert!(!view.answered && until <= query.due && view.step == query.step);
+                assert!(!view.answered && deadline <= query.due && view.step == query.step);
                 let class = &self.settings.classes[query.class];
                 let ran = view.attempts.iter().any(|(_, o)| {
                     !matches!(
@@ -101,7 +101,7 @@
                 let again = !view.attempts.is_empty();
                 if again {
                     if view.attempts.iter().any(|(_, o)| o.is_none()) {
-                        assert!(self.settings.hedging);
+                        assert!(self.settings.hedging_enabled);
                         assert!(view
                             .attempts
                             .iter()
@@ -135,14 +135,14 @@
                     1 => (Outcome::Rejected, 0.002),
                     2 => (Outcome::ConnectFailed, 0.25),
                     3 => (Outcome::Reset, 0.1),
-                    4 => (Outcome::Timeout, until - now),
+                    4 => (Outcome::Timeout, deadline - now),
                     5 => (Outcome::Ok, 1.5),
-                    6 if server % 4 == 3 => (Outcome::Timeout, until - now),
+                    6 if server % 4 == 3 => (Outcome::Timeout, deadline - now),
                     _ => (Outcome::Ok, 0.05 + self.dice.below(200) as f64 / 1000.0),
                 };
                 let end = now + late.max(0.001);
-                let (end, outcome) = if end > until {
-                    (until, Outcome::Timeout)
+                let (end, outcome) = if end > deadline {
+                    (deadline, Outcome::Timeout)
                 } else {
                     (end, outcome)
                 };
@@ -153,14 +153,16 @@
                 attempt,
             } => {
                 let view = &self.parts[&id];
-                assert!((attempt as usize) < view.attempts.len() && self.settings.cancellation);
+                assert!(
+                    (attempt as usize) < view.attempts.len() && self.settings.cancellation_enabled
+                );
                 for out in self.out.iter_mut().filter(|o| o.1 == id && o.2 == attempt) {
                     (out.0, out.3) = (now, Outcome::Cancelled);
                 }
             }
             Action::Answer {
                 query: RequestId(id),
-                complete,
+                is_complete,
             } => {
                 let query = self
                     .queries
@@ -190,14 +192,14 @@
                 };
                 assert!(weight + 1e-4 >= minimum, "less than the minimum share");
                 assert!(
-                    !complete || weight + 1e-4 >= need && (!second || query.first_step_complete),
+                    !is_complete || weight + 1e-4 >= need && (!second || query.first_step_complete),
                     "not complete"
                 );
                 self.answers += 1;
                 if class.second_step_parts > 0 && !second {
                     let parts = class.second_step_parts.min(count);
                     let query = self.queries.get_mut(&id).unwrap();
-                    (query.step, query.first_step_complete) = (2, complete);
+                    (query.step, query.first_step_complete) = (2, is_complete);
                     let number = query.number;
                     self.add_parts(id, number, 2, u64::from(parts));
                 } else {
@@ -244,7 +246,7 @@
                 self.wake.insert(at);
             }
             Action::SubscribeEndpoints => assert!(self.settings.max_poll_interval.is_some()),
-            Action::HealthCheck(_) => assert!(self.settings.health_check_value.is_some()),
+            Action::HealthCheck(_) => assert!(self.settings.in_flight_report_index.is_some()),
         }
     }
 
@@ -264,7 +266,7 @@
             self.arrivals.push(self.now);
             self.events.push(Event::Part {
                 id: RequestId(id),
-                number,
+                query_number: number,
                 shard,
                 weight,
             });
@@ -294,9 +296,9 @@
             id: id_typed,
             class: ClassId(class as u16),
             number,
-            due,
-            work: self.dice.chance(0.1).then_some(f64::NAN),
-            client_retry: false,
+            deadline: due,
+            expected_work: self.dice.chance(0.1).then_some(f64::NAN),
+            is_client_retry: false,
         });
         let parts = if self.settings.classes[class].idempotency == Idempotency::AtMostOnce {
             1
@@ -316,13 +318,13 @@
             // An answer counts while its query's step still runs.
             view.answered |= outcome == Outcome::Ok;
             self.events.push(Event::AttemptEnded {
-                id: RequestId(id),
+                part: RequestId(id),
                 attempt,
                 outcome,
             });
             if self.dice.chance(0.02) {
                 self.events.push(Event::AttemptEnded {
-                    id: RequestId(id),
+                    part: RequestId(id),
                     attempt,
                     outcome,
                 });
@@ -368,7 +370,7 @@
                 report,
             },
             0 => Event::AttemptEnded {
-                id: RequestId(id.0 + 1_000_000),
+                part: RequestId(id.0 + 1_000_000),
                 attempt: 200,
                 outcome: Outcome::Ok,
             },
@@ -376,7 +378,7 @@
             2 => Event::Endpoints(EndpointUpdate::Snapshot(Vec::new())),
             _ => Event::Part {
                 id: RequestId(id.0 + 1_000_000),
-                number: u64::MAX,
+                query_number: u64::MAX,
                 shard: u32::MAX,
                 weight: f64::NAN,
             },
@@ -414,10 +416,10 @@
     }
     classes[0].second_step_parts = dice.below(3) as u32;
     let mut drawn = settings(classes);
-    drawn.hedging = dice.chance(0.8);
-    drawn.cancellation = dice.chance(0.8);
+    drawn.hedging_enabled = dice.chance(0.8);
+    drawn.cancellation_enabled = dice.chance(0.8);
     drawn.max_attempts = 1 + dice.below(4) as u32;
-    drawn.health_check_value = dice.chance(0.5).then_some(0);
+    drawn.in_flight_report_index = dice.chance(0.5).then_some(0);
     drawn.max_poll_interval = dice.chance(0.5).then_some(10.0);
     drawn.retry_budget = dice.chance(0.5).then_some(RetryBudgetLimits {
         always_allowed: 3.0,
@@ -548,7 +550,7 @@
         let mut actions = Vec::new();
         let row = Endpoint {
             cell: u32::MAX,
-            size: f64::NAN,
+            relative_capacity: f64::NAN,
             ..endpoint(9, ServerState::Ready, Some(Time(i64::MAX)))
         };
         let events = [
@@ -557,13 +559,13 @@
                 id: RequestId(1),
                 class: ClassId(0),
                 number: 0,
-                due: Time(i64::MIN),
-                work: None,
-                client_retry: true,
+                deadline: Time(i64::MIN),
+                expected_work: None,
+                is_client_retry: true,
             },
             Event::Part {
                 id: RequestId(2),
-                number: 0,
+                query_number: 0,
                 shard: u32::MAX,
                 weight: f64::INFINITY,
             },
@@ -571,18 +573,18 @@
                 id: RequestId(3),
                 class: ClassId(99),
                 number: 1,
-                due: Time(i64::MAX),
-                work: Some(f64::INFINITY),
-                client_retry: true,
+                deadline: Time(i64::MAX),
+                expected_work: Some(f64::INFINITY),
+                is_client_retry: true,
             },
             Event::Part {
                 id: RequestId(4),
-                number: 1,
+                query_number: 1,
                 shard: 0,
                 weight: 1.0,
             },
             Event::AttemptEnded {
-                id: RequestId(2),
+                part: RequestId(2),
                 attempt: 0,
                 outcome: Outcome::Ok,
             },
@@ -623,15 +625,15 @@
             id,
             class: ClassId(0),
             number,
-            due,
-            work: None,
-            client_retry: false,
+            deadline: due,
+            expected_work: None,
+            is_client_retry: false,
         };
         let events = [
             query,
             Event::Part {
                 id: part,
-                number,
+                query_number: number,
                 shard: 0,
                 weight: 1.0,
             },
@@ -641,7 +643,7 @@
         router.handle(
             Time::from_secs(at) + 0.1,
             &[Event::AttemptEnded {
-                id: part,
+                part,
                 attempt: 0,
                 outcome: Outcome::Ok,
             }],
--- a/crates/routing/tests/slow_start_fleet.rs
+++ b/crates/routing/tests/slow_start_fleet.rs
@@ -35,7 +35,7 @@
     Settings {
         cells: CELLS,
         cells_per_shard: 2,
-        group_size: coordinators,
+        coordinator_count: coordinators,
         slow_start_share: 0.2,
         overload_multiple: 1.5,
         overload_window: 1.0,
@@ -140,7 +140,7 @@
                 break;
             };
             fleet[number].events.push(Event::AttemptEnded {
-                id: RequestId(part),
+                part: RequestId(part),
                 attempt,
                 outcome,
             });
@@ -155,9 +155,9 @@
                 id,
                 class: ClassId(0),
                 number: query,
-                due: now + 3.0,
-                work: None,
-                client_retry: false,
+                deadline: now + 3.0,
+                expected_work: None,
+                is_client_retry: false,
             });
             let first = (chance() * f64::from(CELLS)) as u64;
             for at in 0..PARTS {
@@ -165,7 +165,7 @@
                 let weight = 1.0 / PARTS as f64;
                 one.events.push(Event::Part {
                     id: RequestId(id.0 + 1 + at),
-                    number: query,
+                    query_number: query,
                     shard,
                     weight,
                 });
--- a/crates/routing/tests/sparse_traffic.rs
+++ b/crates/routing/tests/sparse_traffic.rs
@@ -20,7 +20,7 @@
         ..class(idempotency)
     };
     Settings {
-        group_size: 100,
+        coordinator_count: 100,
         cells: CELLS,
         cells_per_shard: 1,
         max_parts_per_call: 8,
@@ -257,12 +257,12 @@
         deadline: 2.5,
         ..class(idempotency)
     };
-    let health_check_value = health_checked.then_some(0);
+    let in_flight_report_index = health_checked.then_some(0);
     let mut harness = harness(Settings {
         cells: CELLS,
         cells_per_shard: 1,
         tick: 0.005,
-        health_check_value,
+        in_flight_report_index,
         ..settings(vec![class])
     });
     let ask = |harness: &mut Harness, recovered: bool| {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -76,7 +76,10 @@
 #[test]
 fn health_checks_need_permission_and_an_in_flight_count_in_the_load_report() {
     assert_eq!(
-        parse(TEXT.as_bytes()).unwrap().policy.health_check_value,
+        parse(TEXT.as_bytes())
+            .unwrap()
+            .policy
+            .in_flight_report_index,
         None
     );
     let names = r#""report": {"how": "pull", "names": ["util", "inflight"]}, "unheardOf""#;
@@ -85,13 +88,16 @@
         parse(with_report.as_bytes())
             .unwrap()
             .policy
-            .health_check_value,
+            .in_flight_report_index,
         None,
         "not without permission"
     );
     let allowed = with_report.replace("\"cancel\": true", "\"cancel\": true, \"probes\": true");
     assert_eq!(
-        parse(allowed.as_bytes()).unwrap().policy.health_check_value,
+        parse(allowed.as_bytes())
+            .unwrap()
+            .policy
+            .in_flight_report_index,
         Some(1)
     );
 }
--- a/crates/simulator-host/src/codec/batch.rs
+++ b/crates/simulator-host/src/codec/batch.rs
@@ -176,9 +176,9 @@
     let class = ClassId(fields.u16()?);
     let flags = fields.u8()?;
     let shard = fields.f32()?;
-    let due = Time::from_secs(fields.f64()?);
+    let deadline = Time::from_secs(fields.f64()?);
     let _key = fields.u64()?;
-    let work = fields.f64()?;
+    let expected_work = fields.f64()?;
     let weight = fields.f32()?;
     let _tenant = fields.u32()?;
     let number = fields.f32()? as u64;
@@ -188,28 +188,28 @@
             id,
             class,
             number,
-            due,
-            work: (flags & FLAG_WORK_STATED != 0).then_some(work),
-            client_retry: flags & FLAG_CLIENT_RETRY != 0,
+            deadline,
+            expected_work: (flags & FLAG_WORK_STATED != 0).then_some(expected_work),
+            is_client_retry: flags & FLAG_CLIENT_RETRY != 0,
         });
     }
     Ok(Event::Part {
         id,
-        number,
+        query_number: number,
         shard: shard as u32,
         weight,
     })
 }
 
 fn parse_attempt_ended(fields: &mut Fields) -> Result<Event, FieldError> {
-    let id = RequestId(fields.u64()?);
+    let part = RequestId(fields.u64()?);
     let outcome = parse_outcome(fields.u8()?)?;
     let _is_final = fields.u8()?;
     let _server = fields.u32()?;
     let _duration = fields.f64()?;
     let attempt = fields.u8()?;
     Ok(Event::AttemptEnded {
-        id,
+        part,
         attempt,
         outcome,
     })
@@ -242,14 +242,14 @@
         3 => ServerState::Draining,
         other => return Err(FieldError::UnknownServerState(other)),
     };
-    let size = fields.f32()?;
+    let relative_capacity = fields.f32()?;
     let ready_at = fields.f64()?;
     Ok(Endpoint {
         server,
         cell,
         zone,
         state,
-        size,
+        relative_capacity,
         weight: 1.0,
         generation: 0,
         ready_at: (ready_at != 0.0).then(|| Time::from_secs(ready_at)),
--- a/crates/simulator-host/src/codec/reply.rs
+++ b/crates/simulator-host/src/codec/reply.rs
@@ -53,11 +53,11 @@
         Action::Send {
             part,
             server,
-            until,
+            deadline,
         } => {
             put(&part.0.to_le_bytes());
             put(&server.0.to_le_bytes());
-            put(&until.secs().to_le_bytes());
+            put(&deadline.secs().to_le_bytes());
             code::ROUTE
         }
         Action::Reject { query, retry_after } => {
@@ -90,9 +90,9 @@
             put(&[subscribe]);
             code::FOLLOW
         }
-        Action::Answer { query, complete } => {
+        Action::Answer { query, is_complete } => {
             put(&query.0.to_le_bytes());
-            put(&[u8::from(*complete)]);
+            put(&[u8::from(*is_complete)]);
             code::ASSEMBLE
         }
     }
--- a/crates/simulator-host/src/codec/tests.rs
+++ b/crates/simulator-host/src/codec/tests.rs
@@ -74,20 +74,20 @@
 #[test]
 fn actions_are_encoded_as_the_wire_page_states() {
     let mut reply = Reply::default();
-    let until = Time::from_secs(1.5);
+    let deadline = Time::from_secs(1.5);
     reply.push(
         3,
         &Action::Send {
             part: RequestId(5),
             server: ServerId(7),
-            until,
+            deadline,
         },
     );
     reply.push(
         3,
         &Action::Answer {
             query: RequestId(4),
-            complete: true,
+            is_complete: true,
         },
     );
     reply.push(
--- a/crates/types/src/action.rs
+++ b/crates/types/src/action.rs
@@ -12,7 +12,7 @@
         /// The server.
         server: ServerId,
         /// When the attempt is abandoned.
-        until: Time,
+        deadline: Time,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -28,7 +28,7 @@
         /// The query.
         query: RequestId,
         /// Whether the answer is complete.
-        complete: bool,
+        is_complete: bool,
     },
     /// End a query unserved; a retry is harmless.
     Reject {
--- a/crates/types/src/endpoint.rs
+++ b/crates/types/src/endpoint.rs
@@ -26,7 +26,7 @@
     /// Its state.
     pub state: ServerState,
     /// Its capacity relative to the others.
-    pub size: f64,
+    pub relative_capacity: f64,
     /// Its share of turns relative to the other replicas of its shards; 0: only what no other can take.
     pub weight: f64,
     /// The generation of the list that it stands in; queries keep to servers of theirs and of older ones.
--- a/crates/types/src/event.rs
+++ b/crates/types/src/event.rs
@@ -16,18 +16,18 @@
         /// The number that ties its parts to it.
         number: u64,
         /// When its client stops waiting.
-        due: Time,
+        deadline: Time,
         /// Expected work, where it is known.
-        work: Option<Seconds>,
+        expected_work: Option<Seconds>,
         /// Whether the client marked it as its own retry of an earlier try.
-        client_retry: bool,
+        is_client_retry: bool,
     },
     /// A part of a query arrived.
     Part {
         /// Its id.
         id: RequestId,
         /// The number of its query.
-        number: u64,
+        query_number: u64,
         /// The shard it needs.
         shard: u32,
         /// Its weight; those of a step sum to 1.
@@ -36,7 +36,7 @@
     /// An attempt ended.
     AttemptEnded {
         /// The part.
-        id: RequestId,
+        part: RequestId,
         /// The attempt's number.
         attempt: u8,
         /// How it ended.
--- a/crates/types/src/settings.rs
+++ b/crates/types/src/settings.rs
@@ -95,7 +95,7 @@
     /// Classes of query.
     pub classes: Vec<Class>,
     /// Number of coordinators in the deployment.
-    pub group_size: u32,
+    pub coordinator_count: u32,
     /// Number of cells; shard s is held by cells s to s + `cells_per_shard` - 1, modulo this.
     pub cells: u32,
     /// Cells in a row that hold a shard.
@@ -108,11 +108,11 @@
     pub max_attempts: u32,
     /// Which value of a load report is the count of requests that the server holds; `None` where servers may
     /// not be checked.
-    pub health_check_value: Option<usize>,
+    pub in_flight_report_index: Option<usize>,
     /// Whether an attempt may be cancelled.
-    pub cancellation: bool,
+    pub cancellation_enabled: bool,
     /// Whether a part may have two attempts in flight at once.
-    pub hedging: bool,
+    pub hedging_enabled: bool,
     /// The longest retry-after advice that clients heed; `None` where none is passed on.
     pub max_retry_after: Option<Seconds>,
     /// Where lists come only on request: longest time without a poll.
--- a/crates/zone-outage/src/lib.rs
+++ b/crates/zone-outage/src/lib.rs
@@ -19,7 +19,7 @@
 
 /// What is known of one server.
 #[derive(Clone, Copy, Debug)]
-pub struct ZoneObservation {
+pub struct ServerObservation {
     /// The server's zone; 0 if it is unknown, in which case the server is ignored.
     pub zone: u32,
     /// When the latest request that it answered was sent.
@@ -56,7 +56,7 @@
 
 impl ZoneOutages {
     /// Returns the zones that the observations show to be unreachable and that weren't known to be.
-    pub fn detect_outage(&mut self, now: Time, observations: &[ZoneObservation]) -> Vec<u32> {
+    pub fn detect_outages(&mut self, now: Time, observations: &[ServerObservation]) -> Vec<u32> {
         let zones = summarize(observations);
         // What was sent when no server anywhere answered proves nothing of a zone: the fault may be our own.
         let last_answered_anywhere = zones
@@ -80,12 +80,12 @@
     /// Ends a zone's outage because one of its servers was heard from.
     ///
     /// Returns how long the outage lasted in seconds, `None` if the zone wasn't unreachable.
-    pub fn recovered(&mut self, now: Time, zone: u32) -> Option<Seconds> {
+    pub fn end_outage(&mut self, now: Time, zone: u32) -> Option<Seconds> {
         self.detected_at.remove(&zone).map(|since| now - since)
     }
 }
 
-fn summarize(observations: &[ZoneObservation]) -> BTreeMap<u32, ZoneSummary> {
+fn summarize(observations: &[ServerObservation]) -> BTreeMap<u32, ZoneSummary> {
     let mut zones: BTreeMap<u32, ZoneSummary> = BTreeMap::new();
     for server in observations {
         if server.zone == UNKNOWN_ZONE {
--- a/crates/zone-outage/src/tests.rs
+++ b/crates/zone-outage/src/tests.rs
@@ -5,20 +5,20 @@
 }
 
 /// Three zones of seven; those of `silent` left unanswered what was sent at 10 s, the others answered it.
-fn observations(silent: &[(u32, usize)]) -> Vec<ZoneObservation> {
+fn observations(silent: &[(u32, usize)]) -> Vec<ServerObservation> {
     let server = |zone: u32, index: usize| match silent.contains(&(zone, index)) {
-        true => ZoneObservation {
+        true => ServerObservation {
             zone,
             last_answered_send: at(8.0),
             unanswered_since: Some(at(10.0)),
         },
         // Nothing was sent to the second of each zone.
-        false if index == 1 => ZoneObservation {
+        false if index == 1 => ServerObservation {
             zone,
             last_answered_send: at(8.0),
             unanswered_since: None,
         },
-        false => ZoneObservation {
+        false => ServerObservation {
             zone,
             last_answered_send: at(10.0),
             unanswered_since: None,
@@ -40,17 +40,17 @@
 fn an_outage_is_detected_once_when_all_servers_sent_to_are_silent() {
     let mut outages = ZoneOutages::default();
     assert_eq!(
-        outages.detect_outage(at(10.2), &observations(&all_sent_to(2))),
+        outages.detect_outages(at(10.2), &observations(&all_sent_to(2))),
         vec![2]
     );
     assert!(
         outages
-            .detect_outage(at(10.3), &observations(&all_sent_to(2)))
+            .detect_outages(at(10.3), &observations(&all_sent_to(2)))
             .is_empty(),
         "already detected"
     );
-    assert_eq!(outages.recovered(at(13.2), 2), Some(3.0));
-    assert_eq!(outages.recovered(at(13.2), 2), None);
+    assert_eq!(outages.end_outage(at(13.2), 2), Some(3.0));
+    assert_eq!(outages.end_outage(at(13.2), 2), None);
 }
 
 #[test]
@@ -58,7 +58,7 @@
     let mut silent = all_sent_to(2);
     silent.pop();
     assert!(ZoneOutages::default()
-        .detect_outage(at(10.2), &observations(&silent))
+        .detect_outages(at(10.2), &observations(&silent))
         .is_empty());
 }
 
@@ -69,33 +69,33 @@
         .filter(|s| s.zone == 2)
         .for_each(|s| s.last_answered_send = at(8.0));
     assert!(ZoneOutages::default()
-        .detect_outage(at(10.2), &list)
+        .detect_outages(at(10.2), &list)
         .is_empty());
 }
 
 /// Guards against two faulty servers of a large zone in which a query sent to no others.
 #[test]
 fn two_silent_servers_of_a_large_zone_are_no_outage() {
-    let elsewhere = ZoneObservation {
+    let elsewhere = ServerObservation {
         zone: 1,
         last_answered_send: at(10.0),
         unanswered_since: None,
     };
-    let idle = ZoneObservation {
+    let idle = ServerObservation {
         zone: 2,
         last_answered_send: at(8.0),
         unanswered_since: None,
     };
-    let silent = ZoneObservation {
+    let silent = ServerObservation {
         unanswered_since: Some(at(10.0)),
         ..idle
     };
     let zone_of = |size: usize| [vec![elsewhere, silent, silent], vec![idle; size - 2]].concat();
     assert!(ZoneOutages::default()
-        .detect_outage(at(10.2), &zone_of(20))
+        .detect_outages(at(10.2), &zone_of(20))
         .is_empty());
     assert_eq!(
-        ZoneOutages::default().detect_outage(at(10.2), &zone_of(7)),
+        ZoneOutages::default().detect_outages(at(10.2), &zone_of(7)),
         vec![2]
     );
 }
@@ -104,7 +104,7 @@
 fn silence_everywhere_is_no_outage_of_a_zone() {
     let everywhere: Vec<_> = (1..4).flat_map(all_sent_to).collect();
     assert!(ZoneOutages::default()
-        .detect_outage(at(10.2), &observations(&everywhere))
+        .detect_outages(at(10.2), &observations(&everywhere))
         .is_empty());
 }
 
@@ -112,11 +112,11 @@
 fn servers_of_unknown_zone_are_ignored_and_a_zone_without_servers_is_removed() {
     let mut outages = ZoneOutages::default();
     assert_eq!(
-        outages.detect_outage(at(10.2), &observations(&all_sent_to(2))),
+        outages.detect_outages(at(10.2), &observations(&all_sent_to(2))),
         vec![2]
     );
     let mut unknown = observations(&all_sent_to(2));
     unknown.iter_mut().for_each(|s| s.zone = 0);
-    assert!(outages.detect_outage(at(10.2), &unknown).is_empty());
-    assert_eq!(outages.recovered(at(11.0), 2), None);
+    assert!(outages.detect_outages(at(10.2), &unknown).is_empty());
+    assert_eq!(outages.end_outage(at(11.0), 2), None);
 }
