--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -7,7 +7,7 @@
 //! | 1 | the version |
 //! | 4 | CRC-32 of all that follows, least byte first |
 //! | 1 and as many as it says | length of the cluster's name, and the name |
-//! | rest | a [`Message`] as `postcard` encodes it |
+//! | rest | a [`ClusterMessage`] as `postcard` encodes it |
 //!
 //! The order of enum variants and of fields is that of the bytes.
 
@@ -20,7 +20,7 @@
 /// Largest datagram in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Version of this form.
-pub const VERSION: u8 = 1;
+pub const PROTOCOL_VERSION: u8 = 1;
 /// Largest message of the SWIM library in bytes.
 pub(crate) const MAX_SWIM_BYTES: usize = 1_200;
 /// Longest name of a cluster in bytes.
@@ -33,7 +33,7 @@
 
 /// A message between two coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Message {
+pub enum ClusterMessage {
     /// A message of the SWIM library, with the sender's view so that both learn whether they agree.
     Swim {
         /// The epoch of the sender's view.
@@ -63,7 +63,7 @@
         /// The member asked about; [`NameHash::ANY`] for whoever receives the query.
         subject: MemberId,
     },
-    /// Answers [`Message::IdentityQuery`].
+    /// Answers [`ClusterMessage::IdentityQuery`].
     IdentityReply {
         /// The newest process known under the name that was asked about.
         subject: MemberId,
@@ -73,7 +73,7 @@
 }
 
 /// Encodes a message as a datagram of a cluster. `None` if it would be too large.
-pub fn encode(cluster: &str, message: &Message) -> Option<Vec<u8>> {
+pub fn encode(cluster: &str, message: &ClusterMessage) -> Option<Vec<u8>> {
     let name = cluster.as_bytes();
     let mut body = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     body.push(u8::try_from(name.len()).ok()?);
@@ -84,14 +84,14 @@
     }
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(&MAGIC);
-    bytes.push(VERSION);
+    bytes.push(PROTOCOL_VERSION);
     bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     bytes.extend_from_slice(&body);
     Some(bytes)
 }
 
 /// Decodes a datagram of a cluster.
-pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Message, DatagramError> {
+pub fn decode(cluster: &str, bytes: &[u8]) -> Result<ClusterMessage, DatagramError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Malformed);
     }
@@ -110,7 +110,7 @@
         .split_first_chunk::<CHECKSUM_BYTES>()
         .ok_or(DatagramError::Malformed)?;
     // Checked before the checksum, which another version may compute differently.
-    if version != VERSION {
+    if version != PROTOCOL_VERSION {
         return Err(DatagramError::ForeignVersion);
     }
     if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::gossip_entry::{GossipValue, MemberDescription, Phase};
+use crate::gossip_entry::{GossipValue, MemberDescription, MemberPhase};
 use crate::gossip_state::DIGEST_BUCKETS;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn message() -> Message {
-    Message::Digests {
+fn message() -> ClusterMessage {
+    ClusterMessage::Digests {
         from: sample_id(),
         digests: Box::new([7; DIGEST_BUCKETS]),
         is_reply: false,
@@ -18,7 +18,7 @@
     assert_eq!(decode("sapporo", &bytes), Ok(message()));
     assert_eq!(decode("otaru", &bytes), Err(DatagramError::ForeignCluster));
     let mut later = bytes.clone();
-    later[2] = VERSION + 1;
+    later[2] = PROTOCOL_VERSION + 1;
     assert_eq!(
         decode("sapporo", &later),
         Err(DatagramError::ForeignVersion)
@@ -37,7 +37,7 @@
 
 #[test]
 fn messages_too_large_for_one_datagram_are_not_encoded() {
-    let message = |length| Message::Swim {
+    let message = |length| ClusterMessage::Swim {
         epoch: 1,
         digest: 2,
         from: NameHash(3),
@@ -67,10 +67,10 @@
     };
     let values = [
         GossipValue::Description(description),
-        GossipValue::Phase(Phase::Starting),
-        GossipValue::Phase(Phase::Serving),
-        GossipValue::Phase(Phase::Draining),
-        GossipValue::Phase(Phase::Stopping),
+        GossipValue::Phase(MemberPhase::Starting),
+        GossipValue::Phase(MemberPhase::Serving),
+        GossipValue::Phase(MemberPhase::Draining),
+        GossipValue::Phase(MemberPhase::Stopping),
         GossipValue::Outliers(vec!["s-1".into(), "s-2".into()]),
         GossipValue::Departure {
             at_ms: 1_790_000_000_001,
@@ -89,7 +89,7 @@
         .collect()
 }
 
-fn assert_bytes(message: &Message, expected: &str) {
+fn assert_bytes(message: &ClusterMessage, expected: &str) {
     let bytes = encode("sapporo", message).unwrap();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, expected, "{message:?}");
@@ -104,7 +104,7 @@
         ..id
     };
     assert_bytes(
-        &Message::Swim {
+        &ClusterMessage::Swim {
             epoch: 300,
             digest: 2,
             from: NameHash(3),
@@ -113,7 +113,7 @@
         "637201b152b4b007736170706f726f00ac02020303010203",
     );
     assert_bytes(
-        &Message::IdentityQuery {
+        &ClusterMessage::IdentityQuery {
             from: id,
             subject: anyone,
         },
@@ -121,7 +121,7 @@
          0080d8c1a28c3402007f000001a01f",
     );
     assert_bytes(
-        &Message::IdentityReply {
+        &ClusterMessage::IdentityReply {
             subject: id,
             from_subject: true,
         },
@@ -133,7 +133,7 @@
 #[test]
 fn gossip_messages_keep_their_bytes() {
     assert_bytes(
-        &Message::Digests {
+        &ClusterMessage::Digests {
             from: sample_id(),
             digests: Box::new([7; DIGEST_BUCKETS]),
             is_reply: true,
@@ -142,7 +142,7 @@
          070707070707070707070707070707070707070707070707070707070707070701",
     );
     assert_bytes(
-        &Message::GossipEntries(sample_entries()),
+        &ClusterMessage::GossipEntries(sample_entries()),
         "6372017ed1836b07736170706f726f020794b7d2a5ddcde899d70180d8c1a28c340100026e31046b\
          69746101077265706f72747394b7d2a5ddcde899d70180d8c1a28c3402010094b7d2a5ddcde899d7\
          0180d8c1a28c3403010194b7d2a5ddcde899d70180d8c1a28c3404010294b7d2a5ddcde899d70180\
--- a/crates/cluster/src/gossip_entry.rs
+++ b/crates/cluster/src/gossip_entry.rs
@@ -17,7 +17,7 @@
 /// Phase of a coordinator's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Phase {
+pub enum MemberPhase {
     /// Not ready yet.
     Starting,
     /// Serving clients.
@@ -45,7 +45,7 @@
     /// Who the writer is.
     Description(MemberDescription),
     /// The writer's phase.
-    Phase(Phase),
+    Phase(MemberPhase),
     /// Ids of the data nodes that the writer's own requests showed to be outliers. Advice only.
     Outliers(Vec<String>),
     /// The writer announced that it leaves.
--- a/crates/cluster/src/gossip_state.rs
+++ b/crates/cluster/src/gossip_state.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 pub use crate::gossip_entry::{
-    GossipValue, MemberDescription, Phase, MAX_OFFERS, MAX_REPORTED_OUTLIERS,
+    GossipValue, MemberDescription, MemberPhase, MAX_OFFERS, MAX_REPORTED_OUTLIERS,
 };
 
 /// Most entries that are stored: one of each kind for every tracked member.
@@ -155,7 +155,7 @@
     }
 
     /// The last phase that this generation of a writer published.
-    pub fn phase(&self, writer: NameHash, generation: u64) -> Option<Phase> {
+    pub fn phase(&self, writer: NameHash, generation: u64) -> Option<MemberPhase> {
         let kind = EntryKind::Phase;
         let entry = &self.entries.get(&EntryKey { writer, kind })?.entry;
         match entry.value {
--- a/crates/cluster/src/gossip_state/tests.rs
+++ b/crates/cluster/src/gossip_state/tests.rs
@@ -20,9 +20,9 @@
 #[test]
 fn the_newest_generation_and_version_win_in_any_order() {
     let phases = [
-        entry("a", 5, 1, GossipValue::Phase(Phase::Starting)),
-        entry("a", 5, 2, GossipValue::Phase(Phase::Serving)),
-        entry("a", 6, 1, GossipValue::Phase(Phase::Starting)),
+        entry("a", 5, 1, GossipValue::Phase(MemberPhase::Starting)),
+        entry("a", 5, 2, GossipValue::Phase(MemberPhase::Serving)),
+        entry("a", 6, 1, GossipValue::Phase(MemberPhase::Starting)),
     ];
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [2, 0, 1]] {
         let mut state = GossipState::default();
@@ -31,7 +31,7 @@
         }
         assert_eq!(
             state.phase(NameHash::of("a"), 6),
-            Some(Phase::Starting),
+            Some(MemberPhase::Starting),
             "{order:?}"
         );
         assert_eq!(state.phase(NameHash::of("a"), 5), None);
@@ -50,7 +50,7 @@
     assert_eq!(state.outlier_reports(at(1.0), NameHash(0)).len(), 1);
     assert!(state.merge(
         at(1.0),
-        entry("a", 6, 1, GossipValue::Phase(Phase::Starting))
+        entry("a", 6, 1, GossipValue::Phase(MemberPhase::Starting))
     ));
     assert!(state.outlier_reports(at(1.0), NameHash(0)).is_empty());
     assert!(
@@ -92,7 +92,7 @@
 #[test]
 fn entries_of_absent_writers_expire() {
     let mut state = GossipState::default();
-    let phase = |writer| entry(writer, 1, 1, GossipValue::Phase(Phase::Serving));
+    let phase = |writer| entry(writer, 1, 1, GossipValue::Phase(MemberPhase::Serving));
     state.merge(at(1.0), phase("a"));
     state.merge(at(1.0), phase("b"));
     state.mark_present(NameHash::of("a"));
@@ -106,7 +106,10 @@
     );
     state.mark_absent(at(100.0), NameHash::of("a"));
     state.remove_expired(at(159.0));
-    assert_eq!(state.phase(NameHash::of("a"), 1), Some(Phase::Serving));
+    assert_eq!(
+        state.phase(NameHash::of("a"), 1),
+        Some(MemberPhase::Serving)
+    );
     state.remove_expired(at(161.0));
     assert!(state.is_empty());
     // A departure is kept for as long as stale gossip that the member is alive may live, by the writer's clock.
@@ -160,7 +163,7 @@
             writer: NameHash(number),
             generation: 1,
             version: 1,
-            value: GossipValue::Phase(Phase::Serving),
+            value: GossipValue::Phase(MemberPhase::Serving),
         };
         state.merge(at(1.0), entry);
     }
@@ -172,7 +175,7 @@
     let (mut one, mut other) = (GossipState::default(), GossipState::default());
     for number in 0..200 {
         let writer = format!("n{number}");
-        let entry = entry(&writer, 1, 1, GossipValue::Phase(Phase::Serving));
+        let entry = entry(&writer, 1, 1, GossipValue::Phase(MemberPhase::Serving));
         for state in [&mut one, &mut other] {
             state.merge(at(1.0), entry.clone());
             state.mark_present(NameHash::of(&writer));
@@ -181,11 +184,11 @@
     assert!(one.entries_differing_from(&other.digests()).is_empty());
     one.merge(
         at(2.0),
-        entry("n7", 1, 2, GossipValue::Phase(Phase::Draining)),
+        entry("n7", 1, 2, GossipValue::Phase(MemberPhase::Draining)),
     );
     other.merge(
         at(2.0),
-        entry("n8", 1, 2, GossipValue::Phase(Phase::Stopping)),
+        entry("n8", 1, 2, GossipValue::Phase(MemberPhase::Stopping)),
     );
     let (from_one, from_other) = (
         one.entries_differing_from(&other.digests()),
@@ -199,5 +202,8 @@
         one.merge(at(3.0), entry);
     }
     assert_eq!(one.digests(), other.digests());
-    assert_eq!(one.phase(NameHash::of("n8"), 1), Some(Phase::Stopping));
+    assert_eq!(
+        one.phase(NameHash::of("n8"), 1),
+        Some(MemberPhase::Stopping)
+    );
 }
--- a/crates/cluster/src/membership/anti_entropy.rs
+++ b/crates/cluster/src/membership/anti_entropy.rs
@@ -5,7 +5,7 @@
     ANTI_ENTROPY_INTERVAL, ANTI_ENTROPY_JITTER, ENTRIES_PER_DATAGRAM, MAX_DATAGRAMS_PER_REPLY,
 };
 use super::Membership;
-use crate::datagram::Message;
+use crate::datagram::ClusterMessage;
 use crate::datagram_error::DatagramError;
 use crate::gossip_entry::{GossipEntry, GossipValue};
 use crate::gossip_state::Digests;
@@ -67,7 +67,11 @@
             .chunks(ENTRIES_PER_DATAGRAM)
             .take(MAX_DATAGRAMS_PER_REPLY)
         {
-            self.send(sender.address, &Message::GossipEntries(chunk.to_vec()), out);
+            self.send(
+                sender.address,
+                &ClusterMessage::GossipEntries(chunk.to_vec()),
+                out,
+            );
         }
         if !is_reply {
             self.send_digests(sender.address, true, out);
@@ -84,7 +88,7 @@
 
     fn send_digests(&self, to: SocketAddr, is_reply: bool, out: &mut Vec<Output>) {
         let digests = Box::new(self.gossip.borrow().digests());
-        let message = Message::Digests {
+        let message = ClusterMessage::Digests {
             from: self.local,
             digests,
             is_reply,
--- a/crates/cluster/src/membership/config.rs
+++ b/crates/cluster/src/membership/config.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
     /// The cluster's name: two clusters of different names never merge.
-    pub cluster: String,
+    pub cluster_name: String,
     /// The coordinator's name.
     pub name: String,
     /// The room that it stands in.
@@ -23,11 +23,11 @@
     /// When the process started, in Unix milliseconds.
     pub generation: u64,
     /// The names of the configured group.
-    pub group: BTreeSet<String>,
+    pub member_names: BTreeSet<String>,
     /// Where other members may be found at first.
     pub seeds: Vec<SocketAddr>,
     /// Seeds the random generator, the only source of chance.
-    pub seed: u64,
+    pub random_seed: u64,
 }
 
 /// What is to be done, or has changed.
@@ -50,7 +50,7 @@
         state: MemberState,
     },
     /// A newer process took a member's place under its name.
-    Replaced {
+    MemberReplaced {
         /// The earlier process.
         earlier: MemberId,
         /// The later process.
--- a/crates/cluster/src/membership/identity_queries.rs
+++ b/crates/cluster/src/membership/identity_queries.rs
@@ -8,7 +8,7 @@
     SEED_CONTACT_INTERVAL_PARTIAL,
 };
 use super::Membership;
-use crate::datagram::Message;
+use crate::datagram::ClusterMessage;
 use crate::identity::{MemberId, NameHash};
 use crate::local_health::HealthEvidence;
 use crate::quorum::QuorumView;
@@ -94,7 +94,7 @@
         let Some(known) = known.filter(|known| *known != asker) else {
             return;
         };
-        let reply = Message::IdentityReply {
+        let reply = ClusterMessage::IdentityReply {
             subject: known,
             from_subject: known.name == self.local.name,
         };
@@ -141,7 +141,7 @@
     }
 
     fn send_identity_query(&self, to: SocketAddr, subject: MemberId, out: &mut Vec<Output>) {
-        let query = Message::IdentityQuery {
+        let query = ClusterMessage::IdentityQuery {
             from: self.local,
             subject,
         };
--- a/crates/cluster/src/membership/messages.rs
+++ b/crates/cluster/src/membership/messages.rs
@@ -3,7 +3,7 @@
 use super::config::Output;
 use super::swim::SwimOutput;
 use super::Membership;
-use crate::datagram::{self, Message};
+use crate::datagram::{self, ClusterMessage};
 use crate::datagram_error::DatagramError;
 use crate::identity::NameHash;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
         bytes: &[u8],
         out: &mut Vec<Output>,
     ) -> Result<(), DatagramError> {
-        match datagram::decode(&self.config.cluster, bytes)? {
-            Message::Swim {
+        match datagram::decode(&self.config.cluster_name, bytes)? {
+            ClusterMessage::Swim {
                 epoch,
                 digest,
                 from,
@@ -35,16 +35,16 @@
                 };
                 self.on_swim_message(&peer_view, &bytes, out)?;
             }
-            Message::Digests {
+            ClusterMessage::Digests {
                 from,
                 digests,
                 is_reply,
             } => self.on_digests(from, &digests, is_reply, out)?,
-            Message::GossipEntries(entries) => self.on_gossip_entries(&entries),
-            Message::IdentityQuery { from, subject } => {
+            ClusterMessage::GossipEntries(entries) => self.on_gossip_entries(&entries),
+            ClusterMessage::IdentityQuery { from, subject } => {
                 self.on_identity_query(from, subject.name, out);
             }
-            Message::IdentityReply {
+            ClusterMessage::IdentityReply {
                 subject,
                 from_subject,
             } => self.on_identity_reply(subject, from_subject, out),
@@ -87,8 +87,8 @@
     }
 
     /// Sends a message; one that is too large for a datagram is dropped.
-    pub(super) fn send(&self, to: SocketAddr, message: &Message, out: &mut Vec<Output>) {
-        if let Some(bytes) = datagram::encode(&self.config.cluster, message) {
+    pub(super) fn send(&self, to: SocketAddr, message: &ClusterMessage, out: &mut Vec<Output>) {
+        if let Some(bytes) = datagram::encode(&self.config.cluster_name, message) {
             out.push(Output::SendDatagram { to, bytes });
         }
     }
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -36,7 +36,7 @@
 
 use crate::datagram_error::DropCounts;
 use crate::gossip_entry::{
-    EntryKind, GossipValue, MemberDescription, Phase, MAX_REPORTED_OUTLIERS,
+    EntryKind, GossipValue, MemberDescription, MemberPhase, MAX_REPORTED_OUTLIERS,
 };
 use crate::gossip_state::GossipState;
 use crate::identity::{MemberId, NameHash};
@@ -124,7 +124,7 @@
         let filter = Rc::new(RefCell::new(MessageFilter::new(local)));
         let gossip: Rc<RefCell<GossipState>> = Rc::default();
         let clock = PausableClock::new(now);
-        let mut random = StdRng::seed_from_u64(config.seed);
+        let mut random = StdRng::seed_from_u64(config.random_seed);
         let parts = SwimParts {
             codec: FilteringCodec(filter.clone()),
             gossip: gossip.clone(),
@@ -132,9 +132,13 @@
             random: StdRng::seed_from_u64(random.random()),
         };
         let mut membership = Membership {
-            voters: config.group.iter().map(|name| NameHash::of(name)).collect(),
+            voters: config
+                .member_names
+                .iter()
+                .map(|name| NameHash::of(name))
+                .collect(),
             local,
-            swim: new_swim(local, config.group.len(), parts),
+            swim: new_swim(local, config.member_names.len(), parts),
             filter,
             gossip,
             clock,
@@ -158,7 +162,7 @@
             config,
         };
         membership.publish_description();
-        membership.publish_entry(GossipValue::Phase(Phase::Starting));
+        membership.publish_entry(GossipValue::Phase(MemberPhase::Starting));
         membership.quorum_view = membership.evaluate_quorum();
         membership
     }
--- a/crates/cluster/src/membership/name_ownership.rs
+++ b/crates/cluster/src/membership/name_ownership.rs
@@ -7,7 +7,7 @@
 use super::config::Output;
 use super::timing::{CHALLENGE_INTERVAL, CHALLENGE_INTERVAL_REPLACED, MAX_CHALLENGES};
 use super::Membership;
-use crate::datagram::Message;
+use crate::datagram::ClusterMessage;
 use crate::identity::MemberId;
 use cairnroad_types::Time;
 
@@ -91,7 +91,7 @@
             self.peer_digests.clear();
             self.version.reset_digest(&self.local);
             self.version.advance();
-            out.push(Output::Replaced {
+            out.push(Output::MemberReplaced {
                 earlier: self.local,
                 later: rival,
             });
@@ -115,7 +115,7 @@
         if challenge.queries_sent < MAX_CHALLENGES && rival.address != local.address {
             challenge.queries_sent += 1;
             challenge.next_query = now + CHALLENGE_INTERVAL;
-            let query = Message::IdentityQuery {
+            let query = ClusterMessage::IdentityQuery {
                 from: local,
                 subject: rival,
             };
--- a/crates/cluster/src/membership/queries.rs
+++ b/crates/cluster/src/membership/queries.rs
@@ -2,7 +2,7 @@
 
 use super::Membership;
 use crate::datagram_error::DropCount;
-use crate::gossip_entry::{MemberDescription, Phase};
+use crate::gossip_entry::{MemberDescription, MemberPhase};
 use crate::identity::MemberId;
 use crate::quorum::{is_allowed, ClusterAction};
 use crate::view::ClusterView;
@@ -14,13 +14,13 @@
     /// Its description.
     pub description: Option<MemberDescription>,
     /// Its last phase in the generation asked about.
-    pub phase: Option<Phase>,
+    pub phase: Option<MemberPhase>,
 }
 
 impl Membership {
     /// What this coordinator sees.
     pub fn view(&self) -> ClusterView {
-        let agreeing = self
+        let agreeing_count = self
             .peer_digests
             .values()
             .filter(|digest| **digest == self.version.digest())
@@ -32,8 +32,8 @@
             quorum_view: self.quorum_view,
             health_score: self.health.score(),
             replaced_by: self.ownership.replaced_by(),
-            agreeing,
-            differing: self.peer_digests.len() - agreeing,
+            agreeing_count,
+            differing_count: self.peer_digests.len() - agreeing_count,
             members: self.members.values().cloned().collect(),
         }
     }
@@ -52,7 +52,7 @@
     }
 
     /// What a member published about itself.
-    pub fn gossip_of(&self, id: &MemberId) -> MemberGossip {
+    pub fn member_gossip(&self, id: &MemberId) -> MemberGossip {
         let gossip = self.gossip.borrow();
         MemberGossip {
             description: gossip.description(id.name).cloned(),
--- a/crates/cluster/src/membership/rejoin.rs
+++ b/crates/cluster/src/membership/rejoin.rs
@@ -50,7 +50,7 @@
         self.clock.skip_pause(gap);
         self.health.record(HealthEvidence::Paused);
         out.push(Output::Paused(gap));
-        let is_declared_failed = gap > declared_failed_after(self.config.group.len());
+        let is_declared_failed = gap > declared_failed_after(self.config.member_names.len());
         if is_declared_failed && !self.ownership.is_replaced() {
             self.restart(self.local.renew(), out);
         }
@@ -129,6 +129,6 @@
             now: self.clock.shared(),
             random: StdRng::seed_from_u64(self.random.random()),
         };
-        new_swim(self.local, self.config.group.len(), parts)
+        new_swim(self.local, self.config.member_names.len(), parts)
     }
 }
--- a/crates/cluster/src/membership/transitions.rs
+++ b/crates/cluster/src/membership/transitions.rs
@@ -4,7 +4,7 @@
 use super::swim::{SwimEvent, SwimMessage, SwimOutput, TimerRequest};
 use super::timing::ANTI_ENTROPY_DELAY_AFTER_JOIN;
 use super::Membership;
-use crate::datagram::Message;
+use crate::datagram::ClusterMessage;
 use crate::identity::MemberId;
 use crate::view::{Member, MemberState};
 use foca::Timer;
@@ -37,7 +37,7 @@
     }
 
     fn send_swim(&mut self, message: SwimMessage, out: &mut Vec<Output>) {
-        let datagram = Message::Swim {
+        let datagram = ClusterMessage::Swim {
             epoch: self.version.epoch(),
             digest: self.version.digest(),
             from: self.local.name,
@@ -85,7 +85,7 @@
             member.id = later;
         }
         if later.is_another_process(&earlier) {
-            out.push(Output::Replaced { earlier, later });
+            out.push(Output::MemberReplaced { earlier, later });
         }
     }
 
--- a/crates/cluster/src/view.rs
+++ b/crates/cluster/src/view.rs
@@ -59,9 +59,9 @@
     /// A newer process under the observer's name that took its place.
     pub replaced_by: Option<MemberId>,
     /// Live members whose last message carried this view's digest.
-    pub agreeing: usize,
+    pub agreeing_count: usize,
     /// Live members whose last message carried another digest.
-    pub differing: usize,
+    pub differing_count: usize,
     /// All known members except the observer.
     pub members: Vec<Member>,
 }
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -36,7 +36,7 @@
         assert_eq!((sim.inconsistency(), sim.failures(0.0).len()), (None, 0));
         let view = sim.memberships[3].as_ref().unwrap().view();
         assert_eq!(
-            (view.agreeing, view.differing),
+            (view.agreeing_count, view.differing_count),
             (SIZE - 1, 0),
             "all last messages came from an equal view"
         );
--- a/crates/cluster/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -2,7 +2,7 @@
 //! shipped [`Membership`].
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
-use cairnroad_cluster::gossip_state::{GossipValue, Phase};
+use cairnroad_cluster::gossip_state::{GossipValue, MemberPhase};
 use cairnroad_cluster::identity::NameHash;
 use cairnroad_cluster::quorum::QuorumView;
 use cairnroad_cluster::view::MemberState;
@@ -172,19 +172,19 @@
 
     fn start_member(&mut self, member: usize, clock_skew: f64) {
         let setup = MembershipConfig {
-            cluster: "sim".into(),
+            cluster_name: "sim".into(),
             name: format!("n{member}"),
             room: "kita".into(),
             offers: Vec::new(),
             address: address(member),
             generation: ((self.now + clock_skew).secs() * 1e3) as u64,
-            group: (0..self.size).map(|member| format!("n{member}")).collect(),
+            member_names: (0..self.size).map(|member| format!("n{member}")).collect(),
             seeds: (0..self.seeds).map(address).collect(),
-            seed: self.random.random(),
+            random_seed: self.random.random(),
         };
         self.left.remove(&member);
         let mut membership = Membership::new(setup, self.now);
-        membership.publish(self.now, GossipValue::Phase(Phase::Serving));
+        membership.publish(self.now, GossipValue::Phase(MemberPhase::Serving));
         self.memberships[member] = Some(membership);
     }
 
--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -64,7 +64,7 @@
 impl AdminApi {
     /// Returns the cluster's members as JSON; `None` where this coordinator is in no cluster, or does not say in time.
     async fn cluster_members(&self) -> Option<String> {
-        let members = self.cluster.as_ref()?.view();
+        let members = self.cluster.as_ref()?.members_page();
         timeout(PIPELINE_TIMEOUT, members).await.ok().flatten()
     }
 
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -35,7 +35,7 @@
 pub enum ClusterError {
     /// The socket can't be bound.
     #[error("peers.listen: {address}: {source}")]
-    Listen {
+    Bind {
         /// The address of the setting `peers.listen`.
         address: SocketAddr,
         /// Why not.
@@ -47,7 +47,7 @@
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            ClusterError::Listen { .. } => {
+            ClusterError::Bind { .. } => {
                 "free the port, or name another in 'peers.listen'; 0 takes any, which 'peers.advertise' can't name"
             }
         }
@@ -69,10 +69,10 @@
 
 impl ClusterHandle {
     /// What this coordinator sees, as JSON. `None` if the task has ended or has too many requests waiting.
-    pub async fn view(&self) -> Option<String> {
-        let (reply, view) = oneshot::channel();
+    pub async fn members_page(&self) -> Option<String> {
+        let (reply, page) = oneshot::channel();
         self.requests.try_send(ClusterRequest::View(reply)).ok()?;
-        view.await.ok()
+        page.await.ok()
     }
 
     /// Announces to the other members that this coordinator leaves.
@@ -95,15 +95,15 @@
     /// This coordinator's name.
     pub name: String,
     /// Seeds the random generator.
-    pub seed: u64,
+    pub random_seed: u64,
     /// The program's clock.
     pub clock: Clock,
     /// The program's phase, published to the cluster.
-    pub phases: watch::Receiver<Phase>,
+    pub phase_updates: watch::Receiver<Phase>,
     /// The data nodes that this coordinator's own requests show to be outliers, published to the cluster.
-    pub local_outliers: watch::Receiver<LocalOutliers>,
+    pub outlier_updates: watch::Receiver<LocalOutliers>,
     /// The core, which receives outlier advice.
-    pub core: mpsc::Sender<Message>,
+    pub core_messages: mpsc::Sender<Message>,
 }
 
 /// Binds the socket and spawns the cluster task on the current thread. The task ends with
@@ -112,7 +112,7 @@
     settings: &configuration::ClusterSettings,
     dependencies: ClusterDependencies,
 ) -> Result<ClusterHandle, ClusterError> {
-    let listen_error = |source| ClusterError::Listen {
+    let listen_error = |source| ClusterError::Bind {
         address: settings.listen,
         source,
     };
@@ -124,15 +124,15 @@
     tracing::info!(listen = %bound, %address, cluster = settings.cluster, "joining the cluster");
     let now = dependencies.clock.now();
     let config = MembershipConfig {
-        cluster: settings.cluster.clone(),
+        cluster_name: settings.cluster.clone(),
         name: dependencies.name.clone(),
         room: settings.room.clone(),
         offers: settings.offers.clone(),
         address,
         generation: (now.0 / 1_000) as u64,
-        group: settings.group.clone(),
+        member_names: settings.group.clone(),
         seeds: settings.seeds.clone(),
-        seed: dependencies.seed,
+        random_seed: dependencies.random_seed,
     };
     let (sender, requests) = mpsc::channel(MAX_WAITING_REQUESTS);
     let task = ClusterTask {
@@ -184,7 +184,7 @@
         let mut interval = tokio::time::interval(Duration::from_secs_f64(TICK_INTERVAL));
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         // The phase that was reached before this task began is published, too.
-        self.dependencies.phases.mark_changed();
+        self.dependencies.phase_updates.mark_changed();
         loop {
             let input = self.next_input(&mut interval).await;
             if self.handle(input) == Progress::Finished {
@@ -201,8 +201,8 @@
                 Ok((length, _)) => Input::Datagram(length),
                 Err(_) => Input::ReceiveFailed,
             },
-            Ok(()) = self.dependencies.phases.changed() => Input::PhaseChanged,
-            Ok(()) = self.dependencies.local_outliers.changed() => Input::OutliersChanged,
+            Ok(()) = self.dependencies.phase_updates.changed() => Input::PhaseChanged,
+            Ok(()) = self.dependencies.outlier_updates.changed() => Input::OutliersChanged,
             Some(request) = self.requests.recv() => Input::Request(request),
         }
     }
@@ -266,7 +266,7 @@
     }
 
     fn publish_phase(&mut self) {
-        let phase = gossip_phase(*self.dependencies.phases.borrow_and_update());
+        let phase = gossip_phase(*self.dependencies.phase_updates.borrow_and_update());
         let now = self.dependencies.clock.now();
         self.membership.publish(now, GossipValue::Phase(phase));
     }
@@ -274,7 +274,7 @@
     fn publish_outliers(&mut self) {
         let servers = self
             .dependencies
-            .local_outliers
+            .outlier_updates
             .borrow_and_update()
             .endpoint_ids
             .clone();
@@ -291,14 +291,14 @@
 
     /// Passes on the outliers that enough members report, as long as there are any, and logs changes.
     fn pass_on_advice(&mut self) {
-        let listed_servers = self.dependencies.local_outliers.borrow().endpoint_count;
+        let listed_servers = self.dependencies.outlier_updates.borrow().endpoint_count;
         let reports = self.membership.outlier_reports();
         let live_members = self.membership.view().live_count();
         let confirmed = outlier_advice::confirmed_outliers(&reports, live_members, listed_servers);
         if !confirmed.is_empty() {
             // A core that is too busy gets the advice anew at the next interval.
             let advice = Message::OutlierAdvice(confirmed.clone());
-            let _ = self.dependencies.core.try_send(advice);
+            let _ = self.dependencies.core_messages.try_send(advice);
         }
         if confirmed != self.confirmed_outliers {
             tracing::info!(
@@ -317,7 +317,7 @@
                     let _ = self.socket.try_send_to(&bytes, to);
                 }
                 Output::MemberChanged { id, name, state } => log_member_change(&id, name, state),
-                Output::Replaced { earlier, later } => tracing::warn!(
+                Output::MemberReplaced { earlier, later } => tracing::warn!(
                     member = format!("{:016x}", later.name.0),
                     previous = %earlier.address,
                     current = %later.address,
@@ -345,13 +345,13 @@
 }
 
 /// The phase that is published to other members.
-fn gossip_phase(phase: Phase) -> gossip_state::Phase {
+fn gossip_phase(phase: Phase) -> gossip_state::MemberPhase {
     match phase {
-        Phase::Starting => gossip_state::Phase::Starting,
-        Phase::Serving => gossip_state::Phase::Serving,
-        Phase::DrainedByOperator => gossip_state::Phase::Draining,
+        Phase::Starting => gossip_state::MemberPhase::Starting,
+        Phase::Serving => gossip_state::MemberPhase::Serving,
+        Phase::DrainedByOperator => gossip_state::MemberPhase::Draining,
         Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected => {
-            gossip_state::Phase::Stopping
+            gossip_state::MemberPhase::Stopping
         }
     }
 }
--- a/crates/coordinator/src/cluster/page.rs
+++ b/crates/coordinator/src/cluster/page.rs
@@ -25,8 +25,8 @@
         "digest": format!("{:016x}", view.digest),
         "doubt": view.health_score,
         "there": view.live_count(),
-        "agree": view.agreeing,
-        "differ": view.differing,
+        "agree": view.agreeing_count,
+        "differ": view.differing_count,
         "replaced_by": view.replaced_by.map(|id| id.address.to_string()),
         "may": allowed_actions(&view),
         "doubted": membership.outlier_reports(),
@@ -37,7 +37,7 @@
 }
 
 fn member_object(membership: &Membership, member: &Member, now: Time) -> Value {
-    let gossip = membership.gossip_of(&member.id);
+    let gossip = membership.member_gossip(&member.id);
     let description = gossip.description.as_ref();
     json!({
         "name": description.map(|description| &description.name),
--- a/crates/coordinator/src/cluster/page/tests.rs
+++ b/crates/coordinator/src/cluster/page/tests.rs
@@ -1,5 +1,5 @@
 use super::render;
-use cairnroad_cluster::gossip_state::{GossipValue, Phase};
+use cairnroad_cluster::gossip_state::{GossipValue, MemberPhase};
 use cairnroad_cluster::{Membership, MembershipConfig, Output, TICK_INTERVAL};
 use cairnroad_types::Time;
 use std::net::SocketAddr;
@@ -12,15 +12,15 @@
 
 fn member(name: &str, port: u16, start: Time) -> Membership {
     let config = MembershipConfig {
-        cluster: "sapporo".into(),
+        cluster_name: "sapporo".into(),
         name: name.into(),
         room: "kita".into(),
         offers: vec!["reports".into()],
         address: address(port),
         generation: 1_790_000_000_000,
-        group: ["n1", "n2", "n3"].map(String::from).into(),
+        member_names: ["n1", "n2", "n3"].map(String::from).into(),
         seeds: vec![address(FIRST_PORT), address(FIRST_PORT + 1)],
-        seed: u64::from(port),
+        random_seed: u64::from(port),
     };
     Membership::new(config, start)
 }
@@ -50,7 +50,7 @@
         member("n1", FIRST_PORT, start),
         member("n2", FIRST_PORT + 1, start),
     ];
-    members[1].publish(start, GossipValue::Phase(Phase::Serving));
+    members[1].publish(start, GossipValue::Phase(MemberPhase::Serving));
     run(&mut members, start);
     members[0].on_datagram(start + 2.9, b"noise", &mut Vec::new());
     let expected = concat!(
--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -143,12 +143,12 @@
 }
 
 fn cluster_errors() -> Vec<Row> {
-    let all = vec![cluster::ClusterError::Listen {
+    let all = vec![cluster::ClusterError::Bind {
         address: ([127, 0, 0, 1], 7400).into(),
         source: address_in_use(),
     }];
     let variant = |error: &cluster::ClusterError| match error {
-        cluster::ClusterError::Listen { .. } => 0,
+        cluster::ClusterError::Bind { .. } => 0,
     };
     assert!(all
         .iter()
--- a/crates/coordinator/src/server/start.rs
+++ b/crates/coordinator/src/server/start.rs
@@ -73,11 +73,11 @@
     core.publish_outliers_to(outliers);
     let dependencies = ClusterDependencies {
         name: config.name.clone(),
-        seed: config.seed,
+        random_seed: config.seed,
         clock: context.clock.clone(),
-        phases: context.phase.subscribe(),
-        local_outliers: outlier_updates,
-        core: context.messages.clone(),
+        phase_updates: context.phase.subscribe(),
+        outlier_updates,
+        core_messages: context.messages.clone(),
     };
     let cluster = cluster::start(settings, dependencies).await?;
     Ok(Some(Rc::new(cluster)))
