--- a/crates/admin/src/reconfigure.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -35,7 +35,7 @@
     /// The slot of each class of the new file, in the file's order.
     pub class_ids: Vec<ClassId>,
     /// The slots among `class_ids` that hold another class than before.
-    pub replaced: Vec<ClassId>,
+    pub replaced_slots: Vec<ClassId>,
     /// Keys that differ in the new file and keep their old value until a restart.
     pub requires_restart: Vec<&'static str>,
 }
@@ -56,7 +56,7 @@
     let ClassTables {
         classes,
         class_names,
-        replaced,
+        replaced_slots,
     } = slots.into_tables();
     let policy = Settings {
         classes,
@@ -72,7 +72,7 @@
     Ok(Reconfiguration {
         deployment,
         class_ids,
-        replaced,
+        replaced_slots,
         requires_restart,
     })
 }
--- a/crates/admin/src/reconfigure/class_slots.rs
+++ b/crates/admin/src/reconfigure/class_slots.rs
@@ -13,7 +13,7 @@
     /// Empty for a slot whose class can't be requested.
     pub(super) class_names: Vec<String>,
     /// The slots that hold another class than before.
-    pub(super) replaced: Vec<ClassId>,
+    pub(super) replaced_slots: Vec<ClassId>,
 }
 
 /// The class tables of a reload in progress.
@@ -24,7 +24,7 @@
     classes: Vec<Class>,
     /// The slot of each class of the new file; `None` until it is assigned.
     assigned: Vec<Option<usize>>,
-    replaced: Vec<ClassId>,
+    replaced_slots: Vec<ClassId>,
 }
 
 impl<'d> ClassSlots<'d> {
@@ -35,7 +35,7 @@
             names: vec![String::new(); in_force.class_names.len()],
             classes: in_force.policy.classes.clone(),
             assigned: vec![None; new_classes],
-            replaced: Vec::new(),
+            replaced_slots: Vec::new(),
         }
     }
 
@@ -71,7 +71,7 @@
             self.classes[slot] = class.clone();
             self.names[slot] = name.clone();
             self.assigned[index] = Some(slot);
-            self.replaced.push(class_id(slot));
+            self.replaced_slots.push(class_id(slot));
         }
         Ok(())
     }
@@ -112,7 +112,7 @@
         ClassTables {
             classes: self.classes,
             class_names: self.names,
-            replaced: self.replaced,
+            replaced_slots: self.replaced_slots,
         }
     }
 }
--- a/crates/admin/src/reconfigure/tests.rs
+++ b/crates/admin/src/reconfigure/tests.rs
@@ -51,7 +51,7 @@
     assert_eq!(got.deployment.class_names, ["a", "b", "c"]);
     assert_eq!(got.class_ids, [ClassId(2), ClassId(1), ClassId(0)]);
     assert_eq!(
-        (got.replaced, got.requires_restart.len()),
+        (got.replaced_slots, got.requires_restart.len()),
         (vec![ClassId(2)], 0)
     );
 }
--- a/crates/admin/src/suspensions.rs
+++ b/crates/admin/src/suspensions.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns the suspension after a request to suspend. A repeated request changes nothing.
-    pub fn suspension_of(&self, id: &str, now: Time) -> Suspension {
+    pub fn plan_suspension(&self, id: &str, now: Time) -> Suspension {
         match self.by_node.get(id) {
             Some(suspension) if suspension.is_active() => *suspension,
             _ => Suspension {
@@ -76,7 +76,7 @@
     }
 
     /// Returns the suspension after a request to resume; `None` if the data node is not suspended.
-    pub fn resumption_of(&self, id: &str, now: Time) -> Option<Suspension> {
+    pub fn plan_resumption(&self, id: &str, now: Time) -> Option<Suspension> {
         let suspension = self
             .by_node
             .get(id)
--- a/crates/admin/src/suspensions/tests.rs
+++ b/crates/admin/src/suspensions/tests.rs
@@ -19,7 +19,7 @@
     suspensions.record_listed("s-1");
     assert!(suspensions.is_known("s-1") && !suspensions.is_known("s-2"));
     for now in [1.0, 2.0] {
-        let suspension = suspensions.suspension_of("s-1", at(now));
+        let suspension = suspensions.plan_suspension("s-1", at(now));
         assert_eq!(
             suspension.suspended_at_us, 1_000_000,
             "a repeated call changes nothing"
@@ -45,10 +45,10 @@
         suspensions.effective_state("s-2", READY, None),
         (READY, None)
     );
-    let back = suspensions.resumption_of("s-1", at(5.0)).unwrap();
+    let back = suspensions.plan_resumption("s-1", at(5.0)).unwrap();
     assert!(suspensions.apply("s-1", back) && active_count(&suspensions) == 0);
     assert_eq!(
-        suspensions.resumption_of("s-1", at(6.0)),
+        suspensions.plan_resumption("s-1", at(6.0)),
         None,
         "one call back ends it"
     );
--- a/crates/coordinator/src/commands/roster/show.rs
+++ b/crates/coordinator/src/commands/roster/show.rs
@@ -15,7 +15,7 @@
     let state_dir = configured_files()?.state_dir;
     let state_dir = state_dir.ok_or(CommandError::NoStateDir)?;
     let recovery = SnapshotStore::new(StateDirectory(state_dir.clone())).recover();
-    for unusable in recovery.unusable {
+    for unusable in recovery.unusable_slots {
         report(&format!("{}: {unusable}", state_dir.display()));
     }
     let snapshot = recovery
--- a/crates/coordinator/src/configuration/build.rs
+++ b/crates/coordinator/src/configuration/build.rs
@@ -11,7 +11,7 @@
 use super::limits::Limits;
 use super::project_file::ProjectFile;
 use super::{cluster, contracts, opensearch};
-use crate::discovery::endpoint_list::EndpointListPage;
+use crate::discovery::endpoint_list::EndpointListPayload;
 use crate::messages::ServedConfiguration;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -56,7 +56,7 @@
         endpoint_files,
         known_endpoints: deployment_file
             .known
-            .map(EndpointListPage::into_update)
+            .map(EndpointListPayload::into_update)
             .unwrap_or_default(),
         served: Arc::new(ServedConfiguration {
             deployment,
--- a/crates/coordinator/src/configuration/deployment_file.rs
+++ b/crates/coordinator/src/configuration/deployment_file.rs
@@ -1,7 +1,7 @@
 //! The deployment's JSON file, whose path `NODE_CONFIG` holds.
 
 use super::error::DeploymentFileError;
-use crate::discovery::endpoint_list::EndpointListPage;
+use crate::discovery::endpoint_list::EndpointListPayload;
 use cairnroad_settings::Deployment;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     /// What the program is granted.
     pub limits: Option<LimitsJson>,
     /// The endpoint list that the previous incarnation had.
-    pub known: Option<EndpointListPage>,
+    pub known: Option<EndpointListPayload>,
     settings: Box<serde_json::value::RawValue>,
 }
 
--- a/crates/coordinator/src/configuration/endpoint_files.rs
+++ b/crates/coordinator/src/configuration/endpoint_files.rs
@@ -3,7 +3,7 @@
 use super::error::{ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
 use cairnroad_endpoint_files::shard_layout::ShardLayout;
-use cairnroad_endpoint_files::validation::DEFAULT_MAX_SHRINK;
+use cairnroad_endpoint_files::validation::DEFAULT_MAX_REMOVED_SHARE;
 use cairnroad_settings::Deployment;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -55,7 +55,7 @@
     let Some(path) = table.path else {
         return Err(file.error("membership.path", ValueError::NoEndpointFiles));
     };
-    let max_removed_share = table.shrink.unwrap_or(DEFAULT_MAX_SHRINK);
+    let max_removed_share = table.shrink.unwrap_or(DEFAULT_MAX_REMOVED_SHARE);
     if !(0.0..=1.0).contains(&max_removed_share) {
         let error = ValueError::InvalidShare(max_removed_share);
         return Err(file.error("membership.shrink", error));
--- a/crates/coordinator/src/discovery/endpoint_list.rs
+++ b/crates/coordinator/src/discovery/endpoint_list.rs
@@ -100,14 +100,14 @@
 
 /// A response of the agent: a snapshot, or the changes since a revision.
 #[derive(Clone, Debug, Deserialize)]
-pub struct EndpointListPage {
+pub struct EndpointListPayload {
     #[serde(default)]
     revision: u64,
     complete: bool,
     members: Vec<Box<RawValue>>,
 }
 
-impl EndpointListPage {
+impl EndpointListPayload {
     /// Returns the update that the page states. A member that can't be decoded is logged and left out, alone.
     pub fn into_update(self) -> EndpointListUpdate {
         let rows = self
--- a/crates/coordinator/src/discovery/endpoint_list/tests.rs
+++ b/crates/coordinator/src/discovery/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-use super::EndpointListPage;
+use super::EndpointListPayload;
 use cairnroad_types::ServerState;
 
 /// Guards against one malformed member that fails its page, and with it the whole update.
@@ -19,7 +19,7 @@
         r#"{{"revision":7,"complete":true,"members":[{}]}}"#,
         members.join(",")
     );
-    let update = serde_json::from_str::<EndpointListPage>(&text)
+    let update = serde_json::from_str::<EndpointListPayload>(&text)
         .unwrap()
         .into_update();
     let ids: Vec<&str> = update.rows.iter().map(|row| row.id.as_str()).collect();
--- a/crates/coordinator/src/discovery/file_source/endpoint_source.rs
+++ b/crates/coordinator/src/discovery/file_source/endpoint_source.rs
@@ -127,7 +127,7 @@
             return Ok(());
         };
         let recovery = store.recover();
-        for unusable in recovery.unusable {
+        for unusable in recovery.unusable_slots {
             let cause = unusable.to_string();
             tracing::error!(folder = %folder.display(), cause, "stored endpoint list unusable");
         }
@@ -168,13 +168,13 @@
         // A large list is not parsed again at every rescan.
         let present = present_stamps(&self.settings.path);
         if !present.is_empty() && present == self.stamps_in_force {
-            return Ok(ReadOutcome::InForce);
+            return Ok(ReadOutcome::Applied);
         }
         self.stamps_in_force.clear();
         let scan = scan(&self.settings.path);
         if !scan.stamps.is_empty() && scan.stamps != present_stamps(&self.settings.path) {
             // Written while it was read: the texts may be a mix that no writer meant.
-            return Ok(ReadOutcome::NotUsable);
+            return Ok(ReadOutcome::Unusable);
         }
         let endpoint_set = match parse_files(&scan.files) {
             Ok(endpoint_set) => endpoint_set,
@@ -189,7 +189,7 @@
         if decision == UpdateDecision::Apply {
             self.apply(endpoint_set)?;
         }
-        Ok(ReadOutcome::InForce)
+        Ok(ReadOutcome::Applied)
     }
 
     /// Logs a rejection, once until it changes.
@@ -200,7 +200,7 @@
             tracing::error!(cause, generation, "endpoint files rejected");
             self.last_rejection = cause;
         }
-        ReadOutcome::NotUsable
+        ReadOutcome::Unusable
     }
 
     /// Stores a set, puts it in force and logs what it changes.
--- a/crates/coordinator/src/discovery/tests.rs
+++ b/crates/coordinator/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-use super::endpoint_list::EndpointListPage;
+use super::endpoint_list::EndpointListPayload;
 use super::{endpoint_update, ServerDirectory};
 use cairnroad_types::{EndpointUpdate, ServerId, ServerState, Time};
 
@@ -7,7 +7,7 @@
     let text = r#"{"revision":43,"complete":false,"members":[{"id":"s-b","host_port":"10.1.0.18:9000",
         "locality":"a","flavor":"m2","cell":3,"phase":"leaving","size":1.0,"up_since_ms":1500}]}"#;
     let decode = |text: &str| {
-        serde_json::from_str::<EndpointListPage>(text)
+        serde_json::from_str::<EndpointListPayload>(text)
             .unwrap()
             .into_update()
     };
--- a/crates/coordinator/src/discovery/watch_task.rs
+++ b/crates/coordinator/src/discovery/watch_task.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::contract::{Contracts, ObservedMessage};
 use crate::discovery::agent_connection::{target, AgentConnection};
-use crate::discovery::endpoint_list::EndpointListPage;
+use crate::discovery::endpoint_list::EndpointListPayload;
 use crate::http;
 use crate::messages::{ContractsInForce, Message};
 use cairnroad_contract::drift::Interface;
@@ -81,7 +81,7 @@
         let mut connection = AgentConnection::open(agent).await?;
         loop {
             let response = self.poll(&mut connection).await?;
-            let page: EndpointListPage =
+            let page: EndpointListPayload =
                 serde_json::from_slice(&response.body).map_err(WatchError::InvalidEndpointList)?;
             let update = page.into_update();
             if self.watch.on_response(self.clock.now(), update.revision) {
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -1,7 +1,7 @@
 //! Every parser of the program against valid, cut, damaged and random messages, from fixed seeds.
 
 use crate::backends::{frames, opensearch};
-use crate::discovery::endpoint_list::EndpointListPage;
+use crate::discovery::endpoint_list::EndpointListPayload;
 use crate::http;
 use quickcheck::{Gen, QuickCheck, Testable};
 
@@ -132,7 +132,8 @@
         let _ = opensearch::outcome(&response);
     }
     let _ = frames::parse_frame(bytes);
-    let _ = serde_json::from_slice::<EndpointListPage>(bytes).map(EndpointListPage::into_update);
+    let _ =
+        serde_json::from_slice::<EndpointListPayload>(bytes).map(EndpointListPayload::into_update);
     let _ = frames::parse_load_report(&String::from_utf8_lossy(bytes), &["queue".into()]);
 }
 
--- a/crates/coordinator/src/pipeline/core/admin_requests.rs
+++ b/crates/coordinator/src/pipeline/core/admin_requests.rs
@@ -32,7 +32,7 @@
         if !self.suspensions.has_capacity_for(id) {
             return AdminResponse::TooManySuspensions;
         }
-        self.apply_suspension(id, self.suspensions.suspension_of(id, now));
+        self.apply_suspension(id, self.suspensions.plan_suspension(id, now));
         AdminResponse::Done
     }
 
@@ -40,7 +40,7 @@
         if !self.suspensions.is_known(id) {
             return AdminResponse::UnknownNode;
         }
-        if let Some(suspension) = self.suspensions.resumption_of(id, now) {
+        if let Some(suspension) = self.suspensions.plan_resumption(id, now) {
             self.apply_suspension(id, suspension);
         }
         AdminResponse::Done
--- a/crates/coordinator/src/pipeline/core/reconfiguration.rs
+++ b/crates/coordinator/src/pipeline/core/reconfiguration.rs
@@ -17,7 +17,7 @@
         let Reconfiguration {
             deployment,
             class_ids,
-            replaced,
+            replaced_slots,
             requires_restart,
         } = reconfigure::reconfigure(&in_force.deployment, &fresh.deployment, in_use)?;
         if !requires_restart.is_empty() {
@@ -28,7 +28,8 @@
         }
         self.requests.reconfigure(&deployment);
         self.pool.reconfigure(&deployment);
-        self.router.reconfigure(&deployment, &replaced, &class_ids);
+        self.router
+            .reconfigure(&deployment, &replaced_slots, &class_ids);
         self.slow_start_duration = deployment.policy.slow_start_duration;
         let served = Arc::new(ServedConfiguration {
             indices: renumber_classes(fresh.indices, &class_ids),
--- a/crates/endpoint-files/src/debounce.rs
+++ b/crates/endpoint-files/src/debounce.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// The files hold the set in force, maybe since this read.
-    InForce,
+    Applied,
     /// The files were rejected, unreadable or written meanwhile.
-    NotUsable,
+    Unusable,
 }
 
 /// What is known of the files since the last read.
@@ -29,7 +29,7 @@
     /// They hold the set in force.
     Settled,
     /// They were not usable in this many reads since the last change.
-    NotUsable { reads: u32 },
+    Unusable { reads: u32 },
     /// They changed.
     Changed {
         first_at: Duration,
@@ -57,7 +57,7 @@
     pub fn on_change(&mut self, now: Duration) {
         let first_at = match self.state {
             State::Changed { first_at, .. } => first_at,
-            State::Settled | State::NotUsable { .. } => now,
+            State::Settled | State::Unusable { .. } => now,
         };
         self.state = State::Changed {
             first_at,
@@ -72,23 +72,21 @@
             State::Changed { first_at, last_at } => (last_at + QUIET_PERIOD)
                 .min(first_at + MAX_DELAY)
                 .min(rescan_at),
-            State::NotUsable { reads } if reads <= MAX_RETRIES => {
-                self.last_read_at + RETRY_INTERVAL
-            }
-            State::NotUsable { .. } | State::Settled => rescan_at,
+            State::Unusable { reads } if reads <= MAX_RETRIES => self.last_read_at + RETRY_INTERVAL,
+            State::Unusable { .. } | State::Settled => rescan_at,
         }
     }
 
     /// Records a read of the files.
     pub fn on_read(&mut self, now: Duration, outcome: ReadOutcome) {
         let failed_before = match self.state {
-            State::NotUsable { reads } => reads,
+            State::Unusable { reads } => reads,
             State::Settled | State::Changed { .. } => 0,
         };
         self.last_read_at = now;
         self.state = match outcome {
-            ReadOutcome::InForce => State::Settled,
-            ReadOutcome::NotUsable => State::NotUsable {
+            ReadOutcome::Applied => State::Settled,
+            ReadOutcome::Unusable => State::Unusable {
                 reads: failed_before.saturating_add(1),
             },
         };
--- a/crates/endpoint-files/src/debounce/tests.rs
+++ b/crates/endpoint-files/src/debounce/tests.rs
@@ -19,12 +19,12 @@
         ms(560),
         "a writer that never rests"
     );
-    debounce.on_read(ms(560), ReadOutcome::NotUsable);
+    debounce.on_read(ms(560), ReadOutcome::Unusable);
     let mut reads = 0;
     let mut now = ms(560);
     while debounce.next_read_at() - now < ms(100) {
         now = debounce.next_read_at();
-        debounce.on_read(now, ReadOutcome::NotUsable);
+        debounce.on_read(now, ReadOutcome::Unusable);
         reads += 1;
     }
     assert_eq!(
@@ -32,6 +32,6 @@
         "rejected files are read again a few times, then at the rescan interval"
     );
     debounce.on_change(now);
-    debounce.on_read(now + ms(30), ReadOutcome::InForce);
+    debounce.on_read(now + ms(30), ReadOutcome::Applied);
     assert!(debounce.next_read_at() - now > ms(1000));
 }
--- a/crates/endpoint-files/src/snapshot_store.rs
+++ b/crates/endpoint-files/src/snapshot_store.rs
@@ -17,7 +17,7 @@
 use std::path::{Path, PathBuf};
 
 /// The names of the two slots.
-pub const SLOTS: [&str; 2] = ["roster.a", "roster.b"];
+pub const SLOT_NAMES: [&str; 2] = ["roster.a", "roster.b"];
 /// The form's name and version, at the head of each slot.
 const HEADER: &str = "cairnroad-roster 1";
 const SAVED_AT_PREFIX: &str = "# saved ";
@@ -129,7 +129,7 @@
     /// The newest usable set.
     pub snapshot: Option<Snapshot>,
     /// Slots that were passed over.
-    pub unusable: Vec<UnusableSlot>,
+    pub unusable_slots: Vec<UnusableSlot>,
 }
 
 /// The store of the last accepted set.
@@ -153,7 +153,7 @@
     /// Finds the newest usable set.
     pub fn recover(&mut self) -> Recovery {
         let mut recovery = Recovery::default();
-        for (number, slot) in SLOTS.into_iter().enumerate() {
+        for (number, slot) in SLOT_NAMES.into_iter().enumerate() {
             let decoded = match self.storage.read(slot) {
                 Err(error) if error.kind() == io::ErrorKind::NotFound => continue,
                 Err(error) => Err(error.into()),
@@ -168,7 +168,7 @@
                         self.newest_slot = Some(number);
                     }
                 }
-                Err(cause) => recovery.unusable.push(UnusableSlot { slot, cause }),
+                Err(cause) => recovery.unusable_slots.push(UnusableSlot { slot, cause }),
             }
         }
         recovery
@@ -176,9 +176,11 @@
 
     /// Stores a set in the slot that does not hold the newest one.
     pub fn save(&mut self, endpoint_set: &EndpointSet, saved_at: UnixSeconds) -> io::Result<()> {
-        let slot = self.newest_slot.map_or(0, |slot| (slot + 1) % SLOTS.len());
+        let slot = self
+            .newest_slot
+            .map_or(0, |slot| (slot + 1) % SLOT_NAMES.len());
         self.storage
-            .replace(SLOTS[slot], &encode(endpoint_set, saved_at))?;
+            .replace(SLOT_NAMES[slot], &encode(endpoint_set, saved_at))?;
         self.newest_slot = Some(slot);
         Ok(())
     }
--- a/crates/endpoint-files/src/validation.rs
+++ b/crates/endpoint-files/src/validation.rs
@@ -7,7 +7,7 @@
 
 /// The share of active endpoints that one set may remove unless its writer says `allow_shrink`: a fleet is built for
 /// the outage of a third, and a list that was cut in the middle loses more.
-pub const DEFAULT_MAX_SHRINK: f64 = 0.34;
+pub const DEFAULT_MAX_REMOVED_SHARE: f64 = 0.34;
 
 /// What becomes of a set that was read.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/endpoint-files/src/validation/tests.rs
+++ b/crates/endpoint-files/src/validation/tests.rs
@@ -1,4 +1,4 @@
-use super::{decide_update, UpdateDecision, DEFAULT_MAX_SHRINK};
+use super::{decide_update, UpdateDecision, DEFAULT_MAX_REMOVED_SHARE};
 use crate::endpoint_set::{Endpoint, EndpointSet, Phase};
 use crate::shard_layout::ShardLayout;
 
@@ -32,7 +32,8 @@
 }
 
 fn assert_rejected(old: Option<&EndpointSet>, new: &EndpointSet, words: &str) {
-    let UpdateDecision::Reject(faults) = decide_update(old, new, &LAYOUT, DEFAULT_MAX_SHRINK)
+    let UpdateDecision::Reject(faults) =
+        decide_update(old, new, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE)
     else {
         panic!("{words}: applied")
     };
@@ -51,7 +52,7 @@
         &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0), ("d", 1, 0.0)],
     );
     assert_eq!(
-        decide_update(None, &good, &LAYOUT, DEFAULT_MAX_SHRINK),
+        decide_update(None, &good, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
         UpdateDecision::Apply
     );
     assert_rejected(
@@ -80,7 +81,7 @@
     let old = endpoint_set(3, &[("a", 0, 1.0), ("b", 1, 1.0)]);
     let mut new = old.clone();
     assert_eq!(
-        decide_update(Some(&old), &new, &LAYOUT, DEFAULT_MAX_SHRINK),
+        decide_update(Some(&old), &new, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
         UpdateDecision::Unchanged
     );
     new.endpoints.get_mut("a").unwrap().weight = 2.0;
@@ -93,7 +94,7 @@
     assert_rejected(Some(&old), &new, "generation 2 is older than 3");
     new.generation = 4;
     assert_eq!(
-        decide_update(Some(&old), &new, &LAYOUT, DEFAULT_MAX_SHRINK),
+        decide_update(Some(&old), &new, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
         UpdateDecision::Apply
     );
 }
@@ -116,7 +117,7 @@
         &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0), ("d", 1, 1.0)],
     );
     assert_eq!(
-        decide_update(Some(&old), &two_less, &LAYOUT, DEFAULT_MAX_SHRINK),
+        decide_update(Some(&old), &two_less, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
         UpdateDecision::Apply
     );
     let mut three_less = endpoint_set(2, &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0)]);
@@ -127,7 +128,7 @@
     );
     three_less.allow_shrink = true;
     assert_eq!(
-        decide_update(Some(&old), &three_less, &LAYOUT, DEFAULT_MAX_SHRINK),
+        decide_update(Some(&old), &three_less, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
         UpdateDecision::Apply
     );
     let replaced = endpoint_set(
@@ -142,7 +143,7 @@
         ],
     );
     assert_eq!(
-        decide_update(Some(&old), &replaced, &LAYOUT, DEFAULT_MAX_SHRINK),
+        decide_update(Some(&old), &replaced, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
         UpdateDecision::Apply,
         "one for one"
     );
--- a/crates/endpoint-files/tests/files.rs
+++ b/crates/endpoint-files/tests/files.rs
@@ -6,10 +6,12 @@
 use cairnroad_endpoint_files::render::to_toml;
 use cairnroad_endpoint_files::shard_layout::ShardLayout;
 use cairnroad_endpoint_files::snapshot_store::{
-    decode, encode, SlotStorage, Snapshot, SnapshotStore, SLOTS,
+    decode, encode, SlotStorage, Snapshot, SnapshotStore, SLOT_NAMES,
 };
 use cairnroad_endpoint_files::update_plan::plan_update;
-use cairnroad_endpoint_files::validation::{decide_update, UpdateDecision, DEFAULT_MAX_SHRINK};
+use cairnroad_endpoint_files::validation::{
+    decide_update, UpdateDecision, DEFAULT_MAX_REMOVED_SHARE,
+};
 use quickcheck::{Arbitrary, Gen};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -195,7 +197,7 @@
     );
     assert!(
         matches!(
-            decide_update(Some(&old), &new, &layout, DEFAULT_MAX_SHRINK),
+            decide_update(Some(&old), &new, &layout, DEFAULT_MAX_REMOVED_SHARE),
             UpdateDecision::Reject(_)
         ),
         "cell 1 is left bare"
@@ -287,7 +289,7 @@
             found.as_ref().map(|kept| kept.endpoint_set.generation),
             good.last().copied(),
             "seed {seed}: {:?}",
-            recovery.unusable
+            recovery.unusable_slots
         );
         if let Some(kept) = found {
             assert_eq!(
@@ -316,12 +318,13 @@
         assert!(decode(&damaged).is_err(), "damaged at {at}");
     }
     let disk = Disk::default();
-    disk.slots
-        .borrow_mut()
-        .insert(SLOTS[0].into(), b"cairnroad-roster 2 00000000\n".to_vec());
+    disk.slots.borrow_mut().insert(
+        SLOT_NAMES[0].into(),
+        b"cairnroad-roster 2 00000000\n".to_vec(),
+    );
     let recovery = SnapshotStore::new(&disk).recover();
     let unusable: Vec<String> = recovery
-        .unusable
+        .unusable_slots
         .iter()
         .map(|slot| slot.to_string())
         .collect();
@@ -382,7 +385,7 @@
                         in_force.as_ref(),
                         &endpoint_set,
                         &LAYOUT,
-                        DEFAULT_MAX_SHRINK,
+                        DEFAULT_MAX_REMOVED_SHARE,
                     ) {
                         UpdateDecision::Apply => {
                             let whole = parse_files(&meant(endpoint_set.generation)).unwrap();
--- a/crates/endpoint-files/tests/stored_files.rs
+++ b/crates/endpoint-files/tests/stored_files.rs
@@ -27,7 +27,11 @@
 #[test]
 fn the_newest_list_stored_by_0_1_0_is_recovered_with_all_its_values() {
     let recovery = SnapshotStore::new(StateDirectory(stored_folder())).recover();
-    assert!(recovery.unusable.is_empty(), "{:?}", recovery.unusable);
+    assert!(
+        recovery.unusable_slots.is_empty(),
+        "{:?}",
+        recovery.unusable_slots
+    );
     let snapshot = recovery.snapshot.unwrap();
     assert_eq!(snapshot.saved_at, 1_796_237_450.230);
     let endpoint_set = snapshot.endpoint_set;
