--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -11,7 +11,7 @@
 pub mod suspension_store;
 
 use crate::cluster::ClusterHandle;
-use crate::messages::{Message, Phase};
+use crate::messages::{CoreMessage, ServingPhase};
 use cairnroad_admin::request::{AdminRequest, AdminResponse, UnavailableReason};
 use open_connections::{OpenConnections, RequestReceived};
 use std::rc::Rc;
@@ -27,16 +27,16 @@
 
 /// What the tasks of all admin connections share.
 struct AdminApi {
-    pipeline: mpsc::Sender<Message>,
-    phase: Rc<watch::Sender<Phase>>,
+    pipeline: mpsc::Sender<CoreMessage>,
+    phase: Rc<watch::Sender<ServingPhase>>,
     cluster: Option<Rc<ClusterHandle>>,
 }
 
 /// Accepts admin connections for as long as the process lives, and spawns a task for each.
 pub async fn listen(
     listener: TcpListener,
-    pipeline: mpsc::Sender<Message>,
-    phase: Rc<watch::Sender<Phase>>,
+    pipeline: mpsc::Sender<CoreMessage>,
+    phase: Rc<watch::Sender<ServingPhase>>,
     cluster: Option<Rc<ClusterHandle>>,
 ) {
     let api = Rc::new(AdminApi {
@@ -71,12 +71,14 @@
     /// Returns whether this process is ready to serve.
     fn readiness(&self) -> AdminResponse {
         match *self.phase.borrow() {
-            Phase::Serving => AdminResponse::Done,
-            Phase::Starting => AdminResponse::Unavailable(UnavailableReason::Starting),
-            Phase::DrainedByOperator => AdminResponse::Unavailable(UnavailableReason::Drained),
-            Phase::ShuttingDown
-            | Phase::IdleConnectionsClosing
-            | Phase::PartialRequestsRejected => {
+            ServingPhase::Serving => AdminResponse::Done,
+            ServingPhase::Starting => AdminResponse::Unavailable(UnavailableReason::Starting),
+            ServingPhase::DrainedByOperator => {
+                AdminResponse::Unavailable(UnavailableReason::Drained)
+            }
+            ServingPhase::ShuttingDown
+            | ServingPhase::IdleConnectionsClosing
+            | ServingPhase::PartialRequestsRejected => {
                 AdminResponse::Unavailable(UnavailableReason::ShuttingDown)
             }
         }
@@ -86,7 +88,7 @@
     async fn carry_out(&self, request: AdminRequest) -> AdminResponse {
         let busy = AdminResponse::Unavailable(UnavailableReason::Busy);
         let (reply, response) = oneshot::channel();
-        let message = Message::Admin { request, reply };
+        let message = CoreMessage::Admin { request, reply };
         if self.pipeline.try_send(message).is_err() {
             return busy;
         }
--- a/crates/coordinator/src/backends/frames/answers.rs
+++ b/crates/coordinator/src/backends/frames/answers.rs
@@ -2,7 +2,7 @@
 
 use super::codec::part_id;
 use super::fault::ConnectionFault;
-use crate::messages::{Attempt, ContractsInForce, OutboundAttempt};
+use crate::messages::{AttemptId, ContractsInForce, OutboundAttempt};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Cancelled parts of a connection that may still be answered. Far more than a connection carries at a time.
@@ -10,7 +10,7 @@
 
 /// A part whose frame is completely written.
 pub(super) struct AwaitedPart {
-    pub(super) attempt: Attempt,
+    pub(super) attempt: AttemptId,
     /// The descriptions that its answer is checked against.
     pub(super) contracts: ContractsInForce,
 }
@@ -20,7 +20,7 @@
 pub(super) struct AwaitedAnswers {
     /// Parts by their ids on this wire.
     in_flight: BTreeMap<String, AwaitedPart>,
-    ids: BTreeMap<Attempt, String>,
+    ids: BTreeMap<AttemptId, String>,
     /// Ids of cancelled parts, the latest last: a late answer to one is no fault of the server.
     cancelled: VecDeque<String>,
     /// The id that was answered last: a duplicate of that answer is distinguished from one to a part never sent.
@@ -54,7 +54,7 @@
     }
 
     /// Stops awaiting the answer to an attempt. Returns its id, if its frame was written.
-    pub(super) fn cancel(&mut self, attempt: Attempt) -> Option<String> {
+    pub(super) fn cancel(&mut self, attempt: AttemptId) -> Option<String> {
         let id = self.ids.remove(&attempt)?;
         self.in_flight.remove(&id);
         if self.cancelled.len() == MAX_CANCELLED {
--- a/crates/coordinator/src/backends/frames/codec.rs
+++ b/crates/coordinator/src/backends/frames/codec.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Frame<'a> {
     /// `A`: the answer to a part.
-    Answer(Answer<'a>),
+    Answer(PartAnswerFrame<'a>),
     /// `P`: a health check, which only coordinators send on these connections.
     Ping,
     /// `L`: the answer to a health check.
@@ -31,11 +31,11 @@
 
 /// The answer to a part.
 #[derive(Debug, PartialEq)]
-pub struct Answer<'a> {
+pub struct PartAnswerFrame<'a> {
     /// The part's id on this wire.
     pub id: &'a str,
     /// How the part ended: see [`outcome`].
-    pub end: &'a str,
+    pub status: &'a str,
     /// The score, as it was received.
     pub score: &'a str,
     /// The load report, or `-`.
@@ -85,15 +85,15 @@
 }
 
 /// The line `ID END SCORE REPORT` and the value.
-fn answer<'a>(input: &mut &'a [u8]) -> RuleResult<Answer<'a>> {
+fn answer<'a>(input: &mut &'a [u8]) -> RuleResult<PartAnswerFrame<'a>> {
     let id = terminated(word, literal(" ")).parse_next(input)?;
-    let end = terminated(word, literal(" ")).parse_next(input)?;
+    let status = terminated(word, literal(" ")).parse_next(input)?;
     let score = terminated(word, literal(" ")).parse_next(input)?;
     // A report that can't be read is lost; the value is not.
     let report = terminated(take_till(0.., b'\n'), literal("\n")).parse_next(input)?;
-    Ok(Answer {
+    Ok(PartAnswerFrame {
         id,
-        end,
+        status,
         score,
         report,
         value: input,
@@ -135,7 +135,7 @@
 pub(super) fn encode_call(parts: &[OutboundAttempt], now: Time) -> Vec<u8> {
     let mut body = vec![b'Q'];
     for part in parts {
-        let text = part.text.as_str();
+        let text = part.payload.as_str();
         let line = format!(
             "{} {} d={} {}\n",
             part_id(part),
@@ -167,7 +167,7 @@
 
 /// Returns a part's id on this wire.
 pub(super) fn part_id(part: &OutboundAttempt) -> String {
-    format!("{}.{}", part.name, part.shard)
+    format!("{}.{}", part.external_id, part.shard)
 }
 
 /// Returns how many milliseconds a part has left, 1 at least.
--- a/crates/coordinator/src/backends/frames/connection.rs
+++ b/crates/coordinator/src/backends/frames/connection.rs
@@ -3,14 +3,14 @@
 use super::answers::AwaitedAnswers;
 use super::codec::{
     encode_call, encode_cancel, encode_health_check, outcome, parse_frame, parse_load_report,
-    Answer, Frame,
+    Frame, PartAnswerFrame,
 };
 use super::contracts;
 use super::fault::ConnectionFault;
 use super::outbound::OutboundQueue;
 use crate::connections::handle::{Command, ConnectionHandle};
 use crate::connections::socket;
-use crate::messages::{Attempt, ConnectionEvent, OutboundAttempt, Value};
+use crate::messages::{AttemptId, ConnectionEvent, OutboundAttempt, PartValue};
 use cairnroad_types::Outcome;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -47,7 +47,7 @@
 
 /// A part that may not be written any more.
 struct Unsendable {
-    attempt: Attempt,
+    attempt: AttemptId,
     /// Says that it never ran, and why.
     outcome: Outcome,
 }
@@ -176,7 +176,7 @@
         is_suspect.then_some(Outcome::NotSent)
     }
 
-    fn load_cancel(&mut self, attempt: Attempt) {
+    fn load_cancel(&mut self, attempt: AttemptId) {
         if let Some(id) = self.answers.cancel(attempt) {
             contracts::check_cancel(&self.handle, &id);
             self.outbound.start_frame(encode_cancel(&id), Vec::new());
@@ -246,13 +246,13 @@
 
     async fn on_answer(
         &mut self,
-        answer: &Answer<'_>,
+        answer: &PartAnswerFrame<'_>,
         more_follows: bool,
     ) -> Result<(), ConnectionFault> {
         let Some(awaited) = self.answers.take(answer.id) else {
             return self.on_unmatched_answer(answer.id).await;
         };
-        let stated = outcome(answer.end);
+        let stated = outcome(answer.status);
         // Bytes behind the last awaited answer belong to nothing that was asked.
         let is_suspect = stated.is_none() || (self.answers.is_empty() && more_follows);
         if is_suspect {
@@ -263,13 +263,13 @@
             Some(outcome) if is_usable => outcome,
             _ => Outcome::Error,
         };
-        let value = (outcome == Outcome::Ok).then(|| Value::Plain(answer.value.into()));
+        let value = (outcome == Outcome::Ok).then(|| PartValue::Plain(answer.value.into()));
         self.handle
             .report_attempt(awaited.attempt, outcome, value)
             .await;
         match stated {
             Some(_) => Ok(()),
-            None => Err(ConnectionFault::UnknownEnd(answer.end.to_string())),
+            None => Err(ConnectionFault::UnknownEnd(answer.status.to_string())),
         }
     }
 
--- a/crates/coordinator/src/backends/frames/contracts.rs
+++ b/crates/coordinator/src/backends/frames/contracts.rs
@@ -1,6 +1,6 @@
 //! Checks frames against the description of this interface: each by its letter, its line's fields and its payload.
 
-use super::codec::{part_id, remaining_ms, Answer};
+use super::codec::{part_id, remaining_ms, PartAnswerFrame};
 use crate::connections::handle::ConnectionHandle;
 use crate::contract::{HeaderParser, ObservedMessage};
 use crate::messages::{ContractsInForce, OutboundAttempt};
@@ -17,7 +17,7 @@
     if part.contracts.is_none() {
         return;
     }
-    let text = part.text.as_str();
+    let text = part.payload.as_str();
     let line = || {
         let id = part_id(part);
         format!(
@@ -49,11 +49,11 @@
 pub(super) fn check_answer(
     handle: &ConnectionHandle,
     in_force: &ContractsInForce,
-    answer: &Answer<'_>,
+    answer: &PartAnswerFrame<'_>,
 ) -> bool {
     let line = || {
         let report = String::from_utf8_lossy(answer.report);
-        format!("{} {} {} {report}", answer.id, answer.end, answer.score)
+        format!("{} {} {} {report}", answer.id, answer.status, answer.score)
     };
     let message = reply("A", answer.value);
     check(handle, in_force, message, line, answer_fields)
--- a/crates/coordinator/src/backends/frames/mod.rs
+++ b/crates/coordinator/src/backends/frames/mod.rs
@@ -8,5 +8,5 @@
 mod outbound;
 
 #[cfg(test)]
-pub use codec::{parse_frame, parse_load_report, Answer, Frame};
+pub use codec::{parse_frame, parse_load_report, Frame, PartAnswerFrame};
 pub use connection::run;
--- a/crates/coordinator/src/backends/opensearch/connection.rs
+++ b/crates/coordinator/src/backends/opensearch/connection.rs
@@ -2,10 +2,10 @@
 //! is not its own.
 
 use super::fault::ConnectionFault;
-use super::search::{encode_search, outcome};
+use super::search::{encode_search, search_outcome};
 use crate::connections::handle::{Command, ConnectionHandle};
 use crate::http::{self, Response};
-use crate::messages::{OutboundAttempt, Value};
+use crate::messages::{OutboundAttempt, PartValue};
 use cairnroad_types::Outcome;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -161,7 +161,7 @@
         reusable: bool,
         more_follows: bool,
     ) -> Reuse {
-        let (mut outcome, mut value) = outcome(response);
+        let (mut outcome, mut value) = search_outcome(response);
         if !self.check_response(response, true) {
             (outcome, value) = (Outcome::Error, None);
         }
@@ -199,7 +199,7 @@
         Reuse::Close
     }
 
-    async fn report(&self, outcome: Outcome, value: Option<Value>) {
+    async fn report(&self, outcome: Outcome, value: Option<PartValue>) {
         let attempt = self.part.attempt;
         self.handle.report_attempt(attempt, outcome, value).await;
     }
@@ -250,7 +250,7 @@
         tracing::warn!(
             server = %self.handle.address,
             class = %self.part.class,
-            request = %self.part.name,
+            request = %self.part.external_id,
             cause,
             help,
             "server connection closed"
--- a/crates/coordinator/src/backends/opensearch/mod.rs
+++ b/crates/coordinator/src/backends/opensearch/mod.rs
@@ -6,4 +6,4 @@
 
 pub use connection::run;
 #[cfg(test)]
-pub use search::outcome;
+pub use search::search_outcome;
--- a/crates/coordinator/src/backends/opensearch/search.rs
+++ b/crates/coordinator/src/backends/opensearch/search.rs
@@ -1,7 +1,7 @@
 //! A part as a search request, and a response as the part's outcome.
 
 use crate::http::Response;
-use crate::messages::{OutboundAttempt, Text, Value};
+use crate::messages::{OutboundAttempt, PartValue, Payload};
 use cairnroad_types::{Outcome, Time};
 use serde::Deserialize;
 use serde_json::json;
@@ -9,9 +9,9 @@
 
 /// Encodes the request of a part.
 pub(super) fn encode_search(part: &OutboundAttempt, host: &str, now: Time) -> Vec<u8> {
-    let body = match &part.text {
-        Text::Query(text) => text.to_string(),
-        Text::Plain(text) => {
+    let body = match &part.payload {
+        Payload::Query(text) => text.to_string(),
+        Payload::Plain(text) => {
             json!({"query": {"query_string": {"query": text.as_ref()}}}).to_string()
         }
     };
@@ -22,7 +22,7 @@
          Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         part.class,
         part.shard,
-        part.name,
+        part.external_id,
         part.shard,
         body.len()
     );
@@ -59,14 +59,14 @@
 ///
 /// Only 429 states that the part never began; an error, by status or in the body of a 200, leaves open
 /// whether it ran.
-pub fn outcome(response: &Response) -> (Outcome, Option<Value>) {
+pub fn search_outcome(response: &Response) -> (Outcome, Option<PartValue>) {
     match response.status {
         200 => {}
         429 => return (Outcome::Rejected, None),
         _ => return (Outcome::Error, None),
     }
     match complete_hits(&response.body) {
-        Some(hits) => (Outcome::Ok, Some(Value::Hits(hits.into()))),
+        Some(hits) => (Outcome::Ok, Some(PartValue::Hits(hits.into()))),
         None => (Outcome::Error, None),
     }
 }
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::Clock;
 use crate::configuration;
-use crate::messages::{LocalOutliers, Message, Phase};
+use crate::messages::{CoreMessage, LocalOutliers, ServingPhase};
 use cairnroad_cluster::datagram::MAX_DATAGRAM_BYTES;
 use cairnroad_cluster::gossip_state::{self, GossipValue};
 use cairnroad_cluster::identity::MemberId;
@@ -99,11 +99,11 @@
     /// The program's clock.
     pub clock: Clock,
     /// The program's phase, published to the cluster.
-    pub phases: watch::Receiver<Phase>,
+    pub phases: watch::Receiver<ServingPhase>,
     /// The data nodes that this coordinator's own requests show to be outliers, published to the cluster.
     pub local_outliers: watch::Receiver<LocalOutliers>,
     /// The core, which receives outlier advice.
-    pub core: mpsc::Sender<Message>,
+    pub core: mpsc::Sender<CoreMessage>,
 }
 
 /// Binds the socket and spawns the cluster task on the current thread. The task ends with
@@ -297,7 +297,7 @@
         let confirmed = outlier_advice::confirmed_outliers(&reports, live_members, listed_servers);
         if !confirmed.is_empty() {
             // A core that is too busy gets the advice anew at the next interval.
-            let advice = Message::OutlierAdvice(confirmed.clone());
+            let advice = CoreMessage::OutlierAdvice(confirmed.clone());
             let _ = self.dependencies.core.try_send(advice);
         }
         if confirmed != self.confirmed_outliers {
@@ -345,13 +345,13 @@
 }
 
 /// The phase that is published to other members.
-fn gossip_phase(phase: Phase) -> gossip_state::Phase {
+fn gossip_phase(phase: ServingPhase) -> gossip_state::Phase {
     match phase {
-        Phase::Starting => gossip_state::Phase::Starting,
-        Phase::Serving => gossip_state::Phase::Serving,
-        Phase::DrainedByOperator => gossip_state::Phase::Draining,
-        Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected => {
-            gossip_state::Phase::Stopping
-        }
+        ServingPhase::Starting => gossip_state::Phase::Starting,
+        ServingPhase::Serving => gossip_state::Phase::Serving,
+        ServingPhase::DrainedByOperator => gossip_state::Phase::Draining,
+        ServingPhase::ShuttingDown
+        | ServingPhase::IdleConnectionsClosing
+        | ServingPhase::PartialRequestsRejected => gossip_state::Phase::Stopping,
     }
 }
--- a/crates/coordinator/src/configuration/effective.rs
+++ b/crates/coordinator/src/configuration/effective.rs
@@ -2,7 +2,7 @@
 
 use super::config::Config;
 use super::{ClusterSettings, ContractSettings, EndpointFilesSettings};
-use crate::messages::Index;
+use crate::messages::SearchIndex;
 use cairnroad_contract::drift::Interface;
 use cairnroad_settings::OfferedClass;
 use cairnroad_types::Idempotency;
@@ -25,7 +25,7 @@
             "limits": self.effective_limits(),
             "known": {
                 "revision": self.known_endpoints.revision,
-                "servers": self.known_endpoints.rows.len(),
+                "servers": self.known_endpoints.entries.len(),
             },
             "classes": classes,
             "shards": deployment.shards,
@@ -55,7 +55,7 @@
 
     fn effective_indices(&self) -> Vec<Value> {
         let class_names = &self.served.deployment.class_names;
-        let index = |index: &Index| {
+        let index = |index: &SearchIndex| {
             json!({
                 "name": index.name,
                 "class": class_names.get(index.class),
--- a/crates/coordinator/src/configuration/opensearch.rs
+++ b/crates/coordinator/src/configuration/opensearch.rs
@@ -2,7 +2,7 @@
 
 use super::error::{ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
-use crate::messages::Index;
+use crate::messages::SearchIndex;
 use cairnroad_settings::Deployment;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -51,11 +51,11 @@
     tables: Vec<IndexTable>,
     deployment: &Deployment,
     file: &ProjectFile,
-) -> Result<Vec<Index>, ProjectFileError> {
+) -> Result<Vec<SearchIndex>, ProjectFileError> {
     let last_shard = deployment.shards.saturating_sub(1);
     if tables.is_empty() {
         let classes = deployment.class_names.iter().enumerate();
-        let index = |(class, name): (usize, &String)| Index {
+        let index = |(class, name): (usize, &String)| SearchIndex {
             name: name.clone(),
             class,
             first_shard: 0,
@@ -74,7 +74,7 @@
     last_of_deployment: u32,
     deployment: &Deployment,
     file: &ProjectFile,
-) -> Result<Index, ProjectFileError> {
+) -> Result<SearchIndex, ProjectFileError> {
     let IndexTable {
         name,
         class,
@@ -98,7 +98,7 @@
     if !is_index_name(&name) {
         return Err(file.error("opensearch.index.name", ValueError::InvalidIndexName(name)));
     }
-    Ok(Index {
+    Ok(SearchIndex {
         name,
         class,
         first_shard,
--- a/crates/coordinator/src/connections/handle.rs
+++ b/crates/coordinator/src/connections/handle.rs
@@ -3,7 +3,8 @@
 use crate::clock::Clock;
 use crate::contract::Contracts;
 use crate::messages::{
-    Attempt, ConnectionEvent, ConnectionId, ConnectionReport, Message, OutboundAttempt, Value,
+    AttemptId, ConnectionEvent, ConnectionId, ConnectionReport, CoreMessage, OutboundAttempt,
+    PartValue,
 };
 use cairnroad_types::Outcome;
 use std::cell::Cell;
@@ -18,7 +19,7 @@
     /// Send these parts as one call.
     Call(Vec<OutboundAttempt>),
     /// Stop waiting for an attempt and notify the server.
-    Cancel(Attempt),
+    Cancel(AttemptId),
     /// Ask the server for its load report.
     HealthCheck,
 }
@@ -85,7 +86,7 @@
     /// Names of a load report's values, in the settings' order.
     pub report_names: Arc<[String]>,
     /// Messages to the core.
-    pub core: mpsc::Sender<Message>,
+    pub core: mpsc::Sender<CoreMessage>,
 }
 
 impl ConnectionHandle {
@@ -105,11 +106,16 @@
             connection: self.id,
             event,
         };
-        let _ = self.core.send(Message::Connection(report)).await;
+        let _ = self.core.send(CoreMessage::Connection(report)).await;
     }
 
     /// Reports how an attempt ended.
-    pub async fn report_attempt(&self, attempt: Attempt, outcome: Outcome, value: Option<Value>) {
+    pub async fn report_attempt(
+        &self,
+        attempt: AttemptId,
+        outcome: Outcome,
+        value: Option<PartValue>,
+    ) {
         self.notify(ConnectionEvent::AttemptEnded {
             attempt,
             outcome,
--- a/crates/coordinator/src/connections/pool/connection.rs
+++ b/crates/coordinator/src/connections/pool/connection.rs
@@ -2,7 +2,7 @@
 
 use super::limits::Limits;
 use crate::connections::handle::{Command, SharedState};
-use crate::messages::{Attempt, OutboundAttempt};
+use crate::messages::{AttemptId, OutboundAttempt};
 use cairnroad_types::{Seconds, ServerId, Time};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     pub(super) shared: Rc<SharedState>,
     /// It has been up, though it may have broken since.
     pub(super) established: bool,
-    pub(super) in_flight: BTreeSet<Attempt>,
+    pub(super) in_flight: BTreeSet<AttemptId>,
     /// When it last carried a call, a cancel or an answer.
     pub(super) last_used: Time,
     /// For how long answers were awaited in silence, up to when the last of them was released.
@@ -86,7 +86,7 @@
     }
 
     /// Queues the cancel of an attempt. A connection whose queue is full has hung and is closed.
-    pub(super) fn cancel(&mut self, now: Time, attempt: Attempt) {
+    pub(super) fn cancel(&mut self, now: Time, attempt: AttemptId) {
         self.in_flight.remove(&attempt);
         self.last_used = now;
         if self.commands.try_send(Command::Cancel(attempt)).is_err() {
--- a/crates/coordinator/src/connections/pool/mod.rs
+++ b/crates/coordinator/src/connections/pool/mod.rs
@@ -11,8 +11,8 @@
 use crate::connections::handle::Command;
 use crate::contract::Contracts;
 use crate::messages::{
-    Attempt, AttemptResult, ConnectionEvent, ConnectionId, ConnectionReport, EndpointEntry,
-    Message, OutboundAttempt,
+    AttemptId, AttemptResult, ConnectionEvent, ConnectionId, ConnectionReport, CoreMessage,
+    EndpointEntry, OutboundAttempt,
 };
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Outcome, Seconds, ServerId, ServerState, Time};
@@ -91,11 +91,11 @@
     report_names: Arc<[String]>,
     contracts: Rc<Contracts>,
     clock: Clock,
-    core: mpsc::Sender<Message>,
+    core: mpsc::Sender<CoreMessage>,
     next_id: ConnectionId,
     servers: BTreeMap<ServerId, Server>,
     connections: BTreeMap<ConnectionId, Connection>,
-    in_flight: BTreeMap<Attempt, AwaitedAttempt>,
+    in_flight: BTreeMap<AttemptId, AwaitedAttempt>,
     /// Parts that leave with the next flush.
     staged: BTreeMap<ServerId, Vec<OutboundAttempt>>,
 }
@@ -106,7 +106,7 @@
         config: &Config,
         contracts: Rc<Contracts>,
         clock: Clock,
-        core: mpsc::Sender<Message>,
+        core: mpsc::Sender<CoreMessage>,
     ) -> Self {
         Pool {
             backend: config.backend,
@@ -175,7 +175,7 @@
     }
 
     /// Whether an attempt is still awaited.
-    pub fn is_in_flight(&self, attempt: Attempt) -> bool {
+    pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.in_flight.contains_key(&attempt)
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Stops waiting for an attempt and notifies its server, or drops it where it is still staged.
-    pub fn cancel(&mut self, now: Time, attempt: Attempt) {
+    pub fn cancel(&mut self, now: Time, attempt: AttemptId) {
         self.unstage(attempt);
         let Some(awaited) = self.in_flight.remove(&attempt) else {
             return;
@@ -207,21 +207,21 @@
 
     /// Keeps an attempt that nobody waits for any more from being sent, if that has not begun. Its server is not
     /// notified.
-    pub fn withdraw(&mut self, attempt: Attempt) {
+    pub fn withdraw(&mut self, attempt: AttemptId) {
         self.unstage(attempt);
         if let Some(awaited) = self.in_flight.get(&attempt) {
             awaited.wanted.set(false);
         }
     }
 
-    fn unstage(&mut self, attempt: Attempt) {
+    fn unstage(&mut self, attempt: AttemptId) {
         for parts in self.staged.values_mut() {
             parts.retain(|part| part.attempt != attempt);
         }
     }
 
     /// Cancels an attempt whose time is up. Returns whether it was still in flight.
-    pub fn time_out(&mut self, attempt: Attempt) -> bool {
+    pub fn time_out(&mut self, attempt: AttemptId) -> bool {
         let in_flight = self.is_in_flight(attempt);
         if in_flight {
             self.cancel(self.clock.now(), attempt);
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -3,13 +3,13 @@
 use super::limits::{silence_limit, IDLE_SHARE, SILENCE_SHARE};
 use super::*;
 use crate::connections::handle::SharedState;
-use crate::messages::Text;
+use crate::messages::Payload;
 use crate::observability::metrics::Metrics;
 use cairnroad_types::RequestId;
 
 /// Runs a test with a pool of one server, whose listener the test holds.
 fn with_one_server<F: std::future::Future>(
-    test: impl FnOnce(tokio::net::TcpListener, Pool, mpsc::Receiver<Message>, Clock) -> F,
+    test: impl FnOnce(tokio::net::TcpListener, Pool, mpsc::Receiver<CoreMessage>, Clock) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -49,15 +49,15 @@
     vec![(ServerId(0), entry)]
 }
 
-fn outbound(attempt: Attempt, clock: &Clock) -> OutboundAttempt {
+fn outbound(attempt: AttemptId, clock: &Clock) -> OutboundAttempt {
     OutboundAttempt {
         attempt,
         wanted: Rc::new(Cell::new(true)),
         send_by: None,
-        name: format!("q{}", attempt.part.0).into(),
+        external_id: format!("q{}", attempt.part.0).into(),
         class: "c".into(),
         shard: 0,
-        text: Text::Plain("t".into()),
+        payload: Payload::Plain("t".into()),
         deadline: clock.now() + 9.0,
         contracts: None,
     }
@@ -140,7 +140,7 @@
                 "part {number}"
             );
             if dials {
-                let Some(Message::Connection(event)) = messages.recv().await else {
+                let Some(CoreMessage::Connection(event)) = messages.recv().await else {
                     panic!("no connection")
                 };
                 assert!(matches!(event.event, ConnectionEvent::Connected));
@@ -163,7 +163,7 @@
         };
         assert_eq!(send(&mut pool, 1), 1);
         let (mut server, _) = listener.accept().await.unwrap();
-        let Some(Message::Connection(up)) = messages.recv().await else {
+        let Some(CoreMessage::Connection(up)) = messages.recv().await else {
             panic!("no connection")
         };
         pool.on_connection_event(now, up);
@@ -198,7 +198,7 @@
         let flushed = pool.flush(clock.now(), &mut metrics());
         assert_eq!((flushed.unsent.len(), flushed.dials.len()), (0, 1));
         pool.on_endpoint_list(&endpoint_list(address, ServerState::Draining), false);
-        let Some(Message::Connection(event)) = messages.recv().await else {
+        let Some(CoreMessage::Connection(event)) = messages.recv().await else {
             panic!("no outcome")
         };
         let Some(PoolEvent::AttemptEnded(ended)) = pool.on_connection_event(clock.now(), event)
@@ -215,13 +215,13 @@
 /// Receives events until this many attempts have ended. Returns their parts and outcomes in order.
 async fn ends(
     pool: &mut Pool,
-    messages: &mut mpsc::Receiver<Message>,
+    messages: &mut mpsc::Receiver<CoreMessage>,
     clock: &Clock,
     count: usize,
 ) -> Vec<(u64, Outcome)> {
     let mut ends = Vec::new();
     while ends.len() < count {
-        let Some(Message::Connection(event)) = messages.recv().await else {
+        let Some(CoreMessage::Connection(event)) = messages.recv().await else {
             panic!("no message")
         };
         if let Some(PoolEvent::AttemptEnded(ended)) = pool.on_connection_event(clock.now(), event) {
@@ -232,8 +232,8 @@
 }
 
 /// The first attempt of a part.
-fn first(part: u64) -> Attempt {
-    Attempt {
+fn first(part: u64) -> AttemptId {
+    AttemptId {
         part: RequestId(part),
         number: 0,
     }
@@ -322,7 +322,7 @@
         send(&mut pool, &clock, [1]);
         let (mut server, _) = listener.accept().await.unwrap();
         frame(&mut server).await;
-        let Some(Message::Connection(up)) = messages.recv().await else {
+        let Some(CoreMessage::Connection(up)) = messages.recv().await else {
             panic!("no connection")
         };
         pool.on_connection_event(clock.now(), up);
@@ -405,7 +405,7 @@
         with_one_server(|listener, mut pool, mut messages, clock| async move {
             let mut large = outbound(first(1), &clock);
             // More than the socket buffers hold.
-            large.text = Text::Plain("t".repeat(64 * 1024 * 1024).into());
+            large.payload = Payload::Plain("t".repeat(64 * 1024 * 1024).into());
             pool.stage(ServerId(0), large);
             pool.flush(clock.now(), &mut metrics());
             let (mut server, _) = listener.accept().await.unwrap();
--- a/crates/coordinator/src/discovery/endpoint_list.rs
+++ b/crates/coordinator/src/discovery/endpoint_list.rs
@@ -117,8 +117,8 @@
             .collect();
         EndpointListUpdate {
             revision: self.revision,
-            complete: self.complete,
-            rows,
+            is_snapshot: self.complete,
+            entries: rows,
         }
     }
 }
--- a/crates/coordinator/src/discovery/endpoint_list/tests.rs
+++ b/crates/coordinator/src/discovery/endpoint_list/tests.rs
@@ -22,10 +22,10 @@
     let update = serde_json::from_str::<EndpointListPage>(&text)
         .unwrap()
         .into_update();
-    let ids: Vec<&str> = update.rows.iter().map(|row| row.id.as_str()).collect();
+    let ids: Vec<&str> = update.entries.iter().map(|row| row.id.as_str()).collect();
     assert_eq!((update.revision, ids), (7, vec!["s-a", "s-c", "s-d"]));
     assert_eq!(
-        update.rows[1].state,
+        update.entries[1].state,
         ServerState::Draining,
         "an unknown phase is not 'active'"
     );
--- a/crates/coordinator/src/discovery/file_source/endpoint_source.rs
+++ b/crates/coordinator/src/discovery/file_source/endpoint_source.rs
@@ -8,7 +8,7 @@
 use super::start_times::StartTimes;
 use crate::configuration::EndpointFilesSettings;
 use crate::discovery::endpoint_list::zone_id;
-use crate::messages::{EndpointEntry, Message};
+use crate::messages::{CoreMessage, EndpointEntry};
 use cairnroad_endpoint_files::activation_schedule::{ActivationSchedule, EndpointStatus};
 use cairnroad_endpoint_files::debounce::{Debounce, ReadOutcome};
 use cairnroad_endpoint_files::endpoint_set::{Endpoint, EndpointSet, Phase};
@@ -46,7 +46,7 @@
     /// A source that has read nothing yet.
     pub(super) fn new(
         settings: EndpointFilesSettings,
-        core: mpsc::Sender<Message>,
+        core: mpsc::Sender<CoreMessage>,
     ) -> EndpointSource {
         let store = settings
             .state_dir
--- a/crates/coordinator/src/discovery/file_source/mod.rs
+++ b/crates/coordinator/src/discovery/file_source/mod.rs
@@ -14,7 +14,7 @@
 pub use scan::read_files;
 
 use crate::configuration::EndpointFilesSettings;
-use crate::messages::Message;
+use crate::messages::CoreMessage;
 use endpoint_source::EndpointSource;
 use tokio::sync::mpsc;
 
@@ -26,7 +26,7 @@
 /// Starts the thread that owns the files' state. It ends when the core's receiver is dropped.
 pub fn start(
     settings: EndpointFilesSettings,
-    core: mpsc::Sender<Message>,
+    core: mpsc::Sender<CoreMessage>,
 ) -> Result<(), SpawnError> {
     let endpoint_source = EndpointSource::new(settings, core);
     std::thread::Builder::new()
--- a/crates/coordinator/src/discovery/file_source/publisher.rs
+++ b/crates/coordinator/src/discovery/file_source/publisher.rs
@@ -2,7 +2,7 @@
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
-use crate::messages::{EndpointEntry, EndpointListUpdate, Message};
+use crate::messages::{CoreMessage, EndpointEntry, EndpointListUpdate};
 use cairnroad_types::ServerState;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 /// Sends the core what differs from what it was told before.
 pub(super) struct Publisher {
-    core: mpsc::Sender<Message>,
+    core: mpsc::Sender<CoreMessage>,
     /// What the core was told, pending weights included.
     published: BTreeMap<String, EndpointEntry>,
     /// Entries of which only the weight changed, still to be sent.
@@ -28,7 +28,7 @@
 
 impl Publisher {
     /// A publisher to a core that knows no endpoint.
-    pub(super) fn new(core: mpsc::Sender<Message>) -> Publisher {
+    pub(super) fn new(core: mpsc::Sender<CoreMessage>) -> Publisher {
         Publisher {
             core,
             published: BTreeMap::new(),
@@ -109,11 +109,11 @@
     ) -> Result<(), CoreStopped> {
         let update = EndpointListUpdate {
             revision,
-            complete,
-            rows,
+            is_snapshot: complete,
+            entries: rows,
         };
         self.core
-            .blocking_send(Message::Endpoints(update))
+            .blocking_send(CoreMessage::Endpoints(update))
             .map_err(|_| CoreStopped)
     }
 }
--- a/crates/coordinator/src/discovery/server_directory.rs
+++ b/crates/coordinator/src/discovery/server_directory.rs
@@ -20,11 +20,11 @@
     /// one; the removal of an unknown server is left out.
     pub fn assign_ids(&mut self, update: &EndpointListUpdate) -> Vec<(ServerId, EndpointEntry)> {
         let entries: Vec<(ServerId, EndpointEntry)> = update
-            .rows
+            .entries
             .iter()
             .filter_map(|entry| Some((self.record(entry)?, entry.clone())))
             .collect();
-        if update.complete && !entries.is_empty() {
+        if update.is_snapshot && !entries.is_empty() {
             self.retain_listed(&entries);
         }
         entries
--- a/crates/coordinator/src/discovery/tests.rs
+++ b/crates/coordinator/src/discovery/tests.rs
@@ -13,10 +13,10 @@
     };
     let update = decode(text);
     assert_eq!(
-        (update.revision, update.complete, update.rows[0].state),
+        (update.revision, update.is_snapshot, update.entries[0].state),
         (43, false, ServerState::Draining)
     );
-    assert_eq!(update.rows[0].ready_at, Some(Time(1_500_000)));
+    assert_eq!(update.entries[0].ready_at, Some(Time(1_500_000)));
     let mut directory = ServerDirectory::default();
     let rows = directory.assign_ids(&update);
     assert_eq!(
--- a/crates/coordinator/src/discovery/watch_task.rs
+++ b/crates/coordinator/src/discovery/watch_task.rs
@@ -7,7 +7,7 @@
 use crate::discovery::agent_connection::{target, AgentConnection};
 use crate::discovery::endpoint_list::EndpointListPage;
 use crate::http;
-use crate::messages::{ContractsInForce, Message};
+use crate::messages::{ContractsInForce, CoreMessage};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::schema::Direction;
 use cairnroad_discovery_watch::{DiscoveryWatch, WatchError};
@@ -29,7 +29,7 @@
 /// the watch restarts at the new one.
 pub async fn watch_endpoints(
     mut agents: watch::Receiver<SocketAddr>,
-    pipeline: mpsc::Sender<Message>,
+    pipeline: mpsc::Sender<CoreMessage>,
     contracts: Rc<Contracts>,
     clock: Clock,
 ) {
@@ -57,7 +57,7 @@
 
 struct WatchTask {
     watch: DiscoveryWatch,
-    pipeline: mpsc::Sender<Message>,
+    pipeline: mpsc::Sender<CoreMessage>,
     contracts: Rc<Contracts>,
     clock: Clock,
 }
@@ -89,7 +89,7 @@
             }
             let pipeline_ended = self
                 .pipeline
-                .send(Message::Endpoints(update))
+                .send(CoreMessage::Endpoints(update))
                 .await
                 .is_err();
             if pipeline_ended || response.close {
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -49,7 +49,7 @@
         let answers = async {
             let mut all = Vec::with_capacity(waiting.len());
             for answer in waiting {
-                all.push(answer.await.unwrap_or(Answer::Failed { late: false }));
+                all.push(answer.await.unwrap_or(Answer::Failed { timed_out: false }));
             }
             all
         };
--- a/crates/coordinator/src/fronts/front.rs
+++ b/crates/coordinator/src/fronts/front.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::configuration::Limits;
 use crate::contract::Contracts;
-use crate::messages::{ClientRequest, Phase, ServedConfiguration};
+use crate::messages::{ClientRequest, ServedConfiguration, ServingPhase};
 use cairnroad_contract::drift::Interface;
 use cairnroad_types::Seconds;
 use std::cell::Cell;
@@ -37,7 +37,7 @@
     /// The program's clock.
     pub clock: Clock,
     /// Whether the program starts, serves, drains or shuts down.
-    pub phase: watch::Receiver<Phase>,
+    pub phase: watch::Receiver<ServingPhase>,
     /// Limits on connections, of all fronts together.
     pub limits: Limits,
     /// The connections of all fronts.
--- a/crates/coordinator/src/fronts/opensearch/hits.rs
+++ b/crates/coordinator/src/fronts/opensearch/hits.rs
@@ -1,7 +1,7 @@
 //! Merging the hits of all shards into one list.
 
 use super::search::Search;
-use crate::messages::{PartAnswer, Value};
+use crate::messages::{PartAnswer, PartValue};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use serde_json::value::RawValue;
@@ -126,8 +126,10 @@
     for part in parts {
         match &part.value {
             Err(_) => {}
-            Ok(Value::Plain(bytes)) => merged.add_plain(&search.index.name, part.shard, bytes)?,
-            Ok(Value::Hits(text)) => merged.add_hits(text)?,
+            Ok(PartValue::Plain(bytes)) => {
+                merged.add_plain(&search.index.name, part.shard, bytes)?
+            }
+            Ok(PartValue::Hits(text)) => merged.add_hits(text)?,
         }
     }
     let MergedHits { mut hits, total } = merged;
--- a/crates/coordinator/src/fronts/opensearch/mod.rs
+++ b/crates/coordinator/src/fronts/opensearch/mod.rs
@@ -13,7 +13,7 @@
 use super::front::Front;
 use super::reply::Reply;
 use crate::http;
-use crate::messages::{PartSpec, Request, Text};
+use crate::messages::{PartSpec, Payload, Request};
 use cairnroad_types::Time;
 use error::QueryError;
 pub use multi_search::MAX_SEARCHES;
@@ -128,7 +128,7 @@
     let deadline = front.served().deployment.policy.classes[search.index.class].deadline;
     let weight = 1.0 / search.shards.len() as f64;
     Request {
-        name: front.generate_request_name().into(),
+        external_id: front.generate_request_name().into(),
         class: search.index.class,
         deadline: arrived
             + search
@@ -141,7 +141,7 @@
             .iter()
             .map(|&shard| PartSpec { shard, weight })
             .collect(),
-        text: Text::Query(search.body.as_str().into()),
+        payload: Payload::Query(search.body.as_str().into()),
         contracts: None,
     }
 }
--- a/crates/coordinator/src/fronts/opensearch/multi_search.rs
+++ b/crates/coordinator/src/fronts/opensearch/multi_search.rs
@@ -9,7 +9,7 @@
 use crate::fronts::front::Front;
 use crate::fronts::reply::Reply;
 use crate::http;
-use crate::messages::Index;
+use crate::messages::SearchIndex;
 use cairnroad_types::{Seconds, Time};
 use serde_json::{Map, Value as Json};
 
@@ -48,7 +48,7 @@
 /// Parses a body of line pairs, a header and a search each. A body of another form is an error of the whole request; an
 /// error in one search is that search's own.
 fn parse(
-    indices: &[Index],
+    indices: &[SearchIndex],
     body: &[u8],
     parameters: &SearchParameters,
 ) -> Result<Vec<Result<Search, QueryError>>, QueryError> {
--- a/crates/coordinator/src/fronts/opensearch/response.rs
+++ b/crates/coordinator/src/fronts/opensearch/response.rs
@@ -15,23 +15,26 @@
     match answer {
         None => error_reply(500, SEARCH_FAILED, "no answer"),
         Some(Answer::Served { complete, parts }) => served_reply(search, complete, &parts, took),
-        Some(Answer::Rejected { retry_after, busy }) => {
-            let (status, error_type) = match busy {
+        Some(Answer::Rejected {
+            retry_after,
+            over_capacity,
+        }) => {
+            let (status, error_type) = match over_capacity {
                 true => (429, REJECTED),
                 false => (503, "unavailable_shards_exception"),
             };
             error_reply(status, error_type, "refused: trying again is harmless")
                 .with_header("Retry-After", whole_seconds(retry_after))
         }
-        Some(Answer::DuplicateName) => error_reply(
+        Some(Answer::DuplicateExternalId) => error_reply(
             409,
             "illegal_state_exception",
             "the search's name was used before",
         ),
-        Some(Answer::Failed { late: true }) => {
+        Some(Answer::Failed { timed_out: true }) => {
             error_reply(504, "timeout_exception", "no answer in time")
         }
-        Some(Answer::Failed { late: false }) => {
+        Some(Answer::Failed { timed_out: false }) => {
             error_reply(500, SEARCH_FAILED, "a part failed and may have run")
         }
     }
--- a/crates/coordinator/src/fronts/opensearch/search.rs
+++ b/crates/coordinator/src/fronts/opensearch/search.rs
@@ -3,7 +3,7 @@
 use super::duration;
 use super::error::QueryError;
 use super::parameters::SearchParameters;
-use crate::messages::Index;
+use crate::messages::SearchIndex;
 use cairnroad_types::Seconds;
 use serde::de::DeserializeOwned;
 use serde_json::value::{to_raw_value, RawValue};
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct Search {
     /// The index that is searched.
-    pub index: Index,
+    pub index: SearchIndex,
     /// The shards that the search is sent to, in ascending order.
     pub shards: Vec<u32>,
     /// Hits of the merged order that the response skips.
@@ -40,7 +40,7 @@
     /// The clauses that are understood are forwarded to data nodes; any other is an error, for an answer that silently
     /// left one out would be wrong.
     pub fn parse(
-        indices: &[Index],
+        indices: &[SearchIndex],
         body: &[u8],
         parameters: SearchParameters,
     ) -> Result<Search, QueryError> {
@@ -182,7 +182,7 @@
     }
 }
 
-fn find_index(indices: &[Index], name: Option<&str>) -> Result<Index, QueryError> {
+fn find_index(indices: &[SearchIndex], name: Option<&str>) -> Result<SearchIndex, QueryError> {
     let name = name.ok_or(QueryError::NoIndex)?;
     if name.contains([',', '*']) || name == "_all" {
         return Err(QueryError::SeveralIndices(name.into()));
@@ -195,7 +195,7 @@
 }
 
 /// The shards that a search is sent to: its index's, or those that `preference=_shards:` names.
-fn requested_shards(index: &Index, preference: Option<&str>) -> Result<Vec<u32>, QueryError> {
+fn requested_shards(index: &SearchIndex, preference: Option<&str>) -> Result<Vec<u32>, QueryError> {
     let all = || (index.first_shard..=index.last_shard).collect();
     let Some(preference) = preference else {
         return Ok(all());
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -4,7 +4,7 @@
 use super::front::Front;
 use super::reply::Reply;
 use crate::http;
-use crate::messages::{Answer, PartAnswer, PartSpec, Request, Text, Value};
+use crate::messages::{Answer, PartAnswer, PartSpec, PartValue, Payload, Request};
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Seconds, Time};
 use serde::{Deserialize, Serialize};
@@ -136,13 +136,13 @@
     check_parts(deployment, &parts)?;
     let work_micros: Option<f64> = body.shards.iter().map(|requested| requested.cost).sum();
     Ok(Request {
-        name: id.into(),
+        external_id: id.into(),
         class,
         deadline: arrived + (deadline - CLIENT_NETWORK_DELAY),
         client_retry: message.fields.get("X-Retry") == Some("1"),
         expected_work: work_micros.map(|micros| micros / MICROS_PER_SECOND),
         parts,
-        text: Text::Plain(body.q.into()),
+        payload: Payload::Plain(body.q.into()),
         contracts: None,
     })
 }
@@ -191,13 +191,16 @@
 fn answer_reply(answer: Answer) -> Reply {
     match answer {
         Answer::Served { complete, parts } => served_reply(complete, &parts),
-        Answer::Rejected { retry_after, busy } => {
-            let status = if busy { 429 } else { 503 };
+        Answer::Rejected {
+            retry_after,
+            over_capacity,
+        } => {
+            let status = if over_capacity { 429 } else { 503 };
             retry_later_reply(status, "refused: trying again is harmless", retry_after)
         }
-        Answer::DuplicateName => error_reply(409, "X-Request-Id was used before"),
-        Answer::Failed { late: true } => error_reply(504, "failed: no answer in time"),
-        Answer::Failed { late: false } => error_reply(500, "failed"),
+        Answer::DuplicateExternalId => error_reply(409, "X-Request-Id was used before"),
+        Answer::Failed { timed_out: true } => error_reply(504, "failed: no answer in time"),
+        Answer::Failed { timed_out: false } => error_reply(500, "failed"),
     }
 }
 
@@ -207,8 +210,8 @@
         let Ok(value) = &part.value else { continue };
         // A value that a JSON string can't carry unchanged can't be passed on at all.
         let doc = match value {
-            Value::Hits(text) => text,
-            Value::Plain(bytes) => match std::str::from_utf8(bytes) {
+            PartValue::Hits(text) => text,
+            PartValue::Plain(bytes) => match std::str::from_utf8(bytes) {
                 Ok(text) => text,
                 Err(_) => return error_reply(502, "a value is not text"),
             },
--- a/crates/coordinator/src/fronts/session.rs
+++ b/crates/coordinator/src/fronts/session.rs
@@ -10,7 +10,7 @@
 use super::{health, opensearch, platform};
 use crate::contract::SampledRequest;
 use crate::http;
-use crate::messages::{ContractsInForce, Phase};
+use crate::messages::{ContractsInForce, ServingPhase};
 use cairnroad_contract::enforcement::Rejection;
 use cairnroad_types::Time;
 use lingering_close::{IDLE_LINGER_TIMEOUT, LINGER_TIMEOUT};
@@ -219,12 +219,12 @@
 }
 
 /// Whether connections are closed after their answer.
-fn is_stopping(phase: Phase) -> bool {
+fn is_stopping(phase: ServingPhase) -> bool {
     matches!(
         phase,
-        Phase::DrainedByOperator
-            | Phase::ShuttingDown
-            | Phase::IdleConnectionsClosing
-            | Phase::PartialRequestsRejected
+        ServingPhase::DrainedByOperator
+            | ServingPhase::ShuttingDown
+            | ServingPhase::IdleConnectionsClosing
+            | ServingPhase::PartialRequestsRejected
     )
 }
--- a/crates/coordinator/src/fronts/session/next_request.rs
+++ b/crates/coordinator/src/fronts/session/next_request.rs
@@ -3,7 +3,7 @@
 use super::{is_stopping, ClientSession};
 use crate::connections::socket;
 use crate::http;
-use crate::messages::Phase;
+use crate::messages::ServingPhase;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
@@ -117,11 +117,11 @@
 
 /// Resolves once idle connections are closed, in a drain or a shutdown. A connection that came late in it gets the time
 /// for its request to follow.
-async fn idle_connections_close(phase: &mut watch::Receiver<Phase>) {
+async fn idle_connections_close(phase: &mut watch::Receiver<ServingPhase>) {
     let drained = phase
-        .wait_for(|phase| is_stopping(*phase) && *phase != Phase::ShuttingDown)
+        .wait_for(|phase| is_stopping(*phase) && *phase != ServingPhase::ShuttingDown)
         .await
-        .is_ok_and(|phase| *phase == Phase::DrainedByOperator);
+        .is_ok_and(|phase| *phase == ServingPhase::DrainedByOperator);
     if drained {
         tokio::time::sleep(DRAINED_IDLE_TIMEOUT).await;
     }
@@ -129,9 +129,9 @@
 }
 
 /// Resolves once requests that were received in part are rejected, at the end of a shutdown.
-async fn partial_requests_end(phase: &mut watch::Receiver<Phase>) {
+async fn partial_requests_end(phase: &mut watch::Receiver<ServingPhase>) {
     if phase
-        .wait_for(|phase| *phase == Phase::PartialRequestsRejected)
+        .wait_for(|phase| *phase == ServingPhase::PartialRequestsRejected)
         .await
         .is_err()
     {
--- a/crates/coordinator/src/messages/answer.rs
+++ b/crates/coordinator/src/messages/answer.rs
@@ -6,7 +6,7 @@
 
 /// A server's value for a part, byte by byte as received.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Value {
+pub enum PartValue {
     /// Opaque bytes, meaningful to the server and the client only.
     Plain(Arc<[u8]>),
     /// A hits object of the query language.
@@ -39,7 +39,7 @@
     /// The part's shard.
     pub shard: u32,
     /// The part's value, or why there is none.
-    pub value: Result<Value, PartFailure>,
+    pub value: Result<PartValue, PartFailure>,
 }
 
 /// A request's one final answer.
@@ -57,13 +57,13 @@
         /// Seconds after which the client may retry.
         retry_after: Seconds,
         /// Whether no attempt of the request ended: the coordinator is out of capacity.
-        busy: bool,
+        over_capacity: bool,
     },
     /// Failed; the request may have run.
     Failed {
         /// Whether the deadline passed, or nearly so.
-        late: bool,
+        timed_out: bool,
     },
     /// Not accepted: its name belongs to a recent request.
-    DuplicateName,
+    DuplicateExternalId,
 }
--- a/crates/coordinator/src/messages/attempt.rs
+++ b/crates/coordinator/src/messages/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts of a part, as the core sends them and as they end.
 
-use super::{ContractsInForce, Text, Value};
+use super::{ContractsInForce, PartValue, Payload};
 use cairnroad_types::{Outcome, RequestId, Time};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 
 /// Identifies one attempt of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Attempt {
+pub struct AttemptId {
     /// The part.
     pub part: RequestId,
     /// Counts the part's attempts from 0.
@@ -25,15 +25,15 @@
     /// only within the window.
     pub send_by: Option<Time>,
     /// Which attempt it is.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// The request's name.
-    pub name: Arc<str>,
+    pub external_id: Arc<str>,
     /// The class's name.
     pub class: Arc<str>,
     /// The part's shard.
     pub shard: u32,
     /// The request's payload.
-    pub text: Text,
+    pub payload: Payload,
     /// When the core stops waiting for the answer.
     pub deadline: Time,
     /// The descriptions that the server's answer is checked against.
@@ -51,9 +51,9 @@
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The attempt that ended.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// How it ended.
     pub outcome: Outcome,
     /// The server's value.
-    pub value: Option<Value>,
+    pub value: Option<PartValue>,
 }
--- a/crates/coordinator/src/messages/connection_event.rs
+++ b/crates/coordinator/src/messages/connection_event.rs
@@ -1,6 +1,6 @@
 //! What a connection's task reports to the core.
 
-use super::{Attempt, Value};
+use super::{AttemptId, PartValue};
 use cairnroad_types::Outcome;
 
 /// Identifies a connection to a server within this process.
@@ -31,11 +31,11 @@
     /// An attempt ended.
     AttemptEnded {
         /// The attempt.
-        attempt: Attempt,
+        attempt: AttemptId,
         /// How it ended.
         outcome: Outcome,
         /// The server's value.
-        value: Option<Value>,
+        value: Option<PartValue>,
     },
     /// A health check ended.
     HealthCheckEnded {
--- a/crates/coordinator/src/messages/core_message.rs
+++ b/crates/coordinator/src/messages/core_message.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 /// A message to the core. The core reads all that are queued at the start of each tick.
-pub enum Message {
+pub enum CoreMessage {
     /// Discovery has an update of the endpoint list.
     Endpoints(EndpointListUpdate),
     /// A connection reports an event.
@@ -23,7 +23,7 @@
     /// The ids of endpoints that other coordinators consider outliers.
     OutlierAdvice(Vec<String>),
     /// The program shuts down: every open request needs its final answer by this time.
-    FinishBy(Time),
+    LimitDeadlines(Time),
     /// A reloaded configuration.
     Reconfigure {
         /// The configuration to apply.
--- a/crates/coordinator/src/messages/endpoint_list.rs
+++ b/crates/coordinator/src/messages/endpoint_list.rs
@@ -8,10 +8,10 @@
 pub struct EndpointListUpdate {
     /// The source's revision.
     pub revision: u64,
-    /// Whether the rows are the whole list: endpoints that it lacks are gone.
-    pub complete: bool,
+    /// Whether the entries are the whole list: endpoints that it lacks are gone.
+    pub is_snapshot: bool,
     /// The listed endpoints.
-    pub rows: Vec<EndpointEntry>,
+    pub entries: Vec<EndpointEntry>,
 }
 
 /// One endpoint of the list.
--- a/crates/coordinator/src/messages/mod.rs
+++ b/crates/coordinator/src/messages/mod.rs
@@ -14,11 +14,11 @@
 mod served_configuration;
 mod serving_phase;
 
-pub use answer::{Answer, PartAnswer, PartFailure, Value};
-pub use attempt::{Attempt, AttemptResult, OutboundAttempt};
+pub use answer::{Answer, PartAnswer, PartFailure, PartValue};
+pub use attempt::{AttemptId, AttemptResult, OutboundAttempt};
 pub use connection_event::{ConnectionEvent, ConnectionId, ConnectionReport};
-pub use core_message::{LocalOutliers, Message};
+pub use core_message::{CoreMessage, LocalOutliers};
 pub use endpoint_list::{EndpointEntry, EndpointListUpdate};
-pub use request::{ClientRequest, ContractsInForce, PartSpec, Request, Text};
-pub use served_configuration::{Index, ServedConfiguration};
-pub use serving_phase::Phase;
+pub use request::{ClientRequest, ContractsInForce, PartSpec, Payload, Request};
+pub use served_configuration::{SearchIndex, ServedConfiguration};
+pub use serving_phase::ServingPhase;
--- a/crates/coordinator/src/messages/request.rs
+++ b/crates/coordinator/src/messages/request.rs
@@ -17,18 +17,18 @@
 
 /// The payload that every part of a request carries unchanged.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Text {
+pub enum Payload {
     /// Opaque text, meaningful to the client and the servers only.
     Plain(Arc<str>),
     /// A JSON object of the query language.
     Query(Arc<str>),
 }
 
-impl Text {
+impl Payload {
     /// The payload's text, whichever kind it is.
     pub fn as_str(&self) -> &str {
         match self {
-            Text::Plain(text) | Text::Query(text) => text,
+            Payload::Plain(text) | Payload::Query(text) => text,
         }
     }
 }
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct Request {
     /// The request id that servers see, unique among recent requests.
-    pub name: Arc<str>,
+    pub external_id: Arc<str>,
     /// Index of the request class in the deployment's class table.
     pub class: usize,
     /// When the client stops waiting.
@@ -52,7 +52,7 @@
     /// The parts that make up the complete answer.
     pub parts: Vec<PartSpec>,
     /// The payload of every part.
-    pub text: Text,
+    pub payload: Payload,
     /// The descriptions that the servers' answers are checked against.
     pub contracts: ContractsInForce,
 }
--- a/crates/coordinator/src/messages/served_configuration.rs
+++ b/crates/coordinator/src/messages/served_configuration.rs
@@ -8,12 +8,12 @@
     /// The deployment's settings.
     pub deployment: Deployment,
     /// The indices of the query API.
-    pub indices: Vec<Index>,
+    pub indices: Vec<SearchIndex>,
 }
 
 /// An index of the query API: a request class over a range of shards.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Index {
+pub struct SearchIndex {
     /// The name in the path of a search.
     pub name: String,
     /// The class of its searches, an index in the deployment's class table.
--- a/crates/coordinator/src/messages/serving_phase.rs
+++ b/crates/coordinator/src/messages/serving_phase.rs
@@ -2,7 +2,7 @@
 
 /// What the process accepts. The health endpoint and client connections go by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ServingPhase {
     /// No endpoint list has arrived yet.
     Starting,
     /// Ready: health checks succeed.
@@ -18,12 +18,14 @@
     PartialRequestsRejected,
 }
 
-impl Phase {
+impl ServingPhase {
     /// Whether the process was ordered to stop.
     pub fn is_shutting_down(self) -> bool {
         matches!(
             self,
-            Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected
+            ServingPhase::ShuttingDown
+                | ServingPhase::IdleConnectionsClosing
+                | ServingPhase::PartialRequestsRejected
         )
     }
 }
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -65,9 +65,9 @@
         (Some("c d"), "/api?x=1")
     );
     let (frame, _) = frames::parse_frame(ANSWER).unwrap().unwrap();
-    let expected = frames::Frame::Answer(frames::Answer {
+    let expected = frames::Frame::Answer(frames::PartAnswerFrame {
         id: "q.3",
-        end: "ok",
+        status: "ok",
         score: "17",
         report: b"queue=1,l=2",
         value: b"\0v",
@@ -129,7 +129,7 @@
 fn parse_all(bytes: &[u8]) {
     let _ = http::parse_request(bytes);
     if let Ok(Some((response, _))) = http::parse_response(bytes, true, 64) {
-        let _ = opensearch::outcome(&response);
+        let _ = opensearch::search_outcome(&response);
     }
     let _ = frames::parse_frame(bytes);
     let _ = serde_json::from_slice::<EndpointListPage>(bytes).map(EndpointListPage::into_update);
@@ -170,7 +170,7 @@
         let (response, _) = http::parse_response(text.as_bytes(), false, 999)
             .unwrap()
             .unwrap();
-        opensearch::outcome(&response).0
+        opensearch::search_outcome(&response).0
     };
     let complete = r#"{"timed_out":false,"_shards":{"failed":0},"hits":{"hits":[]}}"#;
     assert_eq!(outcome(200, complete), Outcome::Ok);
--- a/crates/coordinator/src/pipeline/admission.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -44,17 +44,17 @@
     let request = &client.request;
     // Servers tell parts apart by the request's name: two requests of one name could swap their values, also where the
     // first has just ended and an abandoned part of it is still to be answered.
-    if requests.is_recent_name(&request.name) {
-        return Some(Answer::DuplicateName);
+    if requests.is_recent_name(&request.external_id) {
+        return Some(Answer::DuplicateExternalId);
     }
     if !requests.has_capacity_for(request.parts.len()) {
         metrics.add(Counter::OverCapacity);
         return Some(Answer::Rejected {
             retry_after: RETRY_AFTER_OBJECTIVES * router.latency_objective(request.class),
-            busy: true,
+            over_capacity: true,
         });
     }
-    (request.deadline <= now).then_some(Answer::Failed { late: true })
+    (request.deadline <= now).then_some(Answer::Failed { timed_out: true })
 }
 
 /// Opens the request and queues its events for the router.
--- a/crates/coordinator/src/pipeline/core.rs
+++ b/crates/coordinator/src/pipeline/core.rs
@@ -22,7 +22,8 @@
 use crate::contract::Contracts;
 use crate::discovery::ServerDirectory;
 use crate::messages::{
-    Attempt, AttemptResult, ClientRequest, LocalOutliers, Message, Phase, ServedConfiguration,
+    AttemptId, AttemptResult, ClientRequest, CoreMessage, LocalOutliers, ServedConfiguration,
+    ServingPhase,
 };
 use crate::observability::metrics::Metrics;
 use crate::timer_wheel::TimerWheel;
@@ -43,8 +44,8 @@
 pub struct Core {
     clock: Clock,
     request_queue: RequestReceiver,
-    messages: mpsc::Receiver<Message>,
-    phase: Rc<watch::Sender<Phase>>,
+    messages: mpsc::Receiver<CoreMessage>,
+    phase: Rc<watch::Sender<ServingPhase>>,
     /// The configuration that the fronts serve by.
     served_configuration: watch::Sender<Arc<ServedConfiguration>>,
     /// Publishes own outliers for gossip; `None` outside a cluster.
@@ -71,11 +72,11 @@
     /// Requests from the fronts.
     pub requests: mpsc::Receiver<ClientRequest>,
     /// Messages from connections, discovery, the admin API, the cluster and the main task.
-    pub messages: mpsc::Receiver<Message>,
+    pub messages: mpsc::Receiver<CoreMessage>,
     /// The sending end of `messages`, which the pool gives to its connections.
-    pub message_sender: mpsc::Sender<Message>,
+    pub message_sender: mpsc::Sender<CoreMessage>,
     /// The serving phase; shared with the admin API and the shutdown.
-    pub phase: Rc<watch::Sender<Phase>>,
+    pub phase: Rc<watch::Sender<ServingPhase>>,
     /// The configuration in force, for the fronts.
     pub served_configuration: watch::Sender<Arc<ServedConfiguration>>,
 }
@@ -216,7 +217,7 @@
     fn on_attempt_ended(&mut self, result: AttemptResult) {
         self.metrics.record_outcome(result.outcome);
         self.requests.record_result(&result);
-        let Attempt { part, number } = result.attempt;
+        let AttemptId { part, number } = result.attempt;
         self.router.push(Event::AttemptEnded {
             id: part,
             attempt: number,
@@ -238,8 +239,8 @@
     /// Starts to serve as soon as the core is ready.
     fn update_readiness(&mut self, now: Time) {
         let current = *self.phase.borrow();
-        if current == Phase::Starting && self.is_ready(now) {
-            self.phase.send_replace(Phase::Serving);
+        if current == ServingPhase::Starting && self.is_ready(now) {
+            self.phase.send_replace(ServingPhase::Serving);
         }
     }
 
--- a/crates/coordinator/src/pipeline/core/admin_requests.rs
+++ b/crates/coordinator/src/pipeline/core/admin_requests.rs
@@ -1,7 +1,7 @@
 //! Operators' requests that change the core: suspending and resuming data nodes, draining and activating the process.
 
 use super::Core;
-use crate::messages::Phase;
+use crate::messages::ServingPhase;
 use cairnroad_admin::request::{AdminRequest, AdminResponse, UnavailableReason};
 use cairnroad_admin::suspensions::Suspension;
 use cairnroad_types::Time;
@@ -59,18 +59,20 @@
 
     fn drain(&self) -> AdminResponse {
         self.change_phase(|phase| match phase {
-            Phase::Starting | Phase::Serving => Some(Phase::DrainedByOperator),
+            ServingPhase::Starting | ServingPhase::Serving => Some(ServingPhase::DrainedByOperator),
             _ => None,
         })
     }
 
     /// Ends a drain. The end of this tick checks whether the process is ready.
     fn activate(&self) -> AdminResponse {
-        self.change_phase(|phase| (phase == Phase::DrainedByOperator).then_some(Phase::Starting))
+        self.change_phase(|phase| {
+            (phase == ServingPhase::DrainedByOperator).then_some(ServingPhase::Starting)
+        })
     }
 
     /// Changes the phase to what `next` says, unless the process shuts down.
-    fn change_phase(&self, next: impl Fn(Phase) -> Option<Phase>) -> AdminResponse {
+    fn change_phase(&self, next: impl Fn(ServingPhase) -> Option<ServingPhase>) -> AdminResponse {
         let current = *self.phase.borrow();
         if current.is_shutting_down() {
             return AdminResponse::Unavailable(UnavailableReason::ShuttingDown);
--- a/crates/coordinator/src/pipeline/core/endpoints.rs
+++ b/crates/coordinator/src/pipeline/core/endpoints.rs
@@ -15,9 +15,9 @@
     /// Applies an update of the endpoint list. `cached`: it was stored by an earlier process.
     pub(super) fn on_endpoint_update(&mut self, update: &EndpointListUpdate, cached: bool) {
         self.contracts
-            .on_endpoint_update(&update.rows, update.complete);
-        if !update.rows.is_empty() {
-            self.metrics.add(if update.complete {
+            .on_endpoint_update(&update.entries, update.is_snapshot);
+        if !update.entries.is_empty() {
+            self.metrics.add(if update.is_snapshot {
                 Counter::EndpointSnapshots
             } else {
                 Counter::EndpointDeltas
@@ -29,7 +29,7 @@
                 self.suspensions.record_listed(&entry.id);
             }
         }
-        self.publish_endpoints(&mut entries, update.complete, cached);
+        self.publish_endpoints(&mut entries, update.is_snapshot, cached);
         self.fresh_list |= !cached;
     }
 
--- a/crates/coordinator/src/pipeline/core/incoming.rs
+++ b/crates/coordinator/src/pipeline/core/incoming.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use crate::connections::pool::PoolEvent;
-use crate::messages::{Attempt, AttemptResult, ConnectionReport, Message};
+use crate::messages::{AttemptId, AttemptResult, ConnectionReport, CoreMessage};
 use crate::observability::metrics::Counter;
 use crate::pipeline::timer::Timer;
 use cairnroad_types::{Event, Outcome, Time};
@@ -15,17 +15,17 @@
         }
     }
 
-    fn process_message(&mut self, now: Time, message: Message) {
+    fn process_message(&mut self, now: Time, message: CoreMessage) {
         match message {
-            Message::Endpoints(update) => self.on_endpoint_update(&update, false),
-            Message::Connection(report) => self.on_connection_report(now, report),
+            CoreMessage::Endpoints(update) => self.on_endpoint_update(&update, false),
+            CoreMessage::Connection(report) => self.on_connection_report(now, report),
             // A caller that stopped waiting for the reply closed the channel.
-            Message::Admin { request, reply } => {
+            CoreMessage::Admin { request, reply } => {
                 let _ = reply.send(self.handle_admin_request(now, request));
             }
-            Message::OutlierAdvice(ids) => self.on_outlier_advice(&ids),
-            Message::FinishBy(deadline) => self.router.finish_by(deadline),
-            Message::Reconfigure {
+            CoreMessage::OutlierAdvice(ids) => self.on_outlier_advice(&ids),
+            CoreMessage::LimitDeadlines(deadline) => self.router.finish_by(deadline),
+            CoreMessage::Reconfigure {
                 configuration,
                 reply,
             } => {
@@ -70,7 +70,7 @@
     }
 
     /// Times an attempt out if it is still in flight.
-    fn on_attempt_deadline(&mut self, attempt: Attempt) {
+    fn on_attempt_deadline(&mut self, attempt: AttemptId) {
         if self.pool.time_out(attempt) {
             self.on_attempt_ended(AttemptResult {
                 attempt,
--- a/crates/coordinator/src/pipeline/core/reconfiguration.rs
+++ b/crates/coordinator/src/pipeline/core/reconfiguration.rs
@@ -1,7 +1,7 @@
 //! Applies a reloaded configuration, between two ticks and whole or not at all.
 
 use super::Core;
-use crate::messages::{Index, ServedConfiguration};
+use crate::messages::{SearchIndex, ServedConfiguration};
 use cairnroad_admin::reconfigure::{self, Reconfiguration, ReconfigureError};
 use cairnroad_types::ClassId;
 use std::sync::Arc;
@@ -40,10 +40,10 @@
 }
 
 /// The indices with their classes' slots in the table in force; `class_ids` maps the reloaded file's class numbers.
-fn renumber_classes(indices: Vec<Index>, class_ids: &[ClassId]) -> Vec<Index> {
+fn renumber_classes(indices: Vec<SearchIndex>, class_ids: &[ClassId]) -> Vec<SearchIndex> {
     let renumbered = indices.into_iter().filter_map(|index| {
         let class_id = class_ids.get(index.class)?;
-        Some(Index {
+        Some(SearchIndex {
             class: usize::from(class_id.0),
             ..index
         })
--- a/crates/coordinator/src/pipeline/core/tests.rs
+++ b/crates/coordinator/src/pipeline/core/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::messages::{
     Answer, ConnectionEvent, ConnectionId, ConnectionReport, EndpointEntry, EndpointListUpdate,
-    PartSpec, Request, Text,
+    PartSpec, Payload, Request,
 };
 use cairnroad_types::{Outcome, RequestId, ServerState};
 use tokio::sync::oneshot;
@@ -12,7 +12,7 @@
 struct Rig {
     core: Core,
     requests: mpsc::Sender<ClientRequest>,
-    messages: mpsc::Sender<Message>,
+    messages: mpsc::Sender<CoreMessage>,
 }
 
 fn with_core(test: impl FnOnce(Rig)) {
@@ -25,7 +25,7 @@
         let clock = Clock::new(config.served.deployment.policy.tick);
         let (requests, request_receiver) = mpsc::channel(4);
         let contracts = Rc::new(Contracts::new(clock.clone(), Default::default()));
-        let phase = Rc::new(watch::channel(Phase::Starting).0);
+        let phase = Rc::new(watch::channel(ServingPhase::Starting).0);
         let served_configuration = watch::channel(config.served.clone()).0;
         let (messages, message_receiver) = mpsc::channel(64);
         let core = Core::new(
@@ -71,16 +71,16 @@
             let fresh = (generation + 1..generation + 5)
                 .map(|at| row(at, at as u32 % 2, ServerState::Ready));
             // By changes and, now and then, by a whole list without the one that is gone.
-            let complete = generation % 3 == 0;
-            let rows = std::iter::once(gone)
-                .filter(|_| !complete)
+            let is_snapshot = generation % 3 == 0;
+            let entries = std::iter::once(gone)
+                .filter(|_| !is_snapshot)
                 .chain(fresh)
                 .collect();
             core.on_endpoint_update(
                 &EndpointListUpdate {
                     revision: 1,
-                    complete,
-                    rows,
+                    is_snapshot,
+                    entries,
                 },
                 false,
             );
@@ -102,15 +102,15 @@
 fn two_replicas() -> EndpointListUpdate {
     EndpointListUpdate {
         revision: 1,
-        complete: true,
-        rows: (0..2).map(|at| row(at, 0, ServerState::Ready)).collect(),
+        is_snapshot: true,
+        entries: (0..2).map(|at| row(at, 0, ServerState::Ready)).collect(),
     }
 }
 
 /// A request of one part. In a new core the request has the first id, its part the second.
 fn request(deadline: Time) -> Request {
     Request {
-        name: "one".into(),
+        external_id: "one".into(),
         class: 0,
         deadline,
         client_retry: false,
@@ -119,14 +119,14 @@
             shard: 0,
             weight: 1.0,
         }],
-        text: Text::Plain("t".into()),
+        payload: Payload::Plain("t".into()),
         contracts: None,
     }
 }
 
-fn attempt(number: u8) -> Attempt {
+fn attempt(number: u8) -> AttemptId {
     let part = RequestId(2);
-    Attempt { part, number }
+    AttemptId { part, number }
 }
 
 /// Guards against a retry that is decided in the very tick in which its client leaves, and against a request that is
@@ -160,7 +160,7 @@
                             value: None,
                         },
                     };
-                    let message = Message::Connection(report);
+                    let message = CoreMessage::Connection(report);
                     assert!(rig.messages.try_send(message).is_ok());
                 }
                 if client_leaves {
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -4,7 +4,7 @@
 use super::request_table::RequestTable;
 use super::timer::Timer;
 use crate::connections::pool::Pool;
-use crate::messages::{Attempt, AttemptResult};
+use crate::messages::{AttemptId, AttemptResult};
 use crate::observability::metrics::{Counter, Metrics};
 use crate::timer_wheel::TimerWheel;
 use cairnroad_types::{Action, Time};
@@ -30,7 +30,7 @@
         }
         Action::Cancel { part, attempt } => {
             let number = attempt;
-            pool.cancel(now, Attempt { part, number });
+            pool.cancel(now, AttemptId { part, number });
         }
         Action::HealthCheck(server) => pool.request_health_check(server),
         Action::SetTimer(at) => timers.insert(at, Timer::RouterWakeUp),
@@ -77,7 +77,7 @@
     if earlier_attempts > 0 {
         metrics.add(Counter::FurtherAttempts);
     }
-    let in_flight = |number| pool.is_in_flight(Attempt { part, number });
+    let in_flight = |number| pool.is_in_flight(AttemptId { part, number });
     if (0..earlier_attempts).any(in_flight) {
         metrics.add(Counter::Hedges);
     }
--- a/crates/coordinator/src/pipeline/request_queue.rs
+++ b/crates/coordinator/src/pipeline/request_queue.rs
@@ -36,7 +36,7 @@
         // The receiving end is still in this function: the send can't fail.
         let _ = client.reply.send(Answer::Rejected {
             retry_after,
-            busy: true,
+            over_capacity: true,
         });
     }
     answer
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -4,7 +4,7 @@
 mod recent_names;
 
 use crate::configuration::Config;
-use crate::messages::{Attempt, AttemptResult, ClientRequest, OutboundAttempt, PartSpec};
+use crate::messages::{AttemptId, AttemptResult, ClientRequest, OutboundAttempt, PartSpec};
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Class, Idempotency, RequestId, Seconds, Time};
 pub use open_request::OpenRequest;
@@ -55,7 +55,7 @@
     retry_windows: Vec<Option<Seconds>>,
     late_margin: Seconds,
     /// Attempts of closed requests that the pool has not been told of yet.
-    orphaned: Vec<Attempt>,
+    orphaned: Vec<AttemptId>,
     recent_names: RecentNames,
 }
 
@@ -124,7 +124,8 @@
         now: Time,
         client: ClientRequest,
     ) -> (RequestId, Vec<(RequestId, PartSpec)>) {
-        self.recent_names.insert(now, client.request.name.clone());
+        self.recent_names
+            .insert(now, client.request.external_id.clone());
         let id = RequestId(self.next_id);
         let part_ids = (id.0 + 1..).map(RequestId);
         let parts: Vec<_> = part_ids.zip(client.request.parts.iter().cloned()).collect();
@@ -154,14 +155,14 @@
         let open = self.requests.remove(&id)?;
         for &part in open.part_ids() {
             let attempts = self.parts.remove(&part).map_or(0, |part| part.attempts);
-            let orphaned = (0..attempts).map(|number| Attempt { part, number });
+            let orphaned = (0..attempts).map(|number| AttemptId { part, number });
             self.orphaned.extend(orphaned);
         }
         Some(open)
     }
 
     /// Takes the attempts of requests closed since the last call. Those that are still queued must not be sent.
-    pub fn take_orphaned_attempts(&mut self) -> Vec<Attempt> {
+    pub fn take_orphaned_attempts(&mut self) -> Vec<AttemptId> {
         std::mem::take(&mut self.orphaned)
     }
 
@@ -205,11 +206,11 @@
         Some(OutboundAttempt {
             wanted: Rc::new(Cell::new(true)),
             send_by: window.map(|window| first_sent + window),
-            attempt: Attempt { part, number },
-            name: request.name.clone(),
+            attempt: AttemptId { part, number },
+            external_id: request.external_id.clone(),
             class: self.class_names.get(request.class)?.clone(),
             shard: request.parts.get(open_part.index)?.shard,
-            text: request.text.clone(),
+            payload: request.payload.clone(),
             deadline,
             contracts: request.contracts.clone(),
         })
--- a/crates/coordinator/src/pipeline/request_table/open_request.rs
+++ b/crates/coordinator/src/pipeline/request_table/open_request.rs
@@ -1,7 +1,7 @@
 //! One open request and the results of its parts.
 
 use crate::messages::{
-    Answer, AttemptResult, ClientRequest, PartAnswer, PartFailure, Request, Value,
+    Answer, AttemptResult, ClientRequest, PartAnswer, PartFailure, PartValue, Request,
 };
 use cairnroad_types::{Outcome, RequestId, Time};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     /// The parts' ids, in the request's order.
     part_ids: Vec<RequestId>,
     /// Each part's value or latest failure; absent until an attempt ends.
-    results: BTreeMap<RequestId, Result<Value, PartFailure>>,
+    results: BTreeMap<RequestId, Result<PartValue, PartFailure>>,
     any_attempt_ended: bool,
 }
 
@@ -61,7 +61,7 @@
         answers.collect()
     }
 
-    fn result(&self, part: &RequestId) -> Result<Value, PartFailure> {
+    fn result(&self, part: &RequestId) -> Result<PartValue, PartFailure> {
         let result = self.results.get(part).cloned();
         result.unwrap_or(Err(PartFailure::TimedOut))
     }
@@ -82,7 +82,7 @@
     }
 }
 
-fn part_result(ended: &AttemptResult) -> Result<Value, PartFailure> {
+fn part_result(ended: &AttemptResult) -> Result<PartValue, PartFailure> {
     match (ended.outcome, &ended.value) {
         (Outcome::Ok, Some(value)) => Ok(value.clone()),
         (Outcome::Rejected, _) => Err(PartFailure::Rejected),
--- a/crates/coordinator/src/pipeline/request_table/tests.rs
+++ b/crates/coordinator/src/pipeline/request_table/tests.rs
@@ -1,7 +1,7 @@
 //! The request table, on a clock of the test's own.
 
 use super::*;
-use crate::messages::{Request, Text};
+use crate::messages::{Payload, Request};
 use cairnroad_types::Outcome;
 use tokio::sync::oneshot;
 
@@ -29,7 +29,7 @@
 fn client(name: &str, now: Time) -> ClientRequest {
     let (reply, _) = oneshot::channel();
     let request = Request {
-        name: name.into(),
+        external_id: name.into(),
         class: 0,
         deadline: now + CLIENT_WAIT,
         client_retry: false,
@@ -38,7 +38,7 @@
             shard: 0,
             weight: 1.0,
         }],
-        text: Text::Plain("t".into()),
+        payload: Payload::Plain("t".into()),
         contracts: None,
     };
     ClientRequest { request, reply }
--- a/crates/coordinator/src/pipeline/respond.rs
+++ b/crates/coordinator/src/pipeline/respond.rs
@@ -53,11 +53,11 @@
             }
             Answer::Rejected {
                 retry_after: retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
-                busy: open.no_attempt_ended(),
+                over_capacity: open.no_attempt_ended(),
             }
         }
         _ => Answer::Failed {
-            late: requests.is_late(now, open),
+            timed_out: requests.is_late(now, open),
         },
     }
 }
--- a/crates/coordinator/src/pipeline/timer.rs
+++ b/crates/coordinator/src/pipeline/timer.rs
@@ -1,13 +1,13 @@
 //! The timers of the core.
 
-use crate::messages::{Attempt, ConnectionId};
+use crate::messages::{AttemptId, ConnectionId};
 
 /// What a timer of the core stands for. Timers are not cancelled: the receiver checks whether one still matters.
 pub enum Timer {
     /// The router asked to be called.
     RouterWakeUp,
     /// An attempt's deadline.
-    AttemptDeadline(Attempt),
+    AttemptDeadline(AttemptId),
     /// By now the connection with this number should be established.
     DialDeadline(ConnectionId),
     /// Idle connections are closed.
--- a/crates/coordinator/src/server/context.rs
+++ b/crates/coordinator/src/server/context.rs
@@ -4,7 +4,7 @@
 use crate::configuration::Config;
 use crate::contract::Contracts;
 use crate::fronts::client_connections::ClientConnections;
-use crate::messages::{ClientRequest, Message, Phase, ServedConfiguration};
+use crate::messages::{ClientRequest, CoreMessage, ServedConfiguration, ServingPhase};
 use crate::pipeline::request_queue::REQUEST_QUEUE_CAPACITY;
 use crate::pipeline::CoreChannels;
 use std::rc::Rc;
@@ -23,9 +23,9 @@
     /// Clients' requests to the decision loop.
     pub requests: mpsc::Sender<ClientRequest>,
     /// All other messages to the decision loop.
-    pub messages: mpsc::Sender<Message>,
+    pub messages: mpsc::Sender<CoreMessage>,
     /// The program's phase: the decision loop leaves `Starting`, shutdown goes through the last ones.
-    pub phase: Rc<watch::Sender<Phase>>,
+    pub phase: Rc<watch::Sender<ServingPhase>>,
     /// Whether client listeners are closed.
     pub listeners_closed: watch::Sender<bool>,
     /// What clients may ask for now.
@@ -40,7 +40,7 @@
         let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
         let (message_sender, messages) = mpsc::channel(MESSAGE_QUEUE);
         let (served_sender, served) = watch::channel(config.served.clone());
-        let phase = Rc::new(watch::Sender::new(Phase::Starting));
+        let phase = Rc::new(watch::Sender::new(ServingPhase::Starting));
         let core = CoreChannels {
             requests,
             messages,
--- a/crates/coordinator/src/server/listeners.rs
+++ b/crates/coordinator/src/server/listeners.rs
@@ -5,7 +5,7 @@
 use crate::configuration::Config;
 use crate::fronts;
 use crate::fronts::{Front, FrontKind};
-use crate::messages::Phase;
+use crate::messages::ServingPhase;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -114,7 +114,9 @@
 }
 
 /// Waits until the program serves; false if it ends before.
-async fn has_started(mut phase: watch::Receiver<Phase>) -> bool {
-    let started = phase.wait_for(|phase| *phase != Phase::Starting).await;
+async fn has_started(mut phase: watch::Receiver<ServingPhase>) -> bool {
+    let started = phase
+        .wait_for(|phase| *phase != ServingPhase::Starting)
+        .await;
     started.is_ok()
 }
--- a/crates/coordinator/src/server/reload.rs
+++ b/crates/coordinator/src/server/reload.rs
@@ -5,7 +5,7 @@
 use super::error::ReloadError;
 use crate::configuration::{self, Config};
 use crate::contract::Contracts;
-use crate::messages::{Message, ServedConfiguration};
+use crate::messages::{CoreMessage, ServedConfiguration};
 use crate::published_descriptions;
 use crate::signals::SignalStream;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     /// The discovery agent's address.
     agent: watch::Sender<SocketAddr>,
     contracts: Rc<Contracts>,
-    messages: mpsc::Sender<Message>,
+    messages: mpsc::Sender<CoreMessage>,
 }
 
 impl Reloader {
@@ -71,11 +71,11 @@
 
 /// Has the decision loop take other settings between two ticks, all or none. Returns what is in force then.
 async fn reconfigure(
-    messages: &mpsc::Sender<Message>,
+    messages: &mpsc::Sender<CoreMessage>,
     fresh: &ServedConfiguration,
 ) -> Result<Arc<ServedConfiguration>, ReloadError> {
     let (reply, result) = oneshot::channel();
-    let message = Message::Reconfigure {
+    let message = CoreMessage::Reconfigure {
         configuration: Box::new(fresh.clone()),
         reply,
     };
--- a/crates/coordinator/src/server/shutdown.rs
+++ b/crates/coordinator/src/server/shutdown.rs
@@ -6,7 +6,7 @@
 
 use super::context::Context;
 use super::listeners::ClientListeners;
-use crate::messages::{Message, Phase};
+use crate::messages::{CoreMessage, ServingPhase};
 use cairnroad_admin::shutdown::{GracefulShutdown, ShutdownPhase};
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
         .connections
         .set_answer_deadline(shutdown.answer_deadline());
     // Requests that are in flight already may have a later deadline.
-    let finish = Message::FinishBy(shutdown.answer_deadline());
+    let finish = CoreMessage::LimitDeadlines(shutdown.answer_deadline());
     // A decision loop that is gone has no request in flight.
     let _ = context.messages.send(finish).await;
     loop {
@@ -41,18 +41,18 @@
     }
 }
 
-fn phase_of(step: ShutdownPhase) -> Phase {
+fn phase_of(step: ShutdownPhase) -> ServingPhase {
     match step {
-        ShutdownPhase::Serving => Phase::ShuttingDown,
+        ShutdownPhase::Serving => ServingPhase::ShuttingDown,
         ShutdownPhase::IdleConnectionsClosed | ShutdownPhase::ListenerClosed => {
-            Phase::IdleConnectionsClosing
+            ServingPhase::IdleConnectionsClosing
         }
-        ShutdownPhase::Rejecting | ShutdownPhase::Finished => Phase::PartialRequestsRejected,
+        ShutdownPhase::Rejecting | ShutdownPhase::Finished => ServingPhase::PartialRequestsRejected,
     }
 }
 
 /// Wakes the watchers of the phase only where it changes.
-fn set_phase(context: &Context, next: Phase) {
+fn set_phase(context: &Context, next: ServingPhase) {
     context
         .phase
         .send_if_modified(|phase| std::mem::replace(phase, next) != next);
