--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::Clock;
 use crate::configuration;
-use crate::messages::{LocalOutliers, Message, Phase};
+use crate::messages::{CoreMessage, LocalOutliers, ServingPhase};
 use cairnroad_cluster::datagram::MAX_DATAGRAM_BYTES;
 use cairnroad_cluster::gossip_state::{self, GossipValue};
 use cairnroad_cluster::identity::MemberId;
@@ -99,11 +99,11 @@
     /// The program's clock.
     pub clock: Clock,
     /// The program's phase, published to the cluster.
-    pub phase_updates: watch::Receiver<Phase>,
+    pub phase_updates: watch::Receiver<ServingPhase>,
     /// The data nodes that this coordinator's own requests show to be outliers, published to the cluster.
     pub outlier_updates: watch::Receiver<LocalOutliers>,
     /// The core, which receives outlier advice.
-    pub core_messages: mpsc::Sender<Message>,
+    pub core_messages: mpsc::Sender<CoreMessage>,
 }
 
 /// Binds the socket and spawns the cluster task on the current thread. The task ends with
@@ -297,7 +297,7 @@
         let confirmed = outlier_advice::confirmed_outliers(&reports, live_members, listed_servers);
         if !confirmed.is_empty() {
             // A core that is too busy gets the advice anew at the next interval.
-            let advice = Message::OutlierAdvice(confirmed.clone());
+            let advice = CoreMessage::OutlierAdvice(confirmed.clone());
             let _ = self.dependencies.core_messages.try_send(advice);
         }
         if confirmed != self.confirmed_outliers {
@@ -345,13 +345,13 @@
 }
 
 /// The phase that is published to other members.
-fn gossip_phase(phase: Phase) -> gossip_state::MemberPhase {
+fn gossip_phase(phase: ServingPhase) -> gossip_state::MemberPhase {
     match phase {
-        Phase::Starting => gossip_state::MemberPhase::Starting,
-        Phase::Serving => gossip_state::MemberPhase::Serving,
-        Phase::DrainedByOperator => gossip_state::MemberPhase::Draining,
-        Phase::ShuttingDown | Phase::IdleConnectionsClosing | Phase::PartialRequestsRejected => {
-            gossip_state::MemberPhase::Stopping
-        }
+        ServingPhase::Starting => gossip_state::MemberPhase::Starting,
+        ServingPhase::Serving => gossip_state::MemberPhase::Serving,
+        ServingPhase::DrainedByOperator => gossip_state::MemberPhase::Draining,
+        ServingPhase::ShuttingDown
+        | ServingPhase::IdleConnectionsClosing
+        | ServingPhase::PartialRequestsRejected => gossip_state::MemberPhase::Stopping,
     }
 }
