--- a/crates/coordinator/src/admin_api/exchange.rs
+++ b/crates/coordinator/src/admin_api/exchange.rs
@@ -75,7 +75,7 @@
             api.reply_to(&request).await
         }
         Ok(Some(Err(error))) => Reply::from(error),
-        Err(_) => Reply::from(http::MessageError::TooSlow),
+        Err(_) => Reply::from(http::MessageError::ReceiveTimeout),
     };
     let written = timeout(LINGER, stream.write_all(&reply.to_bytes())).await;
     if matches!(written, Ok(Ok(()))) {
--- a/crates/coordinator/src/backends/opensearch/connection.rs
+++ b/crates/coordinator/src/backends/opensearch/connection.rs
@@ -132,7 +132,7 @@
                     match http::parse_response(buffer, at_end, MAX_ANSWER) {
                         Ok(Some((response, used))) => {
                             buffer.drain(..used);
-                            let reusable = !at_end && !response.close;
+                            let reusable = !at_end && !response.closes_connection;
                             return self.on_response(&response, reusable, !buffer.is_empty()).await;
                         }
                         Ok(None) if at_end => {
@@ -225,7 +225,7 @@
             status: 0,
             fields: http::Fields::default(),
             body: received.to_vec(),
-            close: true,
+            closes_connection: true,
         };
         self.check_response(&response, false);
     }
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -113,24 +113,24 @@
     dependencies: ClusterDependencies,
 ) -> Result<ClusterHandle, ClusterError> {
     let listen_error = |source| ClusterError::Listen {
-        address: settings.listen,
+        address: settings.listen_address,
         source,
     };
-    let socket = UdpSocket::bind(settings.listen)
+    let socket = UdpSocket::bind(settings.listen_address)
         .await
         .map_err(listen_error)?;
     let bound = socket.local_addr().map_err(listen_error)?;
-    let address = settings.advertise.unwrap_or(bound);
-    tracing::info!(listen = %bound, %address, cluster = settings.cluster, "joining the cluster");
+    let address = settings.advertised_address.unwrap_or(bound);
+    tracing::info!(listen = %bound, %address, cluster = settings.cluster_name, "joining the cluster");
     let now = dependencies.clock.now();
     let config = MembershipConfig {
-        cluster: settings.cluster.clone(),
+        cluster: settings.cluster_name.clone(),
         name: dependencies.name.clone(),
         room: settings.room.clone(),
         offers: settings.offers.clone(),
         address,
         generation: (now.0 / 1_000) as u64,
-        group: settings.group.clone(),
+        group: settings.member_names.clone(),
         seeds: settings.seeds.clone(),
         seed: dependencies.seed,
     };
--- a/crates/coordinator/src/configuration/build.rs
+++ b/crates/coordinator/src/configuration/build.rs
@@ -8,7 +8,7 @@
     NODE_NAME, TMPDIR,
 };
 use super::error::{ContentError, DeploymentFileError};
-use super::limits::Limits;
+use super::limits::ConnectionLimits;
 use super::project_file::ProjectFile;
 use super::{cluster, contracts, opensearch};
 use crate::discovery::endpoint_list::EndpointListPage;
@@ -51,10 +51,13 @@
         discovery: discovery_address(&deployment_file, environment, endpoint_files.as_ref())?,
         seed: deployment_file.seed()?,
         admin_listen: admin_address(&deployment_file, environment)?,
-        limits: Limits::for_deployment(deployment_file.limits.unwrap_or_default(), processes),
+        limits: ConnectionLimits::for_deployment(
+            deployment_file.limits.unwrap_or_default(),
+            processes,
+        ),
         name,
         endpoint_files,
-        known_endpoints: deployment_file
+        last_known_endpoints: deployment_file
             .known
             .map(EndpointListPage::into_update)
             .unwrap_or_default(),
--- a/crates/coordinator/src/configuration/cluster.rs
+++ b/crates/coordinator/src/configuration/cluster.rs
@@ -31,17 +31,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterSettings {
     /// Where datagrams are received.
-    pub listen: SocketAddr,
-    /// The address announced to other members, where it differs from `listen`.
-    pub advertise: Option<SocketAddr>,
+    pub listen_address: SocketAddr,
+    /// The address announced to other members, where it differs from `listen_address`.
+    pub advertised_address: Option<SocketAddr>,
     /// The group's name: two groups with different names never merge.
-    pub cluster: String,
+    pub cluster_name: String,
     /// The room of this coordinator, announced to other members.
     pub room: String,
     /// What this coordinator offers, announced to other members.
     pub offers: Vec<String>,
     /// The names of all members.
-    pub group: BTreeSet<String>,
+    pub member_names: BTreeSet<String>,
     /// Addresses at which other members may be found at first.
     pub seeds: Vec<SocketAddr>,
 }
@@ -56,24 +56,24 @@
         return Ok(None);
     }
     let listen = required("peers.listen", table.listen, file)?;
-    let listen = file.address("peers.listen", listen)?;
-    let advertise = advertised_address(table.advertise, file)?;
-    let cluster = cluster_name(table.cluster, file)?;
+    let listen_address = file.address("peers.listen", listen)?;
+    let advertised_address = advertised_address(table.advertise, file)?;
+    let cluster_name = cluster_name(table.cluster, file)?;
     check_length("peers.room", &table.room, file)?;
     check_offers(&table.offers, file)?;
-    let group = read_member_names(&table.group, name, file)?;
+    let member_names = read_member_names(&table.group, name, file)?;
     let seeds = table
         .seeds
         .into_iter()
         .map(|seed| file.address("peers.seeds", seed))
         .collect::<Result<_, _>>()?;
     Ok(Some(ClusterSettings {
-        listen,
-        advertise,
-        cluster,
+        listen_address,
+        advertised_address,
+        cluster_name,
         room: table.room,
         offers: table.offers,
-        group,
+        member_names,
         seeds,
     }))
 }
--- a/crates/coordinator/src/configuration/config.rs
+++ b/crates/coordinator/src/configuration/config.rs
@@ -1,7 +1,8 @@
 //! The program's whole configuration, and how a reloaded one compares to it.
 
 use super::{
-    BackendKind, ClusterSettings, ContractSettings, EndpointFilesSettings, Limits, LogSettings,
+    BackendKind, ClusterSettings, ConnectionLimits, ContractSettings, EndpointFilesSettings,
+    LogSettings,
 };
 use crate::messages::{EndpointListUpdate, ServedConfiguration};
 use cairnroad_admin::reconfigure::first_missing_key;
@@ -24,9 +25,9 @@
     /// Seed of all random choices.
     pub seed: u64,
     /// Bounds on connections.
-    pub limits: Limits,
+    pub limits: ConnectionLimits,
     /// The endpoint list that the previous incarnation had.
-    pub known_endpoints: EndpointListUpdate,
+    pub last_known_endpoints: EndpointListUpdate,
     /// What clients may ask for; the part that a reload changes live.
     pub served: Arc<ServedConfiguration>,
     /// Where the admin API listens, if it is on.
@@ -51,14 +52,14 @@
 
 impl Config {
     /// The first key that this configuration's file has and another's lacks.
-    pub fn key_missing_in(&self, other: &Config) -> Option<String> {
+    pub fn first_key_missing_in(&self, other: &Config) -> Option<String> {
         first_missing_key(&self.deployment_document, &other.deployment_document)
     }
 
     /// The keys that differ in another configuration and take effect only at a restart.
     ///
     /// `discovery` takes effect live; `seed` and `known` matter at a start only.
-    pub fn needs_restart(&self, other: &Config) -> Vec<&'static str> {
+    pub fn changed_keys_requiring_restart(&self, other: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != other.name),
             ("listen", self.listen != other.listen),
--- a/crates/coordinator/src/configuration/effective.rs
+++ b/crates/coordinator/src/configuration/effective.rs
@@ -24,8 +24,8 @@
             "membership": self.endpoint_files.as_ref().map(endpoint_files),
             "limits": self.effective_limits(),
             "known": {
-                "revision": self.known_endpoints.revision,
-                "servers": self.known_endpoints.rows.len(),
+                "revision": self.last_known_endpoints.revision,
+                "servers": self.last_known_endpoints.rows.len(),
             },
             "classes": classes,
             "shards": deployment.shards,
@@ -46,10 +46,10 @@
 
     fn effective_limits(&self) -> Value {
         json!({
-            "clients": self.limits.active_clients,
-            "kept": self.limits.idle_clients,
-            "accepted": self.limits.accepted_clients,
-            "links": self.limits.server_connections,
+            "clients": self.limits.max_active_clients,
+            "kept": self.limits.idle_eviction_threshold,
+            "accepted": self.limits.max_accepted_clients,
+            "links": self.limits.max_server_connections,
         })
     }
 
@@ -89,12 +89,12 @@
 fn cluster(settings: &ClusterSettings) -> Value {
     let seeds = settings.seeds.iter().map(SocketAddr::to_string);
     json!({
-        "listen": settings.listen.to_string(),
-        "advertise": address(settings.advertise),
-        "cluster": settings.cluster,
+        "listen": settings.listen_address.to_string(),
+        "advertise": address(settings.advertised_address),
+        "cluster": settings.cluster_name,
         "room": settings.room,
         "offers": settings.offers,
-        "group": settings.group.len(),
+        "group": settings.member_names.len(),
         "seeds": seeds.collect::<Vec<_>>(),
     })
 }
--- a/crates/coordinator/src/configuration/limits.rs
+++ b/crates/coordinator/src/configuration/limits.rs
@@ -13,25 +13,25 @@
 
 /// Bounds on connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct ConnectionLimits {
     /// Client connections that stay open while idle; above this number those idle for longest are closed. Clients hold
     /// at most a third of the descriptors for their requests, those of idle connections included.
-    pub idle_clients: usize,
+    pub idle_eviction_threshold: usize,
     /// Client connections that may have a request in flight; more are told to retry later.
-    pub active_clients: usize,
+    pub max_active_clients: usize,
     /// Client connections that are accepted at all.
-    pub accepted_clients: usize,
+    pub max_accepted_clients: usize,
     /// Connections to servers.
-    pub server_connections: usize,
+    pub max_server_connections: usize,
 }
 
-impl Limits {
+impl ConnectionLimits {
     /// Bounds for what the deployment states.
     ///
     /// `processes` is how many processes share the grant: a process that is replaced under load shares it with the one
     /// that replaces it.
-    pub(super) fn for_deployment(granted: LimitsJson, processes: usize) -> Limits {
-        Limits::new(
+    pub(super) fn for_deployment(granted: LimitsJson, processes: usize) -> ConnectionLimits {
+        ConnectionLimits::new(
             granted.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) / processes as u64,
             granted.sockets.unwrap_or(DEFAULT_SOCKETS) / processes,
         )
@@ -42,14 +42,14 @@
     ///
     /// Round robin uses every replica of a shard, so a coordinator connects to every server of the fleet, and each
     /// connection closed for lack of room costs a handshake later.
-    pub(super) fn new(memory_mb: u64, sockets: usize) -> Limits {
+    pub(super) fn new(memory_mb: u64, sockets: usize) -> ConnectionLimits {
         let by_memory = (memory_mb as usize).saturating_mul(1024) / CLIENT_MEMORY_KB / 2;
-        let active_clients = (sockets / 2).min(by_memory).max(FEWEST_CONNECTIONS);
-        Limits {
-            idle_clients: (sockets / 5).clamp(FEWEST_CONNECTIONS, active_clients),
-            active_clients,
-            accepted_clients: sockets / 2 + sockets / 16,
-            server_connections: (sockets * 3 / 8).max(FEWEST_CONNECTIONS),
+        let max_active_clients = (sockets / 2).min(by_memory).max(FEWEST_CONNECTIONS);
+        ConnectionLimits {
+            idle_eviction_threshold: (sockets / 5).clamp(FEWEST_CONNECTIONS, max_active_clients),
+            max_active_clients,
+            max_accepted_clients: sockets / 2 + sockets / 16,
+            max_server_connections: (sockets * 3 / 8).max(FEWEST_CONNECTIONS),
         }
     }
 }
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -27,6 +27,6 @@
 pub use contracts::ContractSettings;
 pub use endpoint_files::EndpointFilesSettings;
 pub use error::ConfigError;
-pub use limits::Limits;
+pub use limits::ConnectionLimits;
 pub use load::load;
 pub use project_file::{BackendKind, LogSettings};
--- a/crates/coordinator/src/configuration/tests.rs
+++ b/crates/coordinator/src/configuration/tests.rs
@@ -4,7 +4,7 @@
 use super::error::ContentError;
 use super::limits::DEFAULT_SOCKETS;
 use super::project_file::ProjectFile;
-use super::{BackendKind, Config, ContractSettings, Limits};
+use super::{BackendKind, Config, ConnectionLimits, ContractSettings};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::enforcement::Mode;
 use std::path::Path;
@@ -56,7 +56,8 @@
         (255, None, BackendKind::Frames)
     );
     assert!(
-        config.limits.accepted_clients + config.limits.server_connections + 64 <= DEFAULT_SOCKETS
+        config.limits.max_accepted_clients + config.limits.max_server_connections + 64
+            <= DEFAULT_SOCKETS
     );
     assert_eq!(
         config.served.deployment.policy.max_retry_after,
@@ -69,10 +70,13 @@
 #[test]
 fn idle_connections_leave_descriptors_for_active_clients() {
     for (sockets, memory) in [(256, 32), (384, 48), (1024, 128), (1024, 32)] {
-        let limits = Limits::new(memory, sockets);
-        assert!(limits.idle_clients * 3 / 2 <= sockets / 3, "{limits:?}");
+        let limits = ConnectionLimits::new(memory, sockets);
         assert!(
-            limits.accepted_clients + limits.server_connections + sockets / 16 <= sockets,
+            limits.idle_eviction_threshold * 3 / 2 <= sockets / 3,
+            "{limits:?}"
+        );
+        assert!(
+            limits.max_accepted_clients + limits.max_server_connections + sockets / 16 <= sockets,
             "{limits:?}"
         );
     }
@@ -84,9 +88,9 @@
 fn a_coordinator_keeps_a_connection_to_each_server_of_a_large_fleet() {
     for (sockets, servers) in [(512, 190), (1024, 380)] {
         assert!(
-            Limits::new(64, sockets).server_connections >= servers,
+            ConnectionLimits::new(64, sockets).max_server_connections >= servers,
             "{:?}",
-            Limits::new(64, sockets)
+            ConnectionLimits::new(64, sockets)
         );
     }
 }
@@ -96,22 +100,22 @@
     let read = |text: String| build_in(Path::new(""), &text, "").unwrap();
     let (old, text) = (sample(), json(SETTINGS));
     assert!(old
-        .needs_restart(&read(text.replace("127.0.0.1:1", "127.0.0.1:2")))
+        .changed_keys_requiring_restart(&read(text.replace("127.0.0.1:1", "127.0.0.1:2")))
         .is_empty());
     assert_eq!(
-        old.needs_restart(&read(text.replace("\"n1\"", "\"n2\""))),
+        old.changed_keys_requiring_restart(&read(text.replace("\"n1\"", "\"n2\""))),
         ["name"]
     );
     // A key with a default may be left out of a first file, not of a later one.
     let shortened = read(text.replace(r#""dialTimeoutS":0.25,"#, ""));
     assert_eq!(
-        old.key_missing_in(&shortened).as_deref(),
+        old.first_key_missing_in(&shortened).as_deref(),
         Some("settings.caps.dialTimeoutS")
     );
     assert_eq!(
         (
-            shortened.key_missing_in(&old),
-            old.key_missing_in(&sample())
+            shortened.first_key_missing_in(&old),
+            old.first_key_missing_in(&sample())
         ),
         (None, None)
     );
--- a/crates/coordinator/src/connections/pool/limits.rs
+++ b/crates/coordinator/src/connections/pool/limits.rs
@@ -51,7 +51,7 @@
             BackendKind::OpenSearch => (1, 1),
         };
         Limits {
-            max_connections: config.limits.server_connections,
+            max_connections: config.limits.max_server_connections,
             max_parts_per_connection,
             max_parts_per_call,
             dial_timeout: deployment.connect_timeout,
--- a/crates/coordinator/src/connections/pool/selection.rs
+++ b/crates/coordinator/src/connections/pool/selection.rs
@@ -38,7 +38,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        metrics.add(Counter::Calls);
+        metrics.increment(Counter::Calls);
         for part in &call {
             let awaited = AwaitedAttempt {
                 connection: id,
--- a/crates/coordinator/src/discovery/watch_task.rs
+++ b/crates/coordinator/src/discovery/watch_task.rs
@@ -92,7 +92,7 @@
                 .send(Message::Endpoints(update))
                 .await
                 .is_err();
-            if pipeline_ended || response.close {
+            if pipeline_ended || response.closes_connection {
                 return Ok(());
             }
         }
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -43,7 +43,7 @@
         let submitted = requests.into_iter().map(|mut request| {
             request.contracts = self.contracts.clone();
             request.deadline = self.front.connections.cap_deadline(request.deadline);
-            request_queue::submit(&self.front.requests, request, retry_after)
+            request_queue::submit(&self.front.request_queue, request, retry_after)
         });
         let waiting: Vec<_> = submitted.collect();
         let answers = async {
--- a/crates/coordinator/src/fronts/front.rs
+++ b/crates/coordinator/src/fronts/front.rs
@@ -4,7 +4,7 @@
 use super::reply::Reply;
 use super::{opensearch, platform};
 use crate::clock::Clock;
-use crate::configuration::Limits;
+use crate::configuration::ConnectionLimits;
 use crate::contract::Contracts;
 use crate::messages::{ClientRequest, Phase, ServedConfiguration};
 use cairnroad_contract::drift::Interface;
@@ -33,19 +33,19 @@
     /// The classes and indices that clients may use; a reload changes it.
     pub served: watch::Receiver<Arc<ServedConfiguration>>,
     /// The queue to the routing core.
-    pub requests: mpsc::Sender<ClientRequest>,
+    pub request_queue: mpsc::Sender<ClientRequest>,
     /// The program's clock.
     pub clock: Clock,
     /// Whether the program starts, serves, drains or shuts down.
     pub phase: watch::Receiver<Phase>,
     /// Limits on connections, of all fronts together.
-    pub limits: Limits,
+    pub limits: ConnectionLimits,
     /// The connections of all fronts.
     pub connections: Rc<ClientConnections>,
     /// The protocol that this front speaks.
     pub kind: FrontKind,
     /// State of the generator of names for requests that bring none.
-    pub request_names: Cell<u64>,
+    pub request_name_state: Cell<u64>,
     /// The API descriptions that requests and answers are checked against.
     pub contracts: Rc<Contracts>,
 }
@@ -64,8 +64,11 @@
 
     /// A name for a request that brings none, different from any other of this or another coordinator.
     pub fn generate_request_name(&self) -> String {
-        let number = self.request_names.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
-        self.request_names.set(number);
+        let number = self
+            .request_name_state
+            .get()
+            .wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.request_name_state.set(number);
         let mixed = (number ^ (number >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         format!("{:016x}", mixed ^ (mixed >> 29))
     }
--- a/crates/coordinator/src/fronts/listener.rs
+++ b/crates/coordinator/src/fronts/listener.rs
@@ -36,7 +36,7 @@
 
 async fn accept(listener: &TcpListener, front: &Rc<Front>) {
     // At the hard limit nothing is accepted; the backlog waits until a slot is free.
-    while front.connections.open_count() >= front.limits.accepted_clients {
+    while front.connections.open_count() >= front.limits.max_accepted_clients {
         front.connections.evict_longest_idle(front.clock.now());
         tokio::time::sleep(FULL_PAUSE).await;
     }
@@ -51,7 +51,7 @@
 
 /// Accepts what waits in the backlog at this moment, up to the hard limit. The listener doesn't block.
 fn accept_backlog(listener: &std::net::TcpListener, front: &Rc<Front>) {
-    while front.connections.open_count() < front.limits.accepted_clients {
+    while front.connections.open_count() < front.limits.max_accepted_clients {
         let Ok((stream, _)) = listener.accept() else {
             return;
         };
@@ -68,7 +68,7 @@
 fn spawn_session(stream: TcpStream, front: &Rc<Front>) {
     let connection = front.connections.register();
     for _ in 0..EVICTIONS_PER_ACCEPT {
-        if front.connections.open_count() > front.limits.idle_clients {
+        if front.connections.open_count() > front.limits.idle_eviction_threshold {
             front.connections.evict_longest_idle(front.clock.now());
         }
     }
--- a/crates/coordinator/src/fronts/session.rs
+++ b/crates/coordinator/src/fronts/session.rs
@@ -73,17 +73,18 @@
         };
         let arrived = self.front.clock.earliest_arrival();
         let received_at = Instant::now();
-        let overloaded = self.front.connections.busy_count() > self.front.limits.active_clients;
+        let overloaded = self.front.connections.busy_count() > self.front.limits.max_active_clients;
         let Ok(reply) = self.answer(&request, arrived, overloaded).await else {
             return ControlFlow::Break(());
         };
-        let close = request.close || overloaded || is_stopping(*self.front.phase.borrow());
+        let close =
+            request.close_requested || overloaded || is_stopping(*self.front.phase.borrow());
         if !self.write(reply, close).await {
             return ControlFlow::Break(());
         }
         self.connection.answer_sent(self.front.clock.now());
         if close {
-            return self.close(request.close).await;
+            return self.close(request.close_requested).await;
         }
         self.limit_pipelining(received_at).await
     }
--- a/crates/coordinator/src/fronts/session/next_request.rs
+++ b/crates/coordinator/src/fronts/session/next_request.rs
@@ -71,7 +71,7 @@
                 },
                 () = idle_connections_close(&mut idle_phase), if idle => None,
                 () = partial_requests_end(&mut final_phase), if !idle => Some(http::MessageError::ShuttingDown),
-                () = tokio::time::sleep_until(due) => (!idle).then_some(http::MessageError::TooSlow),
+                () = tokio::time::sleep_until(due) => (!idle).then_some(http::MessageError::ReceiveTimeout),
                 () = self.connection.evicted(), if idle => None,
             };
             // A request that has already come is served first; what comes from now on crosses the close.
--- a/crates/coordinator/src/http/error.rs
+++ b/crates/coordinator/src/http/error.rs
@@ -13,7 +13,7 @@
     /// The body, or its framing, exceeds the limit.
     BodyTooLarge,
     /// The message was not complete within its time.
-    TooSlow,
+    ReceiveTimeout,
     /// The message was not complete when the program had to stop.
     ShuttingDown,
     /// The client pipelined so far ahead of its answers that the rest was not kept.
@@ -25,7 +25,7 @@
     pub fn status(self) -> u16 {
         match self {
             MessageError::Malformed(_) => 400,
-            MessageError::TooSlow => 408,
+            MessageError::ReceiveTimeout => 408,
             MessageError::BodyTooLarge => 413,
             MessageError::Pipelined => 429,
             MessageError::HeadTooLarge => 431,
@@ -44,7 +44,7 @@
             MessageError::Malformed(detail) => detail,
             MessageError::HeadTooLarge => "the head is too large",
             MessageError::BodyTooLarge => "the body is too large",
-            MessageError::TooSlow => "the request did not come in time",
+            MessageError::ReceiveTimeout => "the request did not come in time",
             MessageError::ShuttingDown => {
                 "this process ends: send the request again on a new connection"
             }
--- a/crates/coordinator/src/http/request.rs
+++ b/crates/coordinator/src/http/request.rs
@@ -19,7 +19,7 @@
     /// The body without its framing.
     pub body: Vec<u8>,
     /// The client wants the connection closed after the answer.
-    pub close: bool,
+    pub close_requested: bool,
 }
 
 /// Parses the request at the front of `input`.
@@ -45,13 +45,13 @@
     let Some(body) = body else {
         return Ok(None);
     };
-    let close = fields.ask_for_close(line.is_http_1_0);
+    let close_requested = fields.ask_for_close(line.is_http_1_0);
     let request = Request {
         method: line.method,
         target: line.target,
         fields,
         body: body.bytes,
-        close,
+        close_requested,
     };
     Ok(Some((request, start + head_length + body.wire_length)))
 }
--- a/crates/coordinator/src/http/response.rs
+++ b/crates/coordinator/src/http/response.rs
@@ -15,7 +15,7 @@
     /// The body without its framing.
     pub body: Vec<u8>,
     /// The sender closes the connection after this response.
-    pub close: bool,
+    pub closes_connection: bool,
 }
 
 /// Parses the response at the front of `input`, whose body may be `max_body` bytes at most.
@@ -29,7 +29,7 @@
     let line = status_line(&mut head)
         .map_err(|_| MessageError::Malformed("the status line is malformed"))?;
     let fields = fields(&mut strip_empty_line(head))?;
-    let mut close = fields.ask_for_close(line.is_http_1_0);
+    let mut closes_connection = fields.ask_for_close(line.is_http_1_0);
     let body = match framing(&fields, max_body)? {
         Framing::Unspecified if has_no_body(line.status) => Some(Body::empty()),
         Framing::Unspecified if body_input.len() > max_body => {
@@ -37,7 +37,7 @@
         }
         Framing::Unspecified if !at_end => None,
         Framing::Unspecified => {
-            close = true;
+            closes_connection = true;
             Some(Body::verbatim(body_input))
         }
         Framing::Length(length) => sized_body(body_input, length),
@@ -48,7 +48,7 @@
             status: line.status,
             fields,
             body: body.bytes,
-            close,
+            closes_connection,
         };
         (response, head_length + body.wire_length)
     }))
--- a/crates/coordinator/src/observability/log.rs
+++ b/crates/coordinator/src/observability/log.rs
@@ -141,7 +141,7 @@
 }
 
 /// Starts the log for the program's life. Events before this are dropped.
-pub fn start(level: Level, form: LineFormat) {
+pub fn init(level: Level, form: LineFormat) {
     let build = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(tracing::Level::from(level))
--- a/crates/coordinator/src/observability/metrics.rs
+++ b/crates/coordinator/src/observability/metrics.rs
@@ -93,7 +93,7 @@
     }
 
     /// Adds one to a counter.
-    pub fn add(&mut self, counter: Counter) {
+    pub fn increment(&mut self, counter: Counter) {
         let count = &mut self.counts[counter as usize];
         *count = count.saturating_add(1);
     }
@@ -101,22 +101,22 @@
     /// Counts an action of the router.
     pub fn record_action(&mut self, action: &Action) {
         match action {
-            Action::Answer { complete: true, .. } => self.add(Counter::Complete),
+            Action::Answer { complete: true, .. } => self.increment(Counter::Complete),
             Action::Answer {
                 complete: false, ..
-            } => self.add(Counter::Partial),
-            Action::Reject { .. } => self.add(Counter::Rejected),
-            Action::Fail { .. } => self.add(Counter::Failed),
-            Action::Send { .. } => self.add(Counter::Attempts),
-            Action::Cancel { .. } => self.add(Counter::Cancels),
-            Action::HealthCheck(_) => self.add(Counter::HealthChecks),
+            } => self.increment(Counter::Partial),
+            Action::Reject { .. } => self.increment(Counter::Rejected),
+            Action::Fail { .. } => self.increment(Counter::Failed),
+            Action::Send { .. } => self.increment(Counter::Attempts),
+            Action::Cancel { .. } => self.increment(Counter::Cancels),
+            Action::HealthCheck(_) => self.increment(Counter::HealthChecks),
             Action::SetTimer(_) | Action::SubscribeEndpoints => {}
         }
     }
 
     /// Counts how an attempt ended.
     pub fn record_outcome(&mut self, outcome: Outcome) {
-        self.add(match outcome {
+        self.increment(match outcome {
             Outcome::Ok => Counter::Ok,
             Outcome::Error => Counter::Errors,
             Outcome::Rejected => Counter::ServerRejections,
--- a/crates/coordinator/src/observability/metrics/tests.rs
+++ b/crates/coordinator/src/observability/metrics/tests.rs
@@ -37,7 +37,7 @@
 fn a_line_holds_what_was_counted_since_the_last_one() {
     let start = Time::from_secs(10.0);
     let mut metrics = Metrics::new(5.0, start);
-    metrics.add(Counter::Dials);
+    metrics.increment(Counter::Dials);
     metrics.record_outcome(Outcome::Reset);
     metrics.record_outcome(Outcome::Reset);
     let health = || HealthSummary {
--- a/crates/coordinator/src/pipeline/admission.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -17,7 +17,7 @@
     router: &mut RouterDriver,
     metrics: &mut Metrics,
 ) {
-    metrics.add(if client.request.client_retry {
+    metrics.increment(if client.request.client_retry {
         Counter::ClientRetries
     } else {
         Counter::Requests
@@ -48,7 +48,7 @@
         return Some(Answer::DuplicateName);
     }
     if !requests.has_capacity_for(request.parts.len()) {
-        metrics.add(Counter::OverCapacity);
+        metrics.increment(Counter::OverCapacity);
         return Some(Answer::Rejected {
             retry_after: RETRY_AFTER_OBJECTIVES * router.latency_objective(request.class),
             busy: true,
--- a/crates/coordinator/src/pipeline/core.rs
+++ b/crates/coordinator/src/pipeline/core.rs
@@ -119,7 +119,7 @@
         };
         // Before any list: suspensions that an earlier process took must hold from the first attempt on.
         core.poll_suspensions(now);
-        core.on_endpoint_update(&config.known_endpoints, true);
+        core.on_endpoint_update(&config.last_known_endpoints, true);
         core
     }
 
--- a/crates/coordinator/src/pipeline/core/endpoints.rs
+++ b/crates/coordinator/src/pipeline/core/endpoints.rs
@@ -17,7 +17,7 @@
         self.contracts
             .on_endpoint_update(&update.rows, update.complete);
         if !update.rows.is_empty() {
-            self.metrics.add(if update.complete {
+            self.metrics.increment(if update.complete {
                 Counter::EndpointSnapshots
             } else {
                 Counter::EndpointDeltas
--- a/crates/coordinator/src/pipeline/core/incoming.rs
+++ b/crates/coordinator/src/pipeline/core/incoming.rs
@@ -46,7 +46,7 @@
                 outcome,
                 report,
             }),
-            Some(PoolEvent::DialFailed) => self.metrics.add(Counter::DialFailures),
+            Some(PoolEvent::DialFailed) => self.metrics.increment(Counter::DialFailures),
             None => {}
         }
     }
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -51,7 +51,7 @@
 ) -> Vec<AttemptResult> {
     let flushed = pool.flush(now, metrics);
     for dial in flushed.dials {
-        metrics.add(Counter::Dials);
+        metrics.increment(Counter::Dials);
         timers.insert(dial.deadline, Timer::DialDeadline(dial.connection));
     }
     flushed.unsent
@@ -75,13 +75,13 @@
     }
     let earlier_attempts = requests.attempt_count(part);
     if earlier_attempts > 0 {
-        metrics.add(Counter::FurtherAttempts);
+        metrics.increment(Counter::FurtherAttempts);
     }
     let in_flight = |number| pool.is_in_flight(Attempt { part, number });
     if (0..earlier_attempts).any(in_flight) {
-        metrics.add(Counter::Hedges);
+        metrics.increment(Counter::Hedges);
     }
     if pool.is_warming_up(now, server, slow_start_duration) {
-        metrics.add(Counter::SlowStartAttempts);
+        metrics.increment(Counter::SlowStartAttempts);
     }
 }
--- a/crates/coordinator/src/pipeline/respond.rs
+++ b/crates/coordinator/src/pipeline/respond.rs
@@ -49,7 +49,7 @@
         },
         Action::Reject { retry_after, .. } => {
             if open.no_attempt_ended() {
-                metrics.add(Counter::RejectedUnsent);
+                metrics.increment(Counter::RejectedUnsent);
             }
             Answer::Rejected {
                 retry_after: retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
--- a/crates/coordinator/src/server/error.rs
+++ b/crates/coordinator/src/server/error.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster;
 use crate::configuration::ConfigError;
-use crate::socket_activation::InheritError;
+use crate::socket_activation::InheritedSocketError;
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -46,7 +46,7 @@
     Configuration(#[from] ConfigError),
     /// The inherited listening socket can't be used.
     #[error(transparent)]
-    InheritedListener(#[from] InheritError),
+    InheritedListener(#[from] InheritedSocketError),
     /// The asynchronous runtime can't be built.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
--- a/crates/coordinator/src/server/listeners.rs
+++ b/crates/coordinator/src/server/listeners.rs
@@ -93,13 +93,13 @@
 ) -> JoinHandle<()> {
     let front = Front {
         served: context.served.clone(),
-        requests: context.requests.clone(),
+        request_queue: context.requests.clone(),
         clock: context.clock.clone(),
         phase: context.phase.subscribe(),
         limits: config.limits,
         connections: context.connections.clone(),
         kind,
-        request_names: Cell::new(config.seed),
+        request_name_state: Cell::new(config.seed),
         contracts: context.contracts.clone(),
     };
     let phase = context.phase.subscribe();
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -46,7 +46,7 @@
 pub fn run() -> Result<(), ServerError> {
     let signals = Signals::register()?;
     let config = configuration::load()?;
-    log::start(config.log.level, config.log.format);
+    log::init(config.log.level, config.log.format);
     // Before anything else opens a descriptor or starts a thread.
     let inherited_listener = config
         .inherited_listener
--- a/crates/coordinator/src/server/reload.rs
+++ b/crates/coordinator/src/server/reload.rs
@@ -45,13 +45,13 @@
 
     async fn reload(&mut self) -> Result<(), ReloadError> {
         let fresh = configuration::load()?;
-        if let Some(key) = self.config.key_missing_in(&fresh) {
+        if let Some(key) = self.config.first_key_missing_in(&fresh) {
             return Err(ReloadError::MissingKey(key));
         }
         self.config.served = reconfigure(&self.messages, &fresh.served).await?;
         let published = published_descriptions::publish(&self.config);
         self.contracts.republish(published);
-        let keys = self.config.needs_restart(&fresh);
+        let keys = self.config.changed_keys_requiring_restart(&fresh);
         if !keys.is_empty() {
             tracing::warn!(keys = keys.join(", "), "reload needs restart");
         }
--- a/crates/coordinator/src/socket_activation.rs
+++ b/crates/coordinator/src/socket_activation.rs
@@ -7,7 +7,7 @@
 
 /// Why the inherited descriptor can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum InheritError {
+pub enum InheritedSocketError {
     /// It is no TCP socket, or can't be put into non-blocking mode.
     #[error("NODE_INHERITED_FD: {descriptor}: {source}")]
     Unusable {
@@ -32,15 +32,15 @@
 /// # Errors
 ///
 /// The descriptor is not open or not a TCP listener.
-pub fn inherited_listener(descriptor: i32) -> Result<TcpListener, InheritError> {
+pub fn inherited_listener(descriptor: i32) -> Result<TcpListener, InheritedSocketError> {
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     std::env::set_var("LISTEN_FDS", "1");
-    let unusable = |source| InheritError::Unusable { descriptor, source };
+    let unusable = |source| InheritedSocketError::Unusable { descriptor, source };
     let socket = listenfd::ListenFd::from_env()
         .take_tcp_listener(0)
         .map_err(unusable)?
-        .ok_or(InheritError::Missing { descriptor })?;
+        .ok_or(InheritedSocketError::Missing { descriptor })?;
     socket.set_nonblocking(true).map_err(unusable)?;
     Ok(socket)
 }
