--- a/crates/coordinator/src/pipeline/core/endpoints.rs
+++ b/crates/coordinator/src/pipeline/core/endpoints.rs
@@ -17,7 +17,7 @@
         self.contracts
             .on_endpoint_update(&update.entries, update.is_snapshot);
         if !update.entries.is_empty() {
-            self.metrics.add(if update.is_snapshot {
+            self.metrics.increment(if update.is_snapshot {
                 Counter::EndpointSnapshots
             } else {
                 Counter::EndpointDeltas
