--- a/crates/flow-control/src/health_check_schedule/tests.rs
+++ b/crates/flow-control/src/health_check_schedule/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn health_checks_are_earned_by_parts_sent_up_to_a_bound() {
+fn health_checks_are_earned_by_sent_parts_up_to_a_limit() {
     let mut schedule = HealthCheckSchedule::default();
     assert!(!schedule.try_spend());
     (0..100).for_each(|_| schedule.add_credit(2.0));
--- a/crates/flow-control/src/lib.rs
+++ b/crates/flow-control/src/lib.rs
@@ -1,8 +1,9 @@
-//! Counters and schedules that routing decisions are made with.
+//! Counters, budgets and schedules for routing decisions.
 //!
 //! The package holds a timer queue, sliding windows, the retry budget, the schedule of health checks, the
 //! backoff of endpoint-list polls, weighted round robin, an estimate of server throughput and a seeded random
-//! number generator. It has no clock (every call is given the current time) and decides nothing about a request.
+//! number generator. It reads no clock: every call takes the current time. It makes no decision
+//! about a request.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
--- a/crates/flow-control/src/poll_backoff.rs
+++ b/crates/flow-control/src/poll_backoff.rs
@@ -1,40 +1,40 @@
-//! When to poll for the endpoint list again.
+//! Backoff between polls for the endpoint list.
 
 use cairnroad_types::Seconds;
 
-/// First backoff, as a share of the longest allowed interval between polls.
-const FIRST_BACKOFF_SHARE: f64 = 0.02;
-/// Doublings of the first backoff, at most.
+/// Initial backoff, as a share of the longest allowed interval between polls.
+const INITIAL_BACKOFF_SHARE: f64 = 0.02;
+/// Largest number of times that the initial backoff doubles.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// The subscription to the endpoint list, and the backoff after failures.
+/// State of the subscription to the endpoint list, and the backoff after failures.
 #[derive(Default)]
 pub struct PollBackoff {
-    failures: u32,
-    subscribed: bool,
+    consecutive_failures: u32,
+    is_subscribed: bool,
 }
 
 impl PollBackoff {
-    /// Whether updates of the list are coming without being asked for.
+    /// Returns whether the subscription is active, so that updates of the list arrive without a poll.
     pub fn is_subscribed(&self) -> bool {
-        self.subscribed
+        self.is_subscribed
     }
 
-    /// The list, or an update of it, was received.
+    /// Records that the list or an update of it was received, and resets the backoff.
     pub fn on_success(&mut self) {
-        self.failures = 0;
-        self.subscribed = true;
+        self.consecutive_failures = 0;
+        self.is_subscribed = true;
     }
 
-    /// The subscription failed. Returns the seconds to wait before the next try.
+    /// Records that a poll or the subscription failed. Returns the delay before the next poll, in seconds.
     ///
-    /// The wait doubles with each failure in a row. `random` is a number from 0 to 1; it spreads the tries of
-    /// many coordinators.
+    /// The delay doubles with each consecutive failure. `random` is a number from 0 to 1 that spreads the polls
+    /// of many coordinators over time.
     pub fn on_failure(&mut self, max_poll_interval: Seconds, random: f64) -> Seconds {
-        let doublings = self.failures.min(MAX_DOUBLINGS);
-        self.failures = self.failures.saturating_add(1);
-        self.subscribed = false;
-        max_poll_interval * FIRST_BACKOFF_SHARE * f64::from(1u32 << doublings) * (0.5 + random)
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        self.is_subscribed = false;
+        max_poll_interval * INITIAL_BACKOFF_SHARE * f64::from(1u32 << doublings) * (0.5 + random)
     }
 }
 
--- a/crates/flow-control/src/random.rs
+++ b/crates/flow-control/src/random.rs
@@ -1,26 +1,26 @@
-//! Seeded pseudo-random numbers.
+//! Seeded pseudo-random number generator.
 
 /// Increment of the generator's state: 2^64 divided by the golden ratio (Steele, Lea and Flood 2014).
 const STATE_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Bits of a random number that a float's significand can hold exactly.
 const SIGNIFICAND_BITS: u32 = 53;
 
-/// A splitmix64 generator, the router's only source of randomness: equal seeds give equal decisions.
+/// A splitmix64 generator. It is the router's only source of randomness, so equal seeds give equal decisions.
 ///
-/// Written out here because it is part of the recorded decisions: its digits must not change with a
-/// dependency's version.
+/// The generator is implemented here because recorded decisions depend on its numbers, which a new version of
+/// a dependency could change.
 #[derive(Default)]
 pub struct Random {
     state: u64,
 }
 
 impl Random {
-    /// Creates a generator that starts at `seed`.
+    /// Creates a generator whose numbers are determined by `seed`.
     pub fn new(seed: u64) -> Self {
         Random { state: seed }
     }
 
-    /// Returns the next number, from 0 to below 1.
+    /// Returns the next number, from 0 (inclusive) to 1 (exclusive).
     pub fn next_f64(&mut self) -> f64 {
         self.state = self.state.wrapping_add(STATE_INCREMENT);
         let mut mixed = self.state;
--- a/crates/flow-control/src/random/tests.rs
+++ b/crates/flow-control/src/random/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn numbers_are_those_of_the_published_generator() {
+fn numbers_match_the_published_generator() {
     // The first outputs of splitmix64 for this seed, as published with its reference implementation.
     let published: [u64; 5] = [
         6_457_827_717_110_365_317,
@@ -12,7 +12,7 @@
     ];
     let mut random = Random::new(1_234_567);
     for output in published {
-        let unit = (output >> 11) as f64 / 2f64.powi(53);
-        assert_eq!(random.next_f64(), unit);
+        let expected = (output >> 11) as f64 / 2f64.powi(53);
+        assert_eq!(random.next_f64(), expected);
     }
 }
--- a/crates/flow-control/src/retry_budget/tests.rs
+++ b/crates/flow-control/src/retry_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn arrivals_earn_retries_within_the_window() {
+fn arrivals_allow_retries_within_the_window() {
     let limits = Some(RetryBudgetLimits {
         always_allowed: 1.0,
         share_of_arrivals: 0.1,
@@ -15,7 +15,7 @@
     assert_eq!(
         budget.remaining(at(11.0), limits, 0.1),
         0.0,
-        "the arrivals left the window, the retry did not"
+        "the arrivals have left the window, but the retry has not"
     );
     assert_eq!(budget.remaining(at(12.2), limits, 0.1), 1.0);
     assert_eq!(budget.remaining(at(2.0), None, 0.1), f64::MAX);
--- a/crates/flow-control/src/sliding_window.rs
+++ b/crates/flow-control/src/sliding_window.rs
@@ -1,28 +1,30 @@
-//! Counts of recent moments.
+//! Counts of events within a sliding window of time.
 
 use cairnroad_types::{Seconds, Time};
 use std::collections::VecDeque;
 
-/// The moments within a sliding window, oldest first.
+/// Times of the events within a sliding window, oldest first.
 #[derive(Default)]
 pub struct SlidingWindow {
-    moments: VecDeque<Time>,
+    event_times: VecDeque<Time>,
 }
 
 impl SlidingWindow {
-    /// Adds the moment `now` and drops those more than `span` older, the longest span that is counted over.
-    pub fn push(&mut self, now: Time, span: Seconds) {
-        let expired = self.expired(now, span);
-        self.moments.drain(..expired);
-        self.moments.push_back(now);
+    /// Records an event at `now`, and drops events more than `window` seconds older.
+    ///
+    /// `window` must be the longest window that [`count`](Self::count) is called with.
+    pub fn push(&mut self, now: Time, window: Seconds) {
+        let expired = self.expired_count(now, window);
+        self.event_times.drain(..expired);
+        self.event_times.push_back(now);
     }
 
-    /// Returns how many moments lie within the last `span` seconds.
-    pub fn count(&self, now: Time, span: Seconds) -> f64 {
-        (self.moments.len() - self.expired(now, span)) as f64
+    /// Returns how many events were recorded within the last `window` seconds.
+    pub fn count(&self, now: Time, window: Seconds) -> f64 {
+        (self.event_times.len() - self.expired_count(now, window)) as f64
     }
 
-    fn expired(&self, now: Time, span: Seconds) -> usize {
-        self.moments.partition_point(|&at| now - at > span)
+    fn expired_count(&self, now: Time, window: Seconds) -> usize {
+        self.event_times.partition_point(|&at| now - at > window)
     }
 }
--- a/crates/flow-control/src/throughput_estimate.rs
+++ b/crates/flow-control/src/throughput_estimate.rs
@@ -1,19 +1,19 @@
-//! An estimate of what a warm server can answer.
+//! An estimate of the throughput of a server that isn't in slow start.
 
 use cairnroad_types::{Seconds, Time};
 
-/// What one warm server did within the observed time.
+/// Answers of one warm server within the observed time.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerThroughput {
-    /// Parts that it answered.
+    /// Number of parts that the server answered.
     pub answers: f64,
-    /// Its size as listed; 1 is a standard server.
+    /// Capacity of the server according to the endpoint list; 1 is a standard server.
     pub relative_capacity: f64,
 }
 
-/// The best throughput of a warm server of size 1 so far, in answers a second.
+/// The highest throughput of warm servers so far, in answers per second and unit of relative capacity.
 ///
-/// The maximum is kept because servers answer less in an overload without being able to do less.
+/// The maximum is kept because servers answer less during an overload although their capacity is unchanged.
 #[derive(Default)]
 pub struct ThroughputEstimate {
     best: f64,
@@ -21,25 +21,25 @@
 }
 
 impl ThroughputEstimate {
-    /// The best throughput so far, in answers a second for a server of size 1.
+    /// Returns the highest throughput so far, in answers per second and unit of relative capacity.
     pub fn best(&self) -> f64 {
         self.best
     }
 
-    /// Returns whether a sample is due, which it is once a moment, and marks it as taken.
+    /// Returns whether a sample is due, and marks it as taken. One sample is due per value of `now`.
     pub fn try_start_sample(&mut self, now: Time) -> bool {
         self.last_sample.replace(now) != Some(now)
     }
 
-    /// Adds a sample of all warm servers, observed over `observed` seconds.
-    pub fn record(&mut self, servers: impl Iterator<Item = ServerThroughput>, observed: Seconds) {
+    /// Adds a sample of all warm servers, observed for `duration` seconds.
+    pub fn record(&mut self, servers: impl Iterator<Item = ServerThroughput>, duration: Seconds) {
         let mut answers = 0.0;
-        let mut size = 0.0;
+        let mut capacity = 0.0;
         for server in servers {
             answers += server.answers;
-            size += server.relative_capacity;
+            capacity += server.relative_capacity;
         }
-        self.best = self.best.max(answers / observed / f64::max(size, 1.0));
+        self.best = self.best.max(answers / duration / f64::max(capacity, 1.0));
     }
 }
 
--- a/crates/flow-control/src/throughput_estimate/tests.rs
+++ b/crates/flow-control/src/throughput_estimate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_best_sample_is_kept_and_sampling_is_due_once_a_moment() {
+fn the_highest_sample_is_kept_and_one_sample_is_due_per_moment() {
     let server = |answers, relative_capacity| ServerThroughput {
         answers,
         relative_capacity,
--- a/crates/flow-control/src/weighted_round_robin.rs
+++ b/crates/flow-control/src/weighted_round_robin.rs
@@ -2,41 +2,42 @@
 
 use std::cmp::Ordering;
 
-/// One replica's place in the rotation.
+/// One replica's entry in the rotation.
 #[derive(Clone, Copy, Debug)]
 pub struct RotationEntry {
-    /// Its share of turns, relative to the other replicas' weights.
+    /// Share of turns, relative to the weights of the other replicas.
     pub weight: f64,
-    /// The turns it is owed, in units of weight.
+    /// Turns that the replica is owed, in units of weight; negative if it is ahead of its share.
     pub credit: f64,
-    /// When its last turn was, as a count of turns.
+    /// Number of the replica's last turn, counted over all turns.
     pub last_turn: i64,
 }
 
-/// Picks the replica that is owed most and updates all credits; the index into `turns`.
+/// Selects the replica that is owed the most turns and updates all credits. Returns its index in `entries`.
 ///
-/// Turns are shared in proportion to the weights and smoothly: the heaviest replica gets no bursts. Replicas
-/// with equal credit take turns. Returns `None` if there are no replicas or all weigh the same.
-pub fn weighted_round_robin(turns: &mut [RotationEntry]) -> Option<usize> {
-    let first_weight = turns.first()?.weight;
-    if turns.iter().all(|turn| turn.weight == first_weight) {
+/// Turns are shared in proportion to the weights, and smoothly: the replica with the highest weight gets no
+/// bursts. Replicas with equal credit take turns. Returns `None` if there are no replicas or all weights are
+/// equal.
+pub fn weighted_round_robin(entries: &mut [RotationEntry]) -> Option<usize> {
+    let first_weight = entries.first()?.weight;
+    if entries.iter().all(|entry| entry.weight == first_weight) {
         return None;
     }
-    let total: f64 = turns.iter().map(|turn| turn.weight).sum();
-    for turn in turns.iter_mut() {
-        turn.credit = (turn.credit + turn.weight).min(total);
+    let total_weight: f64 = entries.iter().map(|entry| entry.weight).sum();
+    for entry in entries.iter_mut() {
+        entry.credit = (entry.credit + entry.weight).min(total_weight);
     }
-    let (chosen, _) = turns
+    let (selected, _) = entries
         .iter()
         .enumerate()
         .max_by(|(_, a), (_, b)| by_credit_then_wait(a, b))?;
-    turns[chosen].credit = (turns[chosen].credit - total).max(-total);
-    Some(chosen)
+    entries[selected].credit = (entries[selected].credit - total_weight).max(-total_weight);
+    Some(selected)
 }
 
-/// Orders by credit, then by how long ago the last turn was. Credits that can't be compared are equal.
+/// Orders entries by credit, then by how long ago the last turn was. Credits that can't be compared are equal.
 fn by_credit_then_wait(a: &RotationEntry, b: &RotationEntry) -> Ordering {
-    let key = |turn: &RotationEntry| (turn.credit, -turn.last_turn);
+    let key = |entry: &RotationEntry| (entry.credit, -entry.last_turn);
     key(a).partial_cmp(&key(b)).unwrap_or(Ordering::Equal)
 }
 
--- a/crates/types/src/action.rs
+++ b/crates/types/src/action.rs
@@ -1,49 +1,49 @@
-//! What a router asks its caller to do.
+//! Actions that a router asks its caller to carry out.
 
 use crate::{RequestId, Seconds, ServerId, Time};
 
-/// Something to be done.
+/// An action that the caller of a router carries out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send a part to a server.
+    /// Sends a part to a server as a new attempt.
     Send {
-        /// The part.
+        /// Part to send.
         part: RequestId,
-        /// The server.
+        /// Server that the attempt goes to.
         server: ServerId,
-        /// When the attempt is abandoned.
+        /// Moment at which the attempt times out if it is still unanswered.
         deadline: Time,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt in flight.
     Cancel {
-        /// The part.
+        /// Part that the attempt belongs to.
         part: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt among those of its part, from 0.
         attempt: u8,
     },
-    /// Ask a server for its load report.
+    /// Sends a health check to a server, which answers with its load report.
     HealthCheck(ServerId),
-    /// End a step of a query with what its parts returned.
+    /// Ends a step of a query with the answers to its parts.
     Answer {
-        /// The query.
+        /// Query whose current step ends.
         query: RequestId,
-        /// Whether the answer is complete.
+        /// Whether the answer is complete; a partial answer otherwise.
         is_complete: bool,
     },
-    /// End a query unserved; a retry is harmless.
+    /// Ends a query without an answer, in a state in which a retry by the client is safe.
     Reject {
-        /// The query.
+        /// Query that ends.
         query: RequestId,
-        /// Seconds for which the client should stay away.
+        /// Seconds for which the client should wait before it retries; `None` if no advice is passed on.
         retry_after: Option<Seconds>,
     },
-    /// End a query unserved; a part of it may have run.
+    /// Ends a query without an answer although one of its parts may have run.
     Fail {
-        /// The query.
+        /// Query that ends.
         query: RequestId,
     },
-    /// Call again at this moment.
+    /// Calls the router again at this moment, with [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer(Time),
-    /// Subscribe to changes of the endpoint list from now on.
+    /// Subscribes to changes of the endpoint list from now on.
     SubscribeEndpoints,
 }
--- a/crates/types/src/endpoint.rs
+++ b/crates/types/src/endpoint.rs
@@ -1,49 +1,51 @@
-//! Servers as discovery describes them.
+//! The endpoint list: servers as discovery describes them.
 
 use crate::{ServerId, Time};
 
-/// What discovery says of a server.
+/// State of a server according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// It takes work.
+    /// The server accepts new parts.
     #[default]
     Ready,
-    /// It finishes its work and takes nothing new.
+    /// The server finishes the parts in flight and accepts no new ones.
     Draining,
-    /// It was removed.
+    /// The server was removed from the list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// The server.
+    /// Server that the entry describes.
     pub server: ServerId,
-    /// Its cell, which tells the shards that it holds.
+    /// Cell of the server, which determines the shards that it holds.
     pub cell: u32,
-    /// Its zone: servers of one zone may be lost together. 0 where that isn't told.
+    /// Zone of the server; the servers of one zone may fail together. 0 if the zone is unknown.
     pub zone: u32,
-    /// Its state.
+    /// Whether the server accepts new parts.
     pub state: ServerState,
-    /// Its capacity relative to the others.
+    /// Capacity relative to a standard server, which has 1.
     pub relative_capacity: f64,
-    /// Its share of turns relative to the other replicas of its shards; 0: only what no other can take.
+    /// Share of turns relative to the other replicas of its shards. A server with weight 0 gets only the parts
+    /// that no other replica can take.
     pub weight: f64,
-    /// The generation of the list that it stands in; queries keep to servers of theirs and of older ones.
+    /// Generation of the list that contains the entry. A query goes only to servers of the generation that it
+    /// was admitted under, or of older ones.
     pub generation: u64,
-    /// When it started, if that is known.
+    /// When the server started; `None` if that is unknown.
     pub ready_at: Option<Time>,
 }
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointUpdate {
-    /// The whole list; a server not in it was removed.
+    /// The complete list; servers missing from it were removed.
     Snapshot(Vec<Endpoint>),
-    /// The list that an earlier process saved last, perhaps old.
+    /// The list that an earlier process stored last, which may be outdated.
     Cached(Vec<Endpoint>),
-    /// Only what changed.
+    /// The entries that changed.
     Delta(Vec<Endpoint>),
-    /// A poll of the list failed, or the subscription broke.
+    /// A poll for the list failed, or the subscription broke.
     Failed,
 }
--- a/crates/types/src/event.rs
+++ b/crates/types/src/event.rs
@@ -1,60 +1,61 @@
-//! What a caller reports to a router.
+//! Events that a caller reports to a router.
 
 use crate::{ClassId, EndpointUpdate, Outcome, RequestId, Seconds, ServerId, Time};
 
-/// Something that happened.
+/// An event that the caller of a router reports.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list changed.
+    /// The endpoint list changed, or a poll for it failed.
     Endpoints(EndpointUpdate),
-    /// A query arrived; its parts follow.
+    /// A query arrived; its parts follow as [`Event::Part`].
     Query {
-        /// Its id.
+        /// Id by which actions refer to the query.
         id: RequestId,
-        /// Its class.
+        /// Class that sets the query's latency objective, deadline and idempotency.
         class: ClassId,
-        /// The number that ties its parts to it.
+        /// Number by which the query's parts refer to it.
         number: u64,
-        /// When its client stops waiting.
+        /// Moment at which the client stops waiting.
         deadline: Time,
-        /// Expected work, where it is known.
+        /// Expected work in seconds; `None` if the client doesn't state it.
         expected_work: Option<Seconds>,
-        /// Whether the client marked it as its own retry of an earlier try.
+        /// Whether the client marked the query as its own retry of an earlier one.
         is_client_retry: bool,
     },
     /// A part of a query arrived.
     Part {
-        /// Its id.
+        /// Id by which actions refer to the part.
         id: RequestId,
-        /// The number of its query.
+        /// Number of the query that the part belongs to.
         query_number: u64,
-        /// The shard it needs.
+        /// Shard that the part reads.
         shard: u32,
-        /// Its weight; those of a step sum to 1.
+        /// Share of the step's answer that the part contributes. The weights of a step sum to 1, but for
+        /// rounding.
         weight: f64,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The part.
+        /// Part that the attempt belongs to.
         part: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt among those of its part, from 0.
         attempt: u8,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
     },
     /// A health check ended.
     HealthCheckEnded {
-        /// The server.
+        /// Server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// The values of its load report, in the order of the deployment's settings; may be empty.
+        /// Values of the server's load report, in the order that the deployment's settings give; may be empty.
         report: Vec<f64>,
     },
-    /// Other coordinators call these servers outliers.
+    /// Other coordinators report these servers as outliers.
     OutlierAdvice(Vec<ServerId>),
-    /// The client of this query has gone: nobody waits for its answer.
+    /// The client of this query disconnected, so that no answer can be delivered.
     ClientGone(RequestId),
-    /// A moment asked for by [`Action::SetTimer`](crate::Action::SetTimer) has come.
+    /// A moment requested by [`Action::SetTimer`](crate::Action::SetTimer) was reached.
     TimerFired,
 }
--- a/crates/types/src/health.rs
+++ b/crates/types/src/health.rs
@@ -1,16 +1,16 @@
-//! The router's view of its servers, for logs and metrics.
+//! Summary of the servers' health, for logs and metrics.
 
-/// What a router believes of its servers at a moment.
+/// The health of a router's servers at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthSummary {
-    /// Servers that discovery calls ready.
+    /// Number of servers that the endpoint list reports as ready.
     pub ready: usize,
-    /// Ready servers that are outliers.
+    /// Number of ready servers that are outliers.
     pub outliers: usize,
-    /// Ready servers with an overdue attempt in flight.
+    /// Number of ready servers with an overdue attempt in flight.
     pub overdue: usize,
-    /// Ready servers in slow start.
+    /// Number of ready servers in slow start.
     pub warming_up: usize,
-    /// Each class's typical latency in milliseconds.
+    /// Typical latency of each class in milliseconds, by the class's index in the settings.
     pub typical_latency_ms: Vec<u32>,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! The vocabulary that all packages share: time, identifiers, settings, endpoints, events, actions and outcomes.
+//! Types that all packages share: time, identifiers, settings, endpoints, events, actions and outcomes.
 //!
-//! Plain data without I/O and without a clock. A router is fed [`Event`]s and returns [`Action`]s; the
-//! [`Settings`] are told to it once and again when they are reloaded.
+//! The package is plain data: it does no I/O and reads no clock. A router takes [`Event`]s and returns
+//! [`Action`]s. It gets its [`Settings`] at construction, and again at each reload.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Moments and durations as the decisions count them.
+//! Moments and durations in the units that routing decisions use.
 
 use std::ops::{Add, Sub};
 
@@ -6,8 +6,8 @@
 
 /// A duration in seconds.
 ///
-/// A bare float, because the decisions multiply, divide and compare durations with dimensionless ratios, and
-/// the simulator's figures depend on every rounding.
+/// The type is a plain float because decisions multiply, divide and compare durations with dimensionless
+/// ratios, and because the simulator's figures depend on every rounding.
 pub type Seconds = f64;
 
 /// A moment on the caller's clock, counted in whole microseconds.
@@ -15,7 +15,7 @@
 pub struct Time(pub i64);
 
 impl Time {
-    /// Returns the moment `secs` seconds after the clock's zero; numbers out of range saturate.
+    /// Returns the moment `secs` seconds after the clock's zero. Values out of range saturate.
     pub fn from_secs(secs: Seconds) -> Self {
         Time((secs * MICROSECONDS_PER_SECOND).round() as i64)
     }
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns the moment that many seconds later.
+/// Returns the moment that is the given number of seconds later. Values out of range saturate.
 impl Add<Seconds> for Time {
     type Output = Time;
 
--- a/crates/zone-outage/src/lib.rs
+++ b/crates/zone-outage/src/lib.rs
@@ -1,34 +1,36 @@
-//! Detection of zones that are unreachable as a whole, from what one coordinator's own sends met.
+//! Detection of unreachable zones from the outcomes of one coordinator's own attempts.
 //!
-//! A coordinator with little traffic sends to each server every few seconds, so the silence of one server
-//! proves nothing at once. But zones fail whole: if a few servers of one zone leave requests unanswered, while
-//! none of that zone answers anything newer and servers elsewhere do, the zone is unreachable. The package
-//! decides nothing about single servers.
+//! A coordinator with little traffic sends to each server only every few seconds, so one unresponsive server
+//! proves little. But a zone fails as a whole. It counts as unreachable if a few of its servers leave requests
+//! unanswered, none of its servers answers any later request, and servers of other zones do. The package makes
+//! no decision about single servers.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use cairnroad_types::{Seconds, Time};
 use std::collections::BTreeMap;
 
-/// Silent servers that an outage takes at least: one alone may be faulty.
-const MIN_SILENT_SERVERS: usize = 2;
-/// Share of a zone's servers that must be silent: among many servers, two faulty ones meet by chance.
-const MIN_SILENT_SHARE: f64 = 0.14;
-/// The zone number of servers whose zone is unknown; nothing is concluded from them.
+/// Smallest number of unresponsive servers in an outage. A single one may just be faulty.
+const MIN_UNRESPONSIVE_SERVERS: usize = 2;
+/// Smallest share of a zone's servers that must be unresponsive. In a large zone, two servers may be faulty at
+/// the same time by chance.
+const MIN_UNRESPONSIVE_SHARE: f64 = 0.14;
+/// Zone number of servers whose zone is unknown. These servers are ignored.
 const UNKNOWN_ZONE: u32 = 0;
 
-/// What is known of one server.
+/// The latest answered and unanswered sends to one server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerObservation {
-    /// The server's zone; 0 if it is unknown, in which case the server is ignored.
+    /// Zone of the server; 0 if it is unknown, in which case the server is ignored.
     pub zone: u32,
-    /// When the latest request that it answered was sent.
+    /// Send time of the latest request that the server answered.
     pub last_answered_send: Time,
-    /// When the first request was sent that it left unanswered past its time since it was last heard from.
+    /// Send time of the first request since the server's last response that it left unanswered until the
+    /// request was overdue; `None` if there is none.
     pub unanswered_since: Option<Time>,
 }
 
-/// The observations of one zone, added up.
+/// Summary of the observations of one zone's servers.
 #[derive(Default)]
 struct ZoneSummary {
     servers: usize,
@@ -37,34 +39,37 @@
 }
 
 impl ZoneSummary {
-    /// Whether enough servers are silent, counting only sends up to the latest one that was answered anywhere.
+    /// Returns whether enough servers are unresponsive, counting only sends up to the latest one that a
+    /// server of any zone answered.
     fn is_unreachable(&self, last_answered_anywhere: Time) -> bool {
-        let silent = self
+        let unresponsive = self
             .unanswered_sends
             .iter()
             .filter(|&&at| self.last_answered_send < at && at <= last_answered_anywhere)
             .count();
-        silent >= MIN_SILENT_SERVERS && silent as f64 >= MIN_SILENT_SHARE * self.servers as f64
+        unresponsive >= MIN_UNRESPONSIVE_SERVERS
+            && unresponsive as f64 >= MIN_UNRESPONSIVE_SHARE * self.servers as f64
     }
 }
 
-/// The zones that are unreachable, and when each outage was detected.
+/// The unreachable zones, and when each outage was detected.
 #[derive(Default)]
 pub struct ZoneOutages {
     detected_at: BTreeMap<u32, Time>,
 }
 
 impl ZoneOutages {
-    /// Returns the zones that the observations show to be unreachable and that weren't known to be.
+    /// Returns the zones that the observations show to be unreachable and that weren't known to be unreachable.
     pub fn detect_outages(&mut self, now: Time, observations: &[ServerObservation]) -> Vec<u32> {
         let zones = summarize(observations);
-        // What was sent when no server anywhere answered proves nothing of a zone: the fault may be our own.
+        // Sends from a time at which no server of any zone answered prove nothing about a zone: the fault may
+        // lie with this coordinator.
         let last_answered_anywhere = zones
             .values()
             .map(|zone| zone.last_answered_send)
             .max()
             .unwrap_or_default();
-        // A zone without listed servers no longer exists.
+        // A zone without servers in the endpoint list no longer exists.
         self.detected_at.retain(|zone, _| zones.contains_key(zone));
         let detected: Vec<u32> = zones
             .iter()
@@ -77,9 +82,9 @@
         detected
     }
 
-    /// Ends a zone's outage because one of its servers was heard from.
+    /// Ends a zone's outage after one of its servers responded.
     ///
-    /// Returns how long the outage lasted in seconds, `None` if the zone wasn't unreachable.
+    /// Returns the duration of the outage in seconds; `None` if the zone wasn't unreachable.
     pub fn end_outage(&mut self, now: Time, zone: u32) -> Option<Seconds> {
         self.detected_at.remove(&zone).map(|since| now - since)
     }
