--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,59 +1,64 @@
-//! The start of a step: a query is admitted and its parts are sent, or it is rejected before any is sent.
+//! Admission of queries: the parts of a query's step are sent at once, or the query is rejected before any
+//! part is sent.
 
 use crate::router::RequestRouter;
 use crate::tuning::WEIGHT_TOLERANCE;
 use cairnroad_types::{Action, RequestId, ServerId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A call to a server to which further parts with the same candidates can be added.
+/// A call to a server that can take further parts with the same candidates.
 #[derive(Clone, Copy)]
 struct Call {
     server: ServerId,
-    /// Parts that it can still take.
-    free_parts: u32,
+    /// Number of parts that the call can still take.
+    remaining_capacity: u32,
 }
 
 impl RequestRouter {
-    /// Sends all parts of a query's step at once. A query that can't be served, or not in time, is rejected
-    /// before any of its parts is sent.
+    /// Sends all parts of a query's step at once.
+    ///
+    /// A query that can't be served, or not in time, is rejected before any of its parts is sent.
     pub(crate) fn start_step(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         self.detect_zone_outages(now);
         let Some(query) = self.queries.get(&id) else {
             return;
         };
-        let class_is_known = self.settings.classes.get(query.class).is_some();
+        let is_known_class = self.settings.classes.get(query.class).is_some();
         let unsent: Vec<RequestId> = query
             .parts
             .iter()
             .copied()
             .filter(|part| self.parts[part].first_sent.is_none())
             .collect();
-        if !class_is_known || query.parts.is_empty() || !self.admits(now, id, &unsent) {
-            return self.give_up(now, id, actions);
+        if !is_known_class || query.parts.is_empty() || !self.admits(now, id, &unsent) {
+            return self.reject_or_fail(now, id, actions);
         }
         self.send_parts(now, unsent, actions);
         self.complete_if_ready(now, id, actions);
     }
 
-    /// Whether a query with these parts to send is worth starting. Second steps are shed only if they are late.
+    /// Returns whether a query with these parts to send is admitted.
+    ///
+    /// A second step isn't shed because of load: it is rejected only if it is late, or a client retry of a
+    /// suspect query.
     fn admits(&mut self, now: Time, id: RequestId, unsent: &[RequestId]) -> bool {
         let Some(query) = self.queries.get(&id) else {
             return false;
         };
         let class = query.class;
-        let second_step = query.second_step;
-        let client_retry = query.client_retry;
+        let is_second_step = query.is_second_step;
+        let is_client_retry = query.is_client_retry;
         let fingerprint = query.fingerprint;
-        let terms = &self.settings.classes[class];
-        let time_left = (query.asked_at + terms.latency_objective) - now;
-        let too_late = time_left <= 0.0 && terms.late_answer_share <= 0.0;
-        let recent_span = self.recent_span;
+        let class_settings = &self.settings.classes[class];
+        let time_left = (query.first_asked_at + class_settings.latency_objective) - now;
+        let is_too_late = time_left <= 0.0 && class_settings.late_answer_share <= 0.0;
+        let recent_window = self.recent_window;
         self.suspect_queries
-            .retain(|_, &mut at| now - at < recent_span);
-        if too_late || client_retry && self.suspect_queries.contains_key(&fingerprint) {
+            .retain(|_, &mut at| now - at < recent_window);
+        if is_too_late || is_client_retry && self.suspect_queries.contains_key(&fingerprint) {
             return false;
         }
-        if second_step {
+        if is_second_step {
             return true;
         }
         let calls = self.count_calls(unsent);
@@ -61,7 +66,7 @@
             && self.enough_answers_in_time(now, class, unsent)
     }
 
-    /// How many calls the parts take if those with the same candidates share one.
+    /// Returns how many calls the parts take if parts with the same candidates share one call.
     fn count_calls(&self, parts: &[RequestId]) -> usize {
         let cells = self.settings.cells.max(1);
         let distinct: BTreeSet<u32> = parts
@@ -71,9 +76,10 @@
         distinct.len()
     }
 
-    /// Sends parts, those with the same candidates in shared calls.
+    /// Sends parts; those with the same candidates share calls.
     ///
-    /// A call costs a server work beside that of its parts, and takes one turn. A trial part stays alone.
+    /// Each call costs the server work in addition to that of its parts, and takes one turn. A trial part
+    /// doesn't share its call.
     fn send_parts(&mut self, now: Time, parts: Vec<RequestId>, actions: &mut Vec<Action>) {
         let mut calls: BTreeMap<u32, Call> = BTreeMap::new();
         for part in parts {
@@ -84,45 +90,46 @@
                 continue;
             };
             if self.is_outlier(now, &self.servers[&call.server]) {
-                call.free_parts = 0;
+                call.remaining_capacity = 0;
             }
             calls.insert(cell, call);
             self.send(now, part, call.server, actions);
         }
     }
 
-    /// Adds a part to the open call if that has room, or else to a new one; `None` if no server may be sent it.
+    /// Adds a part to the open call if that has capacity left, or to a new call otherwise. Returns `None` if
+    /// the part may be sent to no server.
     fn call_for(&mut self, now: Time, part: RequestId, open_call: Option<Call>) -> Option<Call> {
-        let joinable = open_call
-            .filter(|call| call.free_parts > 0)
+        let reusable_call = open_call
+            .filter(|call| call.remaining_capacity > 0)
             .filter(|call| self.has_slow_start_capacity(now, call.server));
-        let call = match joinable {
+        let call = match reusable_call {
             Some(call) => call,
             None => Call {
                 server: self.select_replica(now, part)?.server,
-                free_parts: self.settings.max_parts_per_call,
+                remaining_capacity: self.settings.max_parts_per_call,
             },
         };
         Some(Call {
             server: call.server,
-            free_parts: call.free_parts.saturating_sub(1),
+            remaining_capacity: call.remaining_capacity.saturating_sub(1),
         })
     }
 
-    /// Whether parts that make up the least acceptable answer would likely be answered in time.
+    /// Returns whether enough parts for the smallest acceptable answer would likely be answered in time.
     fn enough_answers_in_time(&mut self, now: Time, class: usize, parts: &[RequestId]) -> bool {
         let limit = self.max_expected_latency(class, parts.len());
         let minimum = self.settings.classes[class]
             .completion_thresholds(false)
             .minimum;
-        let total: f64 = parts.iter().map(|part| self.parts[part].weight).sum();
-        let mut in_time = WEIGHT_TOLERANCE * total;
+        let total_weight: f64 = parts.iter().map(|part| self.parts[part].weight).sum();
+        let mut weight_in_time = WEIGHT_TOLERANCE * total_weight;
         for &part in parts {
             if self.answers_in_time(now, part, limit) {
-                in_time += self.parts[&part].weight;
+                weight_in_time += self.parts[&part].weight;
             }
         }
-        let too_few = in_time < minimum * total;
-        !too_few
+        let is_too_little = weight_in_time < minimum * total_weight;
+        !is_too_little
     }
 }
--- a/crates/routing/src/arrivals.rs
+++ b/crates/routing/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Queries and parts that arrive.
+//! Arrival of queries and parts.
 
 use crate::part::Part;
 use crate::query::{Query, QueryFingerprint};
@@ -6,12 +6,12 @@
 use crate::timer::Timer;
 use cairnroad_types::{Event, RequestId, Seconds, Time};
 
-/// Answers are due this share of the latency objective early: the way to the client and a busy processor
-/// take time.
+/// Answers are due early by this share of the latency objective, because delivery to the client and a busy
+/// processor take time.
 const OBJECTIVE_MARGIN: f64 = 0.03;
 
 impl RequestRouter {
-    /// Opens a query. One of a class that isn't configured is rejected when its step starts.
+    /// Opens a query. A query of a class that isn't configured is rejected when its step starts.
     pub(crate) fn on_query(&mut self, now: Time, event: &Event) {
         let &Event::Query {
             id,
@@ -28,23 +28,24 @@
             .on_arrival(now, self.settings.retry_budget);
         let class = usize::from(class.0);
         let margin = self.deadline_margin();
-        let (objective, deadline) = self
+        let (objective, class_deadline) = self
             .settings
             .classes
             .get(class)
             .map(|class| (class.latency_objective_for(expected_work), class.deadline))
             .unwrap_or_default();
-        let finish_at = client_deadline.min(now + deadline) + -margin;
-        let asked_at = first_asked_at(now, client_deadline, deadline, is_client_retry);
+        let finish_at = client_deadline.min(now + class_deadline) + -margin;
+        let first_asked_at =
+            estimate_first_asked_at(now, client_deadline, class_deadline, is_client_retry);
         let answer_within = objective - margin.max(objective * OBJECTIVE_MARGIN);
         let query = Query {
             class,
             number,
-            asked_at,
-            objective_at: finish_at.min(asked_at + answer_within),
+            first_asked_at,
+            objective_at: finish_at.min(first_asked_at + answer_within),
             finish_at,
-            generation: self.list_generation,
-            client_retry: is_client_retry,
+            list_generation: self.list_generation,
+            is_client_retry,
             fingerprint: QueryFingerprint { class, shards: 0 },
             ..Query::default()
         };
@@ -54,7 +55,8 @@
         self.queries.insert(id, query);
     }
 
-    /// Adds a part to its query and returns the query, `None` if that isn't open or the part is known.
+    /// Adds a part to its query and returns the query's id. Returns `None` if the query isn't open or the
+    /// part is already known.
     pub(crate) fn on_part(&mut self, now: Time, event: &Event) -> Option<RequestId> {
         let &Event::Part {
             id,
@@ -84,20 +86,25 @@
             ..Part::default()
         };
         self.parts.insert(id, part);
-        self.part_arrivals.push(now, self.long_recent_span());
+        self.part_arrivals.push(now, self.long_recent_window());
         self.retry_budget
             .on_arrival(now, self.settings.retry_budget);
         Some(query_id)
     }
 }
 
-/// When the client of a query first asked.
+/// Estimates when the client first asked for a query.
 ///
-/// The time that a marked retry has left tells it. The time left of an unmarked query says nothing: impatient
-/// clients come with little.
-fn first_asked_at(now: Time, due: Time, deadline: Seconds, client_retry: bool) -> Time {
-    if client_retry {
-        now.min(due + -deadline)
+/// For a marked client retry, the remaining time shows when the first query was sent. For other queries it
+/// shows nothing, because some clients set short deadlines from the start.
+fn estimate_first_asked_at(
+    now: Time,
+    client_deadline: Time,
+    class_deadline: Seconds,
+    is_client_retry: bool,
+) -> Time {
+    if is_client_retry {
+        now.min(client_deadline + -class_deadline)
     } else {
         now
     }
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,8 +1,8 @@
-//! Attempts: one send of a part to a server.
+//! Attempts: each is one send of a part to a server.
 
 use cairnroad_types::{RequestId, ServerId, Time};
 
-/// Identifies an attempt by its part and its number, 0 for the part's first. Ordered by part.
+/// Identifies an attempt by its part and its number among the part's attempts, from 0. Ordered by part.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) part: RequestId,
@@ -15,21 +15,21 @@
     /// Index of the class in the settings.
     pub(crate) class: usize,
     pub(crate) sent_at: Time,
-    /// When the server counts as overdue if it hasn't answered.
+    /// Moment from which the unanswered attempt makes its server overdue.
     pub(crate) overdue_at: Time,
 }
 
-/// An attempt as its server lists it: ordered by the moment at which it is overdue.
+/// Entry of a server's set of attempts in flight, ordered by the moment at which the attempt is overdue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightAttempt {
     pub(crate) overdue_at: Time,
     pub(crate) attempt: AttemptId,
 }
 
 impl Attempt {
-    /// The entry under which the server lists it.
-    pub(crate) fn as_in_flight(&self, attempt: AttemptId) -> InFlight {
-        InFlight {
+    /// Returns the attempt's entry in its server's set of attempts in flight.
+    pub(crate) fn in_flight_entry(&self, attempt: AttemptId) -> InFlightAttempt {
+        InFlightAttempt {
             overdue_at: self.overdue_at,
             attempt,
         }
--- a/crates/routing/src/completion.rs
+++ b/crates/routing/src/completion.rs
@@ -1,4 +1,5 @@
-//! How a query ends: with a complete or partial answer, rejected or failed, once.
+//! Completion of queries. Each query ends exactly once: with a complete or partial answer, a rejection or a
+//! failure.
 
 use crate::attempt::AttemptId;
 use crate::part::Part;
@@ -8,19 +9,20 @@
 use crate::tuning::WEIGHT_TOLERANCE;
 use cairnroad_types::{Action, Idempotency, Outcome, RequestId, Seconds, Time};
 
-/// A query rejected before its objective may come again after this share of the time left.
+/// The retry-after advice of a query rejected before its latency objective, as a share of the time left until
+/// then.
 const RETRY_AFTER_SHARE: f64 = 0.25;
 
-/// What of a query's current step is answered, as shares of the weights of its parts.
+/// Progress of a query's current step, as shares of the total weight of its parts, from 0 to 1.
 struct CompletionShares {
-    /// Parts that are answered.
+    /// Share of the parts that are answered.
     answered: f64,
-    /// Parts that are answered or may still be.
+    /// Share of the parts that are answered or may still be answered.
     reachable: f64,
 }
 
 impl RequestRouter {
-    /// Adds up a query's parts; both shares are 0 if it isn't open.
+    /// Adds up the weights of a query's parts. Both shares are 0 if the query isn't open.
     fn completion_shares(&self, now: Time, id: RequestId) -> CompletionShares {
         let Some(query) = self.queries.get(&id) else {
             return CompletionShares {
@@ -30,33 +32,33 @@
         };
         let mut answered = 0.0;
         let mut reachable = 0.0;
-        let mut total = f64::MIN_POSITIVE;
+        let mut total_weight = f64::MIN_POSITIVE;
         for &id in &query.parts {
             let Some(part) = self.parts.get(&id) else {
                 continue;
             };
-            if part.answered {
+            if part.is_answered {
                 answered += part.weight;
             }
             if self.may_be_answered(now, id, part) {
                 reachable += part.weight;
             }
-            total += part.weight;
+            total_weight += part.weight;
         }
         CompletionShares {
-            answered: answered / total + WEIGHT_TOLERANCE,
-            reachable: reachable / total + WEIGHT_TOLERANCE,
+            answered: answered / total_weight + WEIGHT_TOLERANCE,
+            reachable: reachable / total_weight + WEIGHT_TOLERANCE,
         }
     }
 
     fn may_be_answered(&self, now: Time, id: RequestId, part: &Part) -> bool {
-        part.answered
+        part.is_answered
             || !part.in_flight.is_empty()
             || (part.first_sent.is_some() && self.may_retry(now, id))
     }
 
-    /// Ends a query's step as soon as its parts decide it: complete, hopeless, or partial with nothing left to
-    /// come.
+    /// Ends a query's step as soon as its parts determine the result: a complete answer, no answer, or a
+    /// partial answer that no pending part can improve.
     pub(crate) fn complete_if_ready(
         &mut self,
         now: Time,
@@ -68,23 +70,25 @@
         };
         let shares = self.completion_shares(now, id);
         let thresholds =
-            self.settings.classes[query.class].completion_thresholds(query.second_step);
-        let nothing_pending = shares.reachable - shares.answered < WEIGHT_TOLERANCE;
+            self.settings.classes[query.class].completion_thresholds(query.is_second_step);
+        let is_nothing_pending = shares.reachable - shares.answered < WEIGHT_TOLERANCE;
         if shares.answered >= thresholds.complete {
-            let complete = query.first_step_complete || !query.second_step;
-            self.answer_query(now, id, complete, actions);
+            let is_complete = query.is_first_step_complete || !query.is_second_step;
+            self.answer_query(now, id, is_complete, actions);
         } else if shares.reachable < thresholds.minimum {
-            self.give_up(now, id, actions);
+            self.reject_or_fail(now, id, actions);
         } else if shares.reachable < thresholds.complete
             && shares.answered >= thresholds.minimum
-            && nothing_pending
+            && is_nothing_pending
         {
             self.answer_query(now, id, false, actions);
         }
     }
 
-    /// Ends a query whose latency objective passed, unless a later answer would be worth more: with a partial
-    /// answer if that is worth as much, else not at all if late answers are worth nothing.
+    /// Ends a query whose latency objective has passed, unless a later answer would be worth more.
+    ///
+    /// The query gets a partial answer if that is worth at least as much as a late one. Without one, it is
+    /// rejected or fails if late answers are worth nothing.
     pub(crate) fn on_objective_passed(
         &mut self,
         now: Time,
@@ -98,36 +102,36 @@
             return;
         };
         let answered = self.completion_shares(now, id).answered;
-        let minimum = class.completion_thresholds(query.second_step).minimum;
+        let minimum = class.completion_thresholds(query.is_second_step).minimum;
         let partial_value = class.partial_answer_share * answered.min(class.complete_threshold)
             / class.complete_threshold;
         if answered >= minimum && partial_value >= class.late_answer_share {
             self.answer_query(now, id, false, actions);
         } else if class.late_answer_share <= 0.0 {
-            self.give_up(now, id, actions);
+            self.reject_or_fail(now, id, actions);
         }
     }
 
-    /// Answers a query, or its first step if a second one follows.
+    /// Answers a query's current step. Ends the query unless a second step follows.
     fn answer_query(
         &mut self,
         now: Time,
         id: RequestId,
-        complete: bool,
+        is_complete: bool,
         actions: &mut Vec<Action>,
     ) {
         let Some(query) = self.queries.get_mut(&id) else {
             return;
         };
         let class = &self.settings.classes[query.class];
-        let step_follows = !query.second_step && class.second_step_parts > 0;
+        let has_second_step = !query.is_second_step && class.second_step_parts > 0;
         actions.push(Action::Answer {
             query: id,
-            is_complete: complete,
+            is_complete,
         });
-        if step_follows {
-            query.second_step = true;
-            query.first_step_complete = complete;
+        if has_second_step {
+            query.is_second_step = true;
+            query.is_first_step_complete = is_complete;
             let parts = std::mem::take(&mut query.parts);
             self.remove_parts(now, parts, actions);
         } else {
@@ -135,9 +139,9 @@
         }
     }
 
-    /// Gives a query that can no longer be answered in time its final answer at once: a rejection where trying
-    /// again is harmless, else a failure.
-    pub(crate) fn give_up(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+    /// Ends a query that can't be answered in time: with a rejection if a retry by the client is safe, with a
+    /// failure otherwise.
+    pub(crate) fn reject_or_fail(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&id) else {
             return;
         };
@@ -146,8 +150,9 @@
             .classes
             .get(query.class)
             .map_or(Idempotency::AtMostOnce, |class| class.idempotency);
-        let harmless = idempotency == Idempotency::Idempotent || !self.may_have_had_effect(query);
-        actions.push(if harmless {
+        let is_retry_safe =
+            idempotency == Idempotency::Idempotent || !self.may_have_had_effect(query);
+        actions.push(if is_retry_safe {
             Action::Reject {
                 query: id,
                 retry_after: self.retry_after(now, query),
@@ -158,18 +163,20 @@
         self.remove_query(now, id, actions);
     }
 
-    /// Whether any server may have run, or may be running, a part of the query.
+    /// Returns whether any server may have run, or may be running, a part of the query.
     fn may_have_had_effect(&self, query: &Query) -> bool {
-        let may_have_run = |part: &Part| part.may_run() || part.answered;
-        query.second_step
+        let may_have_run = |part: &Part| part.is_possibly_executed() || part.is_answered;
+        query.is_second_step
             || query
                 .parts
                 .iter()
                 .any(|part| self.parts.get(part).is_some_and(may_have_run))
     }
 
-    /// How long the client should wait before it asks again, in seconds: within the objective while that
-    /// stands, after it as long as clients heed.
+    /// Returns the seconds that the client should wait before it retries.
+    ///
+    /// Before the latency objective, the retry should still meet it. After the objective, the advice is the
+    /// longest that clients follow.
     fn retry_after(&self, now: Time, query: &Query) -> Option<Seconds> {
         let time_left = query.objective_at - now;
         let limit = if time_left > 0.0 {
@@ -182,7 +189,7 @@
             .map(|longest| longest.min(limit))
     }
 
-    /// Removes a query with its timers and parts, and cancels what it has in flight.
+    /// Removes a query with its timers and parts, and cancels its attempts in flight.
     pub(crate) fn remove_query(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.remove(&id) else {
             return;
@@ -195,7 +202,7 @@
         self.remove_parts(now, query.parts, actions);
     }
 
-    /// Removes parts and cancels what they have in flight.
+    /// Removes parts and cancels their attempts in flight.
     fn remove_parts(&mut self, now: Time, parts: Vec<RequestId>, actions: &mut Vec<Action>) {
         for id in parts {
             let Some(part) = self.parts.remove(&id) else {
@@ -207,7 +214,8 @@
         }
     }
 
-    /// Cancels an attempt in flight, if the deployment cancels at all; else its outcome is still awaited.
+    /// Cancels an attempt in flight. If the deployment doesn't allow cancellation, the attempt stays in
+    /// flight until it ends.
     pub(crate) fn cancel(&mut self, now: Time, id: AttemptId, actions: &mut Vec<Action>) {
         if !self.settings.cancellation_enabled {
             return;
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending a part to a server.
+//! Dispatch of parts to servers.
 
 use crate::attempt::{Attempt, AttemptId};
 use crate::router::RequestRouter;
@@ -7,7 +7,7 @@
 use cairnroad_types::{Action, Idempotency, RequestId, Seconds, ServerId, Time};
 
 impl RequestRouter {
-    /// Sends a part to a server: its first attempt, a hedged request or a retry.
+    /// Sends a part to a server, as the part's first attempt, a hedged request or a retry.
     pub(crate) fn send(
         &mut self,
         now: Time,
@@ -39,7 +39,7 @@
             overdue_at,
         };
         self.turn_count += 1;
-        server.on_send(now, self.turn_count, attempt.as_in_flight(id));
+        server.on_send(now, self.turn_count, attempt.in_flight_entry(id));
         self.attempts.insert(id, attempt);
         actions.push(Action::Send {
             part: part_id,
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Counts a part's first send and sets its hedge timer.
+    /// Records a part's first send and sets its hedge timer.
     fn on_first_send(&mut self, now: Time, part: RequestId, class: usize, hedge_delay: Seconds) {
-        self.part_sends.push(now, self.long_recent_span());
+        self.part_sends.push(now, self.long_recent_window());
         self.health_checks.add_credit(self.servers.len() as f64);
         let idempotency = self.settings.classes[class].idempotency;
         if idempotency != Idempotency::AtMostOnce && self.settings.hedging_enabled {
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,7 +1,7 @@
 //! Updates of the endpoint list.
 //!
-//! A server whose state isn't [`ServerState::Ready`] gets no new part from here on: `candidates` in
-//! `replica_selection` skips it. What it has in flight is left to it.
+//! A server whose state isn't [`ServerState::Ready`] gets no new part, because `candidates` in
+//! `replica_selection` skips it. Its attempts in flight go on.
 
 use crate::router::RequestRouter;
 use crate::server::{Server, SlowStartCredit};
@@ -9,21 +9,21 @@
 use cairnroad_types::{Action, Endpoint, EndpointUpdate, ServerId, ServerState, Time};
 use std::collections::BTreeSet;
 
-/// The range over which the first turns of new servers are spread at random.
+/// Range over which the first turns of new servers are spread at random.
 const FIRST_TURN_RANGE: f64 = 1e6;
-/// Weight and size of a server for which the list gives no usable number.
+/// Weight and relative capacity of a server for which the list gives no valid number.
 const DEFAULT_SCALE: f64 = 1.0;
 
 impl RequestRouter {
-    /// Applies an update of the endpoint list, or the failure to get one.
+    /// Applies an update of the endpoint list, or schedules the next poll after a failed one.
     ///
-    /// Servers missing from a snapshot are removed; an empty snapshot removes none.
+    /// A snapshot removes the servers that it doesn't list, but an empty snapshot removes none.
     pub(crate) fn on_endpoints(&mut self, now: Time, update: &EndpointUpdate) {
         match update {
             EndpointUpdate::Failed => self.on_poll_failed(now),
             EndpointUpdate::Snapshot(endpoints) => {
                 self.poll_backoff.on_success();
-                self.mark_missing_removed(endpoints);
+                self.mark_unlisted_as_removed(endpoints);
                 self.apply_endpoints(now, endpoints);
             }
             EndpointUpdate::Delta(endpoints) => {
@@ -38,15 +38,15 @@
     fn on_poll_failed(&mut self, now: Time) {
         let random = self.random.next_f64();
         let max_poll_interval = self.settings.max_poll_interval.unwrap_or(0.0);
-        let wait = self.poll_backoff.on_failure(max_poll_interval, random);
-        self.timers.insert(now + wait, Timer::PollEndpoints);
+        let delay = self.poll_backoff.on_failure(max_poll_interval, random);
+        self.timers.insert(now + delay, Timer::PollEndpoints);
     }
 
-    fn mark_missing_removed(&mut self, endpoints: &[Endpoint]) {
+    fn mark_unlisted_as_removed(&mut self, endpoints: &[Endpoint]) {
         if endpoints.is_empty() {
             return;
         }
-        let listed: BTreeSet<ServerId> = endpoints.iter().map(|row| row.server).collect();
+        let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         for (id, server) in &mut self.servers {
             if !listed.contains(id) {
                 server.state = ServerState::Removed;
@@ -60,10 +60,11 @@
         }
     }
 
-    /// Adds a server or updates what the list says of it.
+    /// Adds a server, or updates the properties of a known one.
     fn apply_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
         let first_turn = -((self.random.next_f64() * FIRST_TURN_RANGE) as i64) - 1;
-        // Starts at random, so that coordinators with little traffic don't send their first parts in step.
+        // The initial credit is random, so that coordinators with little traffic don't send their first parts
+        // at the same time.
         let slow_start_credit = SlowStartCredit {
             parts: self.random.next_f64(),
             updated_at: now,
@@ -85,8 +86,8 @@
             server.health_check_ratio = 1.0;
             server.slow_start_credit = slow_start_credit;
         }
-        if server.cell != endpoint.cell || server.generation == 0 {
-            server.generation = endpoint.generation;
+        if server.cell != endpoint.cell || server.list_generation == 0 {
+            server.list_generation = endpoint.generation;
         }
         server.cell = endpoint.cell;
         server.zone = endpoint.zone;
@@ -98,7 +99,8 @@
         self.list_generation = self.list_generation.max(endpoint.generation);
     }
 
-    /// Drops removed servers with nothing in flight: over a long time servers are replaced without end.
+    /// Drops removed servers without attempts in flight. Otherwise memory would grow, since servers are
+    /// replaced all the time.
     pub(crate) fn remove_unlisted_servers(&mut self) {
         let servers_by_cell = &mut self.servers_by_cell;
         self.servers.retain(|id, server| {
@@ -112,7 +114,8 @@
         });
     }
 
-    /// Subscribes to the endpoint list, and again if no answer arrives within half the allowed interval.
+    /// Subscribes to the endpoint list, and does so again if no list arrives within half the allowed poll
+    /// interval.
     pub(crate) fn poll_endpoints(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.poll_backoff.is_subscribed() {
             return;
@@ -126,10 +129,10 @@
     }
 }
 
-/// Whether the list shows a later start of a known server.
+/// Returns whether the list shows a later start of a known server.
 fn has_restarted(server: &Server, endpoint: &Endpoint) -> bool {
-    let later = |at: Time| server.ready_at.is_none_or(|known| at > known);
-    endpoint.ready_at.is_some_and(later)
+    let is_later = |at: Time| server.ready_at.is_none_or(|known| at > known);
+    endpoint.ready_at.is_some_and(is_later)
 }
 
 fn scale_or_default(value: f64, in_range: bool) -> f64 {
--- a/crates/routing/src/event_loop.rs
+++ b/crates/routing/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! One call with all events of a tick, in a fixed order of steps.
+//! Handling of all events of a tick in one call, in a fixed order of steps.
 
 use crate::router::RequestRouter;
 use crate::timer::Timer;
@@ -6,34 +6,34 @@
 use cairnroad_types::{Action, Event, Outcome, RequestId, Time};
 use std::collections::BTreeSet;
 
-/// A hedge timer that runs this many ticks late tells of a stall of this process, not of a slow server.
+/// A hedge timer that runs this many ticks late indicates a stall of this process rather than a slow server.
 const STALL_TICKS: f64 = 10.0;
 
-/// What the events of one call leave to decide once all of them are applied.
+/// Decisions that wait until all events of a call are applied.
 #[derive(Default)]
 struct FollowUps {
-    /// Queries that arrived or got parts.
+    /// Queries that arrived or to which parts were added.
     started_queries: BTreeSet<RequestId>,
-    /// Queries with an attempt that ended.
+    /// Queries of which an attempt ended.
     changed_queries: BTreeSet<RequestId>,
     answered_parts: Vec<RequestId>,
     failed_parts: Vec<RequestId>,
 }
 
 impl RequestRouter {
-    /// Handles all events of one tick and appends the resulting actions.
+    /// Handles all events of one tick and appends the resulting actions to `actions`.
     ///
-    /// All outcomes are applied before any timer runs: a process back from a stall must not hedge parts whose
-    /// answers arrived meanwhile.
+    /// All outcomes are applied before any timer runs, so that after a stall the process doesn't hedge parts
+    /// whose answers arrived in the meantime.
     pub fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
-        self.start(now);
+        self.on_first_call(now);
         let mut follow_ups = FollowUps::default();
         for event in events {
-            self.apply(now, event, &mut follow_ups, actions);
+            self.apply_event(now, event, &mut follow_ups, actions);
         }
         self.remove_unlisted_servers();
         for part in follow_ups.answered_parts {
-            self.cancel_hedge_pair(now, part, actions);
+            self.cancel_remaining_attempts(now, part, actions);
         }
         for query in follow_ups.changed_queries {
             self.complete_if_ready(now, query, actions);
@@ -48,8 +48,8 @@
         actions.extend(self.timers.next_wake(now).map(Action::SetTimer));
     }
 
-    /// Sets the first poll for the endpoint list, on the first call.
-    fn start(&mut self, now: Time) {
+    /// Schedules the first poll for the endpoint list. Does nothing after the first call.
+    fn on_first_call(&mut self, now: Time) {
         if self.started_at.is_some() {
             return;
         }
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Applies one event to the state.
-    fn apply(
+    /// Applies one event to the router's state.
+    fn apply_event(
         &mut self,
         now: Time,
         event: &Event,
@@ -100,27 +100,29 @@
     }
 
     fn run_expired_timers(&mut self, now: Time, actions: &mut Vec<Action>) {
-        while let Some((at, timer)) = self.timers.pop_expired(now) {
+        while let Some((expired_at, timer)) = self.timers.pop_expired(now) {
             match timer {
-                Timer::Hedge(_) if self.is_stalled(now, at) => self.spread_after_stall(now, timer),
+                Timer::Hedge(_) if self.was_stalled(now, expired_at) => {
+                    self.reschedule_after_stall(now, timer)
+                }
                 Timer::Hedge(part) => self.hedge(now, part, actions),
                 Timer::Objective(query) => self.on_objective_passed(now, query, actions),
-                Timer::Deadline(query) => self.give_up(now, query, actions),
+                Timer::Deadline(query) => self.reject_or_fail(now, query, actions),
                 Timer::PollEndpoints => self.poll_endpoints(now, actions),
                 Timer::HealthCheck => self.check_health(now, actions),
             }
         }
     }
 
-    /// Whether this process was stalled, going by how late a timer set for `at` runs.
-    fn is_stalled(&self, now: Time, at: Time) -> bool {
-        now - at > self.settings.tick * STALL_TICKS
+    /// Returns whether this process was stalled, judging by the delay of a timer that expired at `expired_at`.
+    fn was_stalled(&self, now: Time, expired_at: Time) -> bool {
+        now - expired_at > self.settings.tick * STALL_TICKS
     }
 
-    /// Sets a timer anew at a random moment within the hedge delay.
+    /// Sets a timer again, at a random moment within the hedge delay.
     ///
-    /// A process back from a stall finds all hedge timers expired at once, and answers still unread.
-    fn spread_after_stall(&mut self, now: Time, timer: Timer) {
+    /// After a stall, all hedge timers have expired together, and answers may not have been read yet.
+    fn reschedule_after_stall(&mut self, now: Time, timer: Timer) {
         let delay = self.shortest_objective * HEDGE_DELAY_SHARE * self.random.next_f64();
         self.timers
             .insert(now + delay.max(self.settings.tick), timer);
--- a/crates/routing/src/health_checks.rs
+++ b/crates/routing/src/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks and outlier advice: hints about a server that own answers override.
+//! Health checks and outlier advice: hints about a server that its answers to this coordinator override.
 
 use crate::router::RequestRouter;
 use crate::server::Server;
@@ -8,7 +8,7 @@
 use cairnroad_types::{Action, Outcome, ServerId, Time};
 
 impl RequestRouter {
-    /// Starts health checks once a server is found to be an outlier, if the deployment has any.
+    /// Starts health checks after a server was found to be an outlier, if the deployment allows health checks.
     pub(crate) fn schedule_health_checks(&mut self, now: Time) {
         if self.health_checks.is_scheduled || self.settings.in_flight_report_index.is_none() {
             return;
@@ -17,10 +17,10 @@
         self.timers.insert(now, Timer::HealthCheck);
     }
 
-    /// Applies a health check's result.
+    /// Applies the result of a health check.
     ///
-    /// A server that holds many more requests than is typical, or whose check failed, is likely slow, hung or
-    /// far from this coordinator.
+    /// A server with many more requests in flight than is typical, or with a failed check, is likely slow or
+    /// hung, or its path to this coordinator is slow.
     pub(crate) fn on_health_check_ended(&mut self, id: ServerId, outcome: Outcome, report: &[f64]) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -36,7 +36,7 @@
         server.health_check_ratio = ratio.unwrap_or(server.health_check_ratio);
     }
 
-    /// Applies outlier advice of other coordinators as a failed health check of each server.
+    /// Applies outlier advice of other coordinators like a failed health check of each server.
     pub(crate) fn on_outlier_advice(&mut self, now: Time, servers: &[ServerId]) {
         for (id, server) in &mut self.servers {
             if servers.contains(id) {
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Sends the next health check and schedules another, as long as any server is an outlier.
+    /// Sends the next health check and schedules another one, as long as any server is an outlier.
     ///
-    /// The server of which nothing was heard for longest comes first.
+    /// The server whose latest health evidence is oldest is checked first.
     pub(crate) fn check_health(&mut self, now: Time, actions: &mut Vec<Action>) {
         let any_outlier = self
             .ready_servers()
@@ -57,13 +57,13 @@
         if !any_outlier {
             return;
         }
-        let longest_unheard = self
+        let least_recently_observed = self
             .ready_servers()
-            .map(|(id, server)| (self.last_news(now, server), id))
+            .map(|(id, server)| (self.last_health_evidence(now, server), id))
             .min();
-        if let Some((last_news, id)) = longest_unheard {
-            let due = now - last_news > self.shortest_objective;
-            if due && self.health_checks.try_spend() {
+        if let Some((last_health_evidence, id)) = least_recently_observed {
+            let is_due = now - last_health_evidence > self.shortest_objective;
+            if is_due && self.health_checks.try_spend() {
                 actions.push(Action::HealthCheck(id));
                 if let Some(server) = self.servers.get_mut(&id) {
                     server.last_health_check = now;
@@ -75,8 +75,9 @@
             .insert(now + delay.max(self.settings.tick), Timer::HealthCheck);
     }
 
-    /// When there was news of a server; of an outlier, only health checks count as news.
-    fn last_news(&self, now: Time, server: &Server) -> Time {
+    /// Returns when there was the latest evidence of a server's health. For an outlier, only health checks
+    /// count.
+    fn last_health_evidence(&self, now: Time, server: &Server) -> Time {
         if self.is_outlier(now, server) {
             server.last_health_check
         } else {
--- a/crates/routing/src/health_summary.rs
+++ b/crates/routing/src/health_summary.rs
@@ -1,4 +1,4 @@
-//! What the router knows of its servers, for logs and for other coordinators. Nothing is decided here.
+//! Summaries of the servers' health, for logs and for other coordinators. No decision is made here.
 
 use crate::router::RequestRouter;
 use crate::server::Server;
@@ -7,21 +7,25 @@
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
 impl RequestRouter {
-    /// How many servers are known, removed ones with attempts in flight included.
+    /// Returns the number of known servers, including removed ones that still have attempts in flight.
     pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Returns the outliers that own answers of the last `span` seconds show: the advice for other
-    /// coordinators. Health checks and received advice don't count, so that advice isn't passed on.
-    pub fn recent_outliers(&self, now: Time, span: Seconds) -> Vec<ServerId> {
+    /// Returns the servers that are outliers by the outcomes of this router's own attempts within the last
+    /// `window` seconds. They are the advice for other coordinators.
+    ///
+    /// Health checks and received advice don't count, so that advice isn't passed on.
+    pub fn recent_outliers(&self, now: Time, window: Seconds) -> Vec<ServerId> {
         self.ready_servers()
-            .filter(|(_, server)| server.answers_as_outlier() && now - server.last_updated <= span)
+            .filter(|(_, server)| {
+                server.is_outlier_by_outcomes() && now - server.last_updated <= window
+            })
             .map(|(id, _)| id)
             .collect()
     }
 
-    /// Counts the ready servers by their health, and returns the typical latencies of the classes.
+    /// Returns counts of the ready servers by their health, and the typical latency of each class.
     pub fn health_summary(&self, now: Time) -> HealthSummary {
         let slow_start = self.settings.slow_start_duration;
         let is_warming_up =
--- a/crates/routing/src/hedging.rs
+++ b/crates/routing/src/hedging.rs
@@ -5,14 +5,15 @@
 use crate::router::RequestRouter;
 use cairnroad_types::{Action, RequestId, Time};
 
-/// Hedged requests stay under this share of the parts recently sent: the design's tenth.
+/// Upper limit of hedged requests, as a share of the parts recently sent. The design sets it to a tenth.
 const HEDGE_BUDGET_SHARE: f64 = 0.1;
 
 impl RequestRouter {
-    /// Sends a part's one hedged request, if the budget has room, the part has exactly one attempt in flight
-    /// and a replica in rotation is left.
+    /// Sends a part's one hedged request, if the budget allows it, the part has exactly one attempt in flight
+    /// and there is another replica in rotation.
     ///
-    /// With no such replica there is none, as it would only add load in a general slowdown.
+    /// Without such a replica no hedged request is sent, because it would only add load during a general
+    /// slowdown.
     pub(crate) fn hedge(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(part) = self.parts.get(&id) else {
             return;
@@ -27,30 +28,32 @@
             return;
         };
         if selected.rank == Rank::InRotation {
-            self.hedges.push(now, self.long_recent_span());
+            self.hedge_sends.push(now, self.long_recent_window());
             self.send(now, id, selected.server, actions);
         }
     }
 
-    /// Whether the budget allows a hedged request for a part of this query.
+    /// Returns whether the budget allows a hedged request for a part of this query.
     ///
-    /// The budget is counted over the long span where most of the query is answered: the fleet isn't slow as a
-    /// whole then, and a coordinator with little traffic sends too few parts in the short one.
+    /// The budget is counted over the long window if most of the query's parts are answered: the fleet as a
+    /// whole isn't slow then, and a coordinator with little traffic sends too few parts within the short
+    /// window.
     fn hedge_budget_has_room(&self, now: Time, query: RequestId) -> bool {
-        let mostly_answered = self
+        let is_mostly_answered = self
             .queries
             .get(&query)
             .is_some_and(|query| 2 * query.answers as usize > query.parts.len());
-        let span = if mostly_answered {
-            self.long_recent_span()
+        let window = if is_mostly_answered {
+            self.long_recent_window()
         } else {
-            self.recent_span
+            self.recent_window
         };
-        self.hedges.count(now, span) + 1.0 <= HEDGE_BUDGET_SHARE * self.part_sends.count(now, span)
+        self.hedge_sends.count(now, window) + 1.0
+            <= HEDGE_BUDGET_SHARE * self.part_sends.count(now, window)
     }
 
-    /// Cancels the attempts still in flight of a part that was answered.
-    pub(crate) fn cancel_hedge_pair(
+    /// Cancels the attempts of an answered part that are still in flight.
+    pub(crate) fn cancel_remaining_attempts(
         &mut self,
         now: Time,
         id: RequestId,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,9 +1,9 @@
-//! Routing decisions, without I/O, for a coordinator that reads many shards for one request.
+//! Routing decisions for a coordinator that reads many shards to answer one request.
 //!
-//! A [`RequestRouter`] is told what happened ([`Event`](cairnroad_types::Event)) and returns what to do
+//! A [`RequestRouter`] takes events ([`Event`](cairnroad_types::Event)) and returns actions
 //! ([`Action`](cairnroad_types::Action)): which replica gets each part of a query, when a part gets its one
-//! hedged request, when to cancel, retry, answer, reject or fail. It has no clock, opens no socket and shares
-//! nothing; the caller does both and feeds the outcomes back.
+//! hedged request, and when to cancel, retry, answer, reject or fail. The router reads no clock, opens no socket
+//! and shares no state. The caller passes in the time, does the I/O and reports the outcomes.
 //!
 //! | question | module |
 //! | --- | --- |
@@ -14,8 +14,8 @@
 //! | which servers are avoided? | `endpoints` (draining), `outlier_detection`, `health_checks`, `zone_recovery` |
 //! | how does a query end? | `completion` |
 //!
-//! State stands in `router`, `server`, `query`, `part` and `attempt`; constants that several decisions share
-//! in `tuning`.
+//! The state is defined in `router`, `server`, `query`, `part` and `attempt`, and the constants that several
+//! decisions share in `tuning`.
 //!
 //! ```
 //! use cairnroad_routing::RequestRouter;
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -1,8 +1,8 @@
-//! Which servers are outliers, from the outcomes of this router's own attempts.
+//! Detection of outliers from the outcomes of this router's own attempts.
 //!
-//! One figure a server, its slowness ratio, covers slow, failing, rejecting and silent servers. It is relative
-//! to the class's typical latency, so that a general slowdown makes no server an outlier. Health checks and
-//! the advice of other coordinators add to it: see `health_checks`.
+//! One figure per server, the slowness ratio, covers slow, failing, rejecting and unresponsive servers. It is
+//! relative to the class's typical latency, so that a general slowdown makes no server an outlier. Health
+//! checks and the advice of other coordinators supplement it: see `health_checks`.
 
 use crate::attempt::Attempt;
 use crate::router::RequestRouter;
@@ -10,11 +10,11 @@
 use crate::tuning::{MAX_SLOWNESS_RATIO, MIN_LATENCY, OUTLIER_RATIO, TYPICAL_LATENCY_GAIN};
 use cairnroad_types::{Outcome, Seconds, Time};
 
-/// Weight of one unanswered part in a server's slowness ratio: surer evidence than a slow answer.
-const SILENCE_GAIN: f64 = 0.5;
+/// Weight of one unanswered attempt in a server's slowness ratio. It is stronger evidence than a slow answer.
+const UNANSWERED_GAIN: f64 = 0.5;
 
 impl RequestRouter {
-    /// Updates a server's health by the outcome of one attempt.
+    /// Updates a server's health from the outcome of one attempt.
     pub(crate) fn record_outcome(&mut self, now: Time, attempt: &Attempt, outcome: Outcome) {
         let elapsed = now - attempt.sent_at;
         let typical = self.class_latency[attempt.class].typical;
@@ -31,10 +31,10 @@
         let Some(server) = self.servers.get_mut(&attempt.server) else {
             return;
         };
-        if leaves_unanswered(now, attempt, outcome) {
+        if is_unanswered_and_overdue(now, attempt, outcome) {
             server.unanswered_since.get_or_insert(attempt.sent_at);
         }
-        server.update_slowness(now, &sample, self.recent_span);
+        server.update_slowness(now, &sample, self.recent_window);
         if outcome == Outcome::Ok && ratio < OUTLIER_RATIO {
             server.health_check_ratio = 1.0;
         }
@@ -49,19 +49,20 @@
         if let Some(latency) = latency {
             server.update_latency(now, latency);
         }
-        if server.answers_as_outlier() {
+        if server.is_outlier_by_outcomes() {
             self.schedule_health_checks(now);
         }
     }
 
-    /// Counts an answer for its class's typical latency and for its server's throughput.
+    /// Adds an answer to its class's typical latency and to its server's throughput.
     fn record_answer(&mut self, now: Time, attempt: &Attempt) {
-        let span = self.throughput_span();
+        let window = self.throughput_window();
         let Some(server) = self.servers.get_mut(&attempt.server) else {
             return;
         };
-        // An outlier's slowness is its own or its path's, and counts less for the class.
-        let outlier_discount = if server.answers_as_outlier() {
+        // The slowness of an outlier is that of the server or of the path to it, so it counts less for the
+        // class.
+        let outlier_discount = if server.is_outlier_by_outcomes() {
             ANSWER_GAIN
         } else {
             1.0
@@ -71,19 +72,20 @@
         latency.typical += (elapsed - latency.typical) * TYPICAL_LATENCY_GAIN * outlier_discount;
         latency.updated_at = now;
         server.last_answered_send = server.last_answered_send.max(attempt.sent_at);
-        server.recent_answers.push(now, span);
+        server.recent_answers.push(now, window);
     }
 
-    /// Whether a server is an outlier: by its own answers or, while that is recent, by a health check.
+    /// Returns whether a server is an outlier by its outcomes, or by a recent health check or outlier advice.
     pub(crate) fn is_outlier(&self, now: Time, server: &Server) -> bool {
-        server.is_outlier(now, self.recent_span)
+        server.is_outlier(now, self.recent_window)
     }
 }
 
-/// What an outcome says of a server's slowness; `None` for an attempt that was never sent.
+/// Returns the slowness sample of an outcome; `None` for an attempt that was never sent.
 ///
-/// Silence so far says something only if it is worse than what was known.
-fn slowness_sample(outcome: Outcome, ratio: f64, known_ratio: f64) -> Option<SlownessSample> {
+/// An attempt that ended unanswered can only raise the slowness ratio: the elapsed time is a lower limit of its
+/// latency.
+fn slowness_sample(outcome: Outcome, ratio: f64, previous_ratio: f64) -> Option<SlownessSample> {
     match outcome {
         Outcome::NotSent => None,
         Outcome::Ok => Some(SlownessSample {
@@ -91,8 +93,8 @@
             gain: ANSWER_GAIN,
         }),
         Outcome::Cancelled | Outcome::Timeout => Some(SlownessSample {
-            ratio: ratio.max(known_ratio),
-            gain: SILENCE_GAIN,
+            ratio: ratio.max(previous_ratio),
+            gain: UNANSWERED_GAIN,
         }),
         _ => Some(SlownessSample {
             ratio: MAX_SLOWNESS_RATIO,
@@ -101,8 +103,9 @@
     }
 }
 
-/// Whether the server left the attempt unanswered past its time, which an outage of its zone would explain.
-fn leaves_unanswered(now: Time, attempt: &Attempt, outcome: Outcome) -> bool {
+/// Returns whether the attempt ended unanswered after it was overdue, which an outage of the server's zone
+/// would explain. A failed connect counts, too.
+fn is_unanswered_and_overdue(now: Time, attempt: &Attempt, outcome: Outcome) -> bool {
     match outcome {
         Outcome::ConnectFailed => true,
         Outcome::Cancelled | Outcome::Timeout => now >= attempt.overdue_at,
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,23 +1,24 @@
-//! What a server that has just started may be sent.
+//! Slow start: limits the parts sent to a server that has just started.
 
 use crate::router::RequestRouter;
 use crate::server::Server;
 use cairnroad_flow_control::ServerThroughput;
 use cairnroad_types::{Seconds, ServerId, ServerState, Settings, Time};
 
-/// Share of the stated limit of a server in slow start that the coordinators together may use; the rest is
-/// for chance.
-const CAPACITY_MARGIN: f64 = 0.75;
-/// Credit is saved up for this share of the window in which the limit is counted: parts of one query come
-/// together, and credit that is earned between two queries would be lost.
+/// Share of the limit of a server in slow start that all coordinators together use on average. The rest is a
+/// margin for random variation.
+const USABLE_LIMIT_SHARE: f64 = 0.75;
+/// Credit accumulates over up to this share of the window in which the limit is counted. The parts of one
+/// query are sent together, and without accumulation the credit earned between two queries would be lost.
 const BURST_SHARE: f64 = 0.1;
 
 impl RequestRouter {
-    /// Whether a server may be sent a part now as far as its slow start is concerned.
+    /// Returns whether a server's slow start allows another part now. Always `true` for a warm server.
     ///
-    /// A server in slow start earns parts at the stated multiple of its guaranteed capacity. That is taken to be
-    /// what warm servers answer this coordinator, its share of what they do for all. Fractions are carried over
-    /// and begin at random, so that coordinators with little traffic send theirs, and not in step.
+    /// A server in slow start earns credit for parts at `overload_multiple` times its guaranteed capacity.
+    /// This coordinator estimates its share of that capacity by the rate at which warm servers answer it.
+    /// Fractions of a part are carried over, so that coordinators with little traffic use their share, too.
+    /// Their initial value is random, so that coordinators don't send their first parts at the same time.
     pub(crate) fn has_slow_start_capacity(&mut self, now: Time, id: ServerId) -> bool {
         self.sample_throughput(now);
         let settings = &self.settings;
@@ -27,45 +28,45 @@
         let Some(age) = server.slow_start_age(now, settings.slow_start_duration) else {
             return true;
         };
-        let rate = CAPACITY_MARGIN
+        let rate = USABLE_LIMIT_SHARE
             * settings.overload_multiple
-            * ramp(settings, age)
-            * self.throughput.best()
+            * capacity_share(settings, age)
+            * self.throughput_estimate.best()
             * server.relative_capacity;
         let limit = (rate * settings.overload_window * BURST_SHARE).max(1.0);
         server.slow_start_credit.accrue(now, rate, limit);
         server.slow_start_credit.parts >= 1.0
     }
 
-    /// Samples, once a moment, what a warm server of size 1 answers this coordinator a second.
+    /// Samples the rate at which warm servers answer this coordinator, once per value of `now`.
     fn sample_throughput(&mut self, now: Time) {
-        if !self.throughput.try_start_sample(now) {
+        if !self.throughput_estimate.try_start_sample(now) {
             return;
         }
-        let span = self.throughput_span();
+        let window = self.throughput_window();
         let uptime = self.started_at.map_or(0.0, |at| now - at);
-        let observed = span.min(uptime).max(self.settings.overload_window);
+        let observed = window.min(uptime).max(self.settings.overload_window);
         let slow_start = self.settings.slow_start_duration;
         let samples = self
             .servers
             .values()
             .filter(|server| is_warm(now, server, slow_start))
             .map(|server| ServerThroughput {
-                answers: server.recent_answers.count(now, span),
+                answers: server.recent_answers.count(now, window),
                 relative_capacity: server.relative_capacity,
             });
-        self.throughput.record(samples, observed);
+        self.throughput_estimate.record(samples, observed);
     }
 }
 
-/// The share of its full rate that a server of this age has reached, from `slow_start_share` up to 1.
+/// Returns the share of its full capacity that a server of this age has reached: `slow_start_share` to 1.
 ///
-/// Half of the window in which the limit is counted is taken off the age, as the limit is that of the window's
-/// begin.
-fn ramp(settings: &Settings, age: Seconds) -> f64 {
-    let counted_age = (age - settings.overload_window / 2.0).max(0.0);
+/// Half of the window in which the limit is counted is subtracted from the age, because the limit is that of
+/// the beginning of the window.
+fn capacity_share(settings: &Settings, age: Seconds) -> f64 {
+    let effective_age = (age - settings.overload_window / 2.0).max(0.0);
     let share = settings.slow_start_share;
-    share + (1.0 - share) * counted_age / settings.slow_start_duration
+    share + (1.0 - share) * effective_age / settings.slow_start_duration
 }
 
 fn is_warm(now: Time, server: &Server, slow_start: Seconds) -> bool {
--- a/crates/routing/src/timer.rs
+++ b/crates/routing/src/timer.rs
@@ -2,16 +2,16 @@
 
 use cairnroad_types::RequestId;
 
-/// What to do when a timer expires. Timers of the same moment run in the order of the variants.
+/// The kinds of timers. Timers that expire at the same moment run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The query's latency objective passed.
+    /// The query's latency objective passes.
     Objective(RequestId),
-    /// The query's deadline is near: it is answered finally.
+    /// The query's deadline is near, so it must end now.
     Deadline(RequestId),
-    /// The part may get its hedged request.
+    /// The part is sent its hedged request, if the rules allow it.
     Hedge(RequestId),
-    /// The endpoint list is to be polled for.
+    /// A poll for the endpoint list is due.
     PollEndpoints,
     /// A health check is due.
     HealthCheck,
--- a/crates/routing/src/zone_recovery.rs
+++ b/crates/routing/src/zone_recovery.rs
@@ -1,6 +1,7 @@
-//! Servers of zones that are unreachable as a whole, and their return.
+//! Handling of zone outages and of zones that recover.
 //!
-//! A coordinator with little traffic would otherwise lose parts to each server of the zone to find it out.
+//! Without it, a coordinator with little traffic would lose parts to each server of an unreachable zone
+//! before it avoids that server.
 
 use crate::router::RequestRouter;
 use crate::server::Server;
@@ -8,12 +9,12 @@
 use cairnroad_types::{ServerId, Time};
 use cairnroad_zone_outage::ServerObservation;
 
-/// A zone that was unreachable for this share of the slow-start duration may have restarted, and goes through
-/// slow start as if it had.
+/// The servers of a zone that was unreachable for longer than this share of the slow-start duration may have
+/// restarted, and go through slow start as if they had.
 const RESTART_SHARE: f64 = 0.1;
 
 impl RequestRouter {
-    /// Makes all servers of a zone outliers once the zone is found to be unreachable.
+    /// Detects zone outages and makes all servers of an unreachable zone outliers.
     pub(crate) fn detect_zone_outages(&mut self, now: Time) {
         let observations: Vec<ServerObservation> = self
             .ready_servers()
@@ -34,23 +35,24 @@
             last_answered_send: server.last_answered_send,
             unanswered_since: server
                 .unanswered_since
-                .or_else(|| self.late_attempt_sent_at(now, server)),
+                .or_else(|| self.oldest_send_past_hedge_delay(now, server)),
         }
     }
 
-    /// When the server's oldest attempt in flight was sent, if that is past the hedge delay.
-    fn late_attempt_sent_at(&self, now: Time, server: &Server) -> Option<Time> {
+    /// Returns when the server's oldest attempt in flight was sent; `None` if the hedge delay hasn't passed
+    /// since.
+    fn oldest_send_past_hedge_delay(&self, now: Time, server: &Server) -> Option<Time> {
         let oldest = server.in_flight.first()?;
         let attempt = self.attempts.get(&oldest.attempt)?;
         let objective = self.settings.classes[attempt.class].latency_objective;
         (now - attempt.sent_at >= objective * HEDGE_DELAY_SHARE).then_some(attempt.sent_at)
     }
 
-    /// A server was heard from, which ends an outage of its zone.
+    /// Records that a server responded, which ends an outage of its zone.
     ///
-    /// After a long outage the zone's servers may have restarted before the endpoint list tells so, and go
-    /// through slow start.
-    pub(crate) fn on_server_heard(&mut self, now: Time, id: ServerId) {
+    /// After a long outage the zone's servers go through slow start, because they may have restarted before the
+    /// endpoint list shows it.
+    pub(crate) fn on_server_response(&mut self, now: Time, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
@@ -59,14 +61,15 @@
         let Some(outage_duration) = self.zone_outages.end_outage(now, zone) else {
             return;
         };
-        let restarted = outage_duration > self.settings.slow_start_duration * RESTART_SHARE;
+        let may_have_restarted =
+            outage_duration > self.settings.slow_start_duration * RESTART_SHARE;
         for server in self.servers.values_mut() {
             if server.zone != zone {
                 continue;
             }
             server.slowness_ratio = 1.0;
             server.unanswered_since = None;
-            if restarted {
+            if may_have_restarted {
                 server.ready_at = Some(now);
                 server.slow_start_credit.parts = server.slow_start_credit.parts.min(0.0);
                 server.slow_start_credit.updated_at = now;
