--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment that a test drives by hand: builds settings and events, and keeps the clock.
+//! Test harness: builds settings and events, and drives one router with a manual clock.
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use cairnroad_routing::RequestRouter;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Three cells, every shard on all three; one server a cell.
+/// Settings of a deployment with three cells that all hold every shard.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         classes,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Settings with one idempotent class.
+/// Settings with one class, which is idempotent.
 pub fn idempotent_settings() -> Settings {
     settings(vec![class(Idempotency::Idempotent)])
 }
@@ -70,29 +70,30 @@
     }
 }
 
+/// A router under test, and the clock that it is called with.
 pub struct Harness {
     pub router: RequestRouter,
     pub now: Time,
-    next: u64,
+    next_query_number: u64,
 }
 
 impl Harness {
-    /// A router that knows three warm servers, 0 to 2.
+    /// Creates a router with three warm servers, 0 to 2.
     pub fn new(settings: Settings) -> Harness {
         Harness::seeded(settings, 1)
     }
 
-    /// The same with this seed.
+    /// Creates the same with the given seed.
     pub fn seeded(settings: Settings, seed: u64) -> Harness {
         let mut harness = Harness {
             router: RequestRouter::new(settings, seed),
             now: Time::from_secs(50.0),
-            next: 1,
+            next_query_number: 1,
         };
-        let rows = (0..3)
+        let endpoints = (0..3)
             .map(|id| endpoint(id, ServerState::Ready, None))
             .collect();
-        harness.handle(&[Event::Endpoints(EndpointUpdate::Snapshot(rows))]);
+        harness.handle(&[Event::Endpoints(EndpointUpdate::Snapshot(endpoints))]);
         harness
     }
 
@@ -107,21 +108,22 @@
         self.handle(events)
     }
 
-    /// The events of a new query with equal parts at these shards, and the identifiers of the query and its parts.
+    /// Returns the events of a new query with one part of equal weight per shard, and the ids of the query
+    /// and its parts.
     pub fn query(&mut self, class: u16, shards: &[u32]) -> (Vec<Event>, u64, Vec<u64>) {
-        self.weighted(class, shards, 1.0 / shards.len() as f64)
+        self.weighted_query(class, shards, 1.0 / shards.len() as f64)
     }
 
-    /// The same, each part with this weight.
-    pub fn weighted(
+    /// Returns the same, with the given weight for each part.
+    pub fn weighted_query(
         &mut self,
         class: u16,
         shards: &[u32],
         weight: f64,
     ) -> (Vec<Event>, u64, Vec<u64>) {
-        let number = self.next;
+        let number = self.next_query_number;
         let id = number * 1000;
-        self.next += 1;
+        self.next_query_number += 1;
         let deadline = self.now + 3.0;
         let mut events = vec![Event::Query {
             id: RequestId(id),
@@ -132,8 +134,8 @@
             is_client_retry: false,
         }];
         let mut parts = Vec::new();
-        for (at, &shard) in shards.iter().enumerate() {
-            let part = id + 1 + at as u64;
+        for (index, &shard) in shards.iter().enumerate() {
+            let part = id + 1 + index as u64;
             parts.push(part);
             events.push(Event::Part {
                 id: RequestId(part),
@@ -145,22 +147,22 @@
         (events, id, parts)
     }
 
-    /// Has so many one-part queries answered, each after 50 ms, so that the router has recent figures.
+    /// Answers `count` queries of one part, each after 50 ms, so that the router has recent observations.
     pub fn serve_quick(&mut self, count: usize) {
         self.serve(count, 0.05);
     }
 
-    /// The same, each answered after so many seconds.
-    pub fn serve(&mut self, count: usize, took: f64) {
+    /// Answers `count` queries of one part, each after `latency` seconds.
+    pub fn serve(&mut self, count: usize, latency: f64) {
         for _ in 0..count {
             let (events, _, parts) = self.query(0, &[0]);
             self.handle(&events);
-            self.handle_after(took, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
+            self.handle_after(latency, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
         }
     }
 }
 
-/// The part and server of each send among the actions.
+/// Returns the part and the server of each send among the actions.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
     let sends = actions.iter().filter_map(|action| match action {
         Action::Send { part, server, .. } => Some((part.0, server.0)),
@@ -169,7 +171,7 @@
     sends.collect()
 }
 
-/// Whether the actions contain a final answer for the query.
+/// Returns whether the actions contain a final answer to the query.
 pub fn is_finished(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|action| match action {
         Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
--- a/crates/routing/tests/decisions/hedging.rs
+++ b/crates/routing/tests/decisions/hedging.rs
@@ -1,4 +1,4 @@
-//! When a part gets its hedged request.
+//! Tests of hedged requests.
 
 use crate::common::*;
 use cairnroad_types::*;
@@ -11,14 +11,14 @@
     let first = sends(&harness.handle(&events))[0].1;
     assert!(
         sends(&harness.handle_after(0.499, &[Event::TimerFired])).is_empty(),
-        "not before half the latency objective"
+        "hedged before half the latency objective"
     );
     let hedged = sends(&harness.handle_after(0.001, &[Event::TimerFired]));
     assert_eq!(hedged.len(), 1);
     assert_ne!(hedged[0].1, first);
     assert!(
         sends(&harness.handle_after(0.3, &[Event::TimerFired])).is_empty(),
-        "one hedged request only"
+        "hedged twice"
     );
     let actions = harness.handle(&[attempt_ended(parts[0], 1, Outcome::Ok)]);
     assert!(actions.contains(&Action::Cancel {
@@ -40,7 +40,7 @@
     assert_eq!(
         sends(&harness.handle_after(0.5, &[Event::TimerFired])).len(),
         1,
-        "one in ten"
+        "one hedged request in ten parts is allowed"
     );
     let mut harness = Harness::new(idempotent_settings());
     harness.serve_quick(8);
@@ -48,7 +48,7 @@
     harness.handle(&events);
     assert!(
         sends(&harness.handle_after(0.5, &[Event::TimerFired])).is_empty(),
-        "one in nine is too many"
+        "one hedged request in nine parts is too many"
     );
 }
 
@@ -87,7 +87,7 @@
     let hedged = sends(&harness.handle_after(0.5, &[Event::TimerFired]));
     assert!(
         hedged.len() == 1 && hedged[0].1 != first,
-        "{hedged:?}, in flight at {first}"
+        "hedged requests {hedged:?}, first attempt in flight at {first}"
     );
 }
 
@@ -103,10 +103,13 @@
     }
     assert!(
         sends(&harness.handle_after(0.8, &[Event::TimerFired])).is_empty(),
-        "no hedged request straight after the stall"
+        "hedged immediately after the stall"
     );
-    let waves: Vec<usize> = (0..100)
+    let hedged_per_tick: Vec<usize> = (0..100)
         .map(|_| sends(&harness.handle_after(0.005, &[Event::TimerFired])).len())
         .collect();
-    assert!(waves.iter().all(|&hedged| hedged <= 4), "{waves:?}");
+    assert!(
+        hedged_per_tick.iter().all(|&hedged| hedged <= 4),
+        "{hedged_per_tick:?}"
+    );
 }
--- a/crates/routing/tests/decisions/load_shedding.rs
+++ b/crates/routing/tests/decisions/load_shedding.rs
@@ -1,11 +1,12 @@
-//! Which queries are rejected before any part is sent.
+//! Tests of load shedding: queries that are rejected before any part is sent.
 
 use crate::common::*;
 use cairnroad_types::*;
 
 #[test]
 fn a_replica_without_slow_start_capacity_does_not_hide_its_peers_queues() {
-    // Incident i25f4e0: one of two replicas was replaced; its successor in slow start showed no latency.
+    // Guards against a replica without latency figures that makes a shard look idle. In incident i25f4e0, one
+    // of two replicas was replaced by a server in slow start, which had no latency yet.
     let mut harness = Harness::new(idempotent_settings());
     let now = harness.now;
     harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(vec![
@@ -21,15 +22,16 @@
     }
     assert!(
         rejected > 10,
-        "queries for an overloaded shard are shed at once: {rejected}"
+        "only {rejected} of 60 queries for an overloaded shard were rejected at once"
     );
 }
 
 #[test]
 fn a_client_retry_past_its_objective_is_rejected_at_once() {
-    // Incidents ie41bf9 and i6761ef: late client retries kept an overload alive. The deadline is 3 s, the objective 1 s.
+    // Guards against late client retries that prolong an overload (incidents ie41bf9 and i6761ef). The
+    // deadline is 3 s and the latency objective is 1 s.
     let mut harness = Harness::new(idempotent_settings());
-    let ask = |harness: &mut Harness, time_left: f64, retry: bool| {
+    let send_query = |harness: &mut Harness, time_left: f64, is_retry: bool| {
         let (mut events, id, _) = harness.query(0, &[0]);
         let now = harness.now;
         if let Event::Query {
@@ -38,54 +40,61 @@
             ..
         } = &mut events[0]
         {
-            (*deadline, *is_client_retry) = (now + time_left, retry);
+            (*deadline, *is_client_retry) = (now + time_left, is_retry);
         }
         (harness.handle(&events), id)
     };
     assert_eq!(
-        sends(&ask(&mut harness, 2.4, false).0).len(),
+        sends(&send_query(&mut harness, 2.4, false).0).len(),
         1,
-        "a first attempt"
+        "a first query"
     );
     assert_eq!(
-        sends(&ask(&mut harness, 2.4, true).0).len(),
+        sends(&send_query(&mut harness, 2.4, true).0).len(),
         1,
-        "a client retry of unknown age"
+        "a client retry 0.6 s after the first query"
     );
     assert_eq!(
-        sends(&ask(&mut harness, 2.2, true).0).len(),
+        sends(&send_query(&mut harness, 2.2, true).0).len(),
         1,
-        "a client retry after 0.8 s"
+        "a client retry 0.8 s after the first query"
     );
-    let (actions, id) = ask(&mut harness, 1.9, true);
+    let (actions, id) = send_query(&mut harness, 1.9, true);
     assert!(
         sends(&actions).is_empty() && is_finished(&actions, id),
-        "a client retry after 1.1 s"
+        "a client retry 1.1 s after the first query"
     );
 }
 
 #[test]
 fn a_second_step_halves_the_expected_latency_that_is_admitted() {
-    // Hunt h50b957: two-step queries were admitted by the latency of one step and finished late.
+    // Guards against two-step queries that are admitted by the latency of one step and finish late (case
+    // h50b957).
     for (second_step_parts, admitted) in [(0, true), (2, false)] {
-        let mut page = class(Idempotency::Idempotent);
-        (page.second_step_parts, page.late_answer_share) = (second_step_parts, 0.5);
-        let mut harness = Harness::new(settings(vec![page]));
+        let mut two_step_class = class(Idempotency::Idempotent);
+        (
+            two_step_class.second_step_parts,
+            two_step_class.late_answer_share,
+        ) = (second_step_parts, 0.5);
+        let mut harness = Harness::new(settings(vec![two_step_class]));
         let (events, ..) = harness.query(0, &[0, 1, 2]);
-        harness.handle(&events); // one part in flight at each replica for 0.3 s: over half of 0.5 of the objective
+        harness.handle(&events);
+        // Each replica has had one part in flight for 0.3 s. One step is admitted up to 0.5 s, two steps up
+        // to 0.25 s each.
         harness.now = harness.now + 0.3;
         let (events, ..) = harness.query(0, &[0, 1, 2]);
         assert_eq!(
             !sends(&harness.handle(&events)).is_empty(),
             admitted,
-            "second step of {second_step_parts} parts"
+            "class with {second_step_parts} second-step parts"
         );
     }
 }
 
 #[test]
 fn a_first_attempt_with_little_time_left_is_served() {
-    // Little time left is no sign of a late client retry: these clients came first, and wait less than the objective.
+    // Guards against taking a short deadline for a late client retry: some clients wait less than the latency
+    // objective.
     let mut harness = Harness::new(idempotent_settings());
     harness.serve_quick(30);
     let (mut events, _, parts) = harness.query(0, &[0]);
@@ -94,8 +103,8 @@
     }
     assert_eq!(sends(&harness.handle(&events)).len(), 1);
     let actions = harness.handle_after(0.1, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
-    assert!(actions.iter().any(|a| matches!(
-        a,
+    assert!(actions.iter().any(|action| matches!(
+        action,
         Action::Answer {
             is_complete: true,
             ..
@@ -104,19 +113,20 @@
 }
 
 #[test]
-fn a_query_with_a_shard_without_sound_replica_is_rejected_before_any_part_is_sent() {
-    let mut drawn = idempotent_settings();
-    (drawn.cells, drawn.cells_per_shard) = (6, 1);
-    let mut harness = Harness::new(drawn);
-    let rows = (0..6)
+fn a_query_with_a_shard_without_healthy_replica_is_rejected_before_any_part_is_sent() {
+    let mut settings = idempotent_settings();
+    (settings.cells, settings.cells_per_shard) = (6, 1);
+    let mut harness = Harness::new(settings);
+    let endpoints = (0..6)
         .map(|id| Endpoint {
             cell: id,
             ..endpoint(id, ServerState::Ready, None)
         })
         .collect();
-    harness.handle(&[Event::Endpoints(EndpointUpdate::Snapshot(rows))]);
+    harness.handle(&[Event::Endpoints(EndpointUpdate::Snapshot(endpoints))]);
     harness.serve(30, 0.1);
-    // The only candidate of a shard is sent to even if it is an outlier; shard 5 has two, and both are silent.
+    // The only candidate of a shard gets its parts even if it is an outlier. So shard 5 gets a second server,
+    // and neither of the two answers.
     let spare = Endpoint {
         cell: 5,
         ..endpoint(9, ServerState::Ready, None)
@@ -136,25 +146,28 @@
 }
 
 #[test]
-fn an_overtaken_part_counts_as_no_queue() {
-    // On a heavy-tail day the long parts of costly queries had everything rejected at their servers.
-    for (overtaken, admitted) in [(true, true), (false, false)] {
-        let mut page = class(Idempotency::AtMostOnce);
-        page.late_answer_share = 0.5;
+fn an_overtaken_part_does_not_count_as_a_queue() {
+    // Guards against long-running parts of expensive queries that cause all other queries at their servers to
+    // be rejected, as seen under heavy-tailed load.
+    for (is_overtaken, admitted) in [(true, true), (false, false)] {
+        let mut late_value_class = class(Idempotency::AtMostOnce);
+        late_value_class.late_answer_share = 0.5;
         let mut harness = Harness::new(Settings {
             cells: 1,
             cells_per_shard: 1,
-            ..settings(vec![page])
+            ..settings(vec![late_value_class])
         });
-        let one = Endpoint {
+        let only_server = Endpoint {
             cell: 0,
             ..endpoint(0, ServerState::Ready, None)
         };
-        harness.handle(&[Event::Endpoints(EndpointUpdate::Snapshot(vec![one]))]);
-        let (long, ..) = harness.query(0, &[0]);
-        harness.handle(&long);
+        harness.handle(&[Event::Endpoints(EndpointUpdate::Snapshot(vec![
+            only_server,
+        ]))]);
+        let (long_query, ..) = harness.query(0, &[0]);
+        harness.handle(&long_query);
         harness.handle_after(0.05, &[]);
-        if overtaken {
+        if is_overtaken {
             harness.serve_quick(1);
         }
         let (events, ..) = harness.query(0, &[0]);
@@ -162,7 +175,7 @@
         assert_eq!(
             !sends(&actions).is_empty(),
             admitted,
-            "overtaken {overtaken}"
+            "overtaken: {is_overtaken}"
         );
     }
 }
--- a/crates/routing/tests/decisions/main.rs
+++ b/crates/routing/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Each decision at its boundary, on a deployment that the test drives by hand.
+//! Tests of each decision at its limits, on a small deployment with a manual clock.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/routing/tests/decisions/outlier_detection.rs
+++ b/crates/routing/tests/decisions/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which servers are avoided, and how they are tried again.
+//! Tests of outlier detection, trial parts, health checks and outlier advice.
 
 use crate::common::*;
 use cairnroad_types::*;
@@ -7,13 +7,13 @@
 fn a_failing_server_is_avoided_and_gets_trial_parts() {
     let mut harness = Harness::new(idempotent_settings());
     harness.serve_quick(30);
-    let mut to_bad = 0;
+    let mut sent_to_failing = 0;
     for _ in 0..100 {
         let (events, _, parts) = harness.query(0, &[0]);
         let mut attempt = 0;
         let mut sent = sends(&harness.handle(&events));
-        while sent.first().is_some_and(|s| s.1 == 0) {
-            to_bad += 1;
+        while sent.first().is_some_and(|&(_, server)| server == 0) {
+            sent_to_failing += 1;
             sent = sends(
                 &harness.handle_after(0.001, &[attempt_ended(parts[0], attempt, Outcome::Error)]),
             );
@@ -21,20 +21,29 @@
         }
         harness.handle_after(0.05, &[attempt_ended(parts[0], attempt, Outcome::Ok)]);
     }
-    assert!((2..15).contains(&to_bad), "{to_bad} of about 33 turns"); // 5 s: rare trials, yet trials
+    // In these 5 s the failing server gets a few trial parts instead of its third of the turns.
+    assert!(
+        (2..15).contains(&sent_to_failing),
+        "{sent_to_failing} parts sent to the failing server, of about 33 turns"
+    );
 }
 
 #[test]
 fn failures_at_all_servers_alike_make_no_outlier() {
-    // Incident id8b277: one part in ten was reset at every server alike; turns must go on.
+    // Guards against servers that become outliers when all fail alike. In incident id8b277, one part in ten
+    // was reset at every server.
     let mut harness = Harness::new(idempotent_settings());
     harness.serve_quick(30);
-    let (mut turns, mut late) = ([0u32; 3], [0u32; 3]);
+    let (mut early_turns, mut late_turns) = ([0u32; 3], [0u32; 3]);
     for round in 0..400 {
         let (events, _, parts) = harness.query(0, &[0]);
         let mut sent = sends(&harness.handle(&events))[0].1;
-        let counts = if round < 200 { &mut turns } else { &mut late };
-        counts[sent as usize] += 1;
+        let turns = if round < 200 {
+            &mut early_turns
+        } else {
+            &mut late_turns
+        };
+        turns[sent as usize] += 1;
         let mut attempt = 0;
         while attempt == 0 && round % 7 == 6 {
             sent = sends(
@@ -47,53 +56,54 @@
         harness.handle_after(0.05, &[attempt_ended(parts[0], attempt, Outcome::Ok)]);
     }
     assert!(
-        late.iter().all(|&n| n > 55),
-        "each replica keeps a third of the turns: {late:?}"
+        late_turns.iter().all(|&count| count > 55),
+        "of 200 turns, the replicas got {late_turns:?} instead of about a third each"
     );
 }
 
 #[test]
 fn trial_parts_are_limited_by_the_coordinators_own_traffic() {
-    // Under sparse traffic every turn at a hung server would be a trial part if only time limited them.
+    // Guards against trial parts that are limited by time alone: under sparse traffic, every turn of a
+    // failing server would then be a trial part.
     let mut harness = Harness::new(idempotent_settings());
     harness.serve_quick(60);
-    let mut to_hung = 0;
+    let mut sent_to_failing = 0;
     for _ in 0..60 {
         let (events, _, parts) = harness.query(0, &[0]);
         let server = sends(&harness.handle(&events))[0].1;
-        to_hung += usize::from(server == 0);
+        sent_to_failing += usize::from(server == 0);
         let outcome = if server == 0 {
             Outcome::Reset
         } else {
             Outcome::Ok
         };
-        let again = sends(&harness.handle_after(0.1, &[attempt_ended(parts[0], 0, outcome)]));
+        let resent = sends(&harness.handle_after(0.1, &[attempt_ended(parts[0], 0, outcome)]));
         harness.handle_after(
             0.9,
-            &again
+            &resent
                 .iter()
-                .map(|s| attempt_ended(s.0, 1, Outcome::Ok))
+                .map(|&(part, _)| attempt_ended(part, 1, Outcome::Ok))
                 .collect::<Vec<_>>(),
         );
     }
     assert!(
-        (1..=6).contains(&to_hung),
-        "{to_hung} of 60 queries went to the failing server"
+        (1..=6).contains(&sent_to_failing),
+        "{sent_to_failing} of 60 queries went to the failing server"
     );
 }
 
 #[test]
 fn health_checks_follow_an_outlier_and_are_overridden_by_answers() {
-    let mut drawn = idempotent_settings();
-    drawn.in_flight_report_index = Some(0);
-    let mut harness = Harness::new(drawn);
+    let mut settings = idempotent_settings();
+    settings.in_flight_report_index = Some(0);
+    let mut harness = Harness::new(settings);
     harness.serve_quick(30);
-    let checked = |actions: &[Action]| -> Vec<u32> {
+    let checked_servers = |actions: &[Action]| -> Vec<u32> {
         actions
             .iter()
-            .filter_map(|a| {
-                if let Action::HealthCheck(s) = a {
-                    Some(s.0)
+            .filter_map(|action| {
+                if let Action::HealthCheck(server) = action {
+                    Some(server.0)
                 } else {
                     None
                 }
@@ -102,25 +112,28 @@
     };
     for _ in 0..20 {
         assert!(
-            checked(&harness.handle_after(0.1, &[Event::TimerFired])).is_empty(),
-            "no outlier, no health check"
+            checked_servers(&harness.handle_after(0.1, &[Event::TimerFired])).is_empty(),
+            "health check without an outlier"
         );
     }
     let (events, _, parts) = harness.query(0, &[0]);
     harness.handle(&events);
-    let mut seen =
-        checked(&harness.handle_after(0.05, &[attempt_ended(parts[0], 0, Outcome::Reset)]));
-    seen.extend(checked(
+    let mut checked =
+        checked_servers(&harness.handle_after(0.05, &[attempt_ended(parts[0], 0, Outcome::Reset)]));
+    checked.extend(checked_servers(
         &harness.handle_after(0.05, &[attempt_ended(parts[0], 1, Outcome::Ok)]),
     ));
     for _ in 0..30 {
-        seen.extend(checked(&harness.handle_after(0.1, &[Event::TimerFired])));
+        checked.extend(checked_servers(
+            &harness.handle_after(0.1, &[Event::TimerFired]),
+        ));
     }
     assert!(
-        seen.len() >= 3 && seen.len() <= 15,
-        "limited by parts sent: {seen:?}"
+        checked.len() >= 3 && checked.len() <= 15,
+        "health checks are limited by the parts sent, got {checked:?}"
     );
-    // A report of many requests in flight keeps server 1 out of rotation, until its own quick answer says otherwise.
+    // A load report with many requests in flight takes server 1 out of rotation until it answers a part
+    // quickly.
     let report = |id: u32, in_flight: f64| Event::HealthCheckEnded {
         server: ServerId(id),
         outcome: Outcome::Ok,
@@ -132,32 +145,33 @@
         assert_ne!(sends(&harness.handle(&events))[0].1, 1);
         harness.handle_after(0.05, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
     }
-    // Unusable reports are ignored.
+    // Reports of unknown servers and reports without a valid number are ignored.
     harness.handle(&[report(77, 1.0), report(0, f64::NAN)]);
 }
 
-/// Guards against advice that outweighs own answers, or lasts: an outlier of others may be sound from here.
+/// Guards against advice that outweighs the router's own outcomes or holds for too long: a server that is an
+/// outlier for other coordinators may be healthy for this one.
 #[test]
-fn outlier_advice_holds_until_own_answers_or_time_override_it() {
+fn outlier_advice_holds_until_own_outcomes_or_time_override_it() {
     let mut harness = Harness::new(idempotent_settings());
     harness.serve_quick(30);
-    let served = |harness: &mut Harness| {
+    let serving_server = |harness: &mut Harness| {
         let (events, _, parts) = harness.query(0, &[0]);
         let (_, server) = sends(&harness.handle(&events))[0];
         harness.handle_after(0.05, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
         server
     };
     harness.handle(&[Event::OutlierAdvice(vec![ServerId(1), ServerId(99)])]);
-    let sent: Vec<u32> = (0..12).map(|_| served(&mut harness)).collect();
+    let sent: Vec<u32> = (0..12).map(|_| serving_server(&mut harness)).collect();
     assert!(
         !sent.contains(&1) && sent.contains(&0) && sent.contains(&2),
         "{sent:?}"
     );
     harness.now = harness.now + 6.0;
-    let sent: Vec<u32> = (0..12).map(|_| served(&mut harness)).collect();
+    let sent: Vec<u32> = (0..12).map(|_| serving_server(&mut harness)).collect();
     assert_eq!(
         sent.iter().filter(|&&server| server == 1).count(),
         4,
-        "old advice has no effect: {sent:?}"
+        "outdated advice still has an effect: {sent:?}"
     );
 }
--- a/crates/routing/tests/decisions/slow_start.rs
+++ b/crates/routing/tests/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a server that has just started is sent by one coordinator.
+//! Tests of slow start with one coordinator.
 
 use crate::common::*;
 use cairnroad_types::*;
@@ -6,94 +6,110 @@
 #[test]
 fn a_server_in_slow_start_gets_no_more_than_its_guaranteed_share() {
     let mut harness = Harness::new(idempotent_settings());
-    harness.serve_quick(200); // 20 a second over three servers: each takes 6.7 a second
-    let back = vec![endpoint(0, ServerState::Ready, Some(harness.now))];
-    harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(back))]);
-    let mut to_new = 0;
+    // 20 parts per second over three servers: each server answers 6.7 parts per second.
+    harness.serve_quick(200);
+    let restarted = vec![endpoint(0, ServerState::Ready, Some(harness.now))];
+    harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(restarted))]);
+    let mut sends_to_new = 0;
     for _ in 0..40 {
         let (events, _, parts) = harness.query(0, &[0]);
-        to_new += usize::from(sends(&harness.handle(&events))[0].1 == 0);
+        sends_to_new += usize::from(sends(&harness.handle(&events))[0].1 == 0);
         harness.handle_after(0.05, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
     }
-    // Over these 2 s the guaranteed capacity rises from 0.2 to 0.36 of 6.7 parts a second. Twice that is 7.5.
-    assert!((1..=7).contains(&to_new), "{to_new} sends in 2 s");
+    // Over these 2 s the guaranteed capacity rises from 0.2 to 0.36 of 6.7 parts per second. Twice that is
+    // 7.5 parts.
+    assert!(
+        (1..=7).contains(&sends_to_new),
+        "{sends_to_new} parts in 2 s"
+    );
 }
 
-/// Guards against a server in slow start that is left idle beside an outlier because parts come in bunches: the credit it
-/// earns between two queries is kept for a while, within its limit.
+/// Guards against a server in slow start that stays idle beside an outlier because the parts of a query are
+/// sent together: the credit that it earns between two queries accumulates up to a limit.
 #[test]
 fn slow_start_credit_earned_between_two_queries_is_kept() {
     let mut harness = Harness::new(idempotent_settings());
-    harness.serve(1000, 0.01); // 100 a second over three servers: each takes 33 a second
-    let back = vec![endpoint(0, ServerState::Ready, Some(harness.now))];
-    harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(back))]);
-    let mut to_new = 0;
+    // 100 parts per second over three servers: each server answers 33 parts per second.
+    harness.serve(1000, 0.01);
+    let restarted = vec![endpoint(0, ServerState::Ready, Some(harness.now))];
+    harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(restarted))]);
+    let mut sends_to_new = 0;
     for _ in 0..8 {
         let (events, _, parts) = harness.query(0, &[0, 1, 2, 3, 4, 5]);
-        to_new += sends(&harness.handle(&events))
+        sends_to_new += sends(&harness.handle(&events))
             .iter()
             .filter(|send| send.1 == 0)
             .count();
-        let done: Vec<Event> = parts
+        let answers: Vec<Event> = parts
             .iter()
             .map(|&part| attempt_ended(part, 0, Outcome::Ok))
             .collect();
-        harness.handle_after(0.01, &done);
+        harness.handle_after(0.01, &answers);
         harness.handle_after(0.24, &[]);
     }
-    // In 2 s it earns three quarters of twice 0.2 to 0.36 of 33 a second, some 28; its limit is 37. One part of each
-    // query would be 8.
-    assert!((12..=28).contains(&to_new), "{to_new} sends in 2 s");
+    // In 2 s the server earns three quarters of twice 0.2 to 0.36 of 33 parts per second, about 28; its limit
+    // is 37. One part of each query would be 8.
+    assert!(
+        (12..=28).contains(&sends_to_new),
+        "{sends_to_new} parts in 2 s"
+    );
 }
 
 #[test]
 fn throughput_of_removed_servers_is_not_credited_to_others() {
-    // Found by a test with random streams: answers of servers since removed were credited to the last warm one.
+    // Guards against answers of removed servers that count as throughput of the last warm one. Found by a
+    // test with random event streams.
     let mut harness = Harness::new(idempotent_settings());
-    harness.serve_quick(200); // each takes 6.7 a second
+    // Each server answers 6.7 parts per second.
+    harness.serve_quick(200);
     let now = harness.now;
-    let rows = vec![
+    let endpoints = vec![
         endpoint(1, ServerState::Ready, Some(now)),
         endpoint(2, ServerState::Removed, None),
     ];
-    harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(rows))]);
-    let mut to_new = 0;
+    harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(endpoints))]);
+    let mut sends_to_new = 0;
     for _ in 0..40 {
         let (events, _, parts) = harness.query(0, &[0]);
-        to_new += usize::from(
+        sends_to_new += usize::from(
             sends(&harness.handle(&events))
                 .first()
-                .is_some_and(|s| s.1 == 1),
+                .is_some_and(|&(_, server)| server == 1),
         );
         harness.handle_after(0.05, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
     }
-    // The bound of two seconds' guaranteed capacity, twice 0.28 of 6.7 a second; not that of 20 a second.
-    assert!((1..=9).contains(&to_new), "{to_new} sends in 2 s");
+    // The limit is twice the guaranteed capacity of 2 s, 0.28 of 6.7 parts per second on average, and not of
+    // 20.
+    assert!(
+        (1..=9).contains(&sends_to_new),
+        "{sends_to_new} parts in 2 s"
+    );
 }
 
 #[test]
 fn slow_start_credit_carries_fractions_over_under_sparse_traffic() {
-    // Two parts a second over three servers: an overload window earns under one part, and fractions are carried over.
+    // At two parts per second over three servers, a server earns less than one part in an overload window, so
+    // fractions must be carried over.
     let mut harness = Harness::new(idempotent_settings());
     harness.serve(20, 0.5);
-    let row = endpoint(2, ServerState::Ready, Some(harness.now));
-    harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(vec![row]))]);
-    let mut to_new = Vec::new();
-    for at in 0..18 {
+    let restarted = endpoint(2, ServerState::Ready, Some(harness.now));
+    harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(vec![restarted]))]);
+    let mut sends_to_new = Vec::new();
+    for query in 0..18 {
         let (events, _, parts) = harness.query(0, &[0]);
         let sent = sends(&harness.handle(&events))[0].1;
-        to_new.extend((sent == 2).then_some(at));
+        sends_to_new.extend((sent == 2).then_some(query));
         harness.handle_after(0.5, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
     }
     assert!(
-        (2..=6).contains(&to_new.len()),
-        "some parts, not a third of all: {to_new:?}"
+        (2..=6).contains(&sends_to_new.len()),
+        "expected some parts but not a third of all 18, got those of queries {sends_to_new:?}"
     );
 }
 
 #[test]
-fn coordinators_do_not_start_sending_to_a_new_server_in_step() {
-    let first = |seed: u64| {
+fn coordinators_do_not_start_sending_to_a_new_server_at_the_same_time() {
+    let sends_soon = |seed: u64| {
         let mut harness = Harness::seeded(idempotent_settings(), seed);
         for _ in 0..20 {
             let (events, _, parts) = harness.query(0, &[0]);
@@ -101,8 +117,8 @@
             harness.handle_after(0.05, &[attempt_ended(parts[0], 0, Outcome::Ok)]);
             harness.handle_after(0.45, &[Event::TimerFired]);
         }
-        let row = endpoint(2, ServerState::Ready, Some(harness.now));
-        harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(vec![row]))]);
+        let restarted = endpoint(2, ServerState::Ready, Some(harness.now));
+        harness.handle(&[Event::Endpoints(EndpointUpdate::Delta(vec![restarted]))]);
         (0..3).any(|_| {
             let (events, _, parts) = harness.query(0, &[0]);
             let sent = sends(&harness.handle(&events))[0].1;
@@ -110,10 +126,11 @@
             sent == 2
         })
     };
-    // At 0.2 of capacity, three quarters of twice that is 0.3 of a part a second for each of 40 coordinators.
-    let at_once = (0..40).filter(|&seed| first(seed)).count();
+    // The capacity share is 0.2 at first. Three quarters of twice that is 0.3 parts per second for each of 40
+    // coordinators.
+    let early_senders = (0..40).filter(|&seed| sends_soon(seed)).count();
     assert!(
-        at_once <= 8,
-        "{at_once} of 40 coordinators sent a part at once"
+        early_senders <= 8,
+        "{early_senders} of 40 coordinators sent one of their first three parts to the new server"
     );
 }
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! Long random event streams in varied deployments; the rules of the protocol are checked from outside the router.
+//! Long random event streams in random deployments. The test environment checks each action of the router
+//! against the rules of the protocol.
 
 mod common;
 
@@ -7,9 +8,10 @@
 use common::{class, endpoint, settings};
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Dice(u64);
+/// A seeded xorshift generator.
+struct TestRng(u64);
 
-impl Dice {
+impl TestRng {
     fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -24,44 +26,49 @@
     }
 }
 
-struct PartView {
+/// State of a part, as the environment tracks it.
+struct TrackedPart {
     query: u64,
     weight: f64,
     step: u8,
-    answered: bool,
+    is_answered: bool,
     first_sent: Option<Time>,
     attempts: Vec<(u32, Option<Outcome>)>,
 }
 
-struct QueryView {
+/// State of a query, as the environment tracks it.
+struct TrackedQuery {
     class: usize,
     number: u64,
-    due: Time,
+    deadline: Time,
     step: u8,
-    first_step_complete: bool,
+    is_first_step_complete: bool,
 }
 
-/// The surroundings of a router: draws what happens and checks each action against the rules.
-struct World {
-    dice: Dice,
+/// The environment of a router: generates random events and checks each action against the rules.
+struct Environment {
+    rng: TestRng,
     settings: Settings,
     now: Time,
-    queries: BTreeMap<u64, QueryView>,
-    parts: BTreeMap<u64, PartView>,
-    out: Vec<(Time, u64, u8, Outcome)>,
+    queries: BTreeMap<u64, TrackedQuery>,
+    parts: BTreeMap<u64, TrackedPart>,
+    /// Outcomes still to be delivered: when, of which part and attempt.
+    pending_outcomes: Vec<(Time, u64, u8, Outcome)>,
     not_ready: BTreeSet<u32>,
-    slow_starting: BTreeMap<u32, (Time, Vec<Time>)>,
-    sent: BTreeMap<u32, Vec<Time>>,
+    /// Servers that started: when, and the sends to them since.
+    slow_start_sends: BTreeMap<u32, (Time, Vec<Time>)>,
+    sends: BTreeMap<u32, Vec<Time>>,
     arrivals: Vec<Time>,
     retries: Vec<Time>,
-    wake: BTreeSet<Time>,
-    answers: u64,
-    next: u64,
+    wake_ups: BTreeSet<Time>,
+    answer_count: u64,
+    last_id: u64,
     events: Vec<Event>,
 }
 
-impl World {
-    fn check(&mut self, action: Action) {
+impl Environment {
+    /// Checks an action against the rules and applies its effects.
+    fn check_action(&mut self, action: Action) {
         let now = self.now;
         match action {
             Action::Send {
@@ -71,18 +78,21 @@
             } => {
                 assert!(
                     !self.not_ready.contains(&server),
-                    "sent to server {server}, which is draining or removed"
+                    "part {id} was sent to server {server}, which is draining or removed"
                 );
-                let view = self.parts.get_mut(&id).expect("a send for an unknown part");
+                let part = self
+                    .parts
+                    .get_mut(&id)
+                    .expect("the part that is sent should be open");
                 let query = self
                     .queries
-                    .get(&view.query)
-                    .expect("a send for a finished query");
-                assert!(!view.answered && deadline <= query.due && view.step == query.step);
+                    .get(&part.query)
+                    .expect("the query of the part that is sent should be open");
+                assert!(!part.is_answered && deadline <= query.deadline && part.step == query.step);
                 let class = &self.settings.classes[query.class];
-                let ran = view.attempts.iter().any(|(_, o)| {
+                let may_have_run = part.attempts.iter().any(|(_, outcome)| {
                     !matches!(
-                        o,
+                        outcome,
                         Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
                     )
                 });
@@ -90,30 +100,33 @@
                     Idempotency::Idempotent => {}
                     Idempotency::IdempotentWithKey => {
                         assert!(
-                            !ran || view
-                                .first_sent
-                                .is_none_or(|at| now - at < class.dedup_window),
-                            "window"
+                            !may_have_run
+                                || part
+                                    .first_sent
+                                    .is_none_or(|at| now - at < class.dedup_window),
+                            "a keyed part that may have run was sent after its dedup window"
                         )
                     }
-                    Idempotency::AtMostOnce => assert!(!ran, "an at-most-once part may run twice"),
+                    Idempotency::AtMostOnce => {
+                        assert!(!may_have_run, "an at-most-once part may run twice")
+                    }
                 }
-                let again = !view.attempts.is_empty();
-                if again {
-                    if view.attempts.iter().any(|(_, o)| o.is_none()) {
+                let is_further_attempt = !part.attempts.is_empty();
+                if is_further_attempt {
+                    if part.attempts.iter().any(|(_, outcome)| outcome.is_none()) {
                         assert!(self.settings.hedging_enabled);
-                        assert!(view
+                        assert!(part
                             .attempts
                             .iter()
-                            .all(|(s, o)| o.is_some() || *s != server));
+                            .all(|(other, outcome)| outcome.is_some() || *other != server));
                     }
                     self.retries.push(now);
                 }
-                assert!(view.attempts.len() < self.settings.max_attempts as usize);
-                view.first_sent.get_or_insert(now);
-                let attempt = view.attempts.len() as u8;
-                view.attempts.push((server, None));
-                if let Some(budget) = self.settings.retry_budget.filter(|_| again) {
+                assert!(part.attempts.len() < self.settings.max_attempts as usize);
+                part.first_sent.get_or_insert(now);
+                let attempt = part.attempts.len() as u8;
+                part.attempts.push((server, None));
+                if let Some(budget) = self.settings.retry_budget.filter(|_| is_further_attempt) {
                     let recent = |list: &[Time]| {
                         list.iter().filter(|&&at| now - at <= budget.window).count() as f64
                     };
@@ -121,16 +134,16 @@
                         budget.always_allowed + budget.share_of_arrivals * recent(&self.arrivals);
                     assert!(
                         recent(&self.retries) <= allowed + 1e-9,
-                        "budget: {} of {allowed} at {}",
+                        "retry budget exceeded: {} further attempts, {allowed} allowed, at {} s",
                         recent(&self.retries),
                         now.secs()
                     );
                 }
-                self.sent.entry(server).or_default().push(now);
-                if let Some((_, sends)) = self.slow_starting.get_mut(&server) {
+                self.sends.entry(server).or_default().push(now);
+                if let Some((_, sends)) = self.slow_start_sends.get_mut(&server) {
                     sends.push(now);
                 }
-                let (outcome, late) = match self.dice.below(20) {
+                let (outcome, delay) = match self.rng.below(20) {
                     0 => (Outcome::Error, 0.01),
                     1 => (Outcome::Rejected, 0.002),
                     2 => (Outcome::ConnectFailed, 0.25),
@@ -138,26 +151,30 @@
                     4 => (Outcome::Timeout, deadline - now),
                     5 => (Outcome::Ok, 1.5),
                     6 if server % 4 == 3 => (Outcome::Timeout, deadline - now),
-                    _ => (Outcome::Ok, 0.05 + self.dice.below(200) as f64 / 1000.0),
+                    _ => (Outcome::Ok, 0.05 + self.rng.below(200) as f64 / 1000.0),
                 };
-                let end = now + late.max(0.001);
+                let end = now + delay.max(0.001);
                 let (end, outcome) = if end > deadline {
                     (deadline, Outcome::Timeout)
                 } else {
                     (end, outcome)
                 };
-                self.out.push((end, id, attempt, outcome));
+                self.pending_outcomes.push((end, id, attempt, outcome));
             }
             Action::Cancel {
                 part: RequestId(id),
                 attempt,
             } => {
-                let view = &self.parts[&id];
+                let part = &self.parts[&id];
                 assert!(
-                    (attempt as usize) < view.attempts.len() && self.settings.cancellation_enabled
+                    (attempt as usize) < part.attempts.len() && self.settings.cancellation_enabled
                 );
-                for out in self.out.iter_mut().filter(|o| o.1 == id && o.2 == attempt) {
-                    (out.0, out.3) = (now, Outcome::Cancelled);
+                for pending in self
+                    .pending_outcomes
+                    .iter_mut()
+                    .filter(|pending| pending.1 == id && pending.2 == attempt)
+                {
+                    (pending.0, pending.3) = (now, Outcome::Cancelled);
                 }
             }
             Action::Answer {
@@ -167,39 +184,44 @@
                 let query = self
                     .queries
                     .get(&id)
-                    .expect("an answer for a finished query");
-                assert!(now <= query.due, "answered past its deadline");
+                    .expect("the query that is answered should be open");
+                assert!(now <= query.deadline, "query {id} ended after its deadline");
                 let class = &self.settings.classes[query.class];
-                let mine = self
+                let step_parts = self
                     .parts
                     .values()
-                    .filter(|p| p.query == id && p.step == query.step);
+                    .filter(|part| part.query == id && part.step == query.step);
                 let (mut weight, mut count) = (0.0, 0);
-                for part in mine.filter(|p| p.answered) {
+                for part in step_parts.filter(|part| part.is_answered) {
                     weight += part.weight;
                     count += 1;
                 }
-                let second = query.step == 2;
-                let need = if second {
+                let is_second_step = query.step == 2;
+                let complete_threshold = if is_second_step {
                     1.0
                 } else {
                     class.complete_threshold
                 };
-                let minimum = if second && class.minimum_share >= class.complete_threshold {
+                let minimum = if is_second_step && class.minimum_share >= class.complete_threshold {
                     1.0
                 } else {
                     class.minimum_share
                 };
-                assert!(weight + 1e-4 >= minimum, "less than the minimum share");
                 assert!(
-                    !is_complete || weight + 1e-4 >= need && (!second || query.first_step_complete),
-                    "not complete"
+                    weight + 1e-4 >= minimum,
+                    "query {id} answered with {weight} of the weight, less than the minimum share of {minimum}"
                 );
-                self.answers += 1;
-                if class.second_step_parts > 0 && !second {
+                assert!(
+                    !is_complete
+                        || weight + 1e-4 >= complete_threshold
+                            && (!is_second_step || query.is_first_step_complete),
+                    "query {id} answered as complete with {weight} of the weight"
+                );
+                self.answer_count += 1;
+                if class.second_step_parts > 0 && !is_second_step {
                     let parts = class.second_step_parts.min(count);
                     let query = self.queries.get_mut(&id).unwrap();
-                    (query.step, query.first_step_complete) = (2, is_complete);
+                    (query.step, query.is_first_step_complete) = (2, is_complete);
                     let number = query.number;
                     self.add_parts(id, number, 2, u64::from(parts));
                 } else {
@@ -213,22 +235,22 @@
                 let query = self
                     .queries
                     .remove(&id)
-                    .expect("a rejection of a finished query");
-                assert!(now <= query.due, "answered past its deadline");
+                    .expect("the query that is rejected should be open");
+                assert!(now <= query.deadline, "query {id} ended after its deadline");
                 if self.settings.classes[query.class].idempotency == Idempotency::AtMostOnce {
                     let mut attempts = self
                         .parts
                         .values()
-                        .filter(|p| p.query == id)
-                        .flat_map(|p| &p.attempts);
-                    let proved = |o: &Option<Outcome>| {
+                        .filter(|part| part.query == id)
+                        .flat_map(|part| &part.attempts);
+                    let never_ran = |outcome: &Option<Outcome>| {
                         matches!(
-                            o,
+                            outcome,
                             Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
                         )
                     };
                     assert!(
-                        attempts.all(|(_, o)| proved(o)),
+                        attempts.all(|(_, outcome)| never_ran(outcome)),
                         "an at-most-once query that may have run was rejected"
                     );
                 }
@@ -239,30 +261,31 @@
                 let query = self
                     .queries
                     .remove(&id)
-                    .expect("a failure of a finished query");
-                assert!(now <= query.due, "answered past its deadline");
+                    .expect("the query that fails should be open");
+                assert!(now <= query.deadline, "query {id} ended after its deadline");
             }
             Action::SetTimer(at) => {
-                self.wake.insert(at);
+                self.wake_ups.insert(at);
             }
             Action::SubscribeEndpoints => assert!(self.settings.max_poll_interval.is_some()),
             Action::HealthCheck(_) => assert!(self.settings.in_flight_report_index.is_some()),
         }
     }
 
+    /// Adds parts of equal weight to a step of a query.
     fn add_parts(&mut self, query: u64, number: u64, step: u8, count: u64) {
         for _ in 0..count {
-            self.next += 1;
-            let (id, shard, weight) = (self.next, self.dice.below(6) as u32, 1.0 / count as f64);
-            let view = PartView {
+            self.last_id += 1;
+            let (id, shard, weight) = (self.last_id, self.rng.below(6) as u32, 1.0 / count as f64);
+            let part = TrackedPart {
                 query,
                 weight,
                 step,
-                answered: false,
+                is_answered: false,
                 first_sent: None,
                 attempts: Vec::new(),
             };
-            self.parts.insert(id, view);
+            self.parts.insert(id, part);
             self.arrivals.push(self.now);
             self.events.push(Event::Part {
                 id: RequestId(id),
@@ -273,56 +296,61 @@
         }
     }
 
-    fn arrive(&mut self) {
-        self.next += 1;
+    /// Adds a random query with the parts of its first step.
+    fn add_query(&mut self) {
+        self.last_id += 1;
         let (id, class) = (
-            self.next,
-            self.dice.below(self.settings.classes.len() as u64) as usize,
+            self.last_id,
+            self.rng.below(self.settings.classes.len() as u64) as usize,
         );
-        let (number, due) = (id, self.now + (0.4 + self.dice.below(260) as f64 / 100.0));
+        let (number, deadline) = (id, self.now + (0.4 + self.rng.below(260) as f64 / 100.0));
         self.queries.insert(
             id,
-            QueryView {
+            TrackedQuery {
                 class,
                 number,
-                due,
+                deadline,
                 step: 1,
-                first_step_complete: false,
+                is_first_step_complete: false,
             },
         );
         self.arrivals.push(self.now);
-        let id_typed = RequestId(id);
+        let request_id = RequestId(id);
         self.events.push(Event::Query {
-            id: id_typed,
+            id: request_id,
             class: ClassId(class as u16),
             number,
-            deadline: due,
-            expected_work: self.dice.chance(0.1).then_some(f64::NAN),
+            deadline,
+            expected_work: self.rng.chance(0.1).then_some(f64::NAN),
             is_client_retry: false,
         });
         let parts = if self.settings.classes[class].idempotency == Idempotency::AtMostOnce {
             1
         } else {
-            1 + self.dice.below(6)
+            1 + self.rng.below(6)
         };
         self.add_parts(id, number, 1, parts);
     }
 
-    fn outcomes(&mut self) {
+    /// Delivers the outcomes that are due, a few of them twice.
+    fn deliver_outcomes(&mut self) {
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) = self.out.drain(..).partition(|o| o.0 <= now);
-        self.out = rest;
+        let (due, not_due): (Vec<_>, Vec<_>) = self
+            .pending_outcomes
+            .drain(..)
+            .partition(|pending| pending.0 <= now);
+        self.pending_outcomes = not_due;
         for (_, id, attempt, outcome) in due {
-            let view = self.parts.get_mut(&id).unwrap();
-            view.attempts[attempt as usize].1 = Some(outcome);
-            // An answer counts while its query's step still runs.
-            view.answered |= outcome == Outcome::Ok;
+            let part = self.parts.get_mut(&id).unwrap();
+            part.attempts[attempt as usize].1 = Some(outcome);
+            // An answer counts only while its query's step is open.
+            part.is_answered |= outcome == Outcome::Ok;
             self.events.push(Event::AttemptEnded {
                 part: RequestId(id),
                 attempt,
                 outcome,
             });
-            if self.dice.chance(0.02) {
+            if self.rng.chance(0.02) {
                 self.events.push(Event::AttemptEnded {
                     part: RequestId(id),
                     attempt,
@@ -332,40 +360,43 @@
         }
     }
 
+    /// Changes the state or the start time of a random server.
     fn update_endpoints(&mut self) {
-        let server = self.dice.below(8) as u32;
-        let row = match self.dice.below(5) {
+        let server = self.rng.below(8) as u32;
+        let endpoint = match self.rng.below(5) {
             0 => endpoint(server, ServerState::Draining, None),
             1 => endpoint(server, ServerState::Removed, None),
             2 => endpoint(server, ServerState::Ready, Some(self.now)),
             _ => endpoint(
                 server,
                 ServerState::Ready,
-                self.slow_starting.get(&server).map(|c| c.0),
+                self.slow_start_sends.get(&server).map(|(start, _)| *start),
             ),
         };
-        match row.state {
+        match endpoint.state {
             ServerState::Ready => self.not_ready.remove(&server),
             _ => self.not_ready.insert(server),
         };
-        if let Some(at) = row.ready_at.filter(|&at| at == self.now) {
-            self.slow_starting.insert(server, (at, Vec::new()));
+        if let Some(at) = endpoint.ready_at.filter(|&at| at == self.now) {
+            self.slow_start_sends.insert(server, (at, Vec::new()));
         }
         self.events
-            .push(Event::Endpoints(EndpointUpdate::Delta(vec![row])));
+            .push(Event::Endpoints(EndpointUpdate::Delta(vec![endpoint])));
     }
 
-    fn noise(&mut self) {
-        let id = RequestId(self.dice.below(self.next + 100_000));
-        let report = vec![[f64::NAN, -1.0, 3.0, 60.0][self.dice.below(4) as usize]];
-        let outcome = if self.dice.chance(0.7) {
+    /// Pushes an event that the router must tolerate: of an unknown part or attempt, with an invalid value, a
+    /// failed poll or an empty snapshot.
+    fn push_irregular_event(&mut self) {
+        let id = RequestId(self.rng.below(self.last_id + 100_000));
+        let report = vec![[f64::NAN, -1.0, 3.0, 60.0][self.rng.below(4) as usize]];
+        let outcome = if self.rng.chance(0.7) {
             Outcome::Ok
         } else {
             Outcome::Timeout
         };
-        self.events.push(match self.dice.below(6) {
+        self.events.push(match self.rng.below(6) {
             4 | 5 => Event::HealthCheckEnded {
-                server: ServerId(self.dice.below(9) as u32),
+                server: ServerId(self.rng.below(9) as u32),
                 outcome,
                 report,
             },
@@ -385,176 +416,189 @@
         });
     }
 
-    /// Has the client of an open query go away, now and then.
+    /// Disconnects the client of an open query, with a low probability.
     fn disconnect_client(&mut self) {
-        if let Some(&id) = self
-            .queries
-            .keys()
-            .next()
-            .filter(|_| self.dice.chance(0.02))
-        {
+        if let Some(&id) = self.queries.keys().next().filter(|_| self.rng.chance(0.02)) {
             self.queries.remove(&id);
             self.events.push(Event::ClientGone(RequestId(id)));
         }
     }
 }
 
-/// Plays one drawn deployment; returns how many answers, and retries with hedged requests, it saw.
-fn play(seed: u64) -> (u64, usize) {
-    let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+/// Simulates one random deployment. Returns the number of answers, and of retries and hedged requests.
+fn run_simulation(seed: u64) -> (u64, usize) {
+    let mut rng = TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut classes = vec![
         class(Idempotency::Idempotent),
         class(Idempotency::AtMostOnce),
         class(Idempotency::IdempotentWithKey),
     ];
     classes[2].dedup_window = 0.7;
-    classes[1].late_answer_share = if dice.chance(0.5) { 0.3 } else { 0.0 };
-    if dice.chance(0.5) {
+    classes[1].late_answer_share = if rng.chance(0.5) { 0.3 } else { 0.0 };
+    if rng.chance(0.5) {
         (classes[0].complete_threshold, classes[0].minimum_share) = (0.75, 0.75);
-    } else if dice.chance(0.5) {
+    } else if rng.chance(0.5) {
         (classes[0].minimum_share, classes[0].partial_answer_share) = (0.6, 0.8);
     }
-    classes[0].second_step_parts = dice.below(3) as u32;
-    let mut drawn = settings(classes);
-    drawn.hedging_enabled = dice.chance(0.8);
-    drawn.cancellation_enabled = dice.chance(0.8);
-    drawn.max_attempts = 1 + dice.below(4) as u32;
-    drawn.in_flight_report_index = dice.chance(0.5).then_some(0);
-    drawn.max_poll_interval = dice.chance(0.5).then_some(10.0);
-    drawn.retry_budget = dice.chance(0.5).then_some(RetryBudgetLimits {
+    classes[0].second_step_parts = rng.below(3) as u32;
+    let mut run_settings = settings(classes);
+    run_settings.hedging_enabled = rng.chance(0.8);
+    run_settings.cancellation_enabled = rng.chance(0.8);
+    run_settings.max_attempts = 1 + rng.below(4) as u32;
+    run_settings.in_flight_report_index = rng.chance(0.5).then_some(0);
+    run_settings.max_poll_interval = rng.chance(0.5).then_some(10.0);
+    run_settings.retry_budget = rng.chance(0.5).then_some(RetryBudgetLimits {
         always_allowed: 3.0,
         share_of_arrivals: 0.1,
         window: 5.0,
     });
-    let mut world = World {
-        dice,
-        settings: drawn.clone(),
+    let mut environment = Environment {
+        rng,
+        settings: run_settings.clone(),
         now: Time::from_secs(1000.0),
         queries: BTreeMap::new(),
         parts: BTreeMap::new(),
-        out: Vec::new(),
+        pending_outcomes: Vec::new(),
         not_ready: BTreeSet::new(),
-        slow_starting: BTreeMap::new(),
-        sent: BTreeMap::new(),
+        slow_start_sends: BTreeMap::new(),
+        sends: BTreeMap::new(),
         arrivals: Vec::new(),
         retries: Vec::new(),
-        wake: BTreeSet::new(),
-        answers: 0,
-        next: 0,
+        wake_ups: BTreeSet::new(),
+        answer_count: 0,
+        last_id: 0,
         events: Vec::new(),
     };
-    let mut router = RequestRouter::new(drawn, seed);
-    let rows = (0..8)
+    let mut router = RequestRouter::new(run_settings, seed);
+    let endpoints = (0..8)
         .map(|id| endpoint(id, ServerState::Ready, None))
         .collect();
-    world
+    environment
         .events
-        .push(Event::Endpoints(EndpointUpdate::Cached(rows)));
+        .push(Event::Endpoints(EndpointUpdate::Cached(endpoints)));
     for _ in 0..6000 {
-        world.now = world.now + 0.005;
-        // The coordinator stalls now and then; time-outs go on meanwhile.
-        if world.dice.chance(0.002) {
-            world.now = world.now + 0.01;
+        environment.now = environment.now + 0.005;
+        // The coordinator stalls now and then; attempts time out in the meantime.
+        if environment.rng.chance(0.002) {
+            environment.now = environment.now + 0.01;
         }
-        world.outcomes();
-        if world.dice.chance(0.12) {
-            world.arrive();
+        environment.deliver_outcomes();
+        if environment.rng.chance(0.12) {
+            environment.add_query();
         }
-        if world.dice.chance(0.01) {
-            world.update_endpoints();
+        if environment.rng.chance(0.01) {
+            environment.update_endpoints();
         }
-        if world.dice.chance(0.05) {
-            world.noise();
+        if environment.rng.chance(0.05) {
+            environment.push_irregular_event();
         }
-        world.disconnect_client();
-        let now = world.now;
-        if world.wake.first().is_some_and(|&at| at <= now) {
-            world.wake.retain(|&at| at > now);
-            world.events.push(Event::TimerFired);
+        environment.disconnect_client();
+        let now = environment.now;
+        if environment.wake_ups.first().is_some_and(|&at| at <= now) {
+            environment.wake_ups.retain(|&at| at > now);
+            environment.events.push(Event::TimerFired);
         }
-        if world.events.is_empty() {
+        if environment.events.is_empty() {
             continue;
         }
-        let events = std::mem::take(&mut world.events);
+        let events = std::mem::take(&mut environment.events);
         let mut actions = Vec::new();
-        router.handle(world.now, &events, &mut actions);
+        router.handle(environment.now, &events, &mut actions);
         for action in actions {
-            world.check(action);
+            environment.check_action(action);
         }
-        for query in world.queries.values() {
-            assert!(now - query.due < 0.02, "a query was lost");
+        for query in environment.queries.values() {
+            assert!(
+                now - query.deadline < 0.02,
+                "a query is still open 20 ms after its deadline"
+            );
         }
-        world.parts.retain(|id, p| {
-            world.queries.contains_key(&p.query) || world.out.iter().any(|o| o.1 == *id)
+        environment.parts.retain(|id, part| {
+            environment.queries.contains_key(&part.query)
+                || environment
+                    .pending_outcomes
+                    .iter()
+                    .any(|pending| pending.1 == *id)
         });
     }
-    // Slow start: in no window may a server that just started get the stated multiple of what it can do. What a
-    // warm one can do is not less than the most that any server took in such a window.
-    let most = |sends: &Vec<Time>| {
-        let within = |(at, &from): (usize, &Time)| {
-            sends[at..]
+    // Slow start: in no overload window may a started server get the overload multiple of its current
+    // capacity. The capacity of a warm server is at least the largest number of parts that any server got in
+    // such a window.
+    let most_in_window = |sends: &Vec<Time>| {
+        let sends_in_window = |(index, &from): (usize, &Time)| {
+            sends[index..]
                 .iter()
                 .take_while(|&&to| to - from < 2.0)
                 .count()
         };
-        sends.iter().enumerate().map(within).max().unwrap_or(0)
+        sends
+            .iter()
+            .enumerate()
+            .map(sends_in_window)
+            .max()
+            .unwrap_or(0)
     };
-    let warm = world.sent.values().map(most).max().unwrap_or(0) as f64;
-    for (start, sends) in world.slow_starting.values() {
-        for (at, &from) in sends.iter().enumerate() {
+    let warm_capacity = environment
+        .sends
+        .values()
+        .map(most_in_window)
+        .max()
+        .unwrap_or(0) as f64;
+    for (start, sends) in environment.slow_start_sends.values() {
+        for (index, &from) in sends.iter().enumerate() {
             let age = from - *start;
-            let ramp = (0.2 + 0.8 * (age + 1.0) / 10.0).min(1.0);
-            let count = sends[at..]
+            let capacity_share = (0.2 + 0.8 * (age + 1.0) / 10.0).min(1.0);
+            let count = sends[index..]
                 .iter()
                 .take_while(|&&to| to - from < 2.0)
                 .count() as f64;
             assert!(
-                age > 8.0 || count <= 2.0 * ramp * warm,
-                "slow start: {count} at age {age}"
+                age > 8.0 || count <= 2.0 * capacity_share * warm_capacity,
+                "slow start: {count} parts in one window, {age} s after the start"
             );
         }
     }
-    (world.answers, world.retries.len())
+    (environment.answer_count, environment.retries.len())
 }
 
 #[test]
-fn random_streams_keep_all_rules() {
+fn random_event_streams_comply_with_all_rules() {
     let (mut answers, mut retries) = (0, 0);
     for seed in 1..=24 {
-        let (a, f) = play(seed);
-        answers += a;
-        retries += f;
+        let (run_answers, run_retries) = run_simulation(seed);
+        answers += run_answers;
+        retries += run_retries;
     }
     assert!(
         answers > 3000 && retries > 500,
-        "the streams were too tame: {answers} answers, {retries} retries"
+        "the streams exercised too little: {answers} answers, {retries} retries and hedged requests"
     );
 }
 
 #[test]
-fn equal_streams_give_equal_actions() {
-    assert_eq!(play(5), play(5));
+fn equal_seeds_give_equal_results() {
+    assert_eq!(run_simulation(5), run_simulation(5));
 }
 
 #[test]
-fn absurd_settings_and_events_do_not_panic() {
+fn extreme_settings_and_events_do_not_panic() {
     for cells in [0, 1, u32::MAX] {
-        let mut odd = settings(vec![class(Idempotency::Idempotent)]);
+        let mut extreme = settings(vec![class(Idempotency::Idempotent)]);
         (
-            odd.cells,
-            odd.cells_per_shard,
-            odd.slow_start_duration,
-            odd.overload_window,
+            extreme.cells,
+            extreme.cells_per_shard,
+            extreme.slow_start_duration,
+            extreme.overload_window,
         ) = (cells, u32::MAX, 0.0, f64::NAN);
-        let mut router = RequestRouter::new(odd, 0);
+        let mut router = RequestRouter::new(extreme, 0);
         let mut actions = Vec::new();
-        let row = Endpoint {
+        let extreme_endpoint = Endpoint {
             cell: u32::MAX,
             relative_capacity: f64::NAN,
             ..endpoint(9, ServerState::Ready, Some(Time(i64::MAX)))
         };
         let events = [
-            Event::Endpoints(EndpointUpdate::Snapshot(vec![row])),
+            Event::Endpoints(EndpointUpdate::Snapshot(vec![extreme_endpoint])),
             Event::Query {
                 id: RequestId(1),
                 class: ClassId(0),
@@ -592,26 +636,30 @@
         ];
         router.handle(Time(0), &events, &mut actions);
         router.handle(Time(i64::MAX), &[Event::TimerFired], &mut actions);
-        let ends = actions.iter().filter(|a| {
+        let final_answers = actions.iter().filter(|action| {
             matches!(
-                a,
+                action,
                 Action::Reject { .. } | Action::Fail { .. } | Action::Answer { .. }
             )
         });
-        assert_eq!(ends.count(), 2, "both queries ended, cells {cells}");
+        assert_eq!(
+            final_answers.count(),
+            2,
+            "number of queries that ended, with {cells} cells"
+        );
     }
 }
 
 #[test]
-fn queries_finish_though_the_clock_goes_back() {
+fn queries_finish_even_if_the_clock_goes_back() {
     let mut router = RequestRouter::new(settings(vec![class(Idempotency::Idempotent)]), 3);
-    let rows = (0..3)
+    let endpoints = (0..3)
         .map(|id| endpoint(id, ServerState::Ready, None))
         .collect();
     let mut actions = Vec::new();
     router.handle(
         Time::from_secs(100.0),
-        &[Event::Endpoints(EndpointUpdate::Snapshot(rows))],
+        &[Event::Endpoints(EndpointUpdate::Snapshot(endpoints))],
         &mut actions,
     );
     for (number, at) in [200.0, 150.0, -1e12, 1e12, 99.0].into_iter().enumerate() {
@@ -619,13 +667,13 @@
             RequestId(number as u64 * 10),
             RequestId(number as u64 * 10 + 1),
         );
-        let due = Time::from_secs(at) + 3.0;
+        let deadline = Time::from_secs(at) + 3.0;
         let number = number as u64;
         let query = Event::Query {
             id,
             class: ClassId(0),
             number,
-            deadline: due,
+            deadline,
             expected_work: None,
             is_client_retry: false,
         };
@@ -649,6 +697,9 @@
             }],
             &mut actions,
         );
-        assert!(common::is_finished(&actions, id.0), "at {at}: {actions:?}");
+        assert!(
+            common::is_finished(&actions, id.0),
+            "query sent at {at} s was not ended: {actions:?}"
+        );
     }
 }
--- a/crates/routing/tests/slow_start_fleet.rs
+++ b/crates/routing/tests/slow_start_fleet.rs
@@ -1,4 +1,5 @@
-//! Many coordinators and one server in slow start: what they send it together, each knowing only its own traffic.
+//! Tests of slow start with many coordinators: the total that they send to one server in slow start, while
+//! each knows only its own traffic.
 
 mod common;
 
@@ -7,29 +8,32 @@
 use common::class;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Cells, one server in each; a shard is on two in a row.
+/// Number of cells, with one server each. Two consecutive cells hold a shard.
 const CELLS: u32 = 12;
-/// What the fleet has to do: parts a second that all are asked for, for each server; and what a warm server could do.
+/// Load of the fleet, per server.
 #[derive(Clone, Copy)]
 struct Load {
+    /// Parts per second that arrive at all coordinators together.
     rate: f64,
+    /// Parts per second that a warm server can answer.
     capacity: f64,
 }
 
-/// A little over half busy; many parts in a window.
-const MUCH: Load = Load {
+/// A utilization of a little over half, with many parts in an overload window.
+const HIGH_TRAFFIC: Load = Load {
     rate: 150.0,
     capacity: 270.0,
 };
-/// The same with few: a server in slow start may get no more than two or three in a window at first.
-const LITTLE: Load = Load {
+/// The same utilization with few parts: a server in slow start may at first get only two or three in an
+/// overload window.
+const LOW_TRAFFIC: Load = Load {
     rate: 5.0,
     capacity: 9.0,
 };
-/// Seconds that an answer takes.
-const TOOK: f64 = 0.02;
-const TICK: f64 = 0.005;
-const PARTS: u64 = 4;
+/// Latency of each answer, in seconds.
+const ANSWER_LATENCY: f64 = 0.02;
+const TICK_SECONDS: f64 = 0.005;
+const PARTS_PER_QUERY: u64 = 4;
 
 fn settings(coordinators: u32) -> Settings {
     Settings {
@@ -55,20 +59,26 @@
 struct Coordinator {
     router: RequestRouter,
     events: Vec<Event>,
-    wake: Option<Time>,
+    wake_up: Option<Time>,
     servers: BTreeMap<(u64, u8), u32>,
+    /// Number of attempts of each part.
     attempts: BTreeMap<u64, u8>,
 }
 
-/// What the fleet sent to the server that started, at which age, and by which coordinator.
-struct Sent(Load, Vec<(f64, usize)>);
+/// The parts sent to the server that restarted.
+struct SendsToRestarted {
+    load: Load,
+    /// Seconds since the restart and number of the coordinator, for each part.
+    sends: Vec<(f64, usize)>,
+}
 
-impl Sent {
-    /// The most of what came within one window, over what the settings allow then, with chance's room.
-    fn worst(&self, settings: &Settings) -> f64 {
+impl SendsToRestarted {
+    /// Returns the highest ratio of the parts within one overload window to the number that the settings
+    /// allow then. The allowed number includes a margin for random variation.
+    fn worst_window_ratio(&self, settings: &Settings) -> f64 {
         let mut window = VecDeque::new();
         let mut worst: f64 = 0.0;
-        for &(age, _) in &self.1 {
+        for &(age, _) in &self.sends {
             window.push_back(age);
             while window
                 .front()
@@ -76,39 +86,48 @@
             {
                 window.pop_front();
             }
-            let from = (age - settings.overload_window).max(0.0) / settings.slow_start_duration;
-            let ramp = settings.slow_start_share + (1.0 - settings.slow_start_share) * from;
-            let allowed =
-                settings.overload_multiple * ramp * self.0.capacity * settings.overload_window;
+            let progress = (age - settings.overload_window).max(0.0) / settings.slow_start_duration;
+            let capacity_share =
+                settings.slow_start_share + (1.0 - settings.slow_start_share) * progress;
+            let allowed = settings.overload_multiple
+                * capacity_share
+                * self.load.capacity
+                * settings.overload_window;
             worst = worst.max(window.len() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
         }
         worst
     }
 
-    /// The share of the usual rate that it got in its first so many seconds.
-    fn share(&self, secs: f64) -> f64 {
-        self.1.iter().filter(|&&(age, _)| age <= secs).count() as f64 / (self.0.rate * secs)
+    /// Returns the parts that the server got in its first `secs` seconds, as a share of a warm server's.
+    fn share_of_warm_rate(&self, secs: f64) -> f64 {
+        self.sends.iter().filter(|&&(age, _)| age <= secs).count() as f64 / (self.load.rate * secs)
     }
 }
 
-/// So many coordinators share the traffic; server 0 leaves at 8 s and is back after a restart at 12 s. The list tells
-/// coordinator `number` of the start after so many seconds.
-fn play(load: Load, seed: u64, coordinators: u32, learns_after: impl Fn(usize) -> f64) -> Sent {
+/// Simulates 20 s in which the coordinators share the traffic. Server 0 is removed at 8 s and is ready again
+/// after a restart at 12 s. Coordinator `number` gets the endpoint list with the restart `list_delay(number)`
+/// seconds later.
+fn run_simulation(
+    load: Load,
+    seed: u64,
+    coordinators: u32,
+    list_delay: impl Fn(usize) -> f64,
+) -> SendsToRestarted {
     let start = Time::from_secs(1000.0);
-    let back = start + 12.0;
+    let restarted_at = start + 12.0;
     let list: Vec<Endpoint> = (0..CELLS)
         .map(|id| endpoint_in_own_cell(id, None))
         .collect();
-    let one = |number: u32| Coordinator {
+    let coordinator = |number: u32| Coordinator {
         router: RequestRouter::new(settings(coordinators), u64::from(number) + 1000 * seed + 1),
         events: vec![Event::Endpoints(EndpointUpdate::Snapshot(list.clone()))],
-        wake: None,
+        wake_up: None,
         servers: BTreeMap::new(),
         attempts: BTreeMap::new(),
     };
-    let mut fleet: Vec<Coordinator> = (0..coordinators).map(one).collect();
+    let mut fleet: Vec<Coordinator> = (0..coordinators).map(coordinator).collect();
     let mut random = 7 + seed;
-    let mut chance = || {
+    let mut next_random = || {
         random = random
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
@@ -116,23 +135,29 @@
     };
     let mut answers: VecDeque<(Time, usize, u64, u8, Outcome)> = VecDeque::new();
     let mut sent = Vec::new();
-    let (mut query, mut due) = (0u64, 0.0);
-    for tick in 0..(20.0 / TICK) as u32 {
-        let (age, now) = (f64::from(tick) * TICK, start + f64::from(tick) * TICK);
-        for (number, one) in fleet.iter_mut().enumerate() {
-            let is_now = |at: f64| (age - at).abs() < TICK / 2.0;
-            if is_now(8.0) {
-                let gone = Endpoint {
+    let (mut query, mut expected_queries) = (0u64, 0.0);
+    for tick in 0..(20.0 / TICK_SECONDS) as u32 {
+        let (age, now) = (
+            f64::from(tick) * TICK_SECONDS,
+            start + f64::from(tick) * TICK_SECONDS,
+        );
+        for (number, coordinator) in fleet.iter_mut().enumerate() {
+            let is_at_tick = |at: f64| (age - at).abs() < TICK_SECONDS / 2.0;
+            if is_at_tick(8.0) {
+                let removed = Endpoint {
                     state: ServerState::Removed,
                     ..endpoint_in_own_cell(0, None)
                 };
-                one.events
-                    .push(Event::Endpoints(EndpointUpdate::Delta(vec![gone])));
+                coordinator
+                    .events
+                    .push(Event::Endpoints(EndpointUpdate::Delta(vec![removed])));
             }
-            if is_now(12.0 + (learns_after(number) / TICK).round() * TICK) {
-                one.events.push(Event::Endpoints(EndpointUpdate::Delta(vec![
-                    endpoint_in_own_cell(0, Some(back)),
-                ])));
+            if is_at_tick(12.0 + (list_delay(number) / TICK_SECONDS).round() * TICK_SECONDS) {
+                coordinator
+                    .events
+                    .push(Event::Endpoints(EndpointUpdate::Delta(vec![
+                        endpoint_in_own_cell(0, Some(restarted_at)),
+                    ])));
             }
         }
         while answers.front().is_some_and(|answer| answer.0 <= now) {
@@ -145,13 +170,13 @@
                 outcome,
             });
         }
-        due += load.rate * f64::from(CELLS) / PARTS as f64 * TICK;
-        while chance() < due {
-            due -= 1.0;
+        expected_queries += load.rate * f64::from(CELLS) / PARTS_PER_QUERY as f64 * TICK_SECONDS;
+        while next_random() < expected_queries {
+            expected_queries -= 1.0;
             query += 1;
-            let one = &mut fleet[(chance() * f64::from(coordinators)) as usize];
+            let coordinator = &mut fleet[(next_random() * f64::from(coordinators)) as usize];
             let id = RequestId(query * 100);
-            one.events.push(Event::Query {
+            coordinator.events.push(Event::Query {
                 id,
                 class: ClassId(0),
                 number: query,
@@ -159,120 +184,141 @@
                 expected_work: None,
                 is_client_retry: false,
             });
-            let first = (chance() * f64::from(CELLS)) as u64;
-            for at in 0..PARTS {
-                let shard = ((first + at * 3) % u64::from(CELLS)) as u32;
-                let weight = 1.0 / PARTS as f64;
-                one.events.push(Event::Part {
-                    id: RequestId(id.0 + 1 + at),
+            let first_shard = (next_random() * f64::from(CELLS)) as u64;
+            for index in 0..PARTS_PER_QUERY {
+                let shard = ((first_shard + index * 3) % u64::from(CELLS)) as u32;
+                let weight = 1.0 / PARTS_PER_QUERY as f64;
+                coordinator.events.push(Event::Part {
+                    id: RequestId(id.0 + 1 + index),
                     query_number: query,
                     shard,
                     weight,
                 });
             }
         }
-        for (number, one) in fleet.iter_mut().enumerate() {
-            let woken = one.wake.is_some_and(|at| at <= now);
-            if one.events.is_empty() && !woken {
+        for (number, coordinator) in fleet.iter_mut().enumerate() {
+            let is_woken = coordinator.wake_up.is_some_and(|at| at <= now);
+            if coordinator.events.is_empty() && !is_woken {
                 continue;
             }
             let mut actions = Vec::new();
-            one.router
-                .handle(now, &std::mem::take(&mut one.events), &mut actions);
-            one.wake = one.wake.filter(|_| !woken);
+            coordinator
+                .router
+                .handle(now, &std::mem::take(&mut coordinator.events), &mut actions);
+            coordinator.wake_up = coordinator.wake_up.filter(|_| !is_woken);
             for action in actions {
                 match action {
                     Action::Send { part, server, .. } => {
-                        let attempt = one.attempts.entry(part.0).or_default();
-                        one.servers.insert((part.0, *attempt), server.0);
-                        answers.push_back((now + TOOK, number, part.0, *attempt, Outcome::Ok));
+                        let attempt = coordinator.attempts.entry(part.0).or_default();
+                        coordinator.servers.insert((part.0, *attempt), server.0);
+                        answers.push_back((
+                            now + ANSWER_LATENCY,
+                            number,
+                            part.0,
+                            *attempt,
+                            Outcome::Ok,
+                        ));
                         *attempt += 1;
                         if server.0 == 0 && age >= 12.0 {
                             sent.push((age - 12.0, number));
                         }
                     }
                     Action::SetTimer(at) => {
-                        one.wake = Some(one.wake.map_or(at, |earlier| earlier.min(at)))
+                        coordinator.wake_up =
+                            Some(coordinator.wake_up.map_or(at, |earlier| earlier.min(at)))
                     }
                     _ => {}
                 }
             }
         }
     }
-    Sent(load, sent)
+    SendsToRestarted { load, sends: sent }
 }
 
-/// Guards against a limit that each coordinator keeps alone and all together exceed.
+/// Guards against a limit that each coordinator alone keeps but that all together exceed.
 #[test]
 fn coordinators_together_keep_to_the_limit_of_a_server_in_slow_start() {
     for coordinators in [3, 30, 300] {
-        let sent = play(MUCH, 0, coordinators, |_| 0.1);
-        let worst = sent.worst(&settings(coordinators));
+        let sent = run_simulation(HIGH_TRAFFIC, 0, coordinators, |_| 0.1);
+        let worst = sent.worst_window_ratio(&settings(coordinators));
         assert!(
             worst <= 1.0,
-            "{coordinators} coordinators: {worst:.2} of the limit"
+            "{coordinators} coordinators sent {worst:.2} of the limit"
         );
         assert!(
-            sent.share(4.0) > 0.15,
-            "{coordinators} coordinators: it is starved, {:.2}",
-            sent.share(4.0)
+            sent.share_of_warm_rate(4.0) > 0.15,
+            "{coordinators} coordinators sent too little: {:.2} of the rate of a warm server",
+            sent.share_of_warm_rate(4.0)
         );
     }
 }
 
-/// Guards against a coordinator that learns late of a start and then spends the credit of the time since.
+/// Guards against a coordinator that gets the endpoint list with the start late and then spends the credit of
+/// the time since.
 #[test]
 fn coordinators_that_learn_late_of_a_start_do_not_make_up_for_it() {
     for coordinators in [3, 300] {
-        // One of four learns 3 s late; all its share is on top of what the others send then.
-        let late = |number: usize| number % 4 == 1;
-        let sent = play(
-            MUCH,
-            0,
-            coordinators,
-            move |number| if late(number) { 3.0 } else { 0.1 },
-        );
+        // One of four coordinators gets the list 3 s late. Its share is then added to what the others send.
+        let is_late = |number: usize| number % 4 == 1;
+        let sent = run_simulation(HIGH_TRAFFIC, 0, coordinators, move |number| {
+            if is_late(number) {
+                3.0
+            } else {
+                0.1
+            }
+        });
         assert!(
-            sent.worst(&settings(coordinators)) <= 1.0,
-            "{coordinators} coordinators"
+            sent.worst_window_ratio(&settings(coordinators)) <= 1.0,
+            "{coordinators} coordinators exceed the limit"
         );
-        let within = |from: f64, to: f64| {
-            sent.1
+        let late_sends_between = |from: f64, to: f64| {
+            sent.sends
                 .iter()
-                .filter(|&&(age, number)| late(number) && age > from && age <= to)
+                .filter(|&&(age, number)| is_late(number) && age > from && age <= to)
                 .count() as f64
         };
-        assert_eq!(within(0.0, 2.9), 0.0, "nothing before they learn of it");
-        let (first, second) = (within(2.99, 3.49), within(3.49, 3.99));
+        assert_eq!(
+            late_sends_between(0.0, 2.9),
+            0.0,
+            "parts sent before the list with the start arrived"
+        );
+        let (first, second) = (
+            late_sends_between(2.99, 3.49),
+            late_sends_between(3.49, 3.99),
+        );
         let burst = 3.0 * second.max(f64::from(coordinators) / 4.0).sqrt() + 3.0;
         assert!(
             first <= second + burst,
-            "{coordinators} coordinators: {first} after {second}"
+            "{coordinators} coordinators: {first} parts in the first half second, {second} in the next"
         );
     }
 }
 
-/// Guards against a credit of one part that each coordinator begins with or saves up: where a server in slow start may get
-/// few parts in a window, the credits of all would exceed that, the more coordinators there are.
+/// Guards against each coordinator starting with a credit of one part or accumulating one. If a server in
+/// slow start may get only a few parts in an overload window, the credits of many coordinators together would
+/// exceed its limit.
 #[test]
-fn a_small_slow_start_limit_holds_whatever_the_number_of_coordinators() {
+fn a_small_slow_start_limit_holds_for_any_number_of_coordinators() {
     for coordinators in [3, 30, 300] {
         let worst: Vec<f64> = (1..=12)
-            .map(|seed| play(LITTLE, seed, coordinators, |_| 0.1).worst(&settings(coordinators)))
+            .map(|seed| {
+                run_simulation(LOW_TRAFFIC, seed, coordinators, |_| 0.1)
+                    .worst_window_ratio(&settings(coordinators))
+            })
             .collect();
         let mean = worst.iter().sum::<f64>() / worst.len() as f64;
-        let spread = worst
+        let variance = worst
             .iter()
             .map(|worst| (worst - mean).powi(2))
             .sum::<f64>()
             / worst.len() as f64;
         println!(
-            "{coordinators} coordinators: worst window {mean:.2} of the limit, spread {:.2}: {worst:.2?}",
-            spread.sqrt()
+            "{coordinators} coordinators: worst window {mean:.2} of the limit, standard deviation {:.2}: {worst:.2?}",
+            variance.sqrt()
         );
         assert!(
             worst.iter().all(|&worst| worst <= 1.0),
-            "{coordinators} coordinators: {worst:.2?}"
+            "{coordinators} coordinators exceed the limit: {worst:.2?}"
         );
     }
 }
