--- a/crates/simulator-host/src/codec/tests.rs
+++ b/crates/simulator-host/src/codec/tests.rs
@@ -34,11 +34,11 @@
         .collect();
     assert_eq!(
         events[0],
-        "Part { id: RequestId(5), number: 8, shard: 2, weight: 0.5 }"
+        "Part { id: RequestId(5), query_number: 8, shard: 2, weight: 0.5 }"
     );
     assert_eq!(
         events[1],
-        "AttemptEnded { id: RequestId(5), attempt: 1, outcome: Rejected }"
+        "AttemptEnded { part: RequestId(5), attempt: 1, outcome: Rejected }"
     );
     assert_eq!(events[2], "TimerFired");
 }
