--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -69,11 +69,11 @@
     /// Returns how many calls the parts take if parts with the same candidates share one call.
     fn count_calls(&self, parts: &[RequestId]) -> usize {
         let cells = self.settings.cells.max(1);
-        let distinct: BTreeSet<u32> = parts
+        let distinct_cells: BTreeSet<u32> = parts
             .iter()
             .map(|part| self.parts[part].shard % cells)
             .collect();
-        distinct.len()
+        distinct_cells.len()
     }
 
     /// Sends parts; those with the same candidates share calls.
@@ -129,7 +129,7 @@
                 weight_in_time += self.parts[&part].weight;
             }
         }
-        let is_too_little = weight_in_time < minimum * total_weight;
-        !is_too_little
+        let is_below_minimum = weight_in_time < minimum * total_weight;
+        !is_below_minimum
     }
 }
--- a/crates/routing/src/attempt_outcome.rs
+++ b/crates/routing/src/attempt_outcome.rs
@@ -37,14 +37,14 @@
         part.in_flight.retain(|&in_flight| in_flight != number);
         if outcome == Outcome::Ok {
             part.is_answered = true;
-            query.answers += 1;
+            query.answered_attempts += 1;
         }
         part.may_have_run |= !outcome.never_ran();
         part.resend_to = is_stale_connection.then_some(attempt.server);
         let is_reset = outcome == Outcome::Reset;
         let is_server_down_on_resend = was_resent && outcome == Outcome::ConnectFailed;
         if !is_stale_connection && (is_reset || is_server_down_on_resend) {
-            query.resets += 1;
+            query.reset_attempts += 1;
             if query.is_suspect() {
                 self.suspect_queries.insert(query.fingerprint, now);
             }
--- a/crates/routing/src/completion.rs
+++ b/crates/routing/src/completion.rs
@@ -71,7 +71,7 @@
         let shares = self.completion_shares(now, id);
         let thresholds =
             self.settings.classes[query.class].completion_thresholds(query.is_second_step);
-        let is_nothing_pending = shares.reachable - shares.answered < WEIGHT_TOLERANCE;
+        let no_parts_pending = shares.reachable - shares.answered < WEIGHT_TOLERANCE;
         if shares.answered >= thresholds.complete {
             let is_complete = query.is_first_step_complete || !query.is_second_step;
             self.answer_query(now, id, is_complete, actions);
@@ -79,7 +79,7 @@
             self.reject_or_fail(now, id, actions);
         } else if shares.reachable < thresholds.complete
             && shares.answered >= thresholds.minimum
-            && is_nothing_pending
+            && no_parts_pending
         {
             self.answer_query(now, id, false, actions);
         }
--- a/crates/routing/src/health_checks.rs
+++ b/crates/routing/src/health_checks.rs
@@ -50,11 +50,11 @@
     ///
     /// The server whose latest health evidence is oldest is checked first.
     pub(crate) fn check_health(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let any_outlier = self
+        let has_outlier = self
             .ready_servers()
             .any(|(_, server)| self.is_outlier(now, server));
-        self.health_checks.is_scheduled = any_outlier;
-        if !any_outlier {
+        self.health_checks.is_scheduled = has_outlier;
+        if !has_outlier {
             return;
         }
         let least_recently_observed = self
--- a/crates/routing/src/hedging.rs
+++ b/crates/routing/src/hedging.rs
@@ -42,7 +42,7 @@
         let is_mostly_answered = self
             .queries
             .get(&query)
-            .is_some_and(|query| 2 * query.answers as usize > query.parts.len());
+            .is_some_and(|query| 2 * query.answered_attempts as usize > query.parts.len());
         let window = if is_mostly_answered {
             self.long_recent_window()
         } else {
--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -45,9 +45,9 @@
     /// Parts of the current step.
     pub(crate) parts: Vec<RequestId>,
     /// Number of attempts that were reset, without those on stale connections.
-    pub(crate) resets: u32,
+    pub(crate) reset_attempts: u32,
     /// Number of attempts that were answered.
-    pub(crate) answers: u32,
+    pub(crate) answered_attempts: u32,
     /// Whether the client marked the query as a retry.
     pub(crate) is_client_retry: bool,
     pub(crate) fingerprint: QueryFingerprint,
@@ -56,6 +56,6 @@
 impl Query {
     /// Returns whether more of the query's attempts were reset than answered, so that it may crash servers.
     pub(crate) fn is_suspect(&self) -> bool {
-        self.resets >= SUSPECT_RESETS && self.resets > self.answers
+        self.reset_attempts >= SUSPECT_RESETS && self.reset_attempts > self.answered_attempts
     }
 }
--- a/crates/routing/src/zone_recovery.rs
+++ b/crates/routing/src/zone_recovery.rs
@@ -18,7 +18,7 @@
     pub(crate) fn detect_zone_outages(&mut self, now: Time) {
         let observations: Vec<ServerObservation> = self
             .ready_servers()
-            .map(|(_, server)| self.zone_observation(now, server))
+            .map(|(_, server)| self.server_observation(now, server))
             .collect();
         let unreachable = self.zone_outages.detect_outages(now, &observations);
         for server in self.servers.values_mut() {
@@ -29,7 +29,7 @@
         }
     }
 
-    fn zone_observation(&self, now: Time, server: &Server) -> ServerObservation {
+    fn server_observation(&self, now: Time, server: &Server) -> ServerObservation {
         ServerObservation {
             zone: server.zone,
             last_answered_send: server.last_answered_send,
