--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,9 +1,9 @@
-//! What operators request of a running coordinator, decided without I/O or a clock of its own.
+//! Logic of the operator-facing functions of a running coordinator, without I/O or a clock of its own.
 //!
-//! - [`request`]: which admin request a message is, and the status and text of each response.
-//! - [`suspensions`]: which data nodes are suspended for maintenance, and how that changes their listed state.
-//! - [`reconfigure`]: whether a reloaded deployment is accepted, and what changes with it.
-//! - [`shutdown`]: the phases of a graceful shutdown (SIGTERM) and when each begins.
+//! - [`request`]: parses admin requests, and holds the status and text of each response.
+//! - [`suspensions`]: tracks data nodes suspended for maintenance, and overrides their listed state accordingly.
+//! - [`reconfigure`]: decides whether a reloaded deployment is accepted and what it changes.
+//! - [`shutdown`]: decides when each phase of a graceful shutdown (SIGTERM) begins.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
--- a/crates/admin/src/reconfigure.rs
+++ b/crates/admin/src/reconfigure.rs
@@ -1,7 +1,7 @@
-//! Reloading the deployment's settings (SIGHUP): whether a file is accepted, and what changes with it.
+//! Reload of the deployment's settings (SIGHUP): whether a file is accepted, and what it changes.
 //!
-//! A rejected file changes nothing. [`first_missing_key`] rejects a file that lost a key; [`reconfigure`] assigns the
-//! new classes to slots and keeps every setting that only a restart may change.
+//! A rejected file changes nothing. [`first_missing_key`] detects a file that lost a key; [`reconfigure`] assigns the
+//! new classes to slots and keeps the old value of every setting that only a restart may change.
 
 mod class_slots;
 mod missing_key;
@@ -12,17 +12,17 @@
 use cairnroad_types::{ClassId, Settings};
 use class_slots::{ClassSlots, ClassTables};
 
-/// Upper limit of class slots. Classes that change often while requests of the old ones are in flight must not grow
-/// the tables without bound.
+/// Upper limit on class slots. Frequent reloads while requests of the replaced classes are in flight must not grow the
+/// tables without bound.
 const MAX_CLASS_SLOTS: usize = 256;
 
-/// Why a deployment that is valid by itself can't replace the one in force.
+/// The reason why a deployment that is valid on its own can't replace the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReconfigureError {
-    /// In-flight requests hold every slot that a new or changed class could take.
+    /// Requests in flight hold every slot that a new or changed class could take.
     #[error("settings: requests in flight hold all {limit} class slots; reload again once they have completed")]
     NoFreeClassSlot {
-        /// The upper limit of slots.
+        /// The maximum number of class slots.
         limit: usize,
     },
 }
@@ -34,15 +34,15 @@
     pub deployment: Deployment,
     /// The slot of each class of the new file, in the file's order.
     pub class_ids: Vec<ClassId>,
-    /// The slots among `class_ids` that hold another class than before.
+    /// The slots among `class_ids` whose class is new or changed.
     pub replaced_slots: Vec<ClassId>,
     /// Keys that differ in the new file and keep their old value until a restart.
     pub requires_restart: Vec<&'static str>,
 }
 
-/// Returns what the deployment `new` changes of the one in force.
+/// Computes the deployment that results from loading `new` over the one in force.
 ///
-/// `is_in_use` says whether a request in flight holds a class's slot.
+/// `is_in_use` returns whether a request in flight holds a slot.
 pub fn reconfigure(
     in_force: &Deployment,
     new: &Deployment,
@@ -77,7 +77,7 @@
     })
 }
 
-/// Returns the new policy with the old values of what only a restart may change.
+/// Returns the new policy with the old values of the settings that only a restart may change.
 fn live_policy(in_force: &Settings, new: &Settings) -> Settings {
     Settings {
         tick: in_force.tick,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Returns the keys that differ and that [`live_policy`] and [`reconfigure`] leave as they were.
+/// Returns the keys that differ but keep their old value in [`live_policy`] and [`reconfigure`].
 fn keys_that_require_restart(in_force: &Deployment, new: &Deployment) -> Vec<&'static str> {
     let old_policy = &in_force.policy;
     let new_policy = &new.policy;
--- a/crates/admin/src/reconfigure/class_slots.rs
+++ b/crates/admin/src/reconfigure/class_slots.rs
@@ -1,7 +1,7 @@
 //! Assigns the classes of a reloaded deployment to slots.
 //!
-//! A class's slot is its index in all tables, and requests hold it until they complete. So a class that was removed
-//! or changed keeps its slot, without its name, until no request holds it.
+//! A class's slot is its index in all tables, and requests hold the slot until they complete. So a class that was
+//! removed or changed keeps its slot, without its name, until no request holds the slot.
 
 use super::{ReconfigureError, MAX_CLASS_SLOTS};
 use cairnroad_settings::Deployment;
@@ -10,16 +10,16 @@
 /// The class tables of an accepted reload, indexed by slot.
 pub(super) struct ClassTables {
     pub(super) classes: Vec<Class>,
-    /// Empty for a slot whose class can't be requested.
+    /// The class name in each slot; empty for a slot whose class can't be requested.
     pub(super) class_names: Vec<String>,
-    /// The slots that hold another class than before.
+    /// The slots whose class is new or changed.
     pub(super) replaced_slots: Vec<ClassId>,
 }
 
 /// The class tables of a reload in progress.
 pub(super) struct ClassSlots<'d> {
     in_force: &'d Deployment,
-    /// The name in each slot; empty for a free slot, or one whose class was removed.
+    /// The class name in each slot; empty if the slot is free or its class was removed.
     names: Vec<String>,
     classes: Vec<Class>,
     /// The slot of each class of the new file; `None` until it is assigned.
@@ -28,18 +28,18 @@
 }
 
 impl<'d> ClassSlots<'d> {
-    /// Returns tables that hold the classes in force, all without a name, for a file of so many classes.
-    pub(super) fn new(in_force: &'d Deployment, new_classes: usize) -> ClassSlots<'d> {
+    /// Returns tables that hold the classes in force, without their names, for a file with `new_class_count` classes.
+    pub(super) fn new(in_force: &'d Deployment, new_class_count: usize) -> ClassSlots<'d> {
         ClassSlots {
             in_force,
             names: vec![String::new(); in_force.class_names.len()],
             classes: in_force.policy.classes.clone(),
-            assigned: vec![None; new_classes],
+            assigned: vec![None; new_class_count],
             replaced_slots: Vec::new(),
         }
     }
 
-    /// Leaves unchanged classes in their slots, whatever the order of the new file.
+    /// Keeps unchanged classes in their slots, regardless of their order in the new file.
     pub(super) fn keep_unchanged_classes(&mut self, new: &Deployment) {
         for (index, (name, class)) in classes_of(new).enumerate() {
             let unchanged = self
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Gives every new or changed class a free slot, or another one at the end.
+    /// Assigns a free slot to every new or changed class, or appends a slot if none is free.
     pub(super) fn assign_other_classes(
         &mut self,
         new: &Deployment,
@@ -76,8 +76,8 @@
         Ok(())
     }
 
-    /// Returns a slot that was free before this reload. One that this reload frees may be held by a request that was
-    /// accepted but not yet counted.
+    /// Returns a slot that was already free before this reload. A slot that this reload frees is not reused, because a
+    /// request that was accepted but not yet counted may hold it.
     fn free_slot(&self, is_in_use: &impl Fn(ClassId) -> bool) -> Option<usize> {
         (0..self.in_force.class_names.len()).find(|&slot| {
             self.in_force.class_names[slot].is_empty()
@@ -124,7 +124,7 @@
         .zip(&deployment.policy.classes)
 }
 
-/// Returns the id of a slot, which is below [`MAX_CLASS_SLOTS`] and fits.
+/// Returns the id of a slot. Slots are below [`MAX_CLASS_SLOTS`], so the cast is lossless.
 pub(super) fn class_id(slot: usize) -> ClassId {
     ClassId(slot as u16)
 }
--- a/crates/admin/src/reconfigure/missing_key.rs
+++ b/crates/admin/src/reconfigure/missing_key.rs
@@ -1,5 +1,5 @@
-//! Detects a reloaded file that lost a key. A file that was truncated or badly written may be valid all the same,
-//! because the lost key has a default.
+//! Detects keys that a reloaded file has lost. A truncated or badly written file may still be valid, because the lost
+//! key has a default.
 
 use serde_json::Value;
 
@@ -17,7 +17,7 @@
         .find_map(|(key, value)| missing_path_at(key, value, new))
 }
 
-/// Returns the path from `key` on, if `new` lacks the key or something below it.
+/// Returns the path, starting with `key`, of the first key at or below `key` that `new` lacks.
 fn missing_path_at(key: &str, value: &Value, new: &Value) -> Option<String> {
     match new.get(key) {
         None => Some(key.to_string()),
@@ -35,7 +35,8 @@
     }
 }
 
-/// Rows may be added and removed; each has to have the keys that all rows in force have.
+/// Returns the path of the first key that a new row lacks. Rows may be added and removed, but each needs every key that
+/// all rows in force have.
 fn missing_in_rows(rows: &[Value], new_rows: &[Value]) -> Option<String> {
     let first = rows.first()?.as_object()?;
     let required_keys: Vec<&String> = first
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -2,22 +2,22 @@
 
 use std::str;
 
-/// Upper limit of a data node's id in a request, in bytes.
+/// Maximum length of a data node's id in a request, in bytes.
 pub const MAX_NODE_ID_BYTES: usize = 128;
 
 const PATH_PREFIX: &str = "/v1/";
 
-/// The method that a path takes.
+/// The HTTP method that a path accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllowedMethod {
-    /// For requests that change nothing.
+    /// The method of requests that change nothing.
     Get,
-    /// For requests that bring about a state, and may be repeated.
+    /// The method of requests that set a state and may be repeated.
     Put,
 }
 
 impl AllowedMethod {
-    /// Returns the method's name on the wire.
+    /// Returns the method's name as it appears in a request line.
     pub fn name(self) -> &'static str {
         match self {
             AllowedMethod::Get => "GET",
@@ -26,10 +26,10 @@
     }
 }
 
-/// Why a request is not possible at the moment.
+/// The reason why a request can't be carried out at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// The process has no endpoint list yet.
+    /// The process has not received an endpoint list yet.
     Starting,
     /// An operator drained the coordinator.
     Drained,
@@ -50,46 +50,46 @@
     }
 }
 
-/// What an operator requests.
+/// A request of the admin API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process is ready to serve.
+    /// Reports whether this process is ready to serve.
     Readiness,
-    /// Send nothing new to a data node.
+    /// Stops new requests to the data node with this id.
     Suspend(String),
-    /// Let a suspended data node serve again.
+    /// Ends the suspension of the data node with this id.
     Resume(String),
-    /// The cluster's members as this coordinator sees them.
+    /// Reports the cluster's members as this coordinator sees them.
     ClusterMembers,
-    /// Send clients away.
+    /// Drains this coordinator: health checks fail, so that clients move to another one.
     Drain,
-    /// End the drain.
+    /// Ends a drain.
     Activate,
 }
 
 /// The outcome of an admin request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
-    /// The requested state holds.
+    /// The requested state is reached.
     Done,
-    /// Not possible at the moment, for this reason.
+    /// The request can't be carried out at the moment.
     Unavailable(UnavailableReason),
-    /// No endpoint list ever named a data node of this id.
+    /// No endpoint list has named a data node with this id.
     UnknownNode,
     /// This coordinator is not part of a cluster.
     NotClustered,
-    /// No request has this path.
+    /// No request of the admin API has this path.
     UnknownPath,
-    /// The path takes another method, which is this one.
+    /// The request's method is wrong; the path accepts only this one.
     MethodNotAllowed(AllowedMethod),
-    /// The id is not that of any data node.
+    /// The id is empty, too long or malformed.
     InvalidNodeId,
-    /// The limit of suspensions is reached.
+    /// The maximum number of suspensions is reached.
     TooManySuspensions,
 }
 
 impl AdminResponse {
-    /// Returns the HTTP status.
+    /// Returns the HTTP status code.
     pub fn status(&self) -> u16 {
         match self {
             AdminResponse::Done => 200,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns the text of the body: what is wrong, and what to do.
+    /// Returns the text of the body: the fault and its remedy.
     pub fn message(&self) -> &'static str {
         match self {
             AdminResponse::Done => "yes",
@@ -126,7 +126,7 @@
     }
 }
 
-/// Returns the request that a method and a target stand for, or the response that rejects them.
+/// Parses the method and target of a request. The error is the response that rejects them.
 pub fn parse_request(method: &str, target: &str) -> Result<AdminRequest, AdminResponse> {
     let (path, _query) = target.split_once('?').unwrap_or((target, ""));
     let path = path
@@ -153,7 +153,7 @@
     Ok(request)
 }
 
-/// Returns the data node's id in a path segment.
+/// Decodes and checks the data node's id in a path segment.
 fn parse_node_id(segment: &str) -> Result<String, AdminResponse> {
     let bytes = percent_decode(segment.as_bytes()).ok_or(AdminResponse::InvalidNodeId)?;
     let id = String::from_utf8(bytes).map_err(|_| AdminResponse::InvalidNodeId)?;
@@ -164,7 +164,7 @@
     Ok(id)
 }
 
-/// Returns the decoded bytes; `None` where a percent sign is not followed by two hexadecimal digits.
+/// Decodes percent-encoded bytes; `None` if a percent sign is not followed by two hexadecimal digits.
 fn percent_decode(mut encoded: &[u8]) -> Option<Vec<u8>> {
     let mut decoded = Vec::with_capacity(encoded.len());
     while let Some((&byte, rest)) = encoded.split_first() {
@@ -181,7 +181,7 @@
 }
 
 fn hex_byte(digits: &[u8; 2]) -> Option<u8> {
-    // The parser of integers would also take a sign.
+    // `from_str_radix` would also accept a leading sign.
     if !digits.iter().all(u8::is_ascii_hexdigit) {
         return None;
     }
--- a/crates/admin/src/request/tests.rs
+++ b/crates/admin/src/request/tests.rs
@@ -79,10 +79,10 @@
     );
 }
 
-/// Guards against a path that ends the process instead of getting its rejection.
+/// Guards against a path that crashes the process instead of being rejected.
 #[test]
 fn no_path_panics_or_yields_an_invalid_id() {
-    let one = |id: String| {
+    let id_is_valid_or_rejected = |id: String| {
         let target = format!("/v1/data-nodes/{id}/suspend");
         !matches!(parse_request("PUT", &target), Ok(AdminRequest::Suspend(id)) if id.is_empty() || id.len() > MAX_NODE_ID_BYTES)
     };
@@ -90,5 +90,5 @@
     QuickCheck::new()
         .rng(fixed)
         .tests(2_000)
-        .quickcheck(one as fn(String) -> bool);
+        .quickcheck(id_is_valid_or_rejected as fn(String) -> bool);
 }
--- a/crates/admin/src/suspensions.rs
+++ b/crates/admin/src/suspensions.rs
@@ -1,19 +1,19 @@
 //! The data nodes that operators suspended for maintenance.
 //!
-//! A suspension holds whatever the endpoint list says, until the node is resumed. From then on the node counts as
-//! just started, since it was restarted at some moment in between.
+//! A suspension overrides the endpoint list until the node is resumed. A resumed node counts as just started, since
+//! it was restarted at some time during the suspension.
 
 use cairnroad_types::{Seconds, ServerState, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Upper limit of data nodes that are suspended or were resumed lately.
+/// Upper limit on data nodes that are suspended or were recently resumed.
 pub const MAX_SUSPENSIONS: usize = 512;
-/// Upper limit of listed ids that are remembered, to tell a wrong id from one that is gone. Over a long time nodes are
-/// replaced under ever new ids.
+/// Upper limit on remembered ids, which distinguish a wrong id from that of a node that is no longer listed. It is
+/// needed because nodes are replaced under new ids over time.
 const MAX_KNOWN_NODES: usize = 16_384;
 
-/// One data node's maintenance, as it is stored for other processes.
+/// The suspension of one data node, in the form that is stored for other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspension {
     /// When the node was suspended, in microseconds of Unix time.
@@ -30,17 +30,17 @@
     }
 }
 
-/// All suspensions, and the ids that were ever listed.
+/// All suspensions, and the ids of the data nodes that were ever listed.
 #[derive(Debug, Default)]
 pub struct Suspensions {
     by_node: BTreeMap<String, Suspension>,
     known_nodes: BTreeSet<String>,
-    /// The known ids, the longest known first.
+    /// The ids in `known_nodes`, in the order in which they were first listed.
     known_order: VecDeque<String>,
 }
 
 impl Suspensions {
-    /// Records that an endpoint list names a data node.
+    /// Records that an endpoint list names a data node. Beyond the limit, the id that was listed first is forgotten.
     pub fn record_listed(&mut self, id: &str) {
         if self.known_nodes.contains(id) {
             return;
@@ -54,17 +54,19 @@
         self.known_order.push_back(id.into());
     }
 
-    /// Returns whether a data node was ever listed, as far as this process knows.
+    /// Returns whether a data node was ever listed or suspended, as far as this process remembers.
     pub fn is_known(&self, id: &str) -> bool {
         self.known_nodes.contains(id) || self.by_node.contains_key(id)
     }
 
-    /// Returns whether a suspension of this data node stays within the limit.
+    /// Returns whether a suspension of this data node is within the limit.
     pub fn has_capacity_for(&self, id: &str) -> bool {
         self.by_node.len() < MAX_SUSPENSIONS || self.by_node.contains_key(id)
     }
 
-    /// Returns the suspension after a request to suspend. A repeated request changes nothing.
+    /// Returns the suspension that results from a request to suspend a data node. A repeated request changes nothing.
+    ///
+    /// [`Suspensions::apply`] puts it into force.
     pub fn plan_suspension(&self, id: &str, now: Time) -> Suspension {
         match self.by_node.get(id) {
             Some(suspension) if suspension.is_active() => *suspension,
@@ -75,7 +77,9 @@
         }
     }
 
-    /// Returns the suspension after a request to resume; `None` if the data node is not suspended.
+    /// Returns the suspension that results from a request to resume a data node; `None` if the node is not suspended.
+    ///
+    /// [`Suspensions::apply`] puts it into force.
     pub fn plan_resumption(&self, id: &str, now: Time) -> Option<Suspension> {
         let suspension = self
             .by_node
@@ -87,7 +91,7 @@
         })
     }
 
-    /// Puts a suspension, or its end, into force. Returns whether that changes anything.
+    /// Puts a suspension, or its end, into force. Returns whether anything changed.
     pub fn apply(&mut self, id: &str, suspension: Suspension) -> bool {
         if !self.has_capacity_for(id) {
             return false;
@@ -96,9 +100,10 @@
         previous != Some(suspension)
     }
 
-    /// Takes over all stored suspensions, which another process may have changed. Returns the ids that changed.
+    /// Replaces all suspensions by the stored ones, which another process may have changed. Returns the ids that
+    /// changed.
     ///
-    /// A suspension that is stored no more was resumed long ago and is removed here too.
+    /// A suspension that is no longer stored was resumed long ago and is removed here too.
     pub fn synchronize(&mut self, stored: &BTreeMap<String, Suspension>) -> Vec<String> {
         let mut changed: Vec<String> = self
             .by_node
@@ -117,7 +122,7 @@
         changed
     }
 
-    /// Removes data nodes that were resumed longer ago than a slow start takes. Returns their ids.
+    /// Removes the suspensions of data nodes that were resumed longer ago than a slow start takes. Returns their ids.
     pub fn remove_expired(&mut self, now: Time, slow_start_duration: Seconds) -> Vec<String> {
         let is_expired = |suspension: &Suspension| {
             suspension
@@ -136,10 +141,10 @@
         expired
     }
 
-    /// Returns the state and start that count for a data node with this listed state and start.
+    /// Returns the effective state and start time of a data node, given its listed ones.
     ///
-    /// A suspended node that is listed as ready drains; a resumed one started at its resumption, unless the list
-    /// states a start since the suspension.
+    /// A suspended node that is listed as ready drains. A resumed node counts as started at its resumption, unless the
+    /// list states a start time after the suspension.
     pub fn effective_state(
         &self,
         id: &str,
--- a/crates/admin/src/suspensions/tests.rs
+++ b/crates/admin/src/suspensions/tests.rs
@@ -22,11 +22,11 @@
         let suspension = suspensions.plan_suspension("s-1", at(now));
         assert_eq!(
             suspension.suspended_at_us, 1_000_000,
-            "a repeated call changes nothing"
+            "a repeated request changes nothing"
         );
         suspensions.apply("s-1", suspension);
     }
-    // It drains whatever the list says, a new start included.
+    // A suspended node drains whatever the list says, even if the list states a new start.
     assert_eq!(
         suspensions.effective_state("s-1", READY, None),
         (ServerState::Draining, None)
@@ -45,16 +45,16 @@
         suspensions.effective_state("s-2", READY, None),
         (READY, None)
     );
-    let back = suspensions.plan_resumption("s-1", at(5.0)).unwrap();
-    assert!(suspensions.apply("s-1", back) && active_count(&suspensions) == 0);
+    let resumed = suspensions.plan_resumption("s-1", at(5.0)).unwrap();
+    assert!(suspensions.apply("s-1", resumed) && active_count(&suspensions) == 0);
     assert_eq!(
         suspensions.plan_resumption("s-1", at(6.0)),
         None,
-        "one call back ends it"
+        "one request ends the suspension"
     );
 }
 
-/// Guards against a warming-up node that is overloaded because the list states its start late, or never.
+/// Guards against overload of a node that warms up while the list states its start late or never.
 #[test]
 fn a_resumed_node_counts_as_started_at_its_resumption_or_at_a_later_listed_start() {
     let mut suspensions = Suspensions::default();
@@ -93,7 +93,7 @@
 #[test]
 fn suspensions_stored_by_another_process_are_taken_over() {
     let mut suspensions = Suspensions::default();
-    let (held, back) = (
+    let (suspended, resumed) = (
         Suspension {
             suspended_at_us: 1,
             resumed_at_us: None,
@@ -103,17 +103,17 @@
             resumed_at_us: Some(2),
         },
     );
-    let kept = |suspension| BTreeMap::from([("s-1".to_string(), suspension)]);
-    assert_eq!(suspensions.synchronize(&kept(held)), ["s-1"]);
+    let stored = |suspension| BTreeMap::from([("s-1".to_string(), suspension)]);
+    assert_eq!(suspensions.synchronize(&stored(suspended)), ["s-1"]);
     assert!(
-        suspensions.synchronize(&kept(held)).is_empty(),
-        "nothing new"
+        suspensions.synchronize(&stored(suspended)).is_empty(),
+        "nothing changed"
     );
     assert!(
         suspensions.is_known("s-1"),
-        "a call back is taken though no list named it"
+        "a node that is only known from the store can be resumed"
     );
-    assert_eq!(suspensions.synchronize(&kept(back)), ["s-1"]);
+    assert_eq!(suspensions.synchronize(&stored(resumed)), ["s-1"]);
     assert_eq!(suspensions.synchronize(&BTreeMap::new()), ["s-1"]);
     assert_eq!(active_count(&suspensions), 0);
 }
--- a/crates/admin/tests/shutdown.rs
+++ b/crates/admin/tests/shutdown.rs
@@ -1,11 +1,11 @@
-//! The phases of a graceful shutdown, on a virtual clock.
+//! Tests of the phases of a graceful shutdown, on a virtual clock.
 
 use cairnroad_admin::shutdown::{GracefulShutdown, ShutdownObservation, ShutdownPhase};
 use cairnroad_types::Time;
 use quickcheck::{Gen, QuickCheck};
 
-/// Returns when each phase begins, in milliseconds after the request. `observed` gives the observation at an age in
-/// seconds.
+/// Returns when each phase begins, in milliseconds after the shutdown request. `observed` returns the observation at a
+/// time in seconds after the request.
 fn phase_starts(
     longest: f64,
     observed: impl Fn(f64) -> ShutdownObservation,
@@ -23,7 +23,7 @@
     starts
 }
 
-/// The moment so many seconds after the request.
+/// Returns the time `age` seconds after the shutdown request.
 fn now(age: f64) -> Time {
     Time::from_secs(100.0 + age)
 }
@@ -41,7 +41,7 @@
     assert_eq!(all, expected);
 }
 
-/// Guards against clients that keep connecting or sending and so delay the end until the kill.
+/// Guards against clients that delay the end until the kill by connecting or sending without pause.
 #[test]
 fn clients_that_keep_connecting_do_not_delay_the_shutdown() {
     let connecting = |age: f64| ShutdownObservation {
@@ -70,7 +70,7 @@
     assert_eq!(all[3], (ShutdownPhase::Rejecting, 1100));
 }
 
-/// Guards against a request that arrives late in the shutdown and would be answered only after the kill.
+/// Guards against a request that arrives late in the shutdown and is answered only after the kill.
 #[test]
 fn the_answer_deadline_is_before_the_kill() {
     let start = Time::from_secs(100.0);
@@ -85,8 +85,8 @@
     assert!((GracefulShutdown::new(start, 0.4).answer_deadline() - start - 1.0).abs() < 1e-5);
 }
 
-/// Guards against an end right after the last response: with unread bytes the system resets the connection, and the
-/// response is lost with it.
+/// Guards against an end right after the last response: the system resets connections with unread bytes, and the
+/// response is lost.
 #[test]
 fn the_last_response_has_time_to_be_read() {
     let all = phase_starts(2.5, |age| ShutdownObservation {
@@ -97,7 +97,7 @@
     assert_eq!(all[4], (ShutdownPhase::Finished, 2050));
 }
 
-/// Guards against an end while the connection accepted last still waits for its first request.
+/// Guards against an end while the connection accepted last is still waiting for its first request.
 #[test]
 fn unnotified_connections_are_waited_for() {
     let all = phase_starts(2.5, |age| ShutdownObservation {
@@ -107,12 +107,12 @@
     assert_eq!(all[4], (ShutdownPhase::Finished, 1000));
 }
 
-/// Guards against phases fitted to one deployment's deadlines: with short ones the kill comes while connections are
-/// still accepted. Whatever the deadlines and clients, the listener closes 0.4 s and rejections begin 0.15 s before the
-/// kill, or as soon as idle connections are closed.
+/// Guards against phases fitted to one deployment's deadlines: with shorter deadlines the kill would come while
+/// connections are still accepted. Whatever the deadlines and clients, the listener closes 0.4 s and rejections begin
+/// 0.15 s before the kill, or as soon as idle connections are closed.
 #[test]
 fn every_phase_ends_before_the_kill_whatever_the_deadlines() {
-    fn ends_before_kill(deadline: u16, clients_connect: bool, partial: bool) -> bool {
+    fn ends_before_kill(deadline: u16, clients_connect: bool, has_partial_request: bool) -> bool {
         let longest = f64::from(deadline % 10_000) / 1e3 + 0.02;
         let all = phase_starts(longest, |age| ShutdownObservation {
             last_request_at: if clients_connect {
@@ -120,7 +120,7 @@
             } else {
                 Time::default()
             },
-            partial_requests: usize::from(partial),
+            partial_requests: usize::from(has_partial_request),
             unnotified_connections: usize::from(clients_connect),
             ..ShutdownObservation::default()
         });
--- a/crates/discovery-watch/src/error.rs
+++ b/crates/discovery-watch/src/error.rs
@@ -1,14 +1,14 @@
-//! Why a watch breaks, and what an operator can do about it.
+//! The faults that break a watch, with help for operators.
 
 use cairnroad_types::Seconds;
 
-/// A fault that broke a watch. It is logged; the watch restarts by itself.
+/// A fault that broke a watch. The fault is logged, and the watch restarts by itself.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
     /// The connection was not established in time.
     #[error("no connection to the discovery agent within {secs} s")]
     ConnectTimeout {
-        /// The time limit.
+        /// The time limit, in seconds.
         secs: Seconds,
     },
     /// The connection was refused or broke.
@@ -17,16 +17,16 @@
     /// A poll got no response in time.
     #[error("the discovery agent did not respond within {secs:.1} s")]
     ResponseTimeout {
-        /// The time limit.
+        /// The time limit, in seconds.
         secs: Seconds,
     },
-    /// The connection ended where a response was due.
+    /// The agent closed the connection while a response was due.
     #[error("the discovery agent closed the connection before its response")]
     ConnectionClosed,
-    /// The status was not 200.
+    /// The response has a status other than 200.
     #[error("the discovery agent responded with status {0}")]
     UnexpectedStatus(u16),
-    /// The response is not a readable HTTP message.
+    /// The response is not a well-formed HTTP message.
     #[error("the discovery agent's response is malformed: {0}")]
     MalformedResponse(&'static str),
     /// The response's body is not an endpoint list.
@@ -35,7 +35,7 @@
 }
 
 impl WatchError {
-    /// Returns what an operator can do.
+    /// Returns advice for operators.
     pub fn help(&self) -> &'static str {
         match self {
             WatchError::ConnectTimeout { .. } | WatchError::Connection(_) => {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns whether the agent may no longer know the revision, so that the watch restarts with a snapshot.
+    /// Returns whether the agent may no longer know the revision; the watch then restarts with a snapshot.
     pub fn invalidates_revision(&self) -> bool {
         matches!(self, WatchError::UnexpectedStatus(_))
     }
--- a/crates/discovery-watch/src/lib.rs
+++ b/crates/discovery-watch/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A watch is a long poll of the discovery agent's endpoint list. [`DiscoveryWatch`] decides which poll to send next
 //! and how long to wait for its response ([`DiscoveryWatch::next_poll`]), how long to back off after a fault
-//! ([`DiscoveryWatch::on_fault`]), and from when on this process counts as notified of what it missed
+//! ([`DiscoveryWatch::on_fault`]), and the time from which this process counts as notified of changes that it missed
 //! ([`DiscoveryWatch::notification_deadline`]). Times are in seconds unless a name says otherwise.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
--- a/crates/discovery-watch/src/watch.rs
+++ b/crates/discovery-watch/src/watch.rs
@@ -1,39 +1,40 @@
-//! The watch's state and its transitions.
+//! The state of a watch and its transitions.
 
 use crate::error::WatchError;
 use crate::poll::Poll;
 use cairnroad_types::{Seconds, Time};
 
-/// Backoff per consecutive fault. Well under the 0.2 s within which a watch has to go on.
+/// Backoff added per consecutive fault. It is well under the 0.2 s within which a watch has to resume.
 const BACKOFF_STEP: Seconds = 0.05;
-/// Consecutive faults that lengthen the backoff: an agent that is down for long is polled twice a second.
+/// Number of consecutive faults after which the backoff no longer grows, so that an agent that stays down is polled
+/// twice a second.
 const MAX_BACKOFF_STEPS: u32 = 10;
-/// After this much silence of the agent, this process counts as notified of what it missed.
+/// Time since the last response after which this process counts as notified of the changes that it missed.
 const NOTIFIED_AFTER_SILENCE: Seconds = 6.0;
-/// The same, counted from the end of a long poll's wait, if that is later.
+/// The same, counted from the end of the next poll's wait, if that is later.
 const NOTIFIED_AFTER_LONG_POLL: Seconds = 2.0;
-/// The same, counted from a change to another agent.
+/// The same, counted from a change of the agent's address.
 const NOTIFIED_AFTER_AGENT_CHANGE: Seconds = 4.0;
 
 /// The watch of one agent at a time.
 ///
-/// Silence is measured by one clock, whether lists are pushed or polled. A connection that fell silent says nothing
-/// about the agent, which may respond at once on the next one. So a broken watch resumes with a poll that the agent
-/// answers immediately, and only an agent that has responded is trusted with a long poll.
+/// The notification deadline counts from the last response, whether lists are pushed or polled. A silent connection
+/// does not mean that the agent is down: the agent may respond at once on the next connection. So a broken watch
+/// resumes with a poll that the agent answers immediately, and only an agent that has responded gets a long poll.
 #[derive(Debug)]
 pub struct DiscoveryWatch {
-    /// The newest revision received; `None` makes the next poll a snapshot.
+    /// The newest revision received; if `None`, the next poll requests a snapshot.
     revision: Option<u64>,
     /// Whether the agent has responded since the watch was started or last broke.
     agent_confirmed: bool,
     consecutive_faults: u32,
     last_response_at: Time,
-    /// When the agent was changed; `None` once it has responded.
+    /// When the watch changed to another agent; `None` once that agent has responded.
     agent_changed_at: Option<Time>,
 }
 
 impl DiscoveryWatch {
-    /// Returns a watch that starts now: this process counts as notified of the agent's list from the start on.
+    /// Returns a watch that starts now. The notification deadline counts from the start until the first response.
     pub fn new(now: Time) -> DiscoveryWatch {
         DiscoveryWatch {
             revision: None,
@@ -53,17 +54,17 @@
         }
     }
 
-    /// Records a response with a list or changes of this revision.
+    /// Records a response with the list or the changes up to this revision.
     ///
-    /// Returns whether it came after the notification deadline.
+    /// Returns whether the response arrived after the notification deadline.
     pub fn on_response(&mut self, now: Time, revision: u64) -> bool {
-        let late = now > self.notification_deadline();
+        let is_late = now > self.notification_deadline();
         *self = DiscoveryWatch {
             revision: Some(revision),
             agent_confirmed: true,
             ..DiscoveryWatch::new(now)
         };
-        late
+        is_late
     }
 
     /// Records a fault. Returns the backoff before the watch is restarted.
@@ -76,12 +77,12 @@
         BACKOFF_STEP * f64::from(self.consecutive_faults.min(MAX_BACKOFF_STEPS))
     }
 
-    /// Returns the pause after the agent closed the connection behind a complete response, which is not a fault.
+    /// Returns the backoff after the agent closed the connection following a complete response, which is not a fault.
     pub fn on_connection_closed(&self) -> Seconds {
         BACKOFF_STEP
     }
 
-    /// Restarts the watch at another agent with a snapshot: revisions of two agents can't be compared.
+    /// Restarts the watch at another agent with a snapshot, since revisions of different agents can't be compared.
     pub fn on_agent_changed(&mut self, now: Time) {
         *self = DiscoveryWatch {
             agent_changed_at: Some(now),
@@ -89,8 +90,8 @@
         };
     }
 
-    /// Returns the moment from which this process counts as notified of all changes since the last response, whether
-    /// or not they arrived.
+    /// Returns the time from which this process counts as notified of all changes since the last response, whether or
+    /// not they arrived.
     pub fn notification_deadline(&self) -> Time {
         if let Some(changed_at) = self.agent_changed_at {
             return changed_at + NOTIFIED_AFTER_AGENT_CHANGE;
--- a/crates/discovery-watch/src/watch/tests.rs
+++ b/crates/discovery-watch/src/watch/tests.rs
@@ -13,8 +13,8 @@
     Time::from_secs(1000.0 + secs)
 }
 
-/// Plays a watch against an agent that is silent on connections opened before `recovered_at`, in seconds after its
-/// last response, and has changes from then on. Returns when they arrive.
+/// Simulates a watch of an agent that is silent on connections opened before `recovered_at`, in seconds after its last
+/// response, and sends changes on later ones. Returns when the changes arrive, in seconds after the last response.
 fn response_after(mut watch: DiscoveryWatch, recovered_at: f64, connect_time: f64) -> f64 {
     let mut age = 0.0;
     let mut opened_at = -1.0;
@@ -103,15 +103,15 @@
     assert_eq!(
         watch.notification_deadline(),
         at(7.0),
-        "6 s of silence end later than 2 s after the long poll"
+        "6 s after the last response are later than 2 s after the long poll"
     );
     watch.on_fault(&SILENT);
     assert_eq!(
         watch.notification_deadline(),
         at(7.0),
-        "a fault does not postpone it"
+        "a fault does not postpone the deadline"
     );
-    assert!(watch.on_response(at(7.1), 9), "too late");
+    assert!(watch.on_response(at(7.1), 9), "after the deadline");
     assert!(!watch.on_response(at(13.0), 9));
     watch.on_agent_changed(at(20.0));
     assert_eq!(
@@ -123,15 +123,15 @@
     assert!(watch.on_response(at(24.5), 1));
 }
 
-/// Guards against a second silent connection that gets the time of a long poll again: changes would arrive after the
-/// notification deadline.
+/// Guards against waiting for a full long poll on each of several silent connections in a row: changes would arrive
+/// after the notification deadline.
 #[test]
 fn several_silent_connections_in_a_row_still_meet_the_notification_deadline() {
-    for silent in [0.0, 1.0, 3.0, 3.4, 4.0, 4.5] {
-        let response_at = response_after(confirmed_watch(), silent, 0.01);
+    for silent_seconds in [0.0, 1.0, 3.0, 3.4, 4.0, 4.5] {
+        let response_at = response_after(confirmed_watch(), silent_seconds, 0.01);
         assert!(
             response_at < 6.0,
-            "silent for {silent} s, response after {response_at} s"
+            "silent for {silent_seconds} s, response after {response_at} s"
         );
     }
 }
@@ -139,8 +139,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// However long the agent is silent and however slow its connections open, its response arrives within two
-    /// attempts of its first working connection.
+    /// Checks that the response arrives within two attempts of the agent's recovery, however long the agent was silent
+    /// and however slowly its connections open.
     #[test]
     fn an_agent_that_responds_again_is_polled_soon(recovered_at in 0.0f64..60.0, connect_time in 0.0f64..CONNECT_TIMEOUT) {
         let response_at = response_after(confirmed_watch(), recovered_at, connect_time);
@@ -150,7 +150,7 @@
         prop_assert!(recovered_at < 3.1 || response_at - recovered_at <= 2.0 * connect_time + max_backoff + confirmation_timeout + 0.01);
     }
 
-    /// The next poll always has a bounded timeout, and backoff stays bounded.
+    /// Checks that the timeout of the next poll, the backoff and the notification deadline stay bounded.
     #[test]
     fn no_order_of_events_stops_the_watch_or_grows_its_backoff(events in proptest::collection::vec(0u8..5, 0..200)) {
         let mut watch = DiscoveryWatch::new(at(0.0));
