--- a/crates/coordinator/tests/endpoint_files.rs
+++ b/crates/coordinator/tests/endpoint_files.rs
@@ -343,7 +343,7 @@
     std::fs::write(&slot, bytes).unwrap();
     std::fs::write(&path, "").unwrap();
     coordinator.restart();
-    coordinator.wait_for_log_line("roster.b: its checksum is wrong");
+    coordinator.wait_for_log_line("roster.b: checksum mismatch");
     coordinator.wait_for_log_line("stored list in force generation=1 ");
     assert_eq!(
         coordinator
@@ -401,7 +401,7 @@
     run(
         &["roster", "apply", &small],
         1,
-        "nothing was written: 2 of 4 working servers would leave at once, over the share of 0.34",
+        "nothing was written: 2 of 4 active servers would be removed at once, over the permitted share of 0.34",
     );
     run(
         &[
--- a/crates/endpoint-files/src/activation_schedule.rs
+++ b/crates/endpoint-files/src/activation_schedule.rs
@@ -1,26 +1,26 @@
-//! Phase and weight of each endpoint at a moment: activation times of the list, and gradual changes of weights. Free of
-//! I/O and clock.
+//! Computes the phase and weight of each endpoint at a given time from the list's activation times and gradual weight
+//! changes, without I/O or a clock.
 
 use crate::endpoint_set::{EndpointSet, Phase};
 use crate::timestamp::UnixSeconds;
 use std::collections::BTreeMap;
 
-/// How long a weight takes to its new value: a few times as long as a data node takes to fill its caches for keys that
-/// are new to it, and short beside a surge of load.
+/// Duration of a weight change: a few times as long as a data node takes to fill its caches for keys that are new to
+/// it, and short compared with a surge of load.
 pub const WEIGHT_RAMP_SECONDS: f64 = 10.0;
-/// The number of steps of a ramp. Each costs the router an update, and a twentieth causes no burst.
+/// Number of steps of a ramp. Each step costs the router an update, and a twentieth of the change causes no burst.
 const WEIGHT_RAMP_STEPS: f64 = 20.0;
 
-/// An endpoint at a moment.
+/// The phase and weight of an endpoint at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointStatus {
-    /// Whether it takes new work.
+    /// Whether the endpoint takes new work.
     pub phase: Phase,
-    /// Its weight, on its way if it ramps.
+    /// The current weight; during a ramp, a value between the old and the listed weight.
     pub weight: f64,
 }
 
-/// A weight on its way to the listed one.
+/// A gradual change from an earlier weight to the listed one.
 #[derive(Clone, Copy, Debug)]
 struct WeightRamp {
     initial_weight: f64,
@@ -28,7 +28,8 @@
 }
 
 impl WeightRamp {
-    /// The number of steps done, not limited to those that there are.
+    /// Returns the number of steps done, which may exceed [`WEIGHT_RAMP_STEPS`], or be negative if the clock was set
+    /// back.
     fn steps_done(&self, now: UnixSeconds) -> f64 {
         ((now - self.started_at) / WEIGHT_RAMP_SECONDS * WEIGHT_RAMP_STEPS).floor()
     }
@@ -38,7 +39,7 @@
         self.initial_weight + (target - self.initial_weight) * progress.clamp(0.0, 1.0)
     }
 
-    /// When the next step is due; `None` once the ramp is done.
+    /// Returns when the next step is due; `None` once the ramp is complete.
     fn next_step(&self, now: UnixSeconds) -> Option<UnixSeconds> {
         let done = self.steps_done(now);
         (done < WEIGHT_RAMP_STEPS).then(|| {
@@ -47,16 +48,16 @@
     }
 }
 
-/// The set in force with its ramps.
+/// The endpoint set in force, and its weight ramps.
 #[derive(Clone, Debug, Default)]
 pub struct ActivationSchedule {
-    /// `None` until the first set.
+    /// The set in force; `None` until the first one.
     endpoint_set: Option<EndpointSet>,
     ramps: BTreeMap<String, WeightRamp>,
 }
 
 impl ActivationSchedule {
-    /// Puts the next set in force. Weights of endpoints that stay ramp from their present value.
+    /// Puts a set into force. Weights of endpoints that were in the list before ramp from their current value.
     pub fn replace(&mut self, now: UnixSeconds, endpoint_set: EndpointSet) {
         let mut ramps = BTreeMap::new();
         for (id, endpoint) in &endpoint_set.endpoints {
@@ -75,12 +76,12 @@
         self.ramps = ramps;
     }
 
-    /// The set in force; `None` until the first one.
+    /// Returns the set in force; `None` until the first one.
     pub fn endpoint_set(&self) -> Option<&EndpointSet> {
         self.endpoint_set.as_ref()
     }
 
-    /// An endpoint at a moment; `None` if it is not listed or not activated yet.
+    /// Returns the phase and weight of an endpoint at `now`; `None` if it is not listed or not activated yet.
     pub fn status_at(&self, now: UnixSeconds, id: &str) -> Option<EndpointStatus> {
         let endpoint = self.endpoint_set()?.endpoints.get(id)?;
         if endpoint.not_before.is_some_and(|from| now < from) {
@@ -97,7 +98,7 @@
         Some(EndpointStatus { phase, weight })
     }
 
-    /// When the next change is due without a new set: a step of a ramp or an activation time.
+    /// Returns when the next change without a new set is due: a step of a ramp or an activation time.
     pub fn next_change(&self, now: UnixSeconds) -> Option<UnixSeconds> {
         let activation_times = self
             .endpoint_set()
--- a/crates/endpoint-files/src/activation_schedule/tests.rs
+++ b/crates/endpoint-files/src/activation_schedule/tests.rs
@@ -23,7 +23,7 @@
             schedule.next_change(100.0)
         ),
         (1.0, None),
-        "a first list stands at once"
+        "the weights of the first list apply at once"
     );
     schedule.replace(200.0, text(2, 3.0));
     assert_eq!(schedule.status_at(200.0, "a").unwrap().weight, 1.0);
@@ -32,7 +32,7 @@
     schedule.replace(205.0, text(3, 0.0));
     assert!(
         (schedule.status_at(205.0, "a").unwrap().weight - 2.0).abs() < 1e-9,
-        "no jump"
+        "the weight does not jump"
     );
     assert_eq!(
         (
@@ -41,7 +41,7 @@
         ),
         (0.0, None)
     );
-    // Steps only ever go towards the new weight.
+    // Every step moves towards the new weight.
     let mut last = 2.0;
     let mut now = 205.0;
     while let Some(next) = schedule.next_change(now) {
@@ -60,7 +60,7 @@
         not_before = 1970-01-01T00:01:40Z\nnot_after = 1970-01-01T01:03:20+01:00\n# end\n";
     let mut schedule = ActivationSchedule::default();
     schedule.replace(0.0, endpoint_set(text));
-    let phase = |at: f64| schedule.status_at(at, "a").map(|now| now.phase);
+    let phase = |at: f64| schedule.status_at(at, "a").map(|status| status.phase);
     assert_eq!(
         (phase(99.0), phase(100.0), phase(199.9), phase(200.0)),
         (
--- a/crates/endpoint-files/src/debounce.rs
+++ b/crates/endpoint-files/src/debounce.rs
@@ -1,43 +1,44 @@
-//! When changing files are read. Free of I/O and clock: moments are durations since any fixed start.
+//! Decides when changed files are read, without I/O or a clock. Times are durations since an arbitrary fixed start.
 
 use std::time::Duration;
 
-/// How long no change must be seen before the files are read: most often a writer of several files is done by then.
-/// What is read too early is rejected for its generations and read again.
+/// Time without a change before the files are read; a writer of several files is usually done by then. Files that are
+/// read too early are rejected for their mixed generations and read again.
 pub const QUIET_PERIOD: Duration = Duration::from_millis(30);
-/// How long a writer that never rests is waited for. Together with the reading this stays under 100 ms.
+/// Maximum delay of a read while the files keep changing. Together with the read itself it stays under 100 ms.
 pub const MAX_DELAY: Duration = Duration::from_millis(60);
-/// How often the files are read without any event: events get lost, and some file systems send none.
+/// Interval at which the files are read without any event: events get lost, and some file systems send none.
 pub const RESCAN_INTERVAL: Duration = Duration::from_secs(1);
-/// How soon files that were rejected or unreadable are read again, in case they were read in the middle of a write.
+/// Delay until rejected or unreadable files are read again, in case they were read in the middle of a write.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How often that is done before the next rescan.
+/// Number of such retries before the next regular rescan.
 const MAX_RETRIES: u32 = 4;
 
-/// What a read of the files found.
+/// The outcome of a read of the files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The files hold the set in force, maybe since this read.
+    /// The files hold the set in force, which this read or an earlier one applied.
     Applied,
-    /// The files were rejected, unreadable or written meanwhile.
+    /// The files were rejected, unreadable, or changed during the read.
     Unusable,
 }
 
-/// What is known of the files since the last read.
+/// The state of the files as of the last read and the changes since.
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// They hold the set in force.
+    /// The files hold the set in force.
     Settled,
-    /// They were not usable in this many reads since the last change.
+    /// The files were not usable in this many reads since the last change.
     Unusable { reads: u32 },
-    /// They changed.
+    /// The files changed since the last read.
     Changed {
         first_at: Duration,
         last_at: Duration,
     },
 }
 
-/// Decides when files are read: after a quiet period, within a bound, again after a failure, and regularly.
+/// Schedules reads of the files: after a quiet period but within a maximum delay, again after a failure, and at regular
+/// intervals.
 #[derive(Clone, Debug)]
 pub struct Debounce {
     state: State,
@@ -45,7 +46,7 @@
 }
 
 impl Debounce {
-    /// Starts with files that were just read and hold the set in force.
+    /// Returns a schedule for files that were just read and hold the set in force.
     pub fn new(now: Duration) -> Debounce {
         Debounce {
             state: State::Settled,
@@ -65,7 +66,7 @@
         };
     }
 
-    /// When the files are to be read next.
+    /// Returns when the files are to be read next.
     pub fn next_read_at(&self) -> Duration {
         let rescan_at = self.last_read_at + RESCAN_INTERVAL;
         match self.state {
@@ -79,7 +80,7 @@
 
     /// Records a read of the files.
     pub fn on_read(&mut self, now: Duration, outcome: ReadOutcome) {
-        let failed_before = match self.state {
+        let failed_reads = match self.state {
             State::Unusable { reads } => reads,
             State::Settled | State::Changed { .. } => 0,
         };
@@ -87,7 +88,7 @@
         self.state = match outcome {
             ReadOutcome::Applied => State::Settled,
             ReadOutcome::Unusable => State::Unusable {
-                reads: failed_before.saturating_add(1),
+                reads: failed_reads.saturating_add(1),
             },
         };
     }
--- a/crates/endpoint-files/src/debounce/tests.rs
+++ b/crates/endpoint-files/src/debounce/tests.rs
@@ -14,11 +14,7 @@
     for step in 1..100 {
         debounce.on_change(ms(500 + step));
     }
-    assert_eq!(
-        debounce.next_read_at(),
-        ms(560),
-        "a writer that never rests"
-    );
+    assert_eq!(debounce.next_read_at(), ms(560), "the files keep changing");
     debounce.on_read(ms(560), ReadOutcome::Unusable);
     let mut reads = 0;
     let mut now = ms(560);
@@ -29,7 +25,7 @@
     }
     assert_eq!(
         reads, MAX_RETRIES,
-        "rejected files are read again a few times, then at the rescan interval"
+        "rejected files are retried a few times, then read at the rescan interval"
     );
     debounce.on_change(now);
     debounce.on_read(now + ms(30), ReadOutcome::Applied);
--- a/crates/endpoint-files/src/endpoint_set.rs
+++ b/crates/endpoint-files/src/endpoint_set.rs
@@ -9,38 +9,39 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes new work.
+    /// The endpoint takes new work.
     #[default]
     Active,
-    /// It completes its in-flight work and gets nothing new.
+    /// The endpoint completes its in-flight work and gets nothing new.
     #[serde(rename = "leaving")]
     Draining,
 }
 
-/// One data node of the list. Serialised with the keys of the files.
+/// One data node of the list. It is serialized with the keys of the files.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// Address on which the data node listens.
     pub address: SocketAddr,
-    /// Its cell, which determines the shards that it holds.
+    /// Number of its cell, from 0, which determines the shards that it holds.
     pub cell: u32,
-    /// The failure domain that it may be lost with; empty if unknown.
+    /// Name of the failure domain whose endpoints may be lost together; empty if unknown.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub locality: String,
-    /// Its kind of machine, for people only.
+    /// Machine type, for information only; empty if unknown.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub kind: String,
-    /// Whether it takes new work.
+    /// Whether the endpoint takes new work.
     pub phase: Phase,
-    /// Its share of turns beside the other holders of its shards; 0 takes only what no other holder can.
+    /// Share of turns relative to the other holders of its shards. An endpoint with weight 0 gets only work that no
+    /// other holder can take.
     pub weight: f64,
-    /// When it started; `None` counts as just started.
+    /// When the data node started; `None` counts as just started.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub started: Option<UnixSeconds>,
-    /// When it enters the list; `None` is at once.
+    /// When the endpoint enters the list; `None` means at once.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub not_before: Option<UnixSeconds>,
-    /// When it starts draining; `None` is never.
+    /// When the endpoint starts draining; `None` means never.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub not_after: Option<UnixSeconds>,
 }
@@ -48,18 +49,18 @@
 /// A complete endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct EndpointSet {
-    /// Counts up with each list that an operator releases.
+    /// Generation of the list, from 1; every list that an operator releases has a higher one.
     pub generation: u64,
-    /// The writer allows this list to remove more than the configured share at once.
+    /// Whether this list may remove more than the configured share of active endpoints at once.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub allow_shrink: bool,
-    /// The endpoints by id.
+    /// Endpoints by id.
     #[serde(rename = "servers")]
     pub endpoints: BTreeMap<String, Endpoint>,
 }
 
 impl EndpointSet {
-    /// Iterates over the endpoints that take new work.
+    /// Iterates over the active endpoints and their ids.
     pub fn active(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
         self.endpoints
             .iter()
@@ -67,12 +68,12 @@
             .map(|(id, endpoint)| (id.as_str(), endpoint))
     }
 
-    /// Counts the endpoints that take new work.
+    /// Returns the number of active endpoints.
     pub fn active_count(&self) -> usize {
         self.active().count()
     }
 
-    /// Whether both lists have the same endpoints, whatever their generations and flags.
+    /// Returns whether both lists have the same endpoints, whatever their generations and flags.
     pub fn has_same_endpoints(&self, other: &EndpointSet) -> bool {
         self.endpoints == other.endpoints
     }
--- a/crates/endpoint-files/src/fault.rs
+++ b/crates/endpoint-files/src/fault.rs
@@ -1,7 +1,7 @@
-//! What can be wrong with endpoint files, each cause with its text for operators.
+//! Faults of endpoint files, with messages for operators.
 
 use crate::file_format::{
-    END_MARK, MAX_BYTES, MAX_ENDPOINTS, MAX_FILES, MAX_TEXT_BYTES, MAX_WEIGHT,
+    END_MARKER, MAX_BYTES, MAX_ENDPOINTS, MAX_FILES, MAX_TEXT_BYTES, MAX_WEIGHT,
 };
 use serde::{Serialize, Serializer};
 use std::fmt;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use toml::Value;
 
-/// A place in a file.
+/// A line of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
     /// The file's name.
@@ -25,20 +25,20 @@
     }
 }
 
-/// One fault of the files or of the list that they make up.
+/// A fault of the files or of the list that they make up.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fault {
-    /// The file's name; empty where the list as a whole is at fault.
+    /// The file's name; empty if the fault concerns the whole list.
     pub file: String,
-    /// The line, from 1; 0 where the file or the list as a whole is at fault.
+    /// The line, from 1; 0 if the fault concerns the whole file or list.
     pub line: usize,
-    /// What is wrong, and what would be right.
+    /// The cause; its text says what was found and what was expected.
     #[serde(serialize_with = "as_text")]
     pub cause: FaultCause,
 }
 
 impl Fault {
-    /// A fault of the list as a whole.
+    /// Returns a fault that concerns the whole list.
     pub fn of_list(cause: FaultCause) -> Fault {
         Fault {
             file: String::new(),
@@ -62,7 +62,7 @@
     serializer.collect_str(cause)
 }
 
-/// Formats faults, one a line.
+/// Formats faults, one per line.
 pub fn join_lines(faults: &[Fault]) -> String {
     faults
         .iter()
@@ -71,17 +71,17 @@
         .join("\n")
 }
 
-/// Why a file's text can't be read.
+/// The reason why a file's text can't be read.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum FileError {
-    /// The operating system refused. Shared, so that faults can be cloned.
+    /// The operating system reported an error, which is shared so that faults can be cloned.
     #[error(transparent)]
     Io(Arc<io::Error>),
-    /// A folder, socket or device.
-    #[error("this is no plain file")]
+    /// The path names a folder, socket or device.
+    #[error("not a regular file")]
     NotRegular,
-    /// Longer than [`MAX_BYTES`].
-    #[error("the file has more than {MAX_BYTES} bytes")]
+    /// The file is larger than [`MAX_BYTES`].
+    #[error("file too large: at most {MAX_BYTES} bytes are allowed")]
     TooLarge,
 }
 
@@ -91,14 +91,14 @@
     }
 }
 
-/// Two causes are the same if an operator reads the same text: I/O errors have no equality of their own.
+/// Compares the texts that operators read, because `io::Error` does not implement `PartialEq`.
 impl PartialEq for FileError {
     fn eq(&self, other: &FileError) -> bool {
         self.to_string() == other.to_string()
     }
 }
 
-/// What is wrong. The text says what would be right.
+/// The cause of a fault. The text says what was found and what was expected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[allow(
     missing_docs,
@@ -106,100 +106,100 @@
 )]
 pub enum FaultCause {
     // The files.
-    #[error("there is no roster file (*.toml)")]
+    #[error("no roster file found (*.toml)")]
     NoFiles,
-    #[error("there are {count} files: {MAX_FILES} at most")]
+    #[error("too many files: {count}, at most {MAX_FILES} are allowed")]
     TooManyFiles { count: usize },
-    #[error("the files have {bytes} bytes together: {MAX_BYTES} at most")]
+    #[error("files too large: {bytes} bytes in total, at most {MAX_BYTES} are allowed")]
     TooManyBytes { bytes: usize },
     #[error(transparent)]
     Unreadable(#[from] FileError),
-    #[error("the file is empty: it may be half-written")]
+    #[error("empty file, possibly only partially written")]
     EmptyFile,
-    #[error("this is no TOML, or half-written: {message}")]
+    #[error("invalid TOML, possibly only partially written: {message}")]
     InvalidToml { message: String },
     #[error("{message}")]
     UnknownField { message: String },
-    #[error("the last line must be '{END_MARK}': a file without it may be half-written")]
-    MissingEndMark,
-    #[error("'generation' is missing: every file of a roster carries the same")]
+    #[error("expected '{END_MARKER}' as the last line: the file may be only partially written")]
+    MissingEndMarker,
+    #[error("'generation' is missing: every file of a roster must state the same one")]
     MissingGeneration,
-    #[error("'generation': {value} is no whole number above 0")]
+    #[error("'generation': expected an integer above 0, found {value}")]
     InvalidGeneration { value: Value },
-    #[error("'allow_shrink': {value} is neither true nor false")]
+    #[error("'allow_shrink': expected true or false, found {value}")]
     InvalidAllowShrink { value: Value },
 
     // One endpoint's entry.
-    #[error("'{key}' has more than {MAX_TEXT_BYTES} bytes")]
+    #[error("'{key}': longer than {MAX_TEXT_BYTES} bytes")]
     TextTooLong { key: &'static str },
-    #[error("'{key}': {value} is no text")]
+    #[error("'{key}': expected a string, found {value}")]
     NotText { key: &'static str, value: Value },
-    #[error("'phase': '{value}' is neither active nor leaving")]
+    #[error("'phase': expected 'active' or 'leaving', found '{value}'")]
     UnknownPhase { value: String },
-    #[error("'cell': {value} is no cell's number")]
+    #[error("'cell': expected the number of a cell, found {value}")]
     InvalidCell { value: Value },
-    #[error("'cell' is missing: it tells which shards the server holds")]
+    #[error("'cell' is missing: it determines the shards that the server holds")]
     MissingCell,
-    #[error("'weight': {value} is no number")]
+    #[error("'weight': expected a number, found {value}")]
     WeightNotANumber { value: Value },
-    #[error("'weight': {weight} is not from 0 to {MAX_WEIGHT}")]
+    #[error("'weight': expected 0 to {MAX_WEIGHT}, found {weight}")]
     WeightOutOfRange { weight: f64 },
-    #[error("'{key}': {value} needs a date, a time and an offset, such as Z")]
+    #[error("'{key}': expected a date, a time and an offset such as Z, found {value}")]
     IncompleteTimestamp { key: &'static str, value: Value },
-    #[error("'{key}': {value} is no time, such as 2026-12-01T06:00:00Z")]
+    #[error("'{key}': expected a time such as 2026-12-01T06:00:00Z, found {value}")]
     NotATimestamp { key: &'static str, value: Value },
-    #[error("'not_after' is not later than 'not_before'")]
+    #[error("'not_after' must be later than 'not_before'")]
     EmptyActivePeriod,
-    #[error("'{key}' is not known: {known} are")]
+    #[error("unknown key '{key}', expected one of {known}")]
     UnknownKey { key: String, known: String },
     #[error("'id' is missing")]
     MissingId,
     #[error("'address' of '{id}' is missing")]
     MissingAddress { id: String },
-    #[error("'address' of '{id}': '{address}' is no address and port")]
+    #[error("'address' of '{id}': expected an IP address and port, found '{address}'")]
     InvalidAddress { id: String, address: String },
 
     // Several files together.
-    #[error("the server '{id}' is named twice: also in {first}")]
+    #[error("duplicate server '{id}', first defined at {first}")]
     DuplicateId { id: String, first: Location },
-    #[error("the address {address} of '{id}' is named twice: also in {first}")]
+    #[error("duplicate address {address} of '{id}', first used at {first}")]
     DuplicateAddress {
         address: SocketAddr,
         id: String,
         first: Location,
     },
-    #[error("the weight of '{id}' stands in {first}, too")]
+    #[error("duplicate weight of '{id}', first stated at {first}")]
     DuplicateWeight { id: String, first: Location },
-    #[error("there is no server '{id}'")]
+    #[error("unknown server '{id}'")]
     UnknownEndpoint { id: String },
-    #[error("this file is of generation {generation}, another of {newest}: write all of them")]
+    #[error("this file has generation {generation}, another has {newest}: all files must have the same one")]
     MixedGenerations { generation: u64, newest: u64 },
-    #[error("there are {count} servers: {MAX_ENDPOINTS} at most")]
+    #[error("too many servers: {count}, at most {MAX_ENDPOINTS} are allowed")]
     TooManyEndpoints { count: usize },
 
-    // The list beside the layout and the list in force.
-    #[error("the server '{id}' is of cell {cell}: there are cells 0 to {last_cell}")]
+    // The list compared with the layout and the list in force.
+    #[error("server '{id}' is in cell {cell}, but the cells are 0 to {last_cell}")]
     CellOutOfRange {
         id: String,
         cell: u32,
         last_cell: u32,
     },
-    #[error("the weights of cell {cell} add up to 0: one at least must be above")]
+    #[error("the weights of cell {cell} add up to 0: at least one must be positive")]
     ZeroCellWeight { cell: u32 },
-    #[error("shard {first_shard} and {other_shards} more have no active holder left")]
+    #[error("shard {first_shard} and {other_shards} more have no active holder")]
     ShardsWithoutHolder {
         first_shard: u32,
         other_shards: usize,
     },
-    #[error("generation {generation} is older than {in_force}, which is in force: count up")]
+    #[error("generation {generation} is older than {in_force}, which is in force: increase it")]
     OlderGeneration { generation: u64, in_force: u64 },
     #[error(
-        "generation {generation} is in force with other content: count it up with each change"
+        "generation {generation} is in force with different content: increase it with each change"
     )]
     GenerationReused { generation: u64 },
     #[error(
-        "{removed} of {active} working servers would leave at once, over the share of {max_share}: \
-         'allow_shrink = true' beside the generation says that it is meant"
+        "{removed} of {active} active servers would be removed at once, over the permitted share of {max_share}: \
+         set 'allow_shrink = true' next to 'generation' if this is intended"
     )]
     TooManyRemoved {
         removed: usize,
--- a/crates/endpoint-files/src/file_format.rs
+++ b/crates/endpoint-files/src/file_format.rs
@@ -1,17 +1,17 @@
-//! The bounds of endpoint files and the mark at their end.
+//! Limits of endpoint files, and the marker at their end.
 
-/// The largest file, and the largest size of all files together, in bytes. An endpoint takes some 150.
+/// Maximum size of one file and of all files together, in bytes. An endpoint takes some 150 bytes.
 pub const MAX_BYTES: usize = 8 * 1024 * 1024;
-/// The most files of a folder.
+/// Maximum number of files in a folder.
 pub const MAX_FILES: usize = 256;
-/// The most endpoints. All walks over a set are linear or nearly so.
+/// Maximum number of endpoints. All passes over a set are linear or nearly so.
 pub const MAX_ENDPOINTS: usize = 50_000;
-/// The most faults that are reported.
+/// Maximum number of faults that are reported.
 pub const MAX_FAULTS: usize = 100;
-/// The longest id, locality or kind, in bytes.
+/// Maximum length of an id, locality or kind, in bytes.
 pub const MAX_TEXT_BYTES: usize = 128;
-/// The largest weight. Larger ones would leave the other endpoints turns too rare to learn from.
+/// Maximum weight. With a larger one, the other endpoints would get turns too rarely to be measured.
 pub const MAX_WEIGHT: f64 = 1_000.0;
-/// The last line of every file. A file that was cut may still be valid TOML, with some endpoints or a digit of a
-/// weight missing: only this line shows that it is complete.
-pub const END_MARK: &str = "# end";
+/// Last line of every file. A truncated file may still be valid TOML, with some endpoints or a digit of a weight
+/// missing; only this line shows that the file is complete.
+pub const END_MARKER: &str = "# end";
--- a/crates/endpoint-files/src/lib.rs
+++ b/crates/endpoint-files/src/lib.rs
@@ -1,18 +1,18 @@
-//! Endpoint lists from files that operators edit: parsing with all faults reported, complete-or-nothing updates,
-//! slow changes of weights, and a stored snapshot for the next start.
+//! Endpoint lists from files that operators edit: parsing that reports all faults, all-or-nothing updates, gradual
+//! weight changes, and a stored snapshot for the next start.
 //!
-//! The package decides on plain data; only [`snapshot_store`] touches the file system, and nothing reads a clock.
+//! Only [`snapshot_store`] accesses the file system; the other modules work on plain data, and none reads a clock.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`parse`] | file texts to an [`endpoint_set::EndpointSet`], or all [`fault::Fault`]s |
-//! | [`validation`] | whether a set may replace the one in force |
-//! | [`update_plan`] | what replacing one set by another changes |
-//! | [`activation_schedule`] | phase and weight of each endpoint at a moment |
-//! | [`debounce`] | when changing files are read |
-//! | [`snapshot_store`] | the last accepted set on disk |
-//! | [`file_format`] | the bounds of files and the mark at their end |
-//! | [`render`], [`timestamp`] | a set as TOML text, moments in TOML's form |
+//! | [`parse`] | parses files to an [`endpoint_set::EndpointSet`], or reports all [`fault::Fault`]s |
+//! | [`validation`] | decides whether a set may replace the one in force |
+//! | [`update_plan`] | lists the changes from one set to the next |
+//! | [`activation_schedule`] | computes phase and weight of each endpoint at a given time |
+//! | [`debounce`] | decides when changed files are read |
+//! | [`snapshot_store`] | stores the last accepted set on disk |
+//! | [`file_format`] | limits of files and their end marker |
+//! | [`render`], [`timestamp`] | format a set as TOML, convert times from and to TOML |
 
 #![forbid(unsafe_code)]
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
--- a/crates/endpoint-files/src/parse/document.rs
+++ b/crates/endpoint-files/src/parse/document.rs
@@ -1,15 +1,15 @@
-//! One file: its top-level keys, and the lines at which its entries stand.
+//! Parses one file: its top-level keys, and the line of each entry.
 
 use super::endpoint_entry::{parse_weight, EntryReader};
 use super::merge::Merge;
 use crate::fault::{FaultCause, Location};
-use crate::file_format::END_MARK;
+use crate::file_format::END_MARKER;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::ops::Range;
 use toml::{Spanned, Table, Value};
 
-/// The file's form. Values stay untyped, so that each wrong one is a fault of its own with its line.
+/// The top-level keys of a file. Values stay untyped, so that each invalid one is reported as a fault with its line.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Document {
@@ -21,7 +21,7 @@
     weights: BTreeMap<String, Spanned<Value>>,
 }
 
-/// The offsets at which lines begin, to find the lines of thousands of entries in logarithmic time each.
+/// The byte offsets at which lines begin, to find the line of each of thousands of entries in logarithmic time.
 struct LineIndex(Vec<usize>);
 
 impl LineIndex {
@@ -34,13 +34,13 @@
         LineIndex(std::iter::once(0).chain(line_ends).collect())
     }
 
-    /// The line of a byte offset, from 1.
+    /// Returns the number of the line that holds a byte offset, from 1.
     fn line(&self, offset: usize) -> usize {
         self.0.partition_point(|&start| start <= offset)
     }
 }
 
-/// Parses one file's text into the merge.
+/// Parses one file's text, and adds its entries and faults to `merge`.
 pub(super) fn parse(name: &str, text: &str, merge: &mut Merge) {
     if text.trim().is_empty() {
         return merge.faults.add_to_file(name, FaultCause::EmptyFile);
@@ -60,12 +60,12 @@
             };
         }
     };
-    if !ends_with_mark(text) {
-        let last = Location {
+    if !ends_with_marker(text) {
+        let last_line = Location {
             file: name.into(),
             line: text.lines().count(),
         };
-        merge.faults.add(&last, FaultCause::MissingEndMark);
+        merge.faults.add(&last_line, FaultCause::MissingEndMarker);
     }
     match document.generation {
         None => merge
@@ -98,9 +98,9 @@
     }
 }
 
-fn ends_with_mark(text: &str) -> bool {
-    let last = text.trim_end().lines().last();
-    last.is_some_and(|last| last.trim() == END_MARK)
+fn ends_with_marker(text: &str) -> bool {
+    let last_line = text.trim_end().lines().last();
+    last_line.is_some_and(|line| line.trim() == END_MARKER)
 }
 
 fn add_generation(merge: &mut Merge, location: Location, value: Value) {
--- a/crates/endpoint-files/src/parse/endpoint_entry.rs
+++ b/crates/endpoint-files/src/parse/endpoint_entry.rs
@@ -1,4 +1,4 @@
-//! One `[[server]]` entry, key by key.
+//! Parses one `[[server]]` entry, key by key.
 
 use super::fault_list::FaultList;
 use crate::endpoint_set::Phase;
@@ -7,7 +7,7 @@
 use crate::timestamp::{unix_seconds, UnixSeconds};
 use toml::{Table, Value};
 
-/// The weight of an entry that states none.
+/// Weight of an entry that states none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 /// The keys of an entry, in the order in which faults list them.
 const KNOWN_KEYS: [&str; 10] = [
@@ -23,7 +23,7 @@
     "not_after",
 ];
 
-/// The values of an entry. A value that was at fault has its default here, and a fault in the list.
+/// The values of an entry. An invalid value is replaced by its default, and its fault is in the fault list.
 pub(super) struct EntryFields {
     pub(super) id: Option<String>,
     pub(super) address: Option<String>,
@@ -32,16 +32,16 @@
     pub(super) kind: String,
     pub(super) phase: Phase,
     pub(super) weight: f64,
-    /// Whether the entry states a weight itself, so that a `[weights]` table must not.
+    /// Whether the entry states a weight, so that a `[weights]` table must not state one for it.
     pub(super) states_weight: bool,
     pub(super) started: Option<UnixSeconds>,
     pub(super) not_before: Option<UnixSeconds>,
     pub(super) not_after: Option<UnixSeconds>,
-    /// Whether any of its values was at fault.
+    /// Whether any value is invalid.
     pub(super) is_faulty: bool,
 }
 
-/// Takes values out of an entry; what is left at the end is unknown.
+/// Takes the known keys out of an entry's table; the keys that are left at the end are unknown.
 pub(super) struct EntryReader<'a> {
     table: Table,
     location: &'a Location,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Parses a weight, of an entry or of a `[weights]` table; `None` after a fault.
+/// Parses a weight of an entry or of a `[weights]` table; `None` if it is invalid, which is reported as a fault.
 pub(super) fn parse_weight(
     value: Value,
     location: &Location,
--- a/crates/endpoint-files/src/parse/fault_list.rs
+++ b/crates/endpoint-files/src/parse/fault_list.rs
@@ -1,9 +1,9 @@
-//! The faults found so far.
+//! Collects the faults that are found while parsing.
 
 use crate::fault::{Fault, FaultCause, Location};
 use crate::file_format::MAX_FAULTS;
 
-/// Faults in the order found; those beyond [`MAX_FAULTS`] are dropped.
+/// Faults in the order in which they were found; those beyond [`MAX_FAULTS`] are dropped.
 #[derive(Default)]
 pub(super) struct FaultList {
     faults: Vec<Fault>,
@@ -15,12 +15,12 @@
         self.push(&location.file, location.line, cause);
     }
 
-    /// Adds a fault of a file as a whole.
+    /// Adds a fault that concerns a whole file.
     pub(super) fn add_to_file(&mut self, file: &str, cause: FaultCause) {
         self.push(file, 0, cause);
     }
 
-    /// Adds a fault of the list as a whole.
+    /// Adds a fault that concerns the whole list.
     pub(super) fn add_to_list(&mut self, cause: FaultCause) {
         self.push("", 0, cause);
     }
--- a/crates/endpoint-files/src/parse/merge.rs
+++ b/crates/endpoint-files/src/parse/merge.rs
@@ -1,4 +1,5 @@
-//! All files together: ids and addresses that are unique, one generation, weights from files of their own.
+//! Merges all files into one set: checks that ids and addresses are unique and that all files have the same generation,
+//! and applies the weights of `[weights]` tables.
 
 use super::endpoint_entry::EntryFields;
 use super::fault_list::FaultList;
@@ -8,29 +9,30 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The generation that a file states.
+/// The generation that a file states, and where.
 struct FileGeneration {
     generation: u64,
     location: Location,
 }
 
-/// A weight from a `[weights]` table.
+/// A weight from a `[weights]` table, and where it is stated.
 struct SeparateWeight {
     weight: f64,
     location: Location,
 }
 
-/// The endpoints and faults found so far, over all files.
+/// The endpoints and faults found so far in all files.
 #[derive(Default)]
 pub(super) struct Merge {
     pub(super) faults: FaultList,
     pub(super) allow_shrink: bool,
     generations: Vec<FileGeneration>,
     endpoints: BTreeMap<String, Endpoint>,
-    /// Where each id and address is first named.
+    /// Where each id is first used.
     id_locations: BTreeMap<String, Location>,
+    /// Where each address is first used.
     address_locations: BTreeMap<SocketAddr, Location>,
-    /// Entries that state their weight themselves.
+    /// Where each entry that states its own weight begins, by id.
     stated_weights: BTreeMap<String, Location>,
     separate_weights: BTreeMap<String, SeparateWeight>,
 }
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Adds an entry, unless it or another one like it is at fault.
+    /// Adds an entry, unless it has a fault or an earlier entry has the same id or address.
     pub(super) fn add_endpoint(&mut self, location: Location, fields: EntryFields) {
         let (id, address) = match self.identity(&fields) {
             Ok(identity) => identity,
@@ -87,7 +89,7 @@
         self.endpoints.insert(id, endpoint);
     }
 
-    /// An entry's id and address, both valid and unique so far.
+    /// Returns an entry's id and address, if both are valid and not used by an earlier entry.
     fn identity(&self, fields: &EntryFields) -> Result<(String, SocketAddr), FaultCause> {
         let id = fields.id.clone().filter(|id| !id.is_empty());
         let id = id.ok_or(FaultCause::MissingId)?;
@@ -109,7 +111,7 @@
         Ok((id, address))
     }
 
-    /// The set of all files, or all faults.
+    /// Returns the set of all files. The error holds all faults.
     pub(super) fn finish(mut self) -> Result<EndpointSet, Vec<Fault>> {
         self.apply_separate_weights();
         let generation = self.common_generation();
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The newest generation; files of another one are reported.
+    /// Returns the newest generation, and reports files of any other.
     fn common_generation(&mut self) -> u64 {
         let generations = self.generations.iter().map(|file| file.generation);
         let newest = generations.max().unwrap_or(0);
--- a/crates/endpoint-files/src/parse/mod.rs
+++ b/crates/endpoint-files/src/parse/mod.rs
@@ -1,4 +1,4 @@
-//! Parsing of endpoint files: all files make up one set, and all faults are reported together.
+//! Parses endpoint files: all files together make up one set, and all faults are reported together.
 
 mod document;
 mod endpoint_entry;
@@ -10,16 +10,16 @@
 use crate::file_format::{MAX_BYTES, MAX_FILES};
 use merge::Merge;
 
-/// A file as it was found.
+/// A file's name and text, as read from disk.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceFile {
-    /// The file's name, for faults.
+    /// The file's name, which faults report.
     pub name: String,
-    /// Its text, or why it can't be read.
+    /// The file's text, or the reason why it can't be read.
     pub text: Result<String, FileError>,
 }
 
-/// Parses all files of an endpoint set, or returns their faults, the first
+/// Parses all files of an endpoint set. The error holds all faults, up to
 /// [`MAX_FAULTS`](crate::file_format::MAX_FAULTS).
 pub fn parse_files(files: &[SourceFile]) -> Result<EndpointSet, Vec<Fault>> {
     let mut merge = Merge::default();
--- a/crates/endpoint-files/src/render.rs
+++ b/crates/endpoint-files/src/render.rs
@@ -1,7 +1,7 @@
-//! An endpoint set as the text of one file.
+//! Formats an endpoint set as the text of one file.
 
 use crate::endpoint_set::{Endpoint, EndpointSet, Phase};
-use crate::file_format::END_MARK;
+use crate::file_format::END_MARKER;
 use crate::timestamp::format_timestamp;
 use toml::Value;
 
@@ -14,7 +14,7 @@
     for (id, endpoint) in &endpoint_set.endpoints {
         push_endpoint(&mut text, id, endpoint);
     }
-    text.push_str(&format!("\n{END_MARK}\n"));
+    text.push_str(&format!("\n{END_MARKER}\n"));
     text
 }
 
--- a/crates/endpoint-files/src/shard_layout.rs
+++ b/crates/endpoint-files/src/shard_layout.rs
@@ -1,4 +1,4 @@
-//! Which cells hold which shards.
+//! The placement of shards on cells.
 
 /// The placement of shards on cells: shard `s` is held by `cells_per_shard` consecutive cells from `s mod cells` on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
 }
 
 impl ShardLayout {
-    /// Iterates over the cells that hold a shard.
+    /// Iterates over the numbers of the cells that hold a shard.
     pub fn holders(&self, shard: u32) -> impl Iterator<Item = u32> + '_ {
         let cells = self.cells.max(1);
         (0..self.cells_per_shard.min(cells))
--- a/crates/endpoint-files/src/snapshot_store.rs
+++ b/crates/endpoint-files/src/snapshot_store.rs
@@ -1,9 +1,9 @@
-//! The last accepted endpoint set on disk, for a start whose files can't be used.
+//! Stores the last accepted endpoint set on disk, for a start at which the files are unusable.
 //!
-//! Two slots are written in turn, each completely or not at all, so that whenever the process is killed, the newest set
-//! or the one before it is there.
+//! Two slots are written in turn, each completely or not at all, so that the newest set or the one before it survives
+//! whenever the process is killed.
 //!
-//! A slot is a line `cairnroad-roster 1 CRC32`, a line `# saved UNIX_SECONDS`, and the set as one endpoint file. The
+//! A slot holds a line `cairnroad-roster 1 CRC32`, a line `# saved UNIX_SECONDS`, and the set as one endpoint file. The
 //! checksum, eight hexadecimal digits, covers everything after its line.
 
 use crate::endpoint_set::EndpointSet;
@@ -18,29 +18,34 @@
 
 /// The names of the two slots.
 pub const SLOT_NAMES: [&str; 2] = ["roster.a", "roster.b"];
-/// The form's name and version, at the head of each slot.
+/// Name and version of the format, at the start of each slot.
 const HEADER: &str = "cairnroad-roster 1";
+/// Maximum size of a slot in bytes, twice that of a set's source files.
+const MAX_SLOT_BYTES: u64 = 2 * MAX_BYTES as u64;
 const SAVED_AT_PREFIX: &str = "# saved ";
-/// The name by which faults call a slot's content.
+/// File name of a slot's content in faults, which follows the slot's own name.
 const CONTENT_NAME: &str = "it";
 
-/// Where slots are stored.
+/// The storage of slots.
 pub trait SlotStorage {
-    /// Returns a slot's bytes.
+    /// Returns a slot's bytes; the error is [`io::ErrorKind::NotFound`] if the slot was never written.
     fn read(&self, slot: &str) -> io::Result<Vec<u8>>;
     /// Replaces a slot completely or not at all.
     fn replace(&mut self, slot: &str, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// Slots as files of a folder.
+/// A folder that stores each slot as a file.
 #[derive(Clone, Debug)]
 pub struct StateDirectory(pub PathBuf);
 
 impl SlotStorage for StateDirectory {
     fn read(&self, slot: &str) -> io::Result<Vec<u8>> {
         let path = self.0.join(slot);
-        if std::fs::metadata(&path)?.len() > 2 * MAX_BYTES as u64 {
-            return Err(io::Error::other("the file is too large"));
+        let length = std::fs::metadata(&path)?.len();
+        if length > MAX_SLOT_BYTES {
+            let message =
+                format!("file too large: {length} bytes, at most {MAX_SLOT_BYTES} are allowed");
+            return Err(io::Error::other(message));
         }
         std::fs::read(path)
     }
@@ -50,7 +55,8 @@
     }
 }
 
-/// Replaces a file completely or not at all: writes beside it, syncs, renames over it, syncs the folder.
+/// Replaces a file completely or not at all: writes a temporary file beside it, syncs and renames that, and syncs the
+/// folder.
 pub fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let folder = path
         .parent()
@@ -73,47 +79,47 @@
     file.sync_all()
 }
 
-/// A stored set.
+/// A stored endpoint set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// The set.
+    /// The endpoint set.
     pub endpoint_set: EndpointSet,
-    /// When it came into force.
+    /// When the set came into force.
     pub saved_at: UnixSeconds,
 }
 
-/// Why a slot can't be used.
+/// The reason why a slot can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// The slot can't be read.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The bytes are not UTF-8.
-    #[error("it is no text")]
+    #[error("not UTF-8 text")]
     NotText(#[from] std::str::Utf8Error),
     /// There is no content after the header.
-    #[error("it is cut short")]
+    #[error("truncated: no line after the header")]
     Truncated,
-    /// The header is not that of this form and version.
-    #[error("it is of another form or version")]
+    /// The header is not that of this format and version.
+    #[error("unknown format or version: expected a header '{HEADER}'")]
     UnknownFormat,
     /// The checksum differs from the content's.
-    #[error("its checksum is wrong: it is torn or damaged")]
+    #[error("checksum mismatch: the slot is partially written or damaged")]
     ChecksumMismatch,
-    /// The line with the moment is missing.
-    #[error("it does not say when it was saved")]
+    /// The line with the time of the save is missing or invalid.
+    #[error("expected '{SAVED_AT_PREFIX}UNIX_SECONDS' as the first line after the header")]
     MissingSavedAt,
-    /// The content is no valid endpoint file.
+    /// The content is not a valid endpoint file.
     #[error("{}", join_lines(.0))]
     InvalidContent(Vec<Fault>),
 }
 
-/// A slot that holds something that can't be used.
+/// A slot whose content can't be used.
 #[derive(Debug)]
 pub struct UnusableSlot {
     /// The slot's name.
     pub slot: &'static str,
-    /// Why it can't be used.
+    /// The reason why the slot can't be used.
     pub cause: SnapshotError,
 }
 
@@ -123,26 +129,26 @@
     }
 }
 
-/// What the slots hold.
+/// The result of reading all slots.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    /// The newest usable set.
+    /// The newest usable set; `None` if no slot holds one.
     pub snapshot: Option<Snapshot>,
-    /// Slots that were passed over.
+    /// The slots that were skipped.
     pub unusable_slots: Vec<UnusableSlot>,
 }
 
-/// The store of the last accepted set.
+/// Stores the last accepted set in one of two slots.
 #[derive(Debug)]
 pub struct SnapshotStore<S> {
     storage: S,
-    /// The slot that holds the newest set, which the next save must leave alone.
+    /// Index of the slot that holds the newest set, which the next save must not overwrite.
     newest_slot: Option<usize>,
 }
 
 impl<S: SlotStorage> SnapshotStore<S> {
-    /// A store on existing storage. Call [`SnapshotStore::recover`] before the first save, so that the newest set is
-    /// not overwritten.
+    /// Returns a store on existing storage. Call [`SnapshotStore::recover`] before the first save, so that the newest
+    /// set is not overwritten.
     pub fn new(storage: S) -> SnapshotStore<S> {
         SnapshotStore {
             storage,
@@ -150,7 +156,7 @@
         }
     }
 
-    /// Finds the newest usable set.
+    /// Reads all slots and returns the newest usable set.
     pub fn recover(&mut self) -> Recovery {
         let mut recovery = Recovery::default();
         for (number, slot) in SLOT_NAMES.into_iter().enumerate() {
@@ -186,14 +192,14 @@
     }
 }
 
-/// Formats a slot.
+/// Returns the bytes of a slot that holds a set.
 pub fn encode(endpoint_set: &EndpointSet, saved_at: UnixSeconds) -> Vec<u8> {
     let body = format!("{SAVED_AT_PREFIX}{saved_at:.3}\n{}", to_toml(endpoint_set));
     let checksum = checksum_of(&body);
     format!("{HEADER} {checksum}\n{body}").into_bytes()
 }
 
-/// Parses a slot.
+/// Parses the bytes of a slot, and checks their checksum.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     let text = std::str::from_utf8(bytes)?;
     let (head, body) = text.split_once('\n').ok_or(SnapshotError::Truncated)?;
--- a/crates/endpoint-files/src/timestamp.rs
+++ b/crates/endpoint-files/src/timestamp.rs
@@ -1,13 +1,13 @@
-//! Moments between TOML's date-time form and Unix seconds, on the proleptic Gregorian calendar.
+//! Conversion between TOML date-times and Unix seconds, on the proleptic Gregorian calendar.
 
 use toml::value::{Datetime, Offset};
 
-/// A moment in seconds since 1970-01-01T00:00:00Z.
+/// A time in seconds since 1970-01-01T00:00:00Z, with fractions.
 pub type UnixSeconds = f64;
 
 const SECONDS_PER_DAY: i64 = 86_400;
 const MILLISECONDS_PER_DAY: i64 = SECONDS_PER_DAY * 1000;
-/// Days of 400 years, after which the calendar repeats.
+/// Days in 400 years, after which the calendar repeats.
 const DAYS_PER_ERA: i64 = 146_097;
 /// Days from 0000-03-01, where eras begin, to 1970-01-01.
 const ERA_TO_UNIX_DAYS: i64 = 719_468;
@@ -33,7 +33,7 @@
     Some(seconds as f64 + f64::from(time.nanosecond.unwrap_or(0)) / 1e9)
 }
 
-/// Days from 1970-01-01 to a date. Years are counted from March, so that leap days come last.
+/// Returns the number of days from 1970-01-01 to a date. Years are counted from March, so that leap days come last.
 fn days_since_unix_epoch(year: i64, month: i64, day: i64) -> i64 {
     let year = if month <= 2 { year - 1 } else { year };
     let era = year.div_euclid(400);
@@ -43,23 +43,23 @@
         - ERA_TO_UNIX_DAYS
 }
 
-/// Formats a moment as a TOML date-time in UTC, to the millisecond.
+/// Formats a time as a TOML date-time in UTC, to the millisecond.
 pub fn format_timestamp(at: UnixSeconds) -> String {
     let milliseconds = (at * 1000.0).round() as i64;
     let days = milliseconds.div_euclid(MILLISECONDS_PER_DAY);
-    let of_day = milliseconds.rem_euclid(MILLISECONDS_PER_DAY);
+    let milliseconds_of_day = milliseconds.rem_euclid(MILLISECONDS_PER_DAY);
     let (year, month, day) = date_of(days);
-    let seconds = of_day / 1000;
+    let seconds = milliseconds_of_day / 1000;
     format!(
         "{year:04}-{month:02}-{day:02}T{:02}:{:02}:{:02}.{:03}Z",
         seconds / 3600,
         seconds / 60 % 60,
         seconds % 60,
-        of_day % 1000
+        milliseconds_of_day % 1000
     )
 }
 
-/// Year, month and day of the date that many days after 1970-01-01.
+/// Returns the year, month and day of the date `days` days after 1970-01-01.
 fn date_of(days: i64) -> (i64, i64, i64) {
     let shifted = days + ERA_TO_UNIX_DAYS;
     let era = shifted.div_euclid(DAYS_PER_ERA);
--- a/crates/endpoint-files/src/update_plan.rs
+++ b/crates/endpoint-files/src/update_plan.rs
@@ -1,4 +1,4 @@
-//! What replacing one endpoint set by another changes, for operators and the log.
+//! The changes from one endpoint set to the next, for operators and the log.
 
 use crate::endpoint_set::{Endpoint, EndpointSet, Phase};
 use crate::shard_layout::ShardLayout;
@@ -6,18 +6,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The smallest shift of a cell's turns that is reported, above the rounding of sums.
+/// Smallest shift of a cell's turns that is reported, above the rounding errors of sums.
 const MIN_SHIFTED_SHARE: f64 = 1e-9;
-/// The most shards that the text lists by number.
+/// Maximum number of shards that the text lists by number.
 const MAX_LISTED_SHARDS: usize = 12;
 
-/// A weight before and after. Serialised as `[before, after]`.
+/// A change of an endpoint's weight. It is serialized as `[before, after]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct WeightChange {
     /// The weight in the old set.
     pub before: f64,
-    /// The weight in the new set, reached by a ramp.
+    /// The weight in the new set, which is reached gradually.
     pub after: f64,
 }
 
@@ -27,39 +27,41 @@
     }
 }
 
-/// The changes from one set to the next, by the endpoints' ids.
+/// The changes from one set to the next. Lists hold the ids of endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct UpdatePlan {
-    /// New endpoints: slow start applies, and an unknown start time counts as just started.
+    /// Endpoints that only the new set has. Slow start applies; an endpoint without a start time counts as just
+    /// started.
     pub added: Vec<String>,
-    /// Endpoints that are gone: nothing new goes there within 250 ms, in-flight work completes.
+    /// Endpoints that only the old set has. They get no new work after at most 250 ms and complete their in-flight
+    /// work.
     pub removed: Vec<String>,
-    /// Endpoints that were active and drain.
+    /// Endpoints that change from active to draining.
     pub drained: Vec<String>,
-    /// Endpoints that drained and are active.
+    /// Endpoints that change from draining to active.
     #[serde(rename = "returned")]
     pub reactivated: Vec<String>,
-    /// Endpoints with another address: open connections complete, new ones go to the new address.
+    /// Endpoints whose address changes. Open connections complete their work; new ones go to the new address.
     #[serde(rename = "moved")]
     pub readdressed: Vec<String>,
-    /// Endpoints in another cell, which hold other shards.
+    /// Endpoints that move to another cell, and so hold other shards.
     #[serde(rename = "other_cell")]
     pub cell_changed: Vec<String>,
-    /// Endpoints with another weight.
+    /// Endpoints whose weight changes.
     #[serde(rename = "weighed")]
     pub reweighted: BTreeMap<String, WeightChange>,
-    /// Number of endpoints that are alike in both sets, whose measurements are kept.
+    /// Number of endpoints that are equal in both sets; their measurements are kept.
     pub unchanged: usize,
-    /// By cell: the share of its turns, 0 to 1, that goes to other endpoints.
+    /// By cell, the share of the cell's turns, 0 to 1, that moves to other endpoints.
     #[serde(rename = "shifted")]
     pub shifted_share: BTreeMap<u32, f64>,
-    /// Shards that have a single active holder in the new set.
+    /// Shards with a single active holder in the new set.
     #[serde(rename = "single")]
     pub single_holder_shards: Vec<u32>,
 }
 
 impl UpdatePlan {
-    /// Whether no endpoint changes.
+    /// Returns whether no endpoint changes.
     pub fn is_empty(&self) -> bool {
         let lists = [
             &self.added,
@@ -95,7 +97,7 @@
     }
 }
 
-/// Compares two sets.
+/// Returns the changes from `old` to `new`.
 pub fn plan_update(old: &EndpointSet, new: &EndpointSet, layout: &ShardLayout) -> UpdatePlan {
     let mut plan = UpdatePlan::default();
     for (id, endpoint) in &new.endpoints {
@@ -114,7 +116,7 @@
     plan
 }
 
-/// By cell and id: each active endpoint's share of its cell's turns.
+/// Each active endpoint's share of its cell's turns, 0 to 1, by cell and id.
 type TurnShares<'a> = BTreeMap<u32, BTreeMap<&'a str, f64>>;
 
 fn turn_shares(endpoint_set: &EndpointSet) -> TurnShares<'_> {
@@ -163,9 +165,9 @@
             ("add", &self.added),
             ("remove", &self.removed),
             ("drain", &self.drained),
-            ("take back", &self.reactivated),
-            ("move to another address", &self.readdressed),
-            ("move to another cell", &self.cell_changed),
+            ("reactivate", &self.reactivated),
+            ("change address", &self.readdressed),
+            ("change cell", &self.cell_changed),
         ];
         for (label, ids) in lists.iter().filter(|(_, ids)| !ids.is_empty()) {
             writeln!(f, "{label}: {}", ids.join(", "))?;
@@ -182,7 +184,7 @@
         }
         write_single_holder_shards(f, &self.single_holder_shards)?;
         if self.is_empty() {
-            writeln!(f, "nothing changes")
+            writeln!(f, "no changes")
         } else {
             writeln!(f, "unchanged: {}", self.unchanged)
         }
@@ -200,7 +202,7 @@
         .collect();
     write!(
         f,
-        "shards with one active holder left: {}",
+        "shards with a single active holder: {}",
         listed.join(", ")
     )?;
     match shards.len().saturating_sub(listed.len()) {
--- a/crates/endpoint-files/src/validation.rs
+++ b/crates/endpoint-files/src/validation.rs
@@ -1,26 +1,27 @@
-//! Whether an endpoint set may replace the one in force. Free of I/O and clock.
+//! Decides whether an endpoint set may replace the one in force, without I/O or a clock.
 
 use crate::endpoint_set::{EndpointSet, Phase};
 use crate::fault::{Fault, FaultCause};
 use crate::shard_layout::ShardLayout;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The share of active endpoints that one set may remove unless its writer says `allow_shrink`: a fleet is built for
-/// the outage of a third, and a list that was cut in the middle loses more.
+/// Default limit on the share of active endpoints that one set may remove without `allow_shrink`. A fleet is sized for
+/// the outage of a third, and a list that was truncated in the middle loses more than that.
 pub const DEFAULT_MAX_REMOVED_SHARE: f64 = 0.34;
 
-/// What becomes of a set that was read.
+/// The decision on an endpoint set that was read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpdateDecision {
-    /// It replaces the set in force.
+    /// The set replaces the one in force.
     Apply,
-    /// It is the set in force.
+    /// The set equals the one in force.
     Unchanged,
-    /// It is not applied; the set in force stays.
+    /// The set has these faults and is not applied; the one in force stays.
     Reject(Vec<Fault>),
 }
 
-/// Checks a set by itself: cells exist, have a positive weight, and leave every shard an active holder.
+/// Checks a set on its own: its cells exist, the weights of each active cell have a positive sum, and every shard has
+/// an active holder.
 pub fn validate(endpoint_set: &EndpointSet, layout: &ShardLayout) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut cell_weights: BTreeMap<u32, f64> = BTreeMap::new();
@@ -44,12 +45,12 @@
     faults
 }
 
-/// Reports shards of which no holder is in an active cell.
+/// Returns a fault if there are shards without a holder in an active cell.
 fn find_shards_without_holder(
     layout: &ShardLayout,
     is_active: impl Fn(u32) -> bool,
 ) -> Option<Fault> {
-    // Shards with the same first cell have the same holders, so the first of each kind stand for all.
+    // Shards with the same first cell have the same holders, so one shard per first cell represents all of them.
     let distinct_shards = layout.shards.min(layout.cells);
     let mut without_holder = Vec::new();
     for shard in 0..distinct_shards {
@@ -58,28 +59,29 @@
         }
     }
     let first_shard = *without_holder.first()?;
-    let all = layout.shards as usize * without_holder.len() / distinct_shards.max(1) as usize;
+    let shard_count =
+        layout.shards as usize * without_holder.len() / distinct_shards.max(1) as usize;
     Some(Fault::of_list(FaultCause::ShardsWithoutHolder {
         first_shard,
-        other_shards: all.saturating_sub(1),
+        other_shards: shard_count.saturating_sub(1),
     }))
 }
 
-/// Decides whether `new` may replace `in_force`. `max_shrink` is the share of active endpoints, 0 to 1, that may be
-/// removed at once.
+/// Decides whether `new` may replace `in_force`. `max_removed_share` is the share of active endpoints, 0 to 1, that may
+/// be removed at once.
 pub fn decide_update(
     in_force: Option<&EndpointSet>,
     new: &EndpointSet,
     layout: &ShardLayout,
-    max_shrink: f64,
+    max_removed_share: f64,
 ) -> UpdateDecision {
     let mut faults = validate(new, layout);
     if let Some(old) = in_force {
         if new.generation == old.generation && new.has_same_endpoints(old) {
             return UpdateDecision::Unchanged;
         }
-        let cause =
-            find_generation_fault(old, new).or_else(|| find_shrink_fault(old, new, max_shrink));
+        let cause = find_generation_fault(old, new)
+            .or_else(|| find_shrink_fault(old, new, max_removed_share));
         faults.extend(cause.map(Fault::of_list));
     }
     if faults.is_empty() {
@@ -89,7 +91,7 @@
     }
 }
 
-/// A generation must be newer than the one in force.
+/// Returns a fault unless the new generation is higher than the one in force.
 fn find_generation_fault(old: &EndpointSet, new: &EndpointSet) -> Option<FaultCause> {
     if new.generation < old.generation {
         return Some(FaultCause::OlderGeneration {
@@ -102,8 +104,12 @@
     })
 }
 
-/// No more endpoints than the share may be removed, unless the writer says that it is meant.
-fn find_shrink_fault(old: &EndpointSet, new: &EndpointSet, max_shrink: f64) -> Option<FaultCause> {
+/// Returns a fault if the new set removes more than the permitted share of active endpoints without `allow_shrink`.
+fn find_shrink_fault(
+    old: &EndpointSet,
+    new: &EndpointSet,
+    max_removed_share: f64,
+) -> Option<FaultCause> {
     if new.allow_shrink {
         return None;
     }
@@ -113,11 +119,13 @@
     let joining = after.difference(&before).count();
     // Replacing endpoints one for one removes no capacity.
     let removed = leaving.saturating_sub(joining);
-    (removed as f64 > max_shrink * before.len() as f64).then_some(FaultCause::TooManyRemoved {
-        removed,
-        active: before.len(),
-        max_share: max_shrink,
-    })
+    (removed as f64 > max_removed_share * before.len() as f64).then_some(
+        FaultCause::TooManyRemoved {
+            removed,
+            active: before.len(),
+            max_share: max_removed_share,
+        },
+    )
 }
 
 fn active_ids(endpoint_set: &EndpointSet) -> BTreeSet<&str> {
--- a/crates/endpoint-files/src/validation/tests.rs
+++ b/crates/endpoint-files/src/validation/tests.rs
@@ -31,17 +31,17 @@
     }
 }
 
-fn assert_rejected(old: Option<&EndpointSet>, new: &EndpointSet, words: &str) {
+fn assert_rejected(old: Option<&EndpointSet>, new: &EndpointSet, expected: &str) {
     let UpdateDecision::Reject(faults) =
         decide_update(old, new, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE)
     else {
-        panic!("{words}: applied")
+        panic!("not rejected, expected: {expected}")
     };
     assert!(
         faults
             .iter()
-            .any(|fault| fault.cause.to_string().contains(words)),
-        "{words}: {faults:?}"
+            .any(|fault| fault.cause.to_string().contains(expected)),
+        "{expected}: {faults:?}"
     );
 }
 
@@ -58,7 +58,7 @@
     assert_rejected(
         None,
         &endpoint_set(3, &[("a", 0, 1.0), ("c", 2, 1.0)]),
-        "there are cells 0 to 1",
+        "server 'c' is in cell 2, but the cells are 0 to 1",
     );
     assert_rejected(
         None,
@@ -88,7 +88,7 @@
     assert_rejected(
         Some(&old),
         &new,
-        "generation 3 is in force with other content",
+        "generation 3 is in force with different content",
     );
     new.generation = 2;
     assert_rejected(Some(&old), &new, "generation 2 is older than 3");
@@ -112,23 +112,28 @@
             ("f", 1, 1.0),
         ],
     );
-    let two_less = endpoint_set(
+    let two_removed = endpoint_set(
         2,
         &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0), ("d", 1, 1.0)],
     );
     assert_eq!(
-        decide_update(Some(&old), &two_less, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
+        decide_update(Some(&old), &two_removed, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
         UpdateDecision::Apply
     );
-    let mut three_less = endpoint_set(2, &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0)]);
+    let mut three_removed = endpoint_set(2, &[("a", 0, 1.0), ("b", 0, 1.0), ("c", 1, 1.0)]);
     assert_rejected(
         Some(&old),
-        &three_less,
-        "3 of 6 working servers would leave at once",
+        &three_removed,
+        "3 of 6 active servers would be removed at once",
     );
-    three_less.allow_shrink = true;
+    three_removed.allow_shrink = true;
     assert_eq!(
-        decide_update(Some(&old), &three_less, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
+        decide_update(
+            Some(&old),
+            &three_removed,
+            &LAYOUT,
+            DEFAULT_MAX_REMOVED_SHARE
+        ),
         UpdateDecision::Apply
     );
     let replaced = endpoint_set(
@@ -145,6 +150,6 @@
     assert_eq!(
         decide_update(Some(&old), &replaced, &LAYOUT, DEFAULT_MAX_REMOVED_SHARE),
         UpdateDecision::Apply,
-        "one for one"
+        "endpoints are replaced one for one"
     );
 }
--- a/crates/endpoint-files/tests/files.rs
+++ b/crates/endpoint-files/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files as operators and editors leave them, and disks as they fail.
+//! Tests with faulty, partially written and mixed files, and with failing disks.
 
 use cairnroad_endpoint_files::endpoint_set::{EndpointSet, Phase};
 use cairnroad_endpoint_files::fault::{join_lines, FileError};
@@ -78,44 +78,44 @@
 #[test]
 fn each_fault_names_its_file_line_and_cause() {
     let cases = [
-        ("generation = 7\n", "", "kita.toml: 'generation' is missing: every file of a roster carries the same"),
-        ("generation = 7", "generation = 0", "kita.toml:1: 'generation': 0 is no whole number above 0"),
-        ("id = \"s-2\"", "id = \"s-1\"", "kita.toml:12: the server 's-1' is named twice: also in kita.toml:3"),
-        ("10.0.0.2", "10.0.0.1", "kita.toml:12: the address 10.0.0.1:9000 of 's-2' is named twice: also in kita.toml:3"),
-        ("10.0.0.2:9000", "stock-2", "kita.toml:12: 'address' of 's-2': 'stock-2' is no address and port"),
-        ("weight = 2", "weight = -2", "kita.toml:3: 'weight': -2 is not from 0 to 1000"),
-        ("weight = 2", "weight = nan", "kita.toml:3: 'weight': NaN is not from 0 to 1000"),
-        ("weight = 2", "weight = inf", "kita.toml:3: 'weight': inf is not from 0 to 1000"),
-        ("weight = 2", "weight = \"2\"", "kita.toml:3: 'weight': \"2\" is no number"),
-        ("weight = 2", "wight = 2", "kita.toml:3: 'wight' is not known: id, address, cell, locality, kind, phase, weight, started, not_before, not_after are"),
-        ("cell = 1", "cell = -1", "kita.toml:12: 'cell': -1 is no cell's number"),
-        ("cell = 1\n", "", "kita.toml:12: 'cell' is missing: it tells which shards the server holds"),
-        ("cell = 1", "cell = 1\nphase = \"gone\"", "kita.toml:12: 'phase': 'gone' is neither active nor leaving"),
-        ("cell = 1", "cell = 1\nnot_before = 2026-12-02", "kita.toml:12: 'not_before': 2026-12-02 needs a date, a time and an offset, such as Z"),
-        ("cell = 1", "cell = 1\nnot_before = 2026-12-02T00:00:00Z\nnot_after = 2026-12-01T00:00:00Z", "kita.toml:12: 'not_after' is not later than 'not_before'"),
+        ("generation = 7\n", "", "kita.toml: 'generation' is missing: every file of a roster must state the same one"),
+        ("generation = 7", "generation = 0", "kita.toml:1: 'generation': expected an integer above 0, found 0"),
+        ("id = \"s-2\"", "id = \"s-1\"", "kita.toml:12: duplicate server 's-1', first defined at kita.toml:3"),
+        ("10.0.0.2", "10.0.0.1", "kita.toml:12: duplicate address 10.0.0.1:9000 of 's-2', first used at kita.toml:3"),
+        ("10.0.0.2:9000", "stock-2", "kita.toml:12: 'address' of 's-2': expected an IP address and port, found 'stock-2'"),
+        ("weight = 2", "weight = -2", "kita.toml:3: 'weight': expected 0 to 1000, found -2"),
+        ("weight = 2", "weight = nan", "kita.toml:3: 'weight': expected 0 to 1000, found NaN"),
+        ("weight = 2", "weight = inf", "kita.toml:3: 'weight': expected 0 to 1000, found inf"),
+        ("weight = 2", "weight = \"2\"", "kita.toml:3: 'weight': expected a number, found \"2\""),
+        ("weight = 2", "wight = 2", "kita.toml:3: unknown key 'wight', expected one of id, address, cell, locality, kind, phase, weight, started, not_before, not_after"),
+        ("cell = 1", "cell = -1", "kita.toml:12: 'cell': expected the number of a cell, found -1"),
+        ("cell = 1\n", "", "kita.toml:12: 'cell' is missing: it determines the shards that the server holds"),
+        ("cell = 1", "cell = 1\nphase = \"gone\"", "kita.toml:12: 'phase': expected 'active' or 'leaving', found 'gone'"),
+        ("cell = 1", "cell = 1\nnot_before = 2026-12-02", "kita.toml:12: 'not_before': expected a date, a time and an offset such as Z, found 2026-12-02"),
+        ("cell = 1", "cell = 1\nnot_before = 2026-12-02T00:00:00Z\nnot_after = 2026-12-01T00:00:00Z", "kita.toml:12: 'not_after' must be later than 'not_before'"),
         ("[[server]]", "[[servers]]", "kita.toml:3: unknown field `servers`, expected one of `generation`, `allow_shrink`, `server`, `weights`"),
     ];
-    for (from, to, words) in cases {
-        assert_eq!(faults_after_edit(from, to), words);
+    for (from, to, expected) in cases {
+        assert_eq!(faults_after_edit(from, to), expected);
     }
     assert!(faults_after_edit("cell = 1\n", "cell = 1\n[[ser")
-        .starts_with("kita.toml:16: this is no TOML, or half-written: "));
+        .starts_with("kita.toml:16: invalid TOML, possibly only partially written: "));
     assert_eq!(
         faults_after_edit("# end\n", ""),
-        "kita.toml:15: the last line must be '# end': a file without it may be half-written"
+        "kita.toml:15: expected '# end' as the last line: the file may be only partially written"
     );
     assert_eq!(
         parse_one("").unwrap_err(),
-        "kita.toml: the file is empty: it may be half-written"
+        "kita.toml: empty file, possibly only partially written"
     );
     assert_eq!(
         join_lines(&parse_files(&[]).unwrap_err()),
-        "there is no roster file (*.toml)"
+        "no roster file found (*.toml)"
     );
     let large = vec![file("a.toml", &"#".repeat(9_000_000))];
     assert_eq!(
         join_lines(&parse_files(&large).unwrap_err()),
-        "the files have 9000000 bytes together: 8388608 at most"
+        "files too large: 9000000 bytes in total, at most 8388608 are allowed"
     );
     let unreadable = vec![SourceFile {
         name: "a.toml".into(),
@@ -127,7 +127,7 @@
     );
 }
 
-/// Guards against a list that is half of one generation and half of another.
+/// Guards against a list that mixes files of two generations.
 #[test]
 fn several_files_are_accepted_only_complete_and_of_one_generation() {
     let second =
@@ -156,23 +156,23 @@
     };
     assert_eq!(
         faulty(&second.replace('7', "8"), weights),
-        "kita.toml:1: this file is of generation 7, another of 8: write all of them\n\
-         weights.toml:1: this file is of generation 7, another of 8: write all of them"
+        "kita.toml:1: this file has generation 7, another has 8: all files must have the same one\n\
+         weights.toml:1: this file has generation 7, another has 8: all files must have the same one"
     );
     assert_eq!(
         faulty(&second.replace("s-3", "s-1"), weights)
             .lines()
             .next()
             .unwrap(),
-        "minami.toml:2: the server 's-1' is named twice: also in kita.toml:3"
+        "minami.toml:2: duplicate server 's-1', first defined at kita.toml:3"
     );
     assert_eq!(
         faulty(second, &weights.replace("s-3", "s-9")),
-        "weights.toml:4: there is no server 's-9'"
+        "weights.toml:4: unknown server 's-9'"
     );
     assert_eq!(
         faulty(second, &weights.replace("s-2", "s-1")),
-        "weights.toml:3: the weight of 's-1' stands in kita.toml:3, too"
+        "weights.toml:3: duplicate weight of 's-1', first stated at kita.toml:3"
     );
 }
 
@@ -200,25 +200,25 @@
             decide_update(Some(&old), &new, &layout, DEFAULT_MAX_REMOVED_SHARE),
             UpdateDecision::Reject(_)
         ),
-        "cell 1 is left bare"
+        "cell 1 has no active endpoint left"
     );
     assert!(plan_update(&old, &old, &layout).is_empty());
 }
 
-/// A disk that fails: fills up, tears what is written, or damages it.
+/// A disk that fills up, or that truncates or damages the bytes written.
 #[derive(Default)]
 struct Disk {
     slots: RefCell<BTreeMap<String, Vec<u8>>>,
-    /// What becomes of the next write.
+    /// The failure of the next write; `None` if it succeeds.
     next_failure: Cell<Option<Failure>>,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     Full,
-    /// The write is cut at so many thousandths, as on a disk that lies about what it has synced.
-    Torn(usize),
-    /// A bit turns.
+    /// The write is truncated to this many thousandths, as on a disk that reports a sync that it has not done.
+    Truncated(usize),
+    /// A bit of the byte at this offset, modulo the length, is flipped.
     Damaged(usize),
 }
 
@@ -235,7 +235,9 @@
         let mut bytes = bytes.to_vec();
         match self.next_failure.take() {
             Some(Failure::Full) => return Err(io::Error::from(io::ErrorKind::StorageFull)),
-            Some(Failure::Torn(part)) => bytes.truncate(bytes.len() * part / 1000),
+            Some(Failure::Truncated(thousandths)) => {
+                bytes.truncate(bytes.len() * thousandths / 1000);
+            }
             Some(Failure::Damaged(at)) => {
                 let at = at % bytes.len();
                 bytes[at] ^= 1;
@@ -252,23 +254,23 @@
     parse_one(&text.replace("weight = 2", &format!("weight = {}", generation % 9 + 1))).unwrap()
 }
 
-/// Guards against a start on a list that nobody meant, whatever the disk did to the last writes.
+/// Guards against a start on a list that no writer intended, whatever the disk did to the last writes.
 #[test]
 fn the_newest_or_previous_snapshot_is_recovered_whatever_the_disk_does() {
     for seed in 0..2_000_u64 {
         let mut gen = Gen::from_size_and_seed(20, seed);
         let disk = Disk::default();
         let mut store = SnapshotStore::new(&disk);
-        // What was stored and not damaged since, the newest last.
-        let mut good: Vec<u64> = Vec::new();
+        // The generations that were stored undamaged, the newest last.
+        let mut intact: Vec<u64> = Vec::new();
         let count = 1 + u64::arbitrary(&mut gen) % 12;
         let mut damaged_before = false;
         for generation in 1..=count {
-            // Two failures in a row may cost both slots; one never may.
+            // Two failures in a row may lose both slots; a single one must not.
             let fails = u8::arbitrary(&mut gen) % 3 == 0 && !damaged_before;
             let at = usize::arbitrary(&mut gen) % 1000;
             let failure = fails.then(|| {
-                [Failure::Full, Failure::Torn(at), Failure::Damaged(at)]
+                [Failure::Full, Failure::Truncated(at), Failure::Damaged(at)]
                     [usize::arbitrary(&mut gen) % 3]
             });
             disk.next_failure.set(failure);
@@ -276,7 +278,7 @@
             match store.save(&listed(generation), generation as f64) {
                 Ok(()) => {
                     if !damages {
-                        good.push(generation);
+                        intact.push(generation);
                     }
                 }
                 Err(e) => assert_eq!(e.kind(), io::ErrorKind::StorageFull),
@@ -286,17 +288,19 @@
         let recovery = SnapshotStore::new(&disk).recover();
         let found = recovery.snapshot;
         assert_eq!(
-            found.as_ref().map(|kept| kept.endpoint_set.generation),
-            good.last().copied(),
+            found
+                .as_ref()
+                .map(|snapshot| snapshot.endpoint_set.generation),
+            intact.last().copied(),
             "seed {seed}: {:?}",
             recovery.unusable_slots
         );
-        if let Some(kept) = found {
+        if let Some(snapshot) = found {
             assert_eq!(
-                (&kept.endpoint_set, kept.saved_at),
+                (&snapshot.endpoint_set, snapshot.saved_at),
                 (
-                    &listed(kept.endpoint_set.generation),
-                    kept.endpoint_set.generation as f64
+                    &listed(snapshot.endpoint_set.generation),
+                    snapshot.endpoint_set.generation as f64
                 )
             );
         }
@@ -306,11 +310,11 @@
 #[test]
 fn a_slot_that_is_cut_or_damaged_anywhere_is_never_used() {
     let bytes = encode(&listed(3), 5.0);
-    let whole = Snapshot {
+    let undamaged = Snapshot {
         endpoint_set: listed(3),
         saved_at: 5.0,
     };
-    assert_eq!(decode(&bytes).unwrap(), whole);
+    assert_eq!(decode(&bytes).unwrap(), undamaged);
     for at in 0..bytes.len() {
         assert!(decode(&bytes[..at]).is_err(), "cut at {at}");
         let mut damaged = bytes.clone();
@@ -332,17 +336,21 @@
         (recovery.snapshot, unusable),
         (
             None,
-            vec!["roster.a: it is of another form or version".to_string()]
+            vec![
+                "roster.a: unknown format or version: expected a header 'cairnroad-roster 1'"
+                    .to_string()
+            ]
         )
     );
 }
 
-/// Any sequence of writes, partial writes and reads of three files leads only to lists that some writer meant.
+/// Checks that any sequence of writes, partial writes and reads of three files applies only lists that some writer
+/// intended.
 #[test]
-fn no_sequence_of_partial_writes_applies_a_list_that_no_writer_meant() {
-    let meant = |generation: u64| -> Vec<SourceFile> {
+fn no_sequence_of_partial_writes_applies_a_list_that_no_writer_intended() {
+    let intended = |generation: u64| -> Vec<SourceFile> {
         let text = |number: u64| {
-            // Which servers there are depends on the generation, so that a mix is no writer's list.
+            // The servers depend on the generation, so that a mix of generations equals no writer's list.
             let id = format!("s-{number}-{}", generation % 3);
             format!("generation = {generation}\n[[server]]\nid = \"{id}\"\naddress = \"10.0.{}.{number}:9000\"\ncell = {}\nweight = {}\n# end\n", generation % 3, number % 2, generation % 5 + 1)
         };
@@ -354,13 +362,13 @@
     let mut rejected = 0;
     for seed in 0..400_u64 {
         let mut gen = Gen::from_size_and_seed(20, seed);
-        let mut disk = meant(1);
+        let mut disk = intended(1);
         let mut in_force: Option<EndpointSet> = None;
         let mut newest = 1;
         for _ in 0..60 {
             match u8::arbitrary(&mut gen) % 6 {
                 0 => newest += 1,
-                // One file of the newest, or of the one before it: two writers at work.
+                // One file of the newest generation or of the one before it, as with two concurrent writers.
                 1..=3 => {
                     let generation = if bool::arbitrary(&mut gen) {
                         newest
@@ -368,15 +376,15 @@
                         newest.max(2) - 1
                     };
                     let at = usize::arbitrary(&mut gen) % 3;
-                    disk[at] = meant(generation)[at].clone();
-                    // Cut in the middle, now and then.
+                    disk[at] = intended(generation)[at].clone();
+                    // A third of the files are truncated.
                     if u8::arbitrary(&mut gen) % 3 == 0 {
                         let text = disk[at].text.clone().unwrap();
                         disk[at].text =
                             Ok(text[..usize::arbitrary(&mut gen) % text.len()].to_string());
                     }
                 }
-                4 => disk = meant(newest),
+                4 => disk = intended(newest),
                 _ => {}
             }
             match parse_files(&disk) {
@@ -388,10 +396,10 @@
                         DEFAULT_MAX_REMOVED_SHARE,
                     ) {
                         UpdateDecision::Apply => {
-                            let whole = parse_files(&meant(endpoint_set.generation)).unwrap();
+                            let complete = parse_files(&intended(endpoint_set.generation)).unwrap();
                             assert_eq!(
-                                endpoint_set, whole,
-                                "seed {seed}: a list that nobody meant"
+                                endpoint_set, complete,
+                                "seed {seed}: a list that no writer intended"
                             );
                             assert!(in_force
                                 .as_ref()
--- a/crates/endpoint-files/tests/stored_files.rs
+++ b/crates/endpoint-files/tests/stored_files.rs
@@ -1,7 +1,7 @@
-//! Snapshots that an earlier release wrote stay readable, byte for byte.
+//! Checks that snapshots written by an earlier release stay readable and are written back byte for byte.
 //!
 //! The slots in `fixtures/stored_by_0.1.0` were written by cairnroad 0.1.0 of 2026-12-02, before the types of this
-//! package got their present names: two lists followed each other, then the process was killed.
+//! package got their present names: the process accepted two lists in turn and was then killed.
 
 use cairnroad_endpoint_files::endpoint_set::Phase;
 use cairnroad_endpoint_files::snapshot_store::{decode, encode, SnapshotStore, StateDirectory};
