--- a/crates/coordinator/src/admin_api/exchange.rs
+++ b/crates/coordinator/src/admin_api/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange on one admin connection: one request, one response, and a lingering close.
+//! The exchange on one admin connection: one request, one response and a lingering close.
 
 use super::open_connections::RequestReceived;
 use super::AdminApi;
@@ -11,18 +11,18 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a request may take to arrive. Every response is due within 1 s.
+/// Time limit for a request to arrive. Every response is due within 1 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long the response may take to be written, and how long the client is read afterwards, so that no reset cuts
-/// the response off.
+/// Time limit for writing the response, and for reading from the client afterwards, so that no reset cuts off the
+/// response.
 const LINGER: Duration = Duration::from_millis(200);
 
-/// A response as it is written.
+/// An HTTP response to an admin request.
 struct Reply {
     status: u16,
-    /// The method that the path takes, for the `Allow` header of a status 405.
+    /// The method that the path accepts, for the `Allow` header of a response with status 405.
     allowed_method: Option<AllowedMethod>,
-    /// A JSON object.
+    /// The body, a JSON object.
     body: String,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub(super) async fn serve(mut stream: TcpStream, api: Rc<AdminApi>, received: RequestReceived) {
     let _ = stream.set_nodelay(true);
     let reply = match timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Closes a connection once its client has, or has had the time to.
+/// Closes a connection after its client has closed it, or after the linger time.
 async fn close(mut stream: TcpStream) {
     let _ = stream.shutdown().await;
     let mut unread = [0; 1024];
@@ -93,7 +93,7 @@
     .await;
 }
 
-/// Reads the connection's request; `None` where the client closed it without one.
+/// Reads the connection's request; `None` if the client closed the connection without one.
 async fn read_request(stream: &mut TcpStream) -> Option<Result<http::Request, http::MessageError>> {
     let mut buffer = Vec::new();
     loop {
@@ -127,7 +127,7 @@
                 None => Reply::from(AdminResponse::NotClustered),
             },
             Ok(AdminRequest::Readiness) => Reply::from(self.readiness()),
-            Ok(request) => Reply::from(self.carry_out(request).await),
+            Ok(request) => Reply::from(self.execute(request).await),
             Err(response) => Reply::from(response),
         }
     }
--- a/crates/coordinator/src/admin_api/mod.rs
+++ b/crates/coordinator/src/admin_api/mod.rs
@@ -1,10 +1,8 @@
-//! The admin API: operators' requests over HTTP/1.1 on a listener of its own, one request a connection.
+//! The admin API: operators' requests over HTTP/1.1 on a separate listener, one request per connection.
 //!
-//! [`cairnroad_admin::request`] decides which request a message is; the pipeline's task carries it out. This module
-//! owns the listener ([`listen`]), the limit of open connections ([`open_connections`]), the exchange on one
-//! connection ([`exchange`]) and the stored suspensions ([`suspension_store`]).
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! [`cairnroad_admin::request`] parses the requests; the pipeline's task carries them out. This module owns the
+//! listener ([`listen`]), the limit on open connections ([`open_connections`]), the exchange on one connection
+//! ([`exchange`]) and the stored suspensions ([`suspension_store`]).
 
 mod exchange;
 mod open_connections;
@@ -20,12 +18,13 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// How long the pipeline may take for a request. It runs every few milliseconds; this bounds one that hangs.
+/// Time limit for the pipeline to carry out a request. The pipeline runs every few milliseconds; the limit guards
+/// against one that hangs.
 const PIPELINE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause after a failed accept: descriptors may be short for a moment.
+/// Pause after a failed accept, since descriptors may run out for a short time.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What the tasks of all admin connections share.
+/// State shared by the tasks of all admin connections.
 struct AdminApi {
     pipeline: mpsc::Sender<CoreMessage>,
     phase: Rc<watch::Sender<ServingPhase>>,
@@ -62,7 +61,8 @@
 }
 
 impl AdminApi {
-    /// Returns the cluster's members as JSON; `None` where this coordinator is in no cluster, or does not say in time.
+    /// Returns the cluster's members as JSON; `None` if this coordinator is in no cluster, or the cluster's task does
+    /// not respond in time.
     async fn cluster_members(&self) -> Option<String> {
         let members = self.cluster.as_ref()?.members_page();
         timeout(PIPELINE_TIMEOUT, members).await.ok().flatten()
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Has the pipeline carry out a request, and returns its response.
-    async fn carry_out(&self, request: AdminRequest) -> AdminResponse {
+    /// Sends a request to the pipeline and returns its response.
+    async fn execute(&self, request: AdminRequest) -> AdminResponse {
         let busy = AdminResponse::Unavailable(UnavailableReason::Busy);
         let (reply, response) = oneshot::channel();
         let message = CoreMessage::Admin { request, reply };
--- a/crates/coordinator/src/admin_api/open_connections.rs
+++ b/crates/coordinator/src/admin_api/open_connections.rs
@@ -1,26 +1,26 @@
-//! The limit of open admin connections.
+//! Limits the number of open admin connections.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
-/// Upper limit of connections without a complete request. Some clients say nothing for seconds; operators have few
-/// tools.
+/// Upper limit on open connections, which only connections with a received request may exceed. Operators have few
+/// tools, but some clients stay silent for seconds.
 const MAX_CONNECTIONS: usize = 16;
 
-/// Whether a connection's request was received, shared between its task and [`OpenConnections`].
+/// Flag that a connection's request was received, shared between its task and [`OpenConnections`].
 #[derive(Clone, Default)]
 pub(super) struct RequestReceived(Rc<Cell<bool>>);
 
 impl RequestReceived {
-    /// Records that the request was received: from now on the connection is not closed for others.
+    /// Records that the request was received. From now on the connection is not closed in favor of others.
     pub(super) fn set(&self) {
         self.0.set(true);
     }
 }
 
-/// An open connection; dropping it aborts its task, which closes the connection.
+/// An open connection. Dropping the value aborts the connection's task, which closes the connection.
 struct OpenConnection {
     task: AbortHandle,
     request_received: RequestReceived,
@@ -39,10 +39,9 @@
 }
 
 impl OpenConnections {
-    /// Makes room for one more connection.
+    /// Makes room for one more connection by closing the oldest ones without a complete request.
     ///
-    /// The oldest connections without a complete request are closed; a request that was received is carried out and
-    /// answered, which takes less than a second.
+    /// A request that was received is still carried out and answered, which takes less than a second.
     pub(super) fn make_room(&mut self) {
         self.connections
             .retain(|connection| !connection.task.is_finished());
@@ -60,7 +59,7 @@
             .position(|connection| !connection.request_received.0.get())
     }
 
-    /// Adds a connection that this task serves.
+    /// Adds a connection that `task` serves.
     pub(super) fn add(&mut self, task: AbortHandle, request_received: RequestReceived) {
         self.connections.push_back(OpenConnection {
             task,
--- a/crates/coordinator/src/admin_api/suspension_store.rs
+++ b/crates/coordinator/src/admin_api/suspension_store.rs
@@ -1,10 +1,8 @@
-//! The stored suspensions of data nodes: a folder that all processes of one coordinator share, with one file a node,
-//! so that two processes never undo each other's changes.
+//! Stores the suspensions of data nodes in a folder that all processes of one coordinator share. Each node has a file
+//! of its own, so that two processes never undo each other's changes.
 //!
-//! A file holds `["ID",{"since_us":MICROSECONDS,"back_us":MICROSECONDS or null}]`. It is written aside and renamed, so
-//! a partial file is never read.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! A file holds `["ID",{"since_us":MICROSECONDS,"back_us":MICROSECONDS or null}]`. It is written under a temporary name
+//! and renamed, so that a partial file is never read.
 
 use cairnroad_admin::suspensions::{Suspension, MAX_SUSPENSIONS};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,25 +10,26 @@
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-/// The extension of a suspension's file, as all releases write it. Others, such as files being written, are ignored.
+/// Extension of a suspension's file, the same in all releases. Files with another extension, such as temporary ones,
+/// are ignored.
 const EXTENSION: &str = "ban";
-/// Upper limit of a file's size in bytes; a suspension takes some 60.
+/// Maximum size of a file in bytes; a suspension takes some 60 bytes.
 const MAX_FILE_BYTES: u64 = 4096;
-/// Upper limit of a file's name without its extension, in bytes.
+/// Maximum length of a file's name without its extension, in bytes.
 const MAX_FILE_NAME_BYTES: usize = 200;
-/// How much of a longer name is kept before its checksum.
-const KEPT_FILE_NAME_BYTES: usize = 180;
+/// Length to which a longer name is truncated before its checksum is appended, in bytes.
+const TRUNCATED_FILE_NAME_BYTES: usize = 180;
 
-/// Why the store, or a file in it, can't be used.
+/// The reason why the store, or a file in it, can't be used.
 #[derive(Debug, thiserror::Error)]
 enum StoreError {
-    #[error("the folder can't be created: {0}")]
+    #[error("failed to create the folder: {0}")]
     CreateFolder(#[source] io::Error),
-    #[error("the file can't be written: {0}")]
+    #[error("failed to write the file: {0}")]
     Write(#[source] io::Error),
-    #[error("the file can't be read: {0}")]
+    #[error("failed to read the file: {0}")]
     Read(#[source] io::Error),
-    #[error("the file is not a suspension: {0}")]
+    #[error("file does not hold a suspension: {0}")]
     Decode(#[source] serde_json::Error),
 }
 
@@ -50,16 +49,16 @@
 /// The suspensions of one coordinator on disk.
 #[derive(Default)]
 pub struct SuspensionStore {
-    /// `None` where no folder is shared: suspensions then last as long as the process.
+    /// The folder; `None` if none is shared, in which case suspensions last as long as the process.
     folder: Option<PathBuf>,
     /// Suspensions that could not be written yet.
     unsaved: BTreeMap<String, Suspension>,
-    /// Whether a fault of a file was logged: the store is read many times a second.
+    /// Whether a fault was logged. Later ones are not, since the store is read many times a second.
     fault_logged: bool,
 }
 
 impl SuspensionStore {
-    /// Opens the store of the coordinator of this name below a folder that all its processes share.
+    /// Opens the store of the coordinator with this name, in a subfolder of a folder that all its processes share.
     pub fn new(shared_folder: Option<&Path>, coordinator: &str) -> SuspensionStore {
         let folder = shared_folder
             .map(|shared| shared.join(format!("cairnroad-{}", file_name(coordinator))));
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Saves a suspension, or its end. If that fails, the next [`Self::load_all`] tries again.
+    /// Saves a suspension, or its end. If that fails, the next [`Self::load_all`] retries.
     pub fn save(&mut self, id: &str, suspension: Suspension) {
         let Some(folder) = &self.folder else { return };
         match write_file(folder, id, suspension) {
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Returns all suspensions by node; `None` where there is no folder, or it can't be read.
+    /// Returns all suspensions by node id; `None` if there is no folder or it can't be read.
     pub fn load_all(&mut self) -> Option<BTreeMap<String, Suspension>> {
         self.retry_unsaved();
         let mut suspensions = self.unsaved.clone();
@@ -108,7 +107,7 @@
                 Ok((id, suspension)) => {
                     suspensions.entry(id).or_insert(suspension);
                 }
-                // Another process removed it since the folder was listed.
+                // Another process removed the file after the folder was listed.
                 Err(StoreError::Read(cause)) if cause.kind() == io::ErrorKind::NotFound => {}
                 Err(error) => {
                     if self.is_first_fault() {
@@ -131,7 +130,7 @@
     }
 }
 
-/// Returns the paths of all suspensions in a folder, in order of their names.
+/// Returns the paths of all suspensions in a folder, sorted by name.
 fn suspension_paths(folder: &Path) -> io::Result<BTreeSet<PathBuf>> {
     let paths = fs::read_dir(folder)?.flatten().map(|file| file.path());
     let is_suspension = |path: &PathBuf| {
@@ -145,7 +144,7 @@
     folder.join(format!("{}.{EXTENSION}", file_name(id)))
 }
 
-/// Writes aside, under a name of this process's own, and renames.
+/// Writes a suspension to a temporary file, whose name is unique to this process, and renames the file.
 fn write_file(folder: &Path, id: &str, suspension: Suspension) -> Result<(), StoreError> {
     let temporary = folder.join(format!("{}.{}", file_name(id), std::process::id()));
     let text = serde_json::to_vec(&(id, suspension)).unwrap_or_default();
@@ -165,7 +164,8 @@
     serde_json::from_slice(&text).map_err(StoreError::Decode)
 }
 
-/// Returns the file name for an id. Plain characters stay, so that people can read it.
+/// Returns the file name for an id, without the extension. Plain characters stay as they are, so that people can read
+/// the name.
 fn file_name(id: &str) -> String {
     let mut name = String::with_capacity(id.len());
     for byte in id.bytes() {
@@ -175,10 +175,10 @@
             name.push_str(&format!("%{byte:02x}"));
         }
     }
-    // The longest id a request may name fits a file name unless it is mostly escaped; a checksum tells those apart.
+    // The longest id of a request fits unless it is mostly escaped; a checksum then keeps truncated names distinct.
     if name.len() > MAX_FILE_NAME_BYTES {
         let checksum = crc32fast::hash(id.as_bytes());
-        name.truncate(KEPT_FILE_NAME_BYTES);
+        name.truncate(TRUNCATED_FILE_NAME_BYTES);
         name.push_str(&format!("~{checksum:08x}"));
     }
     name
--- a/crates/coordinator/src/admin_api/suspension_store/tests.rs
+++ b/crates/coordinator/src/admin_api/suspension_store/tests.rs
@@ -49,8 +49,8 @@
 fn a_suspension_that_cannot_be_saved_holds_in_this_process_and_is_saved_later() {
     let folder = folder("full");
     let mut store = SuspensionStore::new(Some(&folder), "n1");
-    let own = folder.join("cairnroad-n1");
-    std::fs::remove_dir_all(&own).unwrap();
+    let store_folder = folder.join("cairnroad-n1");
+    std::fs::remove_dir_all(&store_folder).unwrap();
     store.save(
         "s-1",
         Suspension {
@@ -61,16 +61,16 @@
     assert_eq!(
         store.load_all(),
         None,
-        "nothing is removed while the folder can't be read"
+        "no suspension is removed while the folder can't be read"
     );
-    std::fs::create_dir_all(&own).unwrap();
+    std::fs::create_dir_all(&store_folder).unwrap();
     assert_eq!(store.load_all().map(|all| all.len()), Some(1));
-    assert!(own.join("s-1.ban").exists());
+    assert!(store_folder.join("s-1.ban").exists());
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Files that release 0.1.0 wrote when its fields and types still had other names: `s-1` and `s/2 x` were suspended,
-/// `s-3` was suspended and resumed. Loading does not look at the clock, so their times never grow stale.
+/// Files written by release 0.1.0, whose fields and types had other names: `s-1` and `s/2 x` are suspended, `s-3` was
+/// suspended and resumed. Loading does not read the clock, so the files never expire.
 const FILES_OF_RELEASE_0_1_0: [&str; 3] = ["s-1.ban", "s%2f2%20x.ban", "s-3.ban"];
 
 fn fixture(file: &str) -> PathBuf {
@@ -94,7 +94,7 @@
     ])
 }
 
-/// Guards against an upgrade that loses the suspensions in force, or reads them as something else.
+/// Guards against an upgrade that loses or misreads the suspensions in force.
 #[test]
 fn suspensions_written_by_release_0_1_0_are_loaded_and_in_force() {
     let folder = folder("release-0-1-0");
@@ -115,11 +115,11 @@
 
     store.remove("s/2 x");
     let removed = folder.join("cairnroad-n1/s%2f2%20x.ban");
-    assert!(!removed.exists(), "its file is found by its id");
+    assert!(!removed.exists(), "the file is found by the node's id");
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Guards against a process that stores what a process of release 0.1.0 beside it can't read.
+/// Guards against files that a concurrent process of release 0.1.0 can't read.
 #[test]
 fn suspensions_are_saved_byte_for_byte_as_by_release_0_1_0() {
     let folder = folder("as-release-0-1-0");
--- a/crates/coordinator/src/discovery/agent_connection.rs
+++ b/crates/coordinator/src/discovery/agent_connection.rs
@@ -1,7 +1,5 @@
 //! One HTTP/1.1 connection to the discovery agent.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 use crate::http;
 use cairnroad_discovery_watch::{PollRequest, WatchError, CONNECT_TIMEOUT};
 use cairnroad_types::Seconds;
@@ -11,19 +9,20 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Upper limit of an endpoint list's size in bytes.
+/// Maximum size of an endpoint list in bytes.
 const MAX_LIST_BYTES: usize = 1024 * 1024;
 const STATUS_OK: u16 = 200;
 
-/// An open connection, and what was read beyond the last response.
+/// An open connection to the agent.
 pub(super) struct AgentConnection {
     agent: SocketAddr,
     stream: TcpStream,
+    /// Bytes that were read but not parsed yet.
     buffer: Vec<u8>,
 }
 
 impl AgentConnection {
-    /// Connects to the agent at this address.
+    /// Connects to the agent at an address.
     pub(super) async fn open(agent: SocketAddr) -> Result<AgentConnection, WatchError> {
         let time_limit = Duration::from_secs_f64(CONNECT_TIMEOUT);
         let stream = timeout(time_limit, TcpStream::connect(agent))
@@ -39,7 +38,7 @@
         })
     }
 
-    /// Sends a poll for this target and returns its response, which has the status 200.
+    /// Sends a poll for a request target and returns its response. Any status but 200 is an error.
     pub(super) async fn poll(
         &mut self,
         target: &str,
@@ -61,14 +60,14 @@
         let request = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.agent);
         self.stream.write_all(request.as_bytes()).await?;
         loop {
-            let ended = self.stream.read_buf(&mut self.buffer).await? == 0;
-            let parsed = http::parse_response(&self.buffer, ended, MAX_LIST_BYTES)
+            let is_closed = self.stream.read_buf(&mut self.buffer).await? == 0;
+            let parsed = http::parse_response(&self.buffer, is_closed, MAX_LIST_BYTES)
                 .map_err(|error| WatchError::MalformedResponse(error.message()))?;
             if let Some((response, length)) = parsed {
                 self.buffer.drain(..length);
                 return Ok(response);
             }
-            if ended {
+            if is_closed {
                 return Err(WatchError::ConnectionClosed);
             }
         }
--- a/crates/coordinator/src/discovery/endpoint_list.rs
+++ b/crates/coordinator/src/discovery/endpoint_list.rs
@@ -1,23 +1,22 @@
-//! The wire form of the endpoint list, as the agent and the configuration's `known` state it.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The JSON form of the endpoint list, as sent by the agent and stated in the configuration's `known` key.
 
 use crate::messages::{EndpointEntry, EndpointListUpdate};
 use cairnroad_types::{ServerState, Time};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Weight and list generation of a server, which an agent's list does not state.
+/// Weight of every server, since an agent's list states none.
 const DEFAULT_WEIGHT: f64 = 1.0;
+/// List generation of every server, since an agent's list states none.
 const DEFAULT_GENERATION: u64 = 0;
 const MICROSECONDS_PER_MILLISECOND: i64 = 1000;
 
-/// Why a member of the list is left out.
+/// The reason why a member of the list is ignored.
 #[derive(Debug, thiserror::Error)]
 enum MemberError {
     #[error("members: {0}")]
     Decode(#[from] serde_json::Error),
-    #[error("members: host_port '{host_port}' of {id} is not an address")]
+    #[error("members: host_port of {id}: expected an IP address and port, found '{host_port}'")]
     Address { host_port: String, id: String },
 }
 
@@ -33,7 +32,7 @@
     phase: String,
     #[serde(default = "default_size")]
     size: f64,
-    /// Start of the server in milliseconds of Unix time; 0 where it is not stated.
+    /// Start time of the server in milliseconds of Unix time; 0 if it is not stated.
     #[serde(default)]
     up_since_ms: i64,
 }
@@ -71,7 +70,8 @@
         })
     }
 
-    /// Returns the state of the member's phase. An unknown phase is not active, so that the server drains.
+    /// Returns the state for the member's phase. A server with an unknown phase drains, since it is not known to be
+    /// active.
     fn state(&self) -> ServerState {
         match self.phase.as_str() {
             "active" => ServerState::Ready,
@@ -92,13 +92,13 @@
     }
 }
 
-/// Returns the numeric id of a locality: a hash of its name, and 0 without one. Two localities with the same hash
-/// would only count as one zone.
+/// Returns the numeric id of a locality: a hash of its name; 0 for the empty name. Two localities with the same hash
+/// would merely count as one zone.
 pub fn zone_id(locality: &str) -> u32 {
     crc32fast::hash(locality.as_bytes())
 }
 
-/// A response of the agent: a snapshot, or the changes since a revision.
+/// The body of a response of the agent: a snapshot, or the changes since a revision.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointListPayload {
     #[serde(default)]
@@ -108,7 +108,8 @@
 }
 
 impl EndpointListPayload {
-    /// Returns the update that the page states. A member that can't be decoded is logged and left out, alone.
+    /// Returns the update that the payload states. A member that can't be decoded is logged and ignored; the others
+    /// count.
     pub fn into_update(self) -> EndpointListUpdate {
         let rows = self
             .members
--- a/crates/coordinator/src/discovery/endpoint_list/tests.rs
+++ b/crates/coordinator/src/discovery/endpoint_list/tests.rs
@@ -1,7 +1,7 @@
 use super::EndpointListPayload;
 use cairnroad_types::ServerState;
 
-/// Guards against one malformed member that fails its page, and with it the whole update.
+/// Guards against one malformed member that makes the whole update fail.
 #[test]
 fn a_member_that_cannot_be_decoded_is_left_out_alone() {
     let member = |id: &str, address: &str, phase: &str| {
@@ -27,6 +27,6 @@
     assert_eq!(
         update.entries[1].state,
         ServerState::Draining,
-        "an unknown phase is not 'active'"
+        "a server with an unknown phase drains"
     );
 }
--- a/crates/coordinator/src/discovery/file_source/change_watcher.rs
+++ b/crates/coordinator/src/discovery/file_source/change_watcher.rs
@@ -1,19 +1,17 @@
-//! Events of the file system for the endpoint files.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Watches the endpoint files for file system events.
 
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::time::{Duration, Instant};
 
-/// The shortest time between two set-ups of the watch.
+/// Minimum time between two renewals of the watch.
 const RENEW_INTERVAL: Duration = Duration::from_secs(1);
-/// One pending event says as much as many: the files changed.
+/// Capacity of the event queue. One pending event is enough to say that the files changed.
 const PENDING_EVENTS: usize = 1;
 
-/// Watches the folder around the files. Without a watch, as while the folder is gone, nothing is reported and the
-/// rescan still finds what changed.
+/// Watches the folder that holds the files. Without a watch, such as while the folder does not exist, no change is
+/// reported, but the regular rescan still finds it.
 pub(super) struct ChangeWatcher {
     path: PathBuf,
     events: SyncSender<()>,
@@ -23,7 +21,7 @@
 }
 
 impl ChangeWatcher {
-    /// Starts watching.
+    /// Starts to watch the folder of `path`, or `path` itself if it is a folder.
     pub(super) fn new(path: &Path) -> ChangeWatcher {
         let (events, changes) = sync_channel(PENDING_EVENTS);
         let watcher = watch(path, events.clone());
@@ -36,17 +34,17 @@
         }
     }
 
-    /// Waits for a change; returns whether there was one.
+    /// Waits for a change. Returns whether there was one within `timeout`.
     pub(super) fn wait(&self, timeout: Duration) -> bool {
-        // The sender is held here, so that the only error is the end of the time.
+        // The only possible error is the timeout, because `self.events` keeps the channel open.
         let changed = self.changes.recv_timeout(timeout).is_ok();
-        // One change of a file is several events.
+        // One change of a file causes several events.
         while self.changes.try_recv().is_ok() {}
         changed
     }
 
-    /// Sets the watch up again, at most once in [`RENEW_INTERVAL`]. A folder that was swapped by its link is another
-    /// one, in which the old watch sees nothing.
+    /// Renews the watch, at most once per [`RENEW_INTERVAL`]. If the path's symbolic link now names another folder, the
+    /// old watch reports none of its changes.
     pub(super) fn renew_if_due(&mut self) {
         if self.renewed_at.elapsed() <= RENEW_INTERVAL {
             return;
@@ -58,10 +56,10 @@
     }
 }
 
-/// Watches the folder rather than the files, so that a file that is renamed over another is seen too.
+/// Watches the folder rather than the files, so that a file that is renamed over another one is reported too.
 fn watch(path: &Path, events: SyncSender<()>) -> Option<RecommendedWatcher> {
     let notify = move |event: notify::Result<notify::Event>| {
-        // Reading is an event too, and would have the files read for ever.
+        // Reads are reported as access events, and would cause the next read without end.
         if event.is_ok_and(|event| !event.kind.is_access()) {
             let _ = events.try_send(());
         }
@@ -73,7 +71,7 @@
         non_empty(path.parent()).unwrap_or(Path::new("."))
     };
     watcher.watch(folder, RecursiveMode::NonRecursive).ok()?;
-    // The folder may be replaced by changing the link that names it.
+    // The folder may be replaced by changing the symbolic link that names it.
     if let Some(parent) = non_empty(folder.parent()).filter(|_| path.is_symlink()) {
         let _ = watcher.watch(parent, RecursiveMode::NonRecursive);
     }
--- a/crates/coordinator/src/discovery/file_source/endpoint_source.rs
+++ b/crates/coordinator/src/discovery/file_source/endpoint_source.rs
@@ -1,7 +1,5 @@
 //! The thread that keeps the endpoint list of the files in force.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 use super::change_watcher::ChangeWatcher;
 use super::publisher::{CoreStopped, Publisher, WEIGHT_UPDATE_INTERVAL};
 use super::scan::{present_stamps, read_files, scan, FileStamps};
@@ -25,25 +23,25 @@
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// The thread's state.
+/// The state of the thread.
 pub(super) struct EndpointSource {
     settings: EndpointFilesSettings,
-    /// `None` without a state folder.
+    /// The store of the last accepted set; `None` without a state folder.
     store: Option<SnapshotStore<StateDirectory>>,
     publisher: Publisher,
-    /// The set in force.
+    /// The set in force, with its activation times and weight ramps.
     schedule: ActivationSchedule,
     start_times: StartTimes,
-    /// The stamps of the files that hold the set in force; empty if they hold something else.
+    /// The stamps of the files that hold the set in force; empty if the files hold another set or are faulty.
     stamps_in_force: FileStamps,
-    /// The faults that were logged last, so that each rejection is logged once.
+    /// The text of the last logged rejection, so that each rejection is logged once.
     last_rejection: String,
-    /// Whether the last save failed, so that a broken disk is logged once.
+    /// Whether the last save failed, so that a failing disk is logged once.
     save_failed: bool,
 }
 
 impl EndpointSource {
-    /// A source that has read nothing yet.
+    /// Returns a source that has not read any file yet.
     pub(super) fn new(
         settings: EndpointFilesSettings,
         core: mpsc::Sender<CoreMessage>,
@@ -66,7 +64,7 @@
 
     /// Follows the files until the core stops.
     pub(super) fn run(mut self) {
-        // The core's end is the thread's normal end, whether a send or the loop finds it.
+        // The thread ends normally when the core stops, whether a send or the loop detects it.
         let _: Result<(), CoreStopped> = self.follow_files();
     }
 
@@ -99,14 +97,14 @@
         Ok(())
     }
 
-    /// When the schedule changes by itself, on the clock of `now`.
+    /// Returns when the schedule changes without a new set, on the clock of `now`.
     fn next_scheduled_change(&self, now: Duration) -> Option<Duration> {
         let unix_now = unix_now();
         let at = self.schedule.next_change(unix_now)?;
         Some(now + Duration::from_secs_f64((at - unix_now).max(0.0)))
     }
 
-    /// Pending weights are sent without waiting for the next change.
+    /// Limits the wait for a change while weights are pending, so that they are sent in time.
     fn limit_timeout(&self, timeout: Duration) -> Duration {
         if self.publisher.has_pending_weights() {
             timeout.min(WEIGHT_UPDATE_INTERVAL)
@@ -115,20 +113,20 @@
         }
     }
 
-    /// The generation in force; 0 without one.
+    /// Returns the generation in force; 0 if no set is in force.
     fn generation(&self) -> u64 {
         let in_force = self.schedule.endpoint_set();
         in_force.map_or(0, |endpoint_set| endpoint_set.generation)
     }
 
-    /// Puts the stored set in force, so that a start with broken files serves.
+    /// Puts the stored set into force, so that the process can serve if the files are faulty at its start.
     fn restore_snapshot(&mut self) -> Result<(), CoreStopped> {
         let (Some(folder), Some(store)) = (&self.settings.state_dir, &mut self.store) else {
             return Ok(());
         };
         let recovery = store.recover();
-        for unusable in recovery.unusable_slots {
-            let cause = unusable.to_string();
+        for slot in recovery.unusable_slots {
+            let cause = slot.to_string();
             tracing::error!(folder = %folder.display(), cause, "stored endpoint list unusable");
         }
         let Some(snapshot) = recovery.snapshot else {
@@ -142,10 +140,10 @@
                 "endpoint files unusable, stored list in force"
             );
         }
-        self.put_in_force(snapshot.endpoint_set)
+        self.put_into_force(snapshot.endpoint_set)
     }
 
-    /// Whether the files hold a set that is accepted after this one.
+    /// Returns whether the files hold a set that may follow `in_force`.
     fn files_may_follow(&self, in_force: &EndpointSet) -> bool {
         let Ok(endpoint_set) = parse_files(&read_files(&self.settings.path)) else {
             return false;
@@ -163,9 +161,9 @@
         )
     }
 
-    /// Reads the files, unless they are those of the set in force, and applies what they hold.
+    /// Reads the files, unless they are unchanged since the set in force was read, and applies the set that they hold.
     fn check_files(&mut self) -> Result<ReadOutcome, CoreStopped> {
-        // A large list is not parsed again at every rescan.
+        // Unchanged files are skipped, so that a large list is not parsed again at every rescan.
         let present = present_stamps(&self.settings.path);
         if !present.is_empty() && present == self.stamps_in_force {
             return Ok(ReadOutcome::Applied);
@@ -173,7 +171,7 @@
         self.stamps_in_force.clear();
         let scan = scan(&self.settings.path);
         if !scan.stamps.is_empty() && scan.stamps != present_stamps(&self.settings.path) {
-            // Written while it was read: the texts may be a mix that no writer meant.
+            // The files changed during the read: the texts may be a mix that no writer intended.
             return Ok(ReadOutcome::Unusable);
         }
         let endpoint_set = match parse_files(&scan.files) {
@@ -192,7 +190,7 @@
         Ok(ReadOutcome::Applied)
     }
 
-    /// Logs a rejection, once until it changes.
+    /// Logs a rejection, unless it is the same as the last one.
     fn reject(&mut self, faults: &[Fault]) -> ReadOutcome {
         let cause = join_lines(faults);
         if cause != self.last_rejection {
@@ -203,7 +201,7 @@
         ReadOutcome::Unusable
     }
 
-    /// Stores a set, puts it in force and logs what it changes.
+    /// Stores a set, puts it into force and logs the changes.
     fn apply(&mut self, endpoint_set: EndpointSet) -> Result<(), CoreStopped> {
         let empty = EndpointSet::default();
         let in_force = self.schedule.endpoint_set().unwrap_or(&empty);
@@ -212,12 +210,12 @@
         let now = unix_now();
         self.start_times.update(&endpoint_set, now);
         self.save(&endpoint_set, now);
-        self.put_in_force(endpoint_set)?;
+        self.put_into_force(endpoint_set)?;
         log_update(generation, &plan);
         Ok(())
     }
 
-    /// Stores a set. A disk that fails doesn't keep it from coming into force.
+    /// Stores a set. If the disk fails, the set comes into force nevertheless.
     fn save(&mut self, endpoint_set: &EndpointSet, now: UnixSeconds) {
         let (Some(folder), Some(store)) = (&self.settings.state_dir, &mut self.store) else {
             return;
@@ -231,12 +229,12 @@
         self.save_failed = saved.is_err();
     }
 
-    fn put_in_force(&mut self, endpoint_set: EndpointSet) -> Result<(), CoreStopped> {
+    fn put_into_force(&mut self, endpoint_set: EndpointSet) -> Result<(), CoreStopped> {
         self.schedule.replace(unix_now(), endpoint_set);
         self.publish()
     }
 
-    /// Tells the core what the schedule says now.
+    /// Sends the current state of the schedule to the core.
     fn publish(&mut self) -> Result<(), CoreStopped> {
         let Some(endpoint_set) = self.schedule.endpoint_set() else {
             return Ok(());
@@ -264,9 +262,9 @@
             Phase::Active => ServerState::Ready,
             Phase::Draining => ServerState::Draining,
         };
-        // An endpoint belongs to the generation that brought it, or brought it to its cell.
+        // An endpoint's generation is the one that added it, or that moved it to its cell.
         let before = self.publisher.published(id);
-        let unmoved = before.filter(|entry| entry.cell == endpoint.cell);
+        let in_same_cell = before.filter(|entry| entry.cell == endpoint.cell);
         let started = self.start_times.get(id);
         EndpointEntry {
             id: id.into(),
@@ -276,7 +274,7 @@
             state,
             size: 1.0,
             weight: status.weight,
-            generation: unmoved.map_or(generation, |entry| entry.generation),
+            generation: in_same_cell.map_or(generation, |entry| entry.generation),
             ready_at: started.map(|seconds| Time((seconds * MICROSECONDS_PER_SECOND) as i64)),
         }
     }
--- a/crates/coordinator/src/discovery/file_source/mod.rs
+++ b/crates/coordinator/src/discovery/file_source/mod.rs
@@ -1,9 +1,7 @@
 //! The endpoint list from watched files.
 //!
-//! A thread of its own watches, reads and stores the list and sends the core complete updates, as discovery does. What
-//! is decided about a list stands in `cairnroad_endpoint_files`.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! A separate thread watches, reads and stores the list, and sends updates to the core as the discovery watch does. The
+//! decisions about a list are made in `cairnroad_endpoint_files`.
 
 mod change_watcher;
 mod endpoint_source;
@@ -18,12 +16,12 @@
 use endpoint_source::EndpointSource;
 use tokio::sync::mpsc;
 
-/// The thread can't be started.
+/// The error when the thread can't be started.
 #[derive(Debug, thiserror::Error)]
-#[error("the thread that reads the endpoint files can't be started: {0}")]
+#[error("failed to start the thread that reads the endpoint files: {0}")]
 pub struct SpawnError(#[source] std::io::Error);
 
-/// Starts the thread that owns the files' state. It ends when the core's receiver is dropped.
+/// Starts the thread that follows the files. The thread ends when the core's receiver is dropped.
 pub fn start(
     settings: EndpointFilesSettings,
     core: mpsc::Sender<CoreMessage>,
--- a/crates/coordinator/src/discovery/file_source/publisher.rs
+++ b/crates/coordinator/src/discovery/file_source/publisher.rs
@@ -1,6 +1,4 @@
-//! What the core was told of the endpoints, and the updates that bring it up to date.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Sends changes of the endpoint list to the core.
 
 use crate::messages::{CoreMessage, EndpointEntry, EndpointListUpdate};
 use cairnroad_types::ServerState;
@@ -8,26 +6,26 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The most weights of one update. Thousands at once would hold the core's thread up.
+/// Maximum number of weights in one update. Thousands at once would delay the core's thread.
 const MAX_WEIGHTS_PER_UPDATE: usize = 256;
-/// The pause between two updates of weights, some of the core's ticks.
+/// Pause between two updates of weights, a few of the core's ticks.
 pub(super) const WEIGHT_UPDATE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The core's receiver is gone: the program ends.
+/// The error when the core's receiver was dropped, because the program ends.
 #[derive(Debug)]
 pub(super) struct CoreStopped;
 
-/// Sends the core what differs from what it was told before.
+/// Sends entries to the core that differ from those sent before.
 pub(super) struct Publisher {
     core: mpsc::Sender<CoreMessage>,
-    /// What the core was told, pending weights included.
+    /// The entries that were published, including those whose weights are still pending.
     published: BTreeMap<String, EndpointEntry>,
-    /// Entries of which only the weight changed, still to be sent.
+    /// Entries to be sent of which only the weight changed.
     pending_weights: BTreeMap<String, EndpointEntry>,
 }
 
 impl Publisher {
-    /// A publisher to a core that knows no endpoint.
+    /// Returns a publisher for a core that knows no endpoint.
     pub(super) fn new(core: mpsc::Sender<CoreMessage>) -> Publisher {
         Publisher {
             core,
@@ -36,23 +34,23 @@
         }
     }
 
-    /// Whether the core's receiver is gone.
+    /// Returns whether the core's receiver was dropped.
     pub(super) fn is_core_stopped(&self) -> bool {
         self.core.is_closed()
     }
 
-    /// Whether weights are still to be sent.
+    /// Returns whether weights are still to be sent.
     pub(super) fn has_pending_weights(&self) -> bool {
         !self.pending_weights.is_empty()
     }
 
-    /// The entry that the core has of an endpoint.
+    /// Returns the published entry of an endpoint.
     pub(super) fn published(&self, id: &str) -> Option<&EndpointEntry> {
         self.published.get(id)
     }
 
-    /// Sends what differs from before. Endpoints that come, go or change go out in one update, so that no request sees
-    /// half of it; changed weights follow in small ones.
+    /// Sends the entries that differ from the published ones. Endpoints that are added, removed or changed are sent in
+    /// one update, so that no request sees a part of it; changed weights follow in small updates.
     pub(super) fn publish(
         &mut self,
         revision: u64,
@@ -75,7 +73,7 @@
             state: ServerState::Removed,
             ..entry.clone()
         }));
-        // A changed entry carries its weight, and a removed one needs none.
+        // A changed entry includes its weight, and a removed one needs none.
         for entry in &changed {
             self.pending_weights.remove(&entry.id);
         }
@@ -86,7 +84,7 @@
         self.send(revision, is_first, changed)
     }
 
-    /// Sends some of the pending weights, if there are any.
+    /// Sends up to [`MAX_WEIGHTS_PER_UPDATE`] of the pending weights.
     pub(super) fn publish_pending_weights(&mut self, revision: u64) -> Result<(), CoreStopped> {
         let mut entries = Vec::new();
         while entries.len() < MAX_WEIGHTS_PER_UPDATE {
--- a/crates/coordinator/src/discovery/file_source/scan.rs
+++ b/crates/coordinator/src/discovery/file_source/scan.rs
@@ -1,6 +1,4 @@
-//! The files that make up the endpoint list, as they stand on disk.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Reads the files that make up the endpoint list.
 
 use cairnroad_endpoint_files::fault::FileError;
 use cairnroad_endpoint_files::file_format::{MAX_BYTES, MAX_FILES};
@@ -9,7 +7,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// What shows that a file is another than before.
+/// The metadata by which a changed file is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FileStamp {
     inode: u64,
@@ -18,18 +16,18 @@
     modified_nanoseconds: i64,
 }
 
-/// The stamps of all files, in the order of their names; `None` for a file that has none.
+/// The stamps of all files, in the order of their names; `None` for a file whose metadata can't be read.
 pub(super) type FileStamps = Vec<Option<FileStamp>>;
 
-/// The files with the stamps that they had before they were read.
+/// The contents of the files, and the stamps that the files had before they were read.
 pub(super) struct Scan {
     pub(super) files: Vec<SourceFile>,
-    /// Empty if the files can't be listed.
+    /// The stamps; empty if the files can't be listed.
     pub(super) stamps: FileStamps,
 }
 
-/// Reads the files of an endpoint list: one file, or the `*.toml` files of a folder. What can't be read is a file with
-/// the reason.
+/// Reads the files of an endpoint list: one file, or the `*.toml` files of a folder. A file that can't be read is
+/// returned with the reason.
 pub fn read_files(path: &Path) -> Vec<SourceFile> {
     scan(path).files
 }
@@ -54,13 +52,13 @@
     Scan { files, stamps }
 }
 
-/// Returns the present stamps; empty if the files can't be listed.
+/// Returns the current stamps; empty if the files can't be listed.
 pub(super) fn present_stamps(path: &Path) -> FileStamps {
     let paths = list_files(path).unwrap_or_default();
     paths.iter().map(|path| stamp(path)).collect()
 }
 
-/// The file itself, or the files of the folder that make up a list, by name.
+/// Returns the path itself if it is a file, or the paths of the folder's files that make up a list, sorted by name.
 fn list_files(path: &Path) -> io::Result<Vec<PathBuf>> {
     if !std::fs::metadata(path)?.is_dir() {
         return Ok(vec![path.to_path_buf()]);
@@ -72,12 +70,13 @@
         .filter(|path| is_listed(path))
         .collect();
     paths.sort();
-    // One more than the bound is kept, so that the parser reports it.
+    // One file more than the limit is included, so that the parser reports the excess.
     paths.truncate(MAX_FILES + 1);
     Ok(paths)
 }
 
-/// Editors' backup and swap files begin with a dot or have another extension.
+/// Returns whether a file is part of the list. Editors' backup and swap files begin with a dot or have another
+/// extension.
 fn is_listed(path: &Path) -> bool {
     let name = file_name(path);
     name.ends_with(".toml") && !name.starts_with('.')
@@ -105,7 +104,7 @@
     }
 }
 
-/// Reads a file's text, up to the bound. A pipe or device is not opened: it might block for ever.
+/// Reads a file's text, up to the size limit. A pipe or device is not opened, since it might block forever.
 fn read_text(path: &Path) -> Result<String, FileError> {
     if !std::fs::metadata(path)?.is_file() {
         return Err(FileError::NotRegular);
--- a/crates/coordinator/src/discovery/mod.rs
+++ b/crates/coordinator/src/discovery/mod.rs
@@ -1,11 +1,11 @@
-//! Service discovery: where the endpoint list comes from, and how its entries become the servers of the routing.
+//! Service discovery: receives the endpoint list and turns its entries into the servers that the router uses.
 //!
-//! - [`endpoint_list`]: the list's wire form.
-//! - [`agent_connection`], [`watch_task`]: the HTTP connection to the discovery agent, and the task that keeps a watch
-//!   on it. When to poll, time out and back off is decided in [`cairnroad_discovery_watch`].
+//! - [`endpoint_list`]: the JSON form of the list.
+//! - [`agent_connection`], [`watch_task`]: the HTTP connection to the discovery agent, and the task that watches the
+//!   agent. [`cairnroad_discovery_watch`] decides when to poll, time out and back off.
 //! - [`file_source`]: the list from watched files instead of an agent.
-//! - [`server_directory`]: the numeric ids of listed servers. A draining server stops getting requests by the state
-//!   that [`endpoint_update`] passes on.
+//! - [`server_directory`]: the numeric ids of listed servers. A draining server stops getting requests because of the
+//!   state that [`endpoint_update`] passes on.
 
 mod agent_connection;
 pub mod endpoint_list;
--- a/crates/coordinator/src/discovery/server_directory.rs
+++ b/crates/coordinator/src/discovery/server_directory.rs
@@ -1,6 +1,4 @@
-//! The numeric ids that the routing knows servers by.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Assigns to servers the numeric ids by which the router identifies them.
 
 use crate::messages::{EndpointEntry, EndpointListUpdate};
 use cairnroad_types::{Endpoint, EndpointUpdate, ServerId, ServerState};
@@ -8,7 +6,7 @@
 
 /// The ids of the listed servers, assigned in the order in which their names are first listed and never reused.
 ///
-/// A server that is removed is forgotten: over a long time servers are replaced under ever new names.
+/// A removed server is forgotten, because servers are replaced under new names over time.
 #[derive(Default)]
 pub struct ServerDirectory {
     by_name: BTreeMap<String, (ServerId, EndpointEntry)>,
@@ -16,8 +14,8 @@
 }
 
 impl ServerDirectory {
-    /// Returns the entries of an update with their servers' ids. A server that returns after its removal gets a new
-    /// one; the removal of an unknown server is left out.
+    /// Returns the entries of an update with their servers' ids. A server that returns after its removal gets a new id;
+    /// the removal of an unknown server is left out.
     pub fn assign_ids(&mut self, update: &EndpointListUpdate) -> Vec<(ServerId, EndpointEntry)> {
         let entries: Vec<(ServerId, EndpointEntry)> = update
             .entries
@@ -30,7 +28,7 @@
         entries
     }
 
-    /// Records an entry and returns its server's id; `None` for the removal of an unknown server.
+    /// Records an entry and returns its server's id; `None` if the entry removes an unknown server.
     fn record(&mut self, entry: &EndpointEntry) -> Option<ServerId> {
         let known_id = self.by_name.get(&entry.id).map(|(server, _)| *server);
         if entry.state == ServerState::Removed {
@@ -56,7 +54,7 @@
             .retain(|_, (server, _)| listed.contains(server));
     }
 
-    /// Returns the id and the newest entry of the server of this name.
+    /// Returns the id and the newest entry of the server with this name.
     pub fn get(&self, name: &str) -> Option<(ServerId, EndpointEntry)> {
         self.by_name.get(name).cloned()
     }
@@ -75,7 +73,7 @@
     }
 }
 
-/// Returns an update as the routing takes it; `cached` marks one that was stored before this process started.
+/// Converts entries to an update for the router. `cached` marks a list that was stored before this process started.
 pub fn endpoint_update(
     entries: &[(ServerId, EndpointEntry)],
     complete: bool,
--- a/crates/coordinator/src/discovery/tests.rs
+++ b/crates/coordinator/src/discovery/tests.rs
@@ -37,6 +37,6 @@
     assert_eq!(
         directory.assign_ids(&update)[0].0,
         ServerId(1),
-        "an id is never reused"
+        "a server that returns gets a new id"
     );
 }
--- a/crates/coordinator/src/discovery/watch_task.rs
+++ b/crates/coordinator/src/discovery/watch_task.rs
@@ -1,7 +1,5 @@
 //! The task that watches the discovery agent and passes its endpoint list on to the pipeline.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 use crate::clock::Clock;
 use crate::contract::{Contracts, ObservedMessage};
 use crate::discovery::agent_connection::{target, AgentConnection};
@@ -18,15 +16,15 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// The channel of the published description that polls and lists belong to.
+/// Channel of the published description to which polls and lists belong.
 const CONTRACT_CHANNEL: &str = "watch";
-/// The party that the contract's log names.
+/// Name of the agent in the log of contract violations.
 const CONTRACT_PARTY: &str = "agent";
 
-/// Watches the agent until the pipeline ends, and sends it every list.
+/// Watches the agent until the pipeline ends, and sends every list to the pipeline.
 ///
-/// A new agent address drops the poll in flight, or the backoff before the next: the old agent may never respond, and
-/// the watch restarts at the new one.
+/// A new agent address cancels the poll in flight, or the backoff before the next one, because the old agent may never
+/// respond. The watch then restarts at the new agent.
 pub async fn watch_endpoints(
     mut agents: watch::Receiver<SocketAddr>,
     pipeline: mpsc::Sender<CoreMessage>,
@@ -55,6 +53,7 @@
     }
 }
 
+/// The state of the task.
 struct WatchTask {
     watch: DiscoveryWatch,
     pipeline: mpsc::Sender<CoreMessage>,
@@ -76,14 +75,14 @@
         tokio::time::sleep(Duration::from_secs_f64(backoff)).await;
     }
 
-    /// Sends poll after poll on one connection, until the agent closes it or the pipeline ends.
+    /// Sends polls on one connection until the agent closes it or the pipeline ends.
     async fn run_connection(&mut self, agent: SocketAddr) -> Result<(), WatchError> {
         let mut connection = AgentConnection::open(agent).await?;
         loop {
             let response = self.poll(&mut connection).await?;
-            let page: EndpointListPayload =
+            let payload: EndpointListPayload =
                 serde_json::from_slice(&response.body).map_err(WatchError::InvalidEndpointList)?;
-            let update = page.into_update();
+            let update = payload.into_update();
             if self.watch.on_response(self.clock.now(), update.revision) {
                 tracing::warn!(server = %agent, revision = update.revision, "endpoint list arrived after the notification deadline");
             }
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Sends the next poll; it and its response are held against the contracts in force when it is sent.
+    /// Sends the next poll, and checks it and its response against the contracts in force when it is sent.
     async fn poll(&self, connection: &mut AgentConnection) -> Result<http::Response, WatchError> {
         let poll = self.watch.next_poll();
         let target = target(poll.request);
@@ -109,7 +108,7 @@
         Ok(response)
     }
 
-    /// Holds a poll against the contracts, which only observe discovery.
+    /// Checks a poll against the contracts, which never reject discovery traffic.
     fn check_poll(&self, in_force: &ContractsInForce, target: &str) {
         let message = ObservedMessage {
             channel: CONTRACT_CHANNEL,
@@ -127,7 +126,7 @@
         );
     }
 
-    /// Holds an endpoint list against the contracts, which only observe discovery.
+    /// Checks an endpoint list against the contracts, which never reject discovery traffic.
     fn check_list(&self, in_force: &ContractsInForce, payload: &[u8]) {
         let message = ObservedMessage {
             channel: CONTRACT_CHANNEL,
@@ -146,7 +145,7 @@
     }
 }
 
-/// Returns a target's query parameters as a JSON object; one that is no number becomes `null`.
+/// Returns a target's query parameters as a JSON object; a value that is not a number becomes `null`.
 fn query_parameters(target: &str) -> Value {
     let (_path, query) = target.split_once('?').unwrap_or((target, ""));
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/crates/coordinator/src/server/context.rs
+++ b/crates/coordinator/src/server/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the program share, and the channels between them.
+//! State shared by the tasks of the program, and the channels between them.
 
 use crate::clock::Clock;
 use crate::configuration::Config;
@@ -11,35 +11,35 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// Messages from connections and discovery that may wait for the decision loop's next tick.
-const MESSAGE_QUEUE: usize = 4096;
+/// Capacity of the queue of messages from connections and discovery to the decision loop's next tick.
+const MESSAGE_QUEUE_CAPACITY: usize = 4096;
 
-/// Senders and shared state, for all tasks.
+/// Senders and state that all tasks share.
 pub struct Context {
     /// The program's clock.
     pub clock: Clock,
-    /// The descriptions in force, and the coordinator's own.
+    /// The interface descriptions in force, and those that the coordinator publishes.
     pub contracts: Rc<Contracts>,
-    /// Clients' requests to the decision loop.
+    /// Sends clients' requests to the decision loop.
     pub requests: mpsc::Sender<ClientRequest>,
-    /// All other messages to the decision loop.
+    /// Sends all other messages to the decision loop.
     pub messages: mpsc::Sender<CoreMessage>,
-    /// The program's phase: the decision loop leaves `Starting`, shutdown goes through the last ones.
+    /// The program's phase. The decision loop ends `Starting`; the shutdown sets the last phases.
     pub phase: Rc<watch::Sender<ServingPhase>>,
-    /// Whether client listeners are closed.
+    /// Whether the client listeners are to be closed.
     pub listeners_closed: watch::Sender<bool>,
-    /// What clients may ask for now.
-    pub served: watch::Receiver<Arc<ServedConfiguration>>,
+    /// The settings that clients' requests are served by.
+    pub served_configuration: watch::Receiver<Arc<ServedConfiguration>>,
     /// The client connections of all fronts.
     pub connections: Rc<ClientConnections>,
 }
 
 impl Context {
-    /// Opens the channels. The decision loop owns the second part.
+    /// Creates the channels. The decision loop owns the second part of the result.
     pub fn new(config: &Config, clock: Clock, contracts: Rc<Contracts>) -> (Context, CoreChannels) {
         let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
-        let (message_sender, messages) = mpsc::channel(MESSAGE_QUEUE);
-        let (served_sender, served) = watch::channel(config.served.clone());
+        let (message_sender, messages) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+        let (served_sender, served_configuration) = watch::channel(config.served.clone());
         let phase = Rc::new(watch::Sender::new(ServingPhase::Starting));
         let core = CoreChannels {
             requests,
@@ -55,7 +55,7 @@
             messages: message_sender,
             phase,
             listeners_closed: watch::Sender::new(false),
-            served,
+            served_configuration,
             connections: Rc::default(),
         };
         (context, core)
--- a/crates/coordinator/src/server/descriptions.rs
+++ b/crates/coordinator/src/server/descriptions.rs
@@ -1,4 +1,4 @@
-//! The interface descriptions: read at the start and at each reload, aside from the decision loop's thread.
+//! Loads the interface descriptions at the start and at each reload, outside of the decision loop's thread.
 
 use super::error::DescriptionsError;
 use crate::clock::Clock;
@@ -7,7 +7,7 @@
 use crate::published_descriptions;
 use std::rc::Rc;
 
-/// Publishes the coordinator's own descriptions, and puts those that the configuration names into force.
+/// Publishes the coordinator's own descriptions, and puts the ones that the configuration names into force.
 pub async fn start(config: &Config, clock: &Clock) -> Result<Rc<Contracts>, DescriptionsError> {
     let published = published_descriptions::publish(config);
     let contracts = Contracts::new(clock.clone(), published);
@@ -17,11 +17,11 @@
     Ok(Rc::new(contracts))
 }
 
-/// Reads the descriptions that a configuration names and puts them into force, all or none.
+/// Reads the descriptions that a configuration names, and puts either all or none of them into force.
 pub async fn adopt(contracts: &Contracts, config: &Config) -> Result<(), DescriptionsError> {
     let settings = config.contracts.clone();
     let backend = config.backend;
-    // Reading takes files and time, which the thread of the decision loop must not wait for.
+    // Reading blocks on files, and the thread of the decision loop must not wait for that.
     let read = tokio::task::spawn_blocking(move || contract::read(&settings, backend));
     let descriptions = read.await.map_err(DescriptionsError::Read)?;
     contracts
--- a/crates/coordinator/src/server/error.rs
+++ b/crates/coordinator/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why the coordinator could not start, failed, or rejected a reload.
+//! Errors of the start, the run and the reload of the coordinator.
 
 use crate::cluster;
 use crate::configuration::ConfigError;
@@ -9,15 +9,15 @@
 use std::net::SocketAddr;
 use tokio::task::JoinError;
 
-/// An error of another subsystem, kept as the source.
+/// An error of another subsystem, as the source of an error of this module.
 pub type Source = Box<dyn Error + Send + Sync>;
 
-/// A signal that the program answers.
+/// A signal that the program handles.
 #[derive(Clone, Copy, Debug)]
 pub enum Signal {
-    /// SIGTERM.
+    /// SIGTERM, which starts a graceful shutdown.
     Terminate,
-    /// SIGHUP.
+    /// SIGHUP, which reloads the configuration.
     Hangup,
 }
 
@@ -30,15 +30,15 @@
     }
 }
 
-/// Why the coordinator could not start, or failed.
+/// The reason why the coordinator could not start, or failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
-    /// A signal can't be caught.
-    #[error("{signal}: {source}")]
+    /// The handler of a signal can't be installed.
+    #[error("failed to handle {signal}: {source}")]
     Signal {
-        /// The signal.
+        /// The signal without a handler.
         signal: Signal,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The configuration can't be read or is faulty.
@@ -48,69 +48,70 @@
     #[error(transparent)]
     InheritedListener(#[from] InheritedSocketError),
     /// The asynchronous runtime can't be built.
-    #[error("runtime: {0}")]
+    #[error("failed to build the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A front can't listen at its address.
-    #[error("listen on {address}: {source}")]
+    #[error("failed to listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The admin API can't listen at its address.
-    #[error("admin: listen on {address}: {source}")]
+    #[error("admin API: failed to listen on {address}: {source}")]
     AdminListen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A description that the configuration names is faulty.
     #[error(transparent)]
     Descriptions(#[from] DescriptionsError),
-    /// The coordinator can't become a member of its group.
+    /// The coordinator can't join its cluster.
     #[error("{0}: {help}", help = .0.help())]
     Cluster(#[from] cluster::ClusterError),
-    /// The endpoint list's files can't be watched.
+    /// The thread that reads the endpoint files can't be started.
     #[error("{0}")]
     EndpointFiles(#[source] Source),
-    /// The decision loop ended, which it never does by itself.
+    /// The decision loop ended, although it runs until the program ends.
     #[error("the core ended: {0:?}")]
     CoreEnded(Result<(), JoinError>),
 }
 
 impl ServerError {
-    /// A signal that can't be caught.
+    /// Returns the error of a signal whose handler can't be installed.
     pub fn signal(signal: Signal, source: io::Error) -> ServerError {
         ServerError::Signal { signal, source }
     }
 }
 
-/// Why the descriptions that a configuration names are not put into force.
+/// The reason why the descriptions that a configuration names are not put into force.
 #[derive(Debug, thiserror::Error)]
 pub enum DescriptionsError {
-    /// The thread that reads them failed.
-    #[error("reading descriptions: {0}")]
+    /// The thread that reads the descriptions failed.
+    #[error("failed to read descriptions: {0}")]
     Read(#[source] JoinError),
-    /// One of them is faulty.
+    /// A description is faulty, or the contracts can't be put into force.
     #[error("{0}")]
     Rejected(#[source] Source),
 }
 
-/// Why a reload changes nothing.
+/// The reason why a reload is rejected and changes nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// The configuration can't be read or is faulty.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// A key is left out. It may be an oversight, so that its default must not take effect.
+    /// The file lacks a key that the one in force has. This may be an oversight, so the key's default must not take
+    /// effect.
     #[error("the file lacks a key that the one in force has: '{0}'")]
     MissingKey(String),
-    /// The decision loop can't take the settings.
+    /// The decision loop rejected the settings.
     #[error("{0}")]
     Rejected(#[source] Source),
-    /// The decision loop is gone.
+    /// The decision loop ended.
     #[error("the core ended")]
     CoreEnded,
 }
--- a/crates/coordinator/src/server/listeners.rs
+++ b/crates/coordinator/src/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The clients' listeners, one a front.
+//! The listeners for clients, one per front.
 
 use super::context::Context;
 use super::error::ServerError;
@@ -17,25 +17,25 @@
 pub struct ClientListeners {
     tasks: Vec<JoinHandle<()>>,
     /// Whether the platform's listening socket is inherited, so that another process may accept from it too.
-    shared: bool,
+    is_shared: bool,
 }
 
 impl ClientListeners {
-    /// Opens a listener for each front that is on, and starts to accept.
+    /// Opens a listener for each enabled front and starts to accept connections.
     ///
-    /// `inherited` stands in for the first front's own socket.
+    /// `inherited` replaces the socket of the platform's front.
     pub async fn start(
         config: &Config,
         inherited: Option<std::net::TcpListener>,
         context: &Context,
     ) -> Result<ClientListeners, ServerError> {
-        let shared = inherited.is_some();
+        let is_shared = inherited.is_some();
         let platform = listen(config, config.listen, FrontKind::Platform, inherited).await?;
         let mut tasks = vec![accept(
             config,
             platform,
             FrontKind::Platform,
-            shared,
+            is_shared,
             context,
         )];
         if let Some(address) = config.opensearch_listen {
@@ -44,16 +44,16 @@
                 config,
                 opensearch,
                 FrontKind::OpenSearch,
-                shared,
+                is_shared,
                 context,
             ));
         }
-        Ok(ClientListeners { tasks, shared })
+        Ok(ClientListeners { tasks, is_shared })
     }
 
-    /// Stops accepting if another process shares the socket: new connections are that process's.
+    /// Stops accepting if another process shares the socket, so that new connections go to that process.
     pub fn hand_over(&self) {
-        if self.shared {
+        if self.is_shared {
             self.tasks.iter().for_each(JoinHandle::abort);
         }
     }
@@ -88,11 +88,11 @@
     config: &Config,
     listener: TcpListener,
     kind: FrontKind,
-    shared: bool,
+    is_shared: bool,
     context: &Context,
 ) -> JoinHandle<()> {
     let front = Front {
-        served: context.served.clone(),
+        served: context.served_configuration.clone(),
         request_queue: context.requests.clone(),
         clock: context.clock.clone(),
         phase: context.phase.subscribe(),
@@ -103,17 +103,17 @@
         contracts: context.contracts.clone(),
     };
     let phase = context.phase.subscribe();
-    let closed = context.listeners_closed.subscribe();
+    let listeners_closed = context.listeners_closed.subscribe();
     tokio::task::spawn_local(async move {
-        // Clients that wait at a shared socket are the other process's until this one can serve.
-        if shared && !has_started(phase).await {
+        // The other process accepts clients from a shared socket until this process can serve.
+        if is_shared && !has_started(phase).await {
             return;
         }
-        fronts::listen(listener, Rc::new(front), closed).await;
+        fronts::listen(listener, Rc::new(front), listeners_closed).await;
     })
 }
 
-/// Waits until the program serves; false if it ends before.
+/// Waits until the start is complete; returns false if the program ends before that.
 async fn has_started(mut phase: watch::Receiver<ServingPhase>) -> bool {
     let started = phase
         .wait_for(|phase| *phase != ServingPhase::Starting)
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -1,8 +1,6 @@
-//! The running coordinator: construction in [`start`], reload at SIGHUP in [`reload`], the end at SIGTERM in
+//! Runs the coordinator: construction in [`start`], reload at SIGHUP in [`reload`], graceful shutdown at SIGTERM in
 //! [`shutdown`].
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod context;
 mod descriptions;
 mod error;
@@ -20,11 +18,11 @@
 use error::Signal;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
-/// The signals that the program answers.
+/// The signals that the program handles.
 struct Signals {
-    /// SIGTERM: graceful shutdown.
+    /// SIGTERM, for a graceful shutdown.
     terminate: PendingSignal,
-    /// SIGHUP: reload.
+    /// SIGHUP, for a reload.
     hangup: PendingSignal,
 }
 
@@ -38,16 +36,17 @@
     }
 }
 
-/// Runs the coordinator until SIGTERM has been carried out.
+/// Runs the coordinator until the shutdown at SIGTERM is complete.
 ///
 /// # Errors
 ///
-/// The configuration is faulty, something can't be opened, or the decision loop failed.
+/// Returns an error if the configuration is faulty, a resource such as a listener can't be opened, or the decision loop
+/// failed.
 pub fn run() -> Result<(), ServerError> {
     let signals = Signals::register()?;
     let config = configuration::load()?;
     log::init(config.log.level, config.log.format);
-    // Before anything else opens a descriptor or starts a thread.
+    // The inherited socket is taken over before any other code opens a descriptor or starts a thread.
     let inherited_listener = config
         .inherited_listener
         .map(socket_activation::inherited_listener)
--- a/crates/coordinator/src/server/reload.rs
+++ b/crates/coordinator/src/server/reload.rs
@@ -1,4 +1,4 @@
-//! Reload at SIGHUP: the configuration is read anew, checked whole, and takes effect live where it can.
+//! Reload at SIGHUP: the configuration is read again, checked completely, and applied without a restart where possible.
 
 use super::context::Context;
 use super::descriptions;
@@ -13,22 +13,26 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Carries out reloads.
+/// Reloads the configuration.
 pub struct Reloader {
     /// The configuration in force.
     config: Config,
-    /// The discovery agent's address.
-    agent: watch::Sender<SocketAddr>,
+    /// Publishes the discovery agent's address.
+    agent_address: watch::Sender<SocketAddr>,
     contracts: Rc<Contracts>,
     messages: mpsc::Sender<CoreMessage>,
 }
 
 impl Reloader {
-    /// With the configuration of the start in force.
-    pub fn new(config: Config, agent: watch::Sender<SocketAddr>, context: &Context) -> Reloader {
+    /// Returns a reloader with the startup configuration in force.
+    pub fn new(
+        config: Config,
+        agent_address: watch::Sender<SocketAddr>,
+        context: &Context,
+    ) -> Reloader {
         Reloader {
             config,
-            agent,
+            agent_address,
             contracts: context.contracts.clone(),
             messages: context.messages.clone(),
         }
@@ -44,39 +48,40 @@
     }
 
     async fn reload(&mut self) -> Result<(), ReloadError> {
-        let fresh = configuration::load()?;
-        if let Some(key) = self.config.first_key_missing_in(&fresh) {
+        let new = configuration::load()?;
+        if let Some(key) = self.config.first_key_missing_in(&new) {
             return Err(ReloadError::MissingKey(key));
         }
-        self.config.served = reconfigure(&self.messages, &fresh.served).await?;
+        self.config.served = reconfigure(&self.messages, &new.served).await?;
         let published = published_descriptions::publish(&self.config);
         self.contracts.republish(published);
-        let keys = self.config.changed_keys_requiring_restart(&fresh);
+        let keys = self.config.changed_keys_requiring_restart(&new);
         if !keys.is_empty() {
             tracing::warn!(keys = keys.join(", "), "reload needs restart");
         }
-        if let Some(discovery) = fresh.discovery {
+        if let Some(discovery) = new.discovery {
             tracing::info!(%discovery, "reload applied");
-            self.agent
-                .send_if_modified(|agent| std::mem::replace(agent, discovery) != discovery);
+            self.agent_address
+                .send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
         }
-        if let Err(error) = descriptions::adopt(&self.contracts, &fresh).await {
+        if let Err(error) = descriptions::adopt(&self.contracts, &new).await {
             tracing::error!(cause = %error, "descriptions rejected");
         }
-        self.config.discovery = fresh.discovery;
-        self.config.deployment_document = fresh.deployment_document;
+        self.config.discovery = new.discovery;
+        self.config.deployment_document = new.deployment_document;
         Ok(())
     }
 }
 
-/// Has the decision loop take other settings between two ticks, all or none. Returns what is in force then.
+/// Sends settings to the decision loop, which applies either all or none of them between two ticks. Returns the
+/// settings in force afterwards.
 async fn reconfigure(
     messages: &mpsc::Sender<CoreMessage>,
-    fresh: &ServedConfiguration,
+    new: &ServedConfiguration,
 ) -> Result<Arc<ServedConfiguration>, ReloadError> {
     let (reply, result) = oneshot::channel();
     let message = CoreMessage::Reconfigure {
-        configuration: Box::new(fresh.clone()),
+        configuration: Box::new(new.clone()),
         reply,
     };
     let sent = messages.send(message).await;
@@ -89,7 +94,7 @@
     Ok(served)
 }
 
-/// Logs each class that clients may ask for.
+/// Logs each class that clients may request.
 pub fn log_offered_classes(served: &ServedConfiguration) {
     for offered in served.deployment.offered_classes() {
         tracing::info!(
--- a/crates/coordinator/src/server/start.rs
+++ b/crates/coordinator/src/server/start.rs
@@ -1,4 +1,4 @@
-//! Construction of the program: each part is started by a function of its own, in the order of [`serve`].
+//! Constructs the program: [`serve`] starts the components in order, each by a separate function.
 
 use super::context::Context;
 use super::error::{ServerError, Signal};
@@ -17,10 +17,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Stands for the discovery agent's address where the endpoint list is read from files.
+/// Placeholder for the discovery agent's address if the endpoint list is read from files.
 const NO_AGENT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Starts all parts, then waits for SIGTERM and shuts down.
+/// Starts all components, waits for SIGTERM and shuts down.
 pub async fn serve(
     config: Config,
     inherited_listener: Option<std::net::TcpListener>,
@@ -36,7 +36,7 @@
     let (context, core_channels) = Context::new(&config, clock, contracts);
     let listeners = ClientListeners::start(&config, inherited_listener, &context).await?;
     log_offered_classes(&config.served);
-    // It starts with the suspensions and the endpoint list of the previous incarnation.
+    // The core starts with the suspensions and the endpoint list of the previous process.
     let mut core = Core::new(
         &config,
         context.contracts.clone(),
@@ -45,13 +45,13 @@
     );
     let cluster = join_cluster(&config, &context, &mut core).await?;
     start_admin_api(&config, &context, cluster.as_ref()).await?;
-    let agent = start_discovery(&config, &context)?;
+    let agent_address = start_discovery(&config, &context)?;
     let core = tokio::task::spawn_local(core.run(tick));
-    let reloader = Reloader::new(config, agent, &context);
+    let reloader = Reloader::new(config, agent_address, &context);
     tokio::task::spawn_local(reloader.run(hangups));
     tokio::select! {
         _ = terminate.recv() => {}
-        end = core => return Err(ServerError::CoreEnded(end)),
+        result = core => return Err(ServerError::CoreEnded(result)),
     }
     shutdown::shut_down(&context, &listeners).await;
     if let Some(cluster) = cluster {
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// Becomes a member of the group of coordinators, if the configuration names one.
+/// Joins the cluster of coordinators, if the configuration enables it.
 async fn join_cluster(
     config: &Config,
     context: &Context,
@@ -83,7 +83,7 @@
     Ok(Some(Rc::new(cluster)))
 }
 
-/// Starts the admin API, if the configuration says where.
+/// Starts the admin API, if the configuration sets its address.
 async fn start_admin_api(
     config: &Config,
     context: &Context,
@@ -106,12 +106,12 @@
 }
 
 /// Starts to follow the endpoint list, from files or from the discovery agent. A reload sends the agent's new address
-/// through the returned channel.
+/// through the returned sender.
 fn start_discovery(
     config: &Config,
     context: &Context,
 ) -> Result<watch::Sender<SocketAddr>, ServerError> {
-    let agent = watch::Sender::new(config.discovery.unwrap_or(NO_AGENT));
+    let agent_address = watch::Sender::new(config.discovery.unwrap_or(NO_AGENT));
     let messages = context.messages.clone();
     match config.endpoint_files.clone() {
         Some(settings) => discovery::file_source::start(settings, messages)
@@ -119,9 +119,10 @@
         None => {
             let contracts = context.contracts.clone();
             let clock = context.clock.clone();
-            let watch = discovery::watch_endpoints(agent.subscribe(), messages, contracts, clock);
+            let agents = agent_address.subscribe();
+            let watch = discovery::watch_endpoints(agents, messages, contracts, clock);
             tokio::task::spawn_local(watch);
         }
     }
-    Ok(agent)
+    Ok(agent_address)
 }
