--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -1,21 +1,23 @@
-//! The program's clock.
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The program's clock, which also detects stalls of the process.
 
 use cairnroad_types::{Seconds, Time};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Ticks further apart than this are a stall of the process, in seconds and in ticks, whichever is more.
-const STALL: Seconds = 0.025;
-const STALL_TICKS: f64 = 2.5;
-/// What is read this soon after a stall may have arrived during it, in seconds and in ticks, whichever is more.
-const STALL_AFTERMATH: Seconds = 0.010;
-const STALL_AFTERMATH_TICKS: f64 = 2.0;
+/// A gap between two ticks that is longer than this is a stall of the process. The longer of both values applies; the
+/// first is in seconds, the second in ticks.
+const STALL_THRESHOLD: Seconds = 0.025;
+const STALL_THRESHOLD_TICKS: f64 = 2.5;
+/// Data that is read within this time after a stall may have arrived during the stall. The longer of both values
+/// applies; the first is in seconds, the second in ticks.
+const POST_STALL_WINDOW: Seconds = 0.010;
+const POST_STALL_WINDOW_TICKS: f64 = 2.0;
 
-/// Unix time that only goes forward. Clones share their state.
+/// A monotonic clock that counts from the Unix epoch. Clones share their state.
 ///
-/// The clock also detects stalls of the process: a request that is read after a stall may have arrived at its start.
+/// The clock also detects stalls of the process, because a request that is read after a stall may have arrived when the
+/// stall began.
 #[derive(Clone)]
 pub struct Clock(Rc<ClockState>);
 
@@ -24,13 +26,13 @@
     unix_start: Time,
     last_tick: Cell<Time>,
     last_stall: Cell<Stall>,
-    /// Ticks further apart than this are a stall.
+    /// A gap between two ticks that is longer than this is a stall, in seconds.
     stall_threshold: Seconds,
-    /// What is read this soon after a stall may have arrived during it.
-    stall_aftermath: Seconds,
+    /// Data that is read within this time after a stall may have arrived during the stall, in seconds.
+    post_stall_window: Seconds,
 }
 
-/// A time in which the process did not run.
+/// A period in which the process did not run.
 #[derive(Clone, Copy)]
 struct Stall {
     start: Time,
@@ -38,7 +40,7 @@
 }
 
 impl Clock {
-    /// A clock whose [`record_tick`](Clock::record_tick) is called every `tick` seconds.
+    /// Creates a clock whose [`record_tick`](Clock::record_tick) is called every `tick` seconds.
     pub fn new(tick: Seconds) -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -52,17 +54,17 @@
                 start: unix_start,
                 end: unix_start,
             }),
-            stall_threshold: STALL.max(STALL_TICKS * tick),
-            stall_aftermath: STALL_AFTERMATH.max(STALL_AFTERMATH_TICKS * tick),
+            stall_threshold: STALL_THRESHOLD.max(STALL_THRESHOLD_TICKS * tick),
+            post_stall_window: POST_STALL_WINDOW.max(POST_STALL_WINDOW_TICKS * tick),
         }))
     }
 
-    /// The current time.
+    /// Returns the current time. It never goes back, even if the system time does.
     pub fn now(&self) -> Time {
         Time(self.0.unix_start.0 + self.0.start.elapsed().as_micros() as i64)
     }
 
-    /// Records a tick of the core; ticks too far apart are a stall.
+    /// Records a tick of the core. If the previous tick was too long ago, the time since then is recorded as a stall.
     pub fn record_tick(&self) {
         let now = self.now();
         let last = self.0.last_tick.replace(now);
@@ -74,16 +76,17 @@
         }
     }
 
-    /// The earliest time at which bytes that are read now may have reached this machine.
+    /// Returns the earliest time at which data that is read now may have arrived at this machine.
     ///
-    /// Guards against counting a client's deadline from the end of a stall in which its request lay unread.
+    /// A client's deadline counts from this time. Counting from the time of reading would extend the deadline by the
+    /// duration of a stall during which the request waited unread.
     pub fn earliest_arrival(&self) -> Time {
         let now = self.now();
         let last_tick = self.0.last_tick.get();
         let stall = self.0.last_stall.get();
         if now - last_tick > self.0.stall_threshold {
             last_tick
-        } else if now - stall.end < self.0.stall_aftermath {
+        } else if now - stall.end < self.0.post_stall_window {
             stall.start
         } else {
             now
--- a/crates/coordinator/src/clock/tests.rs
+++ b/crates/coordinator/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! The clock, by the system's own.
+//! Tests of the clock in real time.
 
 use super::*;
 use std::time::Duration;
@@ -9,14 +9,16 @@
     clock.record_tick();
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(60));
-    assert!(clock.earliest_arrival() <= before, "no beat for 60 ms");
+    assert!(clock.earliest_arrival() <= before, "no tick for 60 ms");
 }
 
-/// Guards against a customer's long ticks that are all taken for stalls: each request would count from the tick before it.
+/// Guards against long tick intervals in the settings that are all taken for stalls: each request would then be dated
+/// back to the previous tick.
 #[test]
 fn a_long_tick_is_no_stall() {
     let clock = Clock::new(30.0);
-    // What is read right after the start may have come before it; that was long ago.
+    // Data that is read right after the start may have arrived before it. The initial stall is moved into the past to
+    // disable this.
     clock.0.last_stall.set(Stall {
         start: Time(0),
         end: Time(0),
@@ -25,6 +27,9 @@
         clock.record_tick();
         std::thread::sleep(Duration::from_millis(60));
         let before = clock.now();
-        assert!(clock.earliest_arrival() >= before, "one tick is not over");
+        assert!(
+            clock.earliest_arrival() >= before,
+            "less than one tick has passed"
+        );
     }
 }
--- a/crates/coordinator/src/messages/answer.rs
+++ b/crates/coordinator/src/messages/answer.rs
@@ -1,19 +1,19 @@
-//! Final answers, and the result of each part.
+//! Final answers, and the results of their parts.
 
 use cairnroad_types::Seconds;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A server's value for a part, byte by byte as received.
+/// A server's value for a part, byte for byte as received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PartValue {
-    /// Opaque bytes, meaningful to the server and the client only.
+    /// Opaque bytes, which only the server and the client interpret.
     Plain(Arc<[u8]>),
-    /// A hits object of the query language.
+    /// The JSON text of a `hits` object of the query API.
     Hits(Arc<str>),
 }
 
-/// Why a part has no value. The texts appear in answers of the query API.
+/// The reason why a part has no value. The texts are part of the answers of the query API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PartFailure {
     /// The server rejected the part.
@@ -33,37 +33,37 @@
     ServerError,
 }
 
-/// The result of one part of an answered request.
+/// The result of one part of a request that is answered with values.
 #[derive(Clone, Debug)]
 pub struct PartAnswer {
-    /// The part's shard.
+    /// The shard that the part queried.
     pub shard: u32,
-    /// The part's value, or why there is none.
+    /// The part's value, or the reason why it has none.
     pub value: Result<PartValue, PartFailure>,
 }
 
-/// A request's one final answer.
+/// The final answer to a request, of which there is exactly one.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// An answer with values.
+    /// A complete or partial answer with values.
     Served {
         /// Whether every part has a value.
         complete: bool,
-        /// Every part's result, in the request's order.
+        /// The results of all parts, in the order of the request.
         parts: Vec<PartAnswer>,
     },
-    /// Rejected; a retry is safe.
+    /// The request was rejected; the client may safely retry it.
     Rejected {
         /// Seconds after which the client may retry.
         retry_after: Seconds,
-        /// Whether no attempt of the request ended: the coordinator is out of capacity.
+        /// Whether the request was rejected for lack of capacity, that is, before any of its attempts ended.
         over_capacity: bool,
     },
-    /// Failed; the request may have run.
+    /// The request failed; it may have run.
     Failed {
-        /// Whether the deadline passed, or nearly so.
+        /// Whether the deadline had passed or was about to pass.
         timed_out: bool,
     },
-    /// Not accepted: its name belongs to a recent request.
+    /// The request was not accepted because a recent request has the same external id.
     DuplicateExternalId,
 }
--- a/crates/coordinator/src/messages/connection_event.rs
+++ b/crates/coordinator/src/messages/connection_event.rs
@@ -1,4 +1,4 @@
-//! What a connection's task reports to the core.
+//! The events that a connection task reports to the core.
 
 use super::{AttemptId, PartValue};
 use cairnroad_types::Outcome;
@@ -8,42 +8,42 @@
 pub struct ConnectionId(pub u64);
 
 impl ConnectionId {
-    /// Returns the id of the connection opened after this one.
+    /// Returns the id of the next connection that is opened.
     pub fn next(self) -> Self {
         ConnectionId(self.0 + 1)
     }
 }
 
-/// An event of one connection.
+/// An event, and the connection on which it occurred.
 pub struct ConnectionReport {
-    /// The connection.
+    /// The id of the connection.
     pub connection: ConnectionId,
-    /// What happened on it.
+    /// The event that occurred.
     pub event: ConnectionEvent,
 }
 
-/// What can happen on a connection.
+/// An event on a connection to a server.
 pub enum ConnectionEvent {
     /// The connection is established.
     Connected,
-    /// The server answered a cancelled attempt: nothing is delivered, but the connection is alive.
+    /// The server answered a cancelled attempt. The answer is discarded, but it shows that the connection is alive.
     CancelledAttemptAnswered,
     /// An attempt ended.
     AttemptEnded {
-        /// The attempt.
+        /// The id of the attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// The server's value.
+        /// The server's value; present only if the outcome is `Ok`.
         value: Option<PartValue>,
     },
     /// A health check ended.
     HealthCheckEnded {
-        /// How it ended.
+        /// The outcome of the health check.
         outcome: Outcome,
-        /// The values of the server's load report, in the configured order.
+        /// The values of the server's load report, in the order of the settings; empty if there is no usable report.
         report: Vec<f64>,
     },
-    /// The connection's task has ended; it reports nothing more.
+    /// The connection task has ended and reports no further events.
     Closed,
 }
--- a/crates/coordinator/src/messages/core_message.rs
+++ b/crates/coordinator/src/messages/core_message.rs
@@ -1,4 +1,4 @@
-//! Messages to the core from other tasks, and what the core publishes for the cluster.
+//! Messages from other tasks to the core, and the outliers that the core publishes to the cluster.
 
 use super::{ConnectionReport, EndpointListUpdate, ServedConfiguration};
 use cairnroad_admin::reconfigure::ReconfigureError;
@@ -7,28 +7,28 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// A message to the core. The core reads all that are queued at the start of each tick.
+/// A message to the core. At the start of each tick, the core processes all queued messages.
 pub enum CoreMessage {
-    /// Discovery has an update of the endpoint list.
+    /// An update of the endpoint list from discovery.
     Endpoints(EndpointListUpdate),
-    /// A connection reports an event.
+    /// An event on a connection to a server.
     Connection(ConnectionReport),
-    /// An operator's request.
+    /// An operator's request from the admin API.
     Admin {
-        /// The request.
+        /// The request to execute.
         request: AdminRequest,
-        /// Receives the response once the request is carried out.
+        /// Receives the response once the request has been executed.
         reply: oneshot::Sender<AdminResponse>,
     },
     /// The ids of endpoints that other coordinators consider outliers.
     OutlierAdvice(Vec<String>),
-    /// The program shuts down: every open request needs its final answer by this time.
+    /// Limits the deadlines of all open requests to this time, because the program shuts down.
     LimitDeadlines(Time),
     /// A reloaded configuration.
     Reconfigure {
         /// The configuration to apply.
         configuration: Box<ServedConfiguration>,
-        /// Receives the configuration in force afterwards, or why it did not change.
+        /// Receives the configuration that is active afterwards, or the reason why nothing changed.
         reply: oneshot::Sender<Result<Arc<ServedConfiguration>, ReconfigureError>>,
     },
 }
@@ -36,8 +36,8 @@
 /// The outliers that this coordinator found by its own attempts, published for gossip.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LocalOutliers {
-    /// Ids of the outliers.
+    /// The endpoint ids of the outliers.
     pub endpoint_ids: Vec<String>,
-    /// How many endpoints the list names in total.
+    /// Total number of endpoints in the endpoint list.
     pub endpoint_count: usize,
 }
--- a/crates/coordinator/src/messages/endpoint_list.rs
+++ b/crates/coordinator/src/messages/endpoint_list.rs
@@ -1,38 +1,38 @@
-//! The endpoint list as discovery reads it, before the core assigns numbers to servers.
+//! The endpoint list as read by discovery, before the core assigns server ids.
 
 use cairnroad_types::{ServerState, Time};
 use std::net::SocketAddr;
 
-/// A snapshot of the endpoint list, or a change to it.
+/// A snapshot of the endpoint list, or a delta to it.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointListUpdate {
-    /// The source's revision.
+    /// The revision of the list at its source.
     pub revision: u64,
-    /// Whether the entries are the whole list: endpoints that it lacks are gone.
+    /// Whether the update is a snapshot. Endpoints that are missing from a snapshot have been removed.
     pub is_snapshot: bool,
-    /// The listed endpoints.
+    /// All endpoints of a snapshot, or the changed endpoints of a delta.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// One endpoint of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The server's id, unique in the list.
+    /// The id of the server, unique in the list.
     pub id: String,
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// The cell, which determines the shards that the server holds.
+    /// The cell of the server, which determines the shards that it holds.
     pub cell: u32,
-    /// The zone as a number; 0 where the list has none.
+    /// The number of the server's zone; 0 if the list states no zone.
     pub zone: u32,
-    /// Whether the server takes requests.
+    /// Whether the server accepts requests.
     pub state: ServerState,
-    /// Relative capacity.
+    /// The capacity of the server relative to other servers.
     pub size: f64,
-    /// Share of round-robin turns; 1 where the list has none.
+    /// The weight of the server in the weighted round robin; 1 if the list states no weight.
     pub weight: f64,
-    /// Generation of the list that the entry is from; 0 where lists have none.
+    /// The generation of the list from which the entry comes; 0 if the list has no generations.
     pub generation: u64,
-    /// When the server became ready, if the list says so. Slow start counts from it.
+    /// The time at which the server became ready, when its slow start begins; `None` if the list does not state it.
     pub ready_at: Option<Time>,
 }
--- a/crates/coordinator/src/messages/mod.rs
+++ b/crates/coordinator/src/messages/mod.rs
@@ -1,9 +1,8 @@
 //! The types that the coordinator's subsystems exchange: requests and answers, attempts, connection events, messages to
 //! the core, endpoint lists, the serving phase and the served configuration.
 //!
-//! Plain data without I/O and without a dependency on any other module of the program, so that pipeline, connection
-//! pool, backends, fronts and discovery can each be read alone.
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! These types are plain data: they do no I/O and depend on no other module of the program. The pipeline, the
+//! connection pool, the backends, the fronts and discovery can therefore each be understood on their own.
 
 mod answer;
 mod attempt;
--- a/crates/coordinator/src/messages/request.rs
+++ b/crates/coordinator/src/messages/request.rs
@@ -1,4 +1,4 @@
-//! Requests as the fronts hand them to the core.
+//! Requests as the fronts submit them to the core.
 
 use super::Answer;
 use cairnroad_contract::enforcement::ActiveContracts;
@@ -6,26 +6,26 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// One part of a request: a shard, and the part's share of the complete answer.
+/// One part of a request: the shard to query, and the part's share of the complete answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartSpec {
-    /// The shard that answers the part.
+    /// The shard to query.
     pub shard: u32,
-    /// Share of the complete answer; the shares of a request sum to one.
+    /// The part's share of the complete answer; the shares of a request sum to 1.
     pub weight: f64,
 }
 
 /// The payload that every part of a request carries unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Payload {
-    /// Opaque text, meaningful to the client and the servers only.
+    /// Opaque text, which only the client and the servers interpret.
     Plain(Arc<str>),
-    /// A JSON object of the query language.
+    /// The JSON body of a search of the query API.
     Query(Arc<str>),
 }
 
 impl Payload {
-    /// The payload's text, whichever kind it is.
+    /// Returns the text of the payload, regardless of its kind.
     pub fn as_str(&self) -> &str {
         match self {
             Payload::Plain(text) | Payload::Query(text) => text,
@@ -33,23 +33,23 @@
     }
 }
 
-/// The API descriptions in force when a request arrived; `None` where none were.
+/// The API descriptions that were active when a request arrived; `None` if there were none.
 pub type ContractsInForce = Option<Arc<ActiveContracts>>;
 
 /// A client's request, independent of the front that read it.
 #[derive(Debug)]
 pub struct Request {
-    /// The request id that servers see, unique among recent requests.
+    /// The request id that servers see, unique among recent requests. The internal id is assigned at admission.
     pub external_id: Arc<str>,
-    /// Index of the request class in the deployment's class table.
+    /// The index of the request's class in the deployment's class table.
     pub class: usize,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Time,
     /// Whether the client marked the request as a retry of an earlier one.
     pub client_retry: bool,
-    /// Expected work, if the client stated it.
+    /// The expected total work of all parts; `None` if the client did not state it.
     pub expected_work: Option<Seconds>,
-    /// The parts that make up the complete answer.
+    /// The parts of the request, each of which queries one shard.
     pub parts: Vec<PartSpec>,
     /// The payload of every part.
     pub payload: Payload,
@@ -59,10 +59,10 @@
 
 /// A request and the channel for its final answer.
 ///
-/// A front that drops the receiving end has lost its client; the core then withdraws the request.
+/// A front drops the receiving end when its client disconnects; the core then withdraws the request.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The request.
+    /// The request to answer.
     pub request: Request,
     /// Receives exactly one final answer.
     pub reply: oneshot::Sender<Answer>,
--- a/crates/coordinator/src/messages/serving_phase.rs
+++ b/crates/coordinator/src/messages/serving_phase.rs
@@ -1,25 +1,25 @@
 //! The phases of the process, from start to shutdown.
 
-/// What the process accepts. The health endpoint and client connections go by it.
+/// The serving phase, which determines the answer of the health endpoint and the handling of client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingPhase {
-    /// No endpoint list has arrived yet.
+    /// The process is not ready: it waits for an endpoint list with at least one ready server.
     Starting,
-    /// Ready: health checks succeed.
+    /// The process is ready: health checks succeed.
     Serving,
-    /// An operator drains the coordinator: health checks fail and idle connections close after a while, so that clients
-    /// move away; every request is still answered.
+    /// An operator has drained the coordinator: health checks fail and idle connections are closed after a while, so
+    /// that clients move to other coordinators. All requests are still answered.
     DrainedByOperator,
-    /// The process shuts down: health checks fail; every request is still answered.
+    /// The process shuts down: health checks fail. All requests are still answered.
     ShuttingDown,
-    /// Shutting down, and idle client connections are closed.
+    /// The process shuts down and closes idle client connections.
     IdleConnectionsClosing,
-    /// Shutting down, and requests that have arrived only in part are rejected.
+    /// The process shuts down and rejects requests that have been received only partially.
     PartialRequestsRejected,
 }
 
 impl ServingPhase {
-    /// Whether the process was ordered to stop.
+    /// Returns whether the process is shutting down.
     pub fn is_shutting_down(self) -> bool {
         matches!(
             self,
--- a/crates/coordinator/src/timer_wheel/tests.rs
+++ b/crates/coordinator/src/timer_wheel/tests.rs
@@ -1,4 +1,4 @@
-//! The timer wheel, on a clock of the test's own.
+//! Tests of the timer wheel with simulated time.
 
 use super::*;
 
@@ -16,13 +16,13 @@
     assert_eq!(
         wheel.advance(start + 30.0),
         vec!['r', 'z'],
-        "a long stall fires all, once"
+        "after a long stall, all items fire once"
     );
     wheel.insert(start, 'p');
     assert_eq!(
         wheel.advance(start + 30.0),
         vec![],
-        "the past fires in the next tick, not in this one"
+        "an item that is already due fires in the next tick, not in the current one"
     );
     assert_eq!(wheel.advance(start + 30.005), vec!['p']);
 }
