--- a/crates/coordinator/src/backends/frames/codec.rs
+++ b/crates/coordinator/src/backends/frames/codec.rs
@@ -1,4 +1,5 @@
-//! The form of frames: four bytes of length, most significant first, a letter, and the rest.
+//! The encoding of frames: a length of four bytes in big-endian order, a type letter, and a body. The length counts the
+//! letter and the body.
 
 use super::fault::FrameError;
 use crate::http;
@@ -9,11 +10,11 @@
 use winnow::token::{literal, take_till};
 use winnow::Parser;
 
-/// The longest line of an answer, in bytes.
-const MAX_ANSWER_LINE: usize = 1024;
-/// The longest frame, in bytes. A value is passed on in the body of an HTTP message, which has a limit.
-const MAX_FRAME: u32 = (http::MAX_BODY + MAX_ANSWER_LINE) as u32;
-/// Bytes of a frame's length.
+/// Maximum length of the line of an answer, in bytes.
+pub(super) const MAX_ANSWER_LINE: usize = 1024;
+/// Maximum length of a frame, in bytes. Values are forwarded in the body of an HTTP message, whose size is limited.
+pub(super) const MAX_FRAME: u32 = (http::MAX_BODY + MAX_ANSWER_LINE) as u32;
+/// Size of the length field of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
 /// A frame from a server.
@@ -21,41 +22,42 @@
 pub enum Frame<'a> {
     /// `A`: the answer to a part.
     Answer(PartAnswerFrame<'a>),
-    /// `P`: a health check, which only coordinators send on these connections.
+    /// `P`: a ping, that is, a health check that only coordinators may send.
     Ping,
-    /// `L`: the answer to a health check.
+    /// `L`: the answer to a health check, with the load report.
     LoadReport(&'a [u8]),
-    /// `E`: the server could not use a frame; its explanation.
+    /// `E`: the server could not process a frame; contains the server's explanation.
     Error(String),
 }
 
 /// The answer to a part.
 #[derive(Debug, PartialEq)]
 pub struct PartAnswerFrame<'a> {
-    /// The part's id on this wire.
+    /// The id of the part in frames.
     pub id: &'a str,
-    /// How the part ended: see [`outcome`].
+    /// The status word of the part (see [`outcome`]).
     pub status: &'a str,
-    /// The score, as it was received.
+    /// The score, as received.
     pub score: &'a str,
-    /// The load report, or `-`.
+    /// The load report, or `-` if there is none.
     pub report: &'a [u8],
-    /// The value.
+    /// The value, as received.
     pub value: &'a [u8],
 }
 
-type RuleResult<T> = Result<T, ErrMode<ContextError>>;
+type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// Parses the frame at the front of `input`. Returns it with its length on the wire; `None` while it is incomplete.
+/// Parses the frame at the start of `input`. Returns the frame and its total length in bytes; `None` if the frame is
+/// incomplete.
 pub fn parse_frame(input: &[u8]) -> Result<Option<(Frame<'_>, usize)>, FrameError> {
     let Some((length, rest)) = input.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*length);
     if length == 0 || length > MAX_FRAME {
-        return Err(FrameError::LengthOutOfBounds(length));
+        return Err(FrameError::LengthOutOfRange(length));
     }
-    reject_early(rest)?;
+    check_prefix(rest)?;
     let Some((&letter, mut body)) = rest
         .get(..length as usize)
         .and_then(|frame| frame.split_first())
@@ -71,25 +73,25 @@
     Ok(Some((frame, LENGTH_BYTES + length as usize)))
 }
 
-/// Rejects a frame whose beginning shows that it can't be read, instead of waiting for its end.
-fn reject_early(frame: &[u8]) -> Result<(), FrameError> {
+/// Checks the received bytes of a frame, so that an invalid frame is rejected without waiting for its end.
+fn check_prefix(frame: &[u8]) -> Result<(), FrameError> {
     match frame {
         [b'A', line @ ..]
             if line.len() > MAX_ANSWER_LINE && !line[..MAX_ANSWER_LINE].contains(&b'\n') =>
         {
-            Err(FrameError::EndlessAnswerLine)
+            Err(FrameError::AnswerLineTooLong)
         }
         [b'A' | b'P' | b'L' | b'E', ..] | [] => Ok(()),
         [letter, ..] => Err(FrameError::UnknownLetter(*letter)),
     }
 }
 
-/// The line `ID END SCORE REPORT` and the value.
-fn answer<'a>(input: &mut &'a [u8]) -> RuleResult<PartAnswerFrame<'a>> {
-    let id = terminated(word, literal(" ")).parse_next(input)?;
-    let status = terminated(word, literal(" ")).parse_next(input)?;
-    let score = terminated(word, literal(" ")).parse_next(input)?;
-    // A report that can't be read is lost; the value is not.
+/// Parses the body of an answer: the line `ID STATUS SCORE REPORT` and the value.
+fn answer<'a>(input: &mut &'a [u8]) -> ParseResult<PartAnswerFrame<'a>> {
+    let id = terminated(token, literal(" ")).parse_next(input)?;
+    let status = terminated(token, literal(" ")).parse_next(input)?;
+    let score = terminated(token, literal(" ")).parse_next(input)?;
+    // The report is not parsed here, so that a malformed report does not make the value unusable.
     let report = terminated(take_till(0.., b'\n'), literal("\n")).parse_next(input)?;
     Ok(PartAnswerFrame {
         id,
@@ -100,15 +102,16 @@
     })
 }
 
-fn word<'a>(input: &mut &'a [u8]) -> RuleResult<&'a str> {
+/// Parses a nonempty UTF-8 token, which ends before a space or a control character.
+fn token<'a>(input: &mut &'a [u8]) -> ParseResult<&'a str> {
     take_till(1.., |byte: u8| byte <= b' ')
         .try_map(std::str::from_utf8)
         .parse_next(input)
 }
 
-/// Returns the outcome that an answer's end word states; `None` for an unknown word.
-pub(super) fn outcome(end: &str) -> Option<Outcome> {
-    match end {
+/// Returns the outcome for the status word of an answer; `None` if the word is unknown.
+pub(super) fn outcome(status: &str) -> Option<Outcome> {
+    match status {
         "ok" => Some(Outcome::Ok),
         "busy" => Some(Outcome::Rejected),
         "err" => Some(Outcome::Error),
@@ -116,7 +119,8 @@
     }
 }
 
-/// Returns a load report's values in the order of `names`; none if there is no report or a value is missing.
+/// Returns the values of a load report in the order of `names`. The result is empty if there is no report, or if a
+/// value is missing or not a number.
 pub fn parse_load_report(text: &str, names: &[String]) -> Vec<f64> {
     let value_of = |name: &String| {
         let mut pairs = text.split(',').filter_map(|pair| pair.split_once('='));
@@ -165,12 +169,12 @@
     frame
 }
 
-/// Returns a part's id on this wire.
+/// Returns the id of a part in frames.
 pub(super) fn part_id(part: &OutboundAttempt) -> String {
     format!("{}.{}", part.external_id, part.shard)
 }
 
-/// Returns how many milliseconds a part has left, 1 at least.
+/// Returns the time until a part's deadline, in milliseconds; at least 1.
 pub(super) fn remaining_ms(part: &OutboundAttempt, now: Time) -> i64 {
     (((part.deadline - now) * 1000.0) as i64).max(1)
 }
--- a/crates/coordinator/src/backends/frames/connection.rs
+++ b/crates/coordinator/src/backends/frames/connection.rs
@@ -1,4 +1,5 @@
-//! The task of a connection: writes commands as frames, reads frames as events, and says at the end what never ran.
+//! The connection task: writes commands as frames, reads frames and reports them as events, and reports at the end
+//! which parts never ran.
 
 use super::answers::AwaitedAnswers;
 use super::codec::{
@@ -8,7 +9,7 @@
 use super::contracts;
 use super::fault::ConnectionFault;
 use super::outbound::OutboundQueue;
-use crate::connections::handle::{Command, ConnectionHandle};
+use crate::connections::handle::{ConnectionCommand, ConnectionHandle};
 use crate::connections::socket;
 use crate::messages::{AttemptId, ConnectionEvent, OutboundAttempt, PartValue};
 use cairnroad_types::Outcome;
@@ -17,9 +18,9 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::Instant;
 
-/// How long a frame may take to arrive once it has begun. Servers write theirs in one go; one that stands still for
-/// longer has a wrong length, and the part that it was for would wait for its timeout.
-const PARTIAL_FRAME_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum time for a frame to arrive completely after its first bytes. Servers write each frame at once; a frame that
+/// takes longer has a wrong length, and the part that it answers would wait for its timeout.
+pub(super) const PARTIAL_FRAME_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Runs a connection from the dial to the close.
 pub async fn run(handle: ConnectionHandle) {
@@ -28,14 +29,14 @@
     };
     let (mut reader, mut writer) = stream.into_split();
     let mut connection = FrameConnection::new(handle);
-    let served = connection.serve(&mut reader, &mut writer).await;
+    let result = connection.serve(&mut reader, &mut writer).await;
     connection.handle.poison();
-    match served {
-        Ok(()) => connection.on_broken(&reader).await,
-        // A connection that is closed for what was received on it was not broken by the server, and a query whose
-        // answers came malformed is not what breaks it.
+    match result {
+        Ok(()) => connection.on_connection_lost(&reader).await,
+        // This side closes the connection because of the data that it received. The server did not break it, and
+        // neither did a query whose answers were malformed, so the outcomes are not those of a lost connection.
         Err(fault) => {
-            connection.log(&fault);
+            connection.log_fault(&fault);
             let outcomes = UnfinishedOutcomes {
                 in_flight: Outcome::Error,
                 unsent: Outcome::NotSent,
@@ -45,29 +46,29 @@
     }
 }
 
-/// A part that may not be written any more.
-struct Unsendable {
+/// A part that must no longer be written.
+struct RejectedPart {
     attempt: AttemptId,
-    /// Says that it never ran, and why.
+    /// The outcome, which states why the part never ran.
     outcome: Outcome,
 }
 
-/// The outcomes of parts that are unfinished when a connection ends.
+/// The outcomes of the parts that are unfinished when a connection ends.
 struct UnfinishedOutcomes {
-    /// Of parts that are completely written and not answered.
+    /// The outcome of parts that were completely written but not answered.
     in_flight: Outcome,
-    /// Of parts that are not completely written, which never ran.
+    /// The outcome of parts that were not completely written and therefore never ran.
     unsent: Outcome,
 }
 
-/// A connection's state.
+/// The state of a connection.
 struct FrameConnection {
     handle: ConnectionHandle,
     outbound: OutboundQueue,
     answers: AwaitedAnswers,
-    /// Bytes received that are not a complete frame yet.
+    /// Received bytes that do not form a complete frame yet.
     buffer: Vec<u8>,
-    /// When the incomplete frame in the buffer must be complete; `None` if there is none.
+    /// The time by which the incomplete frame in the buffer must be complete; `None` if the buffer is empty.
     partial_deadline: Option<Instant>,
 }
 
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Serves until the connection breaks or the core asks to close it; an error if what was received can't be used.
+    /// Serves until the connection is lost or the core requests to close it. Fails if the received data can't be used.
     async fn serve(
         &mut self,
         reader: &mut OwnedReadHalf,
@@ -90,14 +91,14 @@
     ) -> Result<(), ConnectionFault> {
         loop {
             self.receive_commands();
-            for part in self.load_next_frame() {
+            for part in self.start_next_frame() {
                 self.handle
                     .report_attempt(part.attempt, part.outcome, None)
                     .await;
             }
             let partial_deadline = self.partial_deadline.unwrap_or_else(Instant::now);
             tokio::select! {
-                // What was received is read before anything is written: it may poison the connection.
+                // Received data is processed before anything is written, because it may poison the connection.
                 biased;
                 () = self.handle.shared.close_requested() => return Ok(()),
                 read = reader.read_buf(&mut self.buffer) => match read {
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Takes in the commands that wait, so that a cancel finds its part before the part is written.
+    /// Moves all waiting commands to the outbound queue, so that a cancel can remove its part before the part is
+    /// written.
     fn receive_commands(&mut self) {
         while self.outbound.has_room() {
             let Ok(command) = self.handle.commands.try_recv() else {
@@ -129,28 +131,28 @@
         }
     }
 
-    /// Loads the next frame, once the one before it is written. Returns the parts that may not be written any more.
-    fn load_next_frame(&mut self) -> Vec<Unsendable> {
-        let mut unsendable = Vec::new();
+    /// Starts to write the next frame if the previous one is written. Returns the parts that must no longer be written.
+    fn start_next_frame(&mut self) -> Vec<RejectedPart> {
+        let mut rejected = Vec::new();
         while !self.outbound.is_writing() {
             match self.outbound.pop() {
                 None => break,
-                Some(Command::Call(parts)) => self.load_call(parts, &mut unsendable),
-                Some(Command::Cancel(attempt)) => self.load_cancel(attempt),
-                Some(Command::HealthCheck) => self.load_health_check(),
+                Some(ConnectionCommand::Call(parts)) => self.start_call(parts, &mut rejected),
+                Some(ConnectionCommand::Cancel(attempt)) => self.start_cancel(attempt),
+                Some(ConnectionCommand::HealthCheck) => self.start_health_check(),
             }
         }
-        unsendable
+        rejected
     }
 
-    fn load_call(&mut self, parts: Vec<OutboundAttempt>, unsendable: &mut Vec<Unsendable>) {
+    fn start_call(&mut self, parts: Vec<OutboundAttempt>, rejected: &mut Vec<RejectedPart>) {
         let mut reject = |parts: Vec<OutboundAttempt>, outcome| {
-            unsendable.extend(parts.into_iter().map(|part| Unsendable {
+            rejected.extend(parts.into_iter().map(|part| RejectedPart {
                 attempt: part.attempt,
                 outcome,
             }));
         };
-        if let Some(outcome) = self.write_block() {
+        if let Some(outcome) = self.call_rejection() {
             return reject(parts, outcome);
         }
         let now = self.handle.clock.now();
@@ -166,9 +168,10 @@
         self.outbound.start_frame(frame, parts);
     }
 
-    /// Returns why no call may be written, as an outcome that says it never ran: the server is draining or removed, or
-    /// the connection is poisoned or in the middle of a frame, which may never end.
-    fn write_block(&self) -> Option<Outcome> {
+    /// Returns the outcome for calls if no call may be written now: the server is draining or removed, or the
+    /// connection is poisoned, or a frame from the server is incomplete and may never be completed. Returns `None` if
+    /// calls may be written.
+    fn call_rejection(&self) -> Option<Outcome> {
         if self.handle.is_draining() {
             return Some(Outcome::ConnectFailed);
         }
@@ -176,15 +179,15 @@
         is_suspect.then_some(Outcome::NotSent)
     }
 
-    fn load_cancel(&mut self, attempt: AttemptId) {
+    fn start_cancel(&mut self, attempt: AttemptId) {
         if let Some(id) = self.answers.cancel(attempt) {
             contracts::check_cancel(&self.handle, &id);
             self.outbound.start_frame(encode_cancel(&id), Vec::new());
         }
     }
 
-    fn load_health_check(&mut self) {
-        self.answers.health_checks += 1;
+    fn start_health_check(&mut self) {
+        self.answers.pending_health_checks += 1;
         contracts::check_health_check(&self.handle);
         self.outbound.start_frame(encode_health_check(), Vec::new());
     }
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Processes what was received, and sets the deadline of a frame that is incomplete.
+    /// Processes the received data and sets the deadline for an incomplete frame.
     async fn on_received(&mut self) -> Result<(), ConnectionFault> {
         let processed = self.process_frames().await?;
         let begins_frame = processed > 0 || self.partial_deadline.is_none();
@@ -209,10 +212,10 @@
         Ok(())
     }
 
-    /// Takes all complete frames off the buffer and applies them. Returns how many bytes that took; an error if what was
-    /// received can't be used, nor what follows it.
+    /// Removes all complete frames from the buffer and processes them. Returns the number of bytes removed. Fails if
+    /// the received data, and therefore the data that follows it, can't be used.
     async fn process_frames(&mut self) -> Result<usize, ConnectionFault> {
-        // The frames borrow the buffer while they are applied.
+        // The frames borrow the buffer while they are processed.
         let mut buffer = std::mem::take(&mut self.buffer);
         let mut processed = 0;
         while let Some((frame, length)) = parse_frame(&buffer[processed..])? {
@@ -253,7 +256,7 @@
             return self.on_unmatched_answer(answer.id).await;
         };
         let stated = outcome(answer.status);
-        // Bytes behind the last awaited answer belong to nothing that was asked.
+        // Data that follows the last awaited answer was not requested.
         let is_suspect = stated.is_none() || (self.answers.is_empty() && more_follows);
         if is_suspect {
             self.handle.poison();
@@ -269,7 +272,7 @@
             .await;
         match stated {
             Some(_) => Ok(()),
-            None => Err(ConnectionFault::UnknownEnd(answer.status.to_string())),
+            None => Err(ConnectionFault::UnknownStatus(answer.status.to_string())),
         }
     }
 
@@ -285,10 +288,10 @@
     }
 
     async fn on_load_report(&mut self, text: &[u8]) -> Result<(), ConnectionFault> {
-        if self.answers.health_checks == 0 {
+        if self.answers.pending_health_checks == 0 {
             return Err(ConnectionFault::UnsolicitedLoadReport);
         }
-        self.answers.health_checks -= 1;
+        self.answers.pending_health_checks -= 1;
         contracts::check_load_report(&self.handle, text);
         let outcome = if text == b"err" {
             Outcome::Error
@@ -302,16 +305,16 @@
         Ok(())
     }
 
-    fn log(&self, fault: &ConnectionFault) {
+    fn log_fault(&self, fault: &ConnectionFault) {
         let cause = fault.to_string();
         let help = fault.help();
         tracing::warn!(server = %self.handle.address, cause, help, "server connection closed");
     }
 
-    /// Ends a connection that broke or that the core closed. What was received before the end still counts; the other
-    /// parts that are in flight may have run.
-    async fn on_broken(mut self, reader: &OwnedReadHalf) {
-        // A write may fail before the answers are read that were received before the break.
+    /// Ends a connection that was lost or that the core closed. Answers received before the end are still processed;
+    /// the other parts in flight may have run.
+    async fn on_connection_lost(mut self, reader: &OwnedReadHalf) {
+        // After a failed write, the socket may still hold answers that were received before the connection was lost.
         socket::read_available(reader.as_ref(), &mut self.buffer);
         let _ = self.process_frames().await;
         let outcomes = UnfinishedOutcomes {
@@ -321,26 +324,26 @@
         self.finish(outcomes).await;
     }
 
-    /// Reports everything that is unfinished, then the close.
+    /// Reports the results of all unfinished parts and health checks, then the close.
     async fn finish(mut self, outcomes: UnfinishedOutcomes) {
         for part in self.answers.take_all() {
             self.handle
                 .report_attempt(part.attempt, outcomes.in_flight, None)
                 .await;
         }
-        for _ in 0..self.answers.health_checks {
+        for _ in 0..self.answers.pending_health_checks {
             self.handle.report_failed_health_check(Outcome::Reset).await;
         }
         let (mut unsent, pending) = self.outbound.into_unsent();
         for command in pending {
             match command {
-                Command::Call(parts) => unsent.extend(parts),
-                Command::HealthCheck => {
+                ConnectionCommand::Call(parts) => unsent.extend(parts),
+                ConnectionCommand::HealthCheck => {
                     self.handle
                         .report_failed_health_check(Outcome::ConnectFailed)
                         .await;
                 }
-                Command::Cancel(_) => {}
+                ConnectionCommand::Cancel(_) => {}
             }
         }
         self.handle.close(unsent, outcomes.unsent).await;
--- a/crates/coordinator/src/backends/frames/contracts.rs
+++ b/crates/coordinator/src/backends/frames/contracts.rs
@@ -1,4 +1,5 @@
-//! Checks frames against the description of this interface: each by its letter, its line's fields and its payload.
+//! Checks frames against the API description of the interface to servers: each frame by its letter, the fields of its
+//! line, and its payload.
 
 use super::codec::{part_id, remaining_ms, PartAnswerFrame};
 use crate::connections::handle::ConnectionHandle;
@@ -9,10 +10,10 @@
 use cairnroad_types::Time;
 use serde_json::{json, Map, Number, Value as Json};
 
-/// What the description calls a load report without values.
+/// The load report in the line of an answer that has no report.
 const NO_REPORT: &str = "-";
 
-/// Checks a part of a call, where its request is held against a description.
+/// Checks a part of a call, if descriptions were active when its request arrived.
 pub(super) fn check_call(handle: &ConnectionHandle, part: &OutboundAttempt, now: Time) {
     if part.contracts.is_none() {
         return;
@@ -33,22 +34,22 @@
 
 /// Checks the cancel of a part.
 pub(super) fn check_cancel(handle: &ConnectionHandle, id: &str) {
-    let in_force = handle.contracts.current();
+    let contracts = handle.contracts.current();
     let line = || id.to_string();
-    check(handle, &in_force, request("X", b""), line, cancel_fields);
+    check(handle, &contracts, request("X", b""), line, cancel_fields);
 }
 
 /// Checks a health check.
 pub(super) fn check_health_check(handle: &ConnectionHandle) {
-    let in_force = handle.contracts.current();
+    let contracts = handle.contracts.current();
     let message = request("L?", b"");
-    check(handle, &in_force, message, String::new, no_fields);
+    check(handle, &contracts, message, String::new, no_fields);
 }
 
-/// Checks an answer. Returns whether it may be used.
+/// Checks an answer. Returns whether the answer may be used.
 pub(super) fn check_answer(
     handle: &ConnectionHandle,
-    in_force: &ContractsInForce,
+    contracts: &ContractsInForce,
     answer: &PartAnswerFrame<'_>,
 ) -> bool {
     let line = || {
@@ -56,34 +57,35 @@
         format!("{} {} {} {report}", answer.id, answer.status, answer.score)
     };
     let message = reply("A", answer.value);
-    check(handle, in_force, message, line, answer_fields)
+    check(handle, contracts, message, line, answer_fields)
 }
 
 /// Checks a load report.
 pub(super) fn check_load_report(handle: &ConnectionHandle, report: &[u8]) {
-    let in_force = handle.contracts.current();
+    let contracts = handle.contracts.current();
     let message = reply("L", report);
-    check(handle, &in_force, message, String::new, no_fields);
+    check(handle, &contracts, message, String::new, no_fields);
 }
 
-/// Checks a server's report that it could not use a frame.
+/// Checks an error frame, by which a server reports that it could not process a frame.
 pub(super) fn check_error(handle: &ConnectionHandle, text: &str) {
-    let in_force = handle.contracts.current();
+    let contracts = handle.contracts.current();
     let message = reply("E", text.as_bytes());
-    check(handle, &in_force, message, String::new, no_fields);
+    check(handle, &contracts, message, String::new, no_fields);
 }
 
-/// Checks a message; `line` and `fields` are called only where it is looked at. Returns whether it may be used.
+/// Checks a message against `contracts`. `line` and `fields` are called only if the message is selected for a check.
+/// Returns whether the message may be used.
 fn check(
     handle: &ConnectionHandle,
-    in_force: &ContractsInForce,
+    contracts: &ContractsInForce,
     message: ObservedMessage<'_>,
     line: impl FnOnce() -> String,
     fields: HeaderParser,
 ) -> bool {
-    let contracts = &handle.contracts;
     let server = &handle.server;
-    contracts.check_message(in_force, Interface::Servers, server, message, line, fields)
+    let checker = &handle.contracts;
+    checker.check_message(contracts, Interface::Servers, server, message, line, fields)
 }
 
 fn request<'p>(name: &'static str, payload: &'p [u8]) -> ObservedMessage<'p> {
@@ -104,15 +106,18 @@
 }
 
 fn call_fields(line: &str) -> Json {
-    let words: Vec<&str> = line.split(' ').collect();
-    let number = |at: usize| words.get(at).and_then(|word| word.parse::<i64>().ok());
-    json!({"id": words.first(), "shard": number(1), "d": number(2), "length": number(3)})
+    let tokens: Vec<&str> = line.split(' ').collect();
+    let number = |index: usize| {
+        let token = tokens.get(index);
+        token.and_then(|token| token.parse::<i64>().ok())
+    };
+    json!({"id": tokens.first(), "shard": number(1), "d": number(2), "length": number(3)})
 }
 
 fn answer_fields(line: &str) -> Json {
-    let words: Vec<&str> = line.splitn(4, ' ').collect();
-    let report = report_fields(words.get(3).copied().unwrap_or(NO_REPORT));
-    json!({"id": words.first(), "end": words.get(1), "score": words.get(2), "report": report})
+    let tokens: Vec<&str> = line.splitn(4, ' ').collect();
+    let report = report_fields(tokens.get(3).copied().unwrap_or(NO_REPORT));
+    json!({"id": tokens.first(), "end": tokens.get(1), "score": tokens.get(2), "report": report})
 }
 
 fn cancel_fields(line: &str) -> Json {
@@ -123,7 +128,8 @@
     json!({})
 }
 
-/// Returns a load report as an object: numbers where values are numbers, else text; empty without a report.
+/// Returns a load report as a JSON object. Values that are not numbers become strings; the object is empty if there is
+/// no report.
 fn report_fields(report: &str) -> Map<String, Json> {
     if report == NO_REPORT {
         return Map::new();
--- a/crates/coordinator/src/backends/frames/fault.rs
+++ b/crates/coordinator/src/backends/frames/fault.rs
@@ -1,59 +1,61 @@
-//! Why a connection is closed for what was received on it.
+//! The faults for which a connection is closed because of the data that was received on it.
 
+use super::codec::{MAX_ANSWER_LINE, MAX_FRAME};
+use super::connection::PARTIAL_FRAME_TIMEOUT;
 use thiserror::Error;
 
-/// A frame that can't be read.
+/// A frame that can't be parsed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    #[error("a frame's length of {0} bytes is out of bounds")]
-    LengthOutOfBounds(u32),
-    #[error("an answer's line doesn't end")]
-    EndlessAnswerLine,
-    #[error("a frame's letter is unknown: {}", .0.escape_ascii())]
+    #[error("frame length out of range: expected 1 to {MAX_FRAME} bytes, found {0}")]
+    LengthOutOfRange(u32),
+    #[error("answer line without a newline in its first {MAX_ANSWER_LINE} bytes")]
+    AnswerLineTooLong,
+    #[error("unknown frame letter: expected A, E, L or P, found {}", .0.escape_ascii())]
     UnknownLetter(u8),
-    #[error("an answer frame is malformed")]
+    #[error("malformed answer frame: expected the line `ID STATUS SCORE REPORT`")]
     MalformedAnswer,
 }
 
-/// Why nothing more can be read from a connection, or written to it.
+/// The reason why a connection can no longer be used.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionFault {
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("a frame stalled before it was complete")]
+    #[error("frame incomplete {} ms after it began", PARTIAL_FRAME_TIMEOUT.as_millis())]
     PartialFrame,
-    #[error("an answer's id is unknown")]
-    UnknownId,
-    #[error("a duplicate answer")]
+    #[error("answer with an unknown part id: {}", .0.escape_default())]
+    UnknownId(String),
+    #[error("duplicate answer to a part")]
     DuplicateAnswer,
-    #[error("an answer's end is unknown: {}", .0.escape_default())]
-    UnknownEnd(String),
-    #[error("an unsolicited load report")]
+    #[error("unknown status in an answer: expected ok, busy or err, found {}", .0.escape_default())]
+    UnknownStatus(String),
+    #[error("unsolicited load report: no health check is in flight")]
     UnsolicitedLoadReport,
-    #[error("an unsolicited health check")]
+    #[error("unsolicited ping from the server")]
     UnsolicitedPing,
-    #[error("the server could not use a frame: {0}")]
+    #[error("the server rejected a frame: {0}")]
     RejectedFrame(String),
 }
 
 impl ConnectionFault {
-    /// Returns what an operator can do.
+    /// Returns advice for the operator.
     pub(super) fn help(&self) -> &'static str {
         match self {
-            ConnectionFault::Frame(_) | ConnectionFault::UnknownEnd(_) => {
+            ConnectionFault::Frame(_) | ConnectionFault::UnknownStatus(_) => {
                 "compare the server's version with the description of frames; its address may belong to another service"
             }
             ConnectionFault::PartialFrame => {
-                "look for a server that was stopped while it wrote, or for a network that drops packets"
+                "check whether the server was stopped while it wrote, and whether the network drops packets"
             }
-            ConnectionFault::UnknownId
+            ConnectionFault::UnknownId(_)
             | ConnectionFault::DuplicateAnswer
             | ConnectionFault::UnsolicitedLoadReport
             | ConnectionFault::UnsolicitedPing => {
-                "the server answered what was not asked: look at its own log"
+                "the server sent data that was not requested: check the server's log"
             }
             ConnectionFault::RejectedFrame(_) => {
-                "the server's text says which frame it could not use: compare its version"
+                "the server's text states which frame it rejected: check the version of the server"
             }
         }
     }
--- a/crates/coordinator/src/backends/frames/mod.rs
+++ b/crates/coordinator/src/backends/frames/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's wire: frames of a length, a letter and the rest, with many parts in flight on a connection.
+//! The platform's binary protocol: frames that consist of a length, a type letter and a body. Many parts may be in
+//! flight on a connection.
 
 mod answers;
 mod codec;
--- a/crates/coordinator/src/backends/mod.rs
+++ b/crates/coordinator/src/backends/mod.rs
@@ -1,9 +1,8 @@
-//! The servers' wires: attempts as requests of a wire, and its answers as outcomes.
+//! The protocols for servers: each backend encodes attempts as requests of its protocol and decodes answers into
+//! outcomes.
 //!
-//! A wire is the task of one connection. It holds a [`ConnectionHandle`], from which it takes commands and through
-//! which it reports; it knows nothing of other connections.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! A backend runs one task per connection. The task receives commands and reports events through its
+//! [`ConnectionHandle`]; it does not know of other connections.
 
 pub mod frames;
 pub mod opensearch;
@@ -11,7 +10,7 @@
 use crate::configuration::BackendKind;
 use crate::connections::handle::ConnectionHandle;
 
-/// Starts a connection's task on the current `LocalSet`. The task ends when the connection is closed.
+/// Starts the task of a connection on the current `LocalSet`. The task ends when the connection is closed.
 pub fn spawn(kind: BackendKind, handle: ConnectionHandle) {
     match kind {
         BackendKind::Frames => tokio::task::spawn_local(frames::run(handle)),
--- a/crates/coordinator/src/backends/opensearch/connection.rs
+++ b/crates/coordinator/src/backends/opensearch/connection.rs
@@ -1,9 +1,9 @@
-//! The task of a connection: one search after another, and a close wherever the next one could be given an answer that
-//! is not its own.
+//! The connection task: runs one search at a time, and closes the connection whenever the next search might receive an
+//! answer to an earlier one.
 
 use super::fault::ConnectionFault;
 use super::search::{encode_search, search_outcome};
-use crate::connections::handle::{Command, ConnectionHandle};
+use crate::connections::handle::{ConnectionCommand, ConnectionHandle};
 use crate::http::{self, Response};
 use crate::messages::{OutboundAttempt, PartValue};
 use cairnroad_types::Outcome;
@@ -11,10 +11,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The largest body of an answer that is read, in bytes.
-const MAX_ANSWER: usize = 1024 * 1024;
-/// How long an answer that has begun may bring nothing more. One that stands still has a wrong length.
-const STALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum size of the body of an answer, in bytes.
+const MAX_ANSWER_BODY: usize = 1024 * 1024;
+/// Maximum time between two reads of an answer that has begun. An answer that takes longer has a wrong length.
+pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Runs a connection from the dial to the close.
 pub async fn run(mut handle: ConnectionHandle) {
@@ -28,7 +28,8 @@
         let command = tokio::select! {
             () = handle.shared.close_requested() => break,
             command = handle.commands.recv() => command,
-            // Between requests a server has nothing to say: what arrives is the connection's end.
+            // Between two requests a server sends no data, so a read means that the connection has ended or is
+            // unusable.
             read = stream.read_buf(&mut buffer) => {
                 if matches!(read, Ok(bytes) if bytes > 0) {
                     let fault = ConnectionFault::UnsolicitedBytes;
@@ -42,13 +43,13 @@
         };
         match command {
             None => break,
-            Some(Command::Call(parts)) if handle.is_draining() => {
+            Some(ConnectionCommand::Call(parts)) if handle.is_draining() => {
                 handle
                     .report_failed_parts(parts, Outcome::ConnectFailed)
                     .await;
             }
-            // The pool gives this backend calls of one part.
-            Some(Command::Call(parts)) => {
+            // The pool limits calls to one part for this backend.
+            Some(ConnectionCommand::Call(parts)) => {
                 let mut parts = parts.into_iter();
                 let Some(part) = parts.next() else { continue };
                 unsent.extend(parts);
@@ -63,10 +64,10 @@
                     break;
                 }
             }
-            // The part was answered meanwhile.
-            Some(Command::Cancel(_)) => {}
-            // This API has no load report of the platform's kind.
-            Some(Command::HealthCheck) => {
+            // The part has already been answered.
+            Some(ConnectionCommand::Cancel(_)) => {}
+            // The query API has no load reports.
+            Some(ConnectionCommand::HealthCheck) => {
                 handle.report_failed_health_check(Outcome::NotSent).await;
             }
         }
@@ -75,19 +76,21 @@
     handle.close(unsent, unsent_outcome).await;
 }
 
-/// Whether a connection can carry another search.
+/// States whether a connection can be used for another search.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reuse {
     KeepOpen,
     Close,
 }
 
-/// One search: its request, and how much of that is written.
+/// A search in progress.
 struct Exchange<'a> {
     handle: &'a mut ConnectionHandle,
     part: OutboundAttempt,
+    /// The encoded request.
     request: Vec<u8>,
-    written: usize,
+    /// Number of bytes of the request that have been written.
+    written_bytes: usize,
 }
 
 impl<'a> Exchange<'a> {
@@ -98,7 +101,7 @@
             handle,
             part,
             request,
-            written: 0,
+            written_bytes: 0,
         }
     }
 
@@ -106,36 +109,37 @@
     async fn run(&mut self, stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Reuse {
         let (mut reader, mut writer) = stream.split();
         loop {
-            let is_written = self.written == self.request.len();
+            let is_written = self.written_bytes == self.request.len();
             tokio::select! {
-                // Cancels come first: a part that was given up while its connection came up must not be sent.
+                // Cancels come first: a part that was cancelled while its connection was being dialled must not be
+                // sent.
                 biased;
-                // The core is done with this part or with the connection: closing it notifies the server.
+                // The core no longer needs this part or the connection. Closing the connection notifies the server.
                 () = self.handle.shared.close_requested() => break,
                 command = self.handle.commands.recv() => match command {
-                    Some(Command::Cancel(attempt)) if attempt == self.part.attempt => return Reuse::Close,
+                    Some(ConnectionCommand::Cancel(attempt)) if attempt == self.part.attempt => return Reuse::Close,
                     Some(command) => self.reject(command).await,
                     None => break,
                 },
-                written = writer.write(&self.request[self.written..]), if !is_written => match written {
-                    Ok(bytes) if bytes > 0 => self.written += bytes,
+                written = writer.write(&self.request[self.written_bytes..]), if !is_written => match written {
+                    Ok(bytes) if bytes > 0 => self.written_bytes += bytes,
                     _ => break,
                 },
                 () = tokio::time::sleep(STALL_TIMEOUT), if !buffer.is_empty() => {
-                    self.log(ConnectionFault::StalledAnswer);
+                    self.log_fault(ConnectionFault::StalledAnswer);
                     self.check_incomplete(buffer);
-                    return self.fail().await;
+                    return self.on_unusable_answer().await;
                 }
                 read = reader.read_buf(buffer), if is_written => {
                     let Ok(bytes) = read else { break };
-                    let at_end = bytes == 0;
-                    match http::parse_response(buffer, at_end, MAX_ANSWER) {
+                    let at_eof = bytes == 0;
+                    match http::parse_response(buffer, at_eof, MAX_ANSWER_BODY) {
                         Ok(Some((response, used))) => {
                             buffer.drain(..used);
-                            let reusable = !at_end && !response.closes_connection;
+                            let reusable = !at_eof && !response.closes_connection;
                             return self.on_response(&response, reusable, !buffer.is_empty()).await;
                         }
-                        Ok(None) if at_end => {
+                        Ok(None) if at_eof => {
                             if !buffer.is_empty() {
                                 self.check_incomplete(buffer);
                             }
@@ -143,18 +147,18 @@
                         }
                         Ok(None) => {}
                         Err(error) => {
-                            self.log(error.into());
-                            return self.fail().await;
+                            self.log_fault(error.into());
+                            return self.on_unusable_answer().await;
                         }
                     }
                 }
             }
         }
-        self.on_broken().await
+        self.on_connection_lost().await
     }
 
-    /// Reports the outcome of a response. `reusable` says that both sides keep the connection open, `more_follows` that
-    /// bytes came behind the response.
+    /// Reports the outcome of a response. `reusable` states whether both sides keep the connection open, `more_follows`
+    /// whether further data was received after the response.
     async fn on_response(
         &mut self,
         response: &Response,
@@ -165,9 +169,9 @@
         if !self.check_response(response, true) {
             (outcome, value) = (Outcome::Error, None);
         }
-        // The next search would be given the rest for its own answer.
+        // The next search would take the remaining data for its own answer.
         if more_follows {
-            self.log(ConnectionFault::TrailingBytes);
+            self.log_fault(ConnectionFault::TrailingBytes);
         }
         let reuse = if reusable && !more_follows {
             Reuse::KeepOpen
@@ -181,16 +185,17 @@
         reuse
     }
 
-    /// Reports an answer that can't be used, after which the connection can't either.
-    async fn fail(&self) -> Reuse {
+    /// Reports an answer that can't be used. The connection can't be used any more either.
+    async fn on_unusable_answer(&self) -> Reuse {
         self.report(Outcome::Error, None).await;
         Reuse::Close
     }
 
-    /// Reports a connection that broke, or was closed, under the search.
-    async fn on_broken(&self) -> Reuse {
-        // Before its last byte the request cannot have run; after it, it may have, however the answer was cut.
-        let outcome = if self.written < self.request.len() {
+    /// Reports that the connection was lost or closed during the search.
+    async fn on_connection_lost(&self) -> Reuse {
+        // The search can't have run unless the request was written completely. If it was, the search may have run, even
+        // if no complete answer arrived.
+        let outcome = if self.written_bytes < self.request.len() {
             Outcome::ConnectFailed
         } else {
             Outcome::Reset
@@ -204,22 +209,22 @@
         self.handle.report_attempt(attempt, outcome, value).await;
     }
 
-    /// Answers a command that came during the search.
-    async fn reject(&self, command: Command) {
+    /// Rejects a command that was received during the search.
+    async fn reject(&self, command: ConnectionCommand) {
         match command {
-            Command::Call(parts) => {
+            ConnectionCommand::Call(parts) => {
                 let outcome = Outcome::ConnectFailed;
                 self.handle.report_failed_parts(parts, outcome).await;
             }
-            Command::HealthCheck => {
+            ConnectionCommand::HealthCheck => {
                 let outcome = Outcome::NotSent;
                 self.handle.report_failed_health_check(outcome).await;
             }
-            Command::Cancel(_) => {}
+            ConnectionCommand::Cancel(_) => {}
         }
     }
 
-    /// Checks an answer that began and is not complete against the description of this interface.
+    /// Checks an incomplete answer against the API description of the interface to servers.
     fn check_incomplete(&self, received: &[u8]) {
         let response = Response {
             status: 0,
@@ -230,7 +235,7 @@
         self.check_response(&response, false);
     }
 
-    /// Checks a response against the description of this interface. Returns whether it may be used.
+    /// Checks a response against the API description of the interface to servers. Returns whether it may be used.
     fn check_response(&self, response: &Response, complete: bool) -> bool {
         let part = &self.part;
         let handle = &self.handle;
@@ -244,7 +249,7 @@
         )
     }
 
-    fn log(&self, fault: ConnectionFault) {
+    fn log_fault(&self, fault: ConnectionFault) {
         let cause = fault.to_string();
         let help = fault.help();
         tracing::warn!(
--- a/crates/coordinator/src/backends/opensearch/fault.rs
+++ b/crates/coordinator/src/backends/opensearch/fault.rs
@@ -1,33 +1,34 @@
-//! Why a connection is closed for what was received on it.
+//! The faults for which a connection is closed because of the data that was received on it.
 
+use super::connection::STALL_TIMEOUT;
 use crate::http::MessageError;
 use thiserror::Error;
 
-/// Why nothing more can be read from a connection.
+/// The reason why a connection can no longer be used.
 #[derive(Clone, Copy, Debug, Error)]
 pub(super) enum ConnectionFault {
-    #[error("unsolicited bytes between two requests")]
+    #[error("unsolicited data: no request is in flight")]
     UnsolicitedBytes,
-    #[error("an answer stalled before it was complete")]
+    #[error("incomplete answer: no further data within {} s", STALL_TIMEOUT.as_secs())]
     StalledAnswer,
-    #[error("bytes behind the answer")]
+    #[error("unsolicited data after the answer")]
     TrailingBytes,
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
 impl ConnectionFault {
-    /// Returns what an operator can do.
+    /// Returns advice for the operator.
     pub(super) fn help(self) -> &'static str {
         match self {
             ConnectionFault::UnsolicitedBytes | ConnectionFault::TrailingBytes => {
-                "the server sent what was not asked: look at its own log and at proxies before it"
+                "the server sent data that was not requested: check its log and the logs of proxies in front of it"
             }
             ConnectionFault::StalledAnswer => {
-                "look for a server that was stopped while it wrote, or for a network that drops packets"
+                "check whether the server was stopped while it wrote, and whether the network drops packets"
             }
             ConnectionFault::Message(_) => {
-                "the answer is not HTTP/1.1 within its limits: the address may belong to another service"
+                "the answer is not valid HTTP/1.1 or exceeds a limit: the address may belong to another service"
             }
         }
     }
--- a/crates/coordinator/src/backends/opensearch/mod.rs
+++ b/crates/coordinator/src/backends/opensearch/mod.rs
@@ -1,4 +1,5 @@
-//! The query API as a server's wire: each part is a search of one shard, one request at a time on a connection.
+//! The OpenSearch query API as the protocol for servers: each part is a search of one shard, and a connection carries
+//! one request at a time.
 
 mod connection;
 mod fault;
--- a/crates/coordinator/src/backends/opensearch/search.rs
+++ b/crates/coordinator/src/backends/opensearch/search.rs
@@ -1,4 +1,4 @@
-//! A part as a search request, and a response as the part's outcome.
+//! Encodes a part as a search request, and decodes the response into the outcome of the part.
 
 use crate::http::Response;
 use crate::messages::{OutboundAttempt, PartValue, Payload};
@@ -7,7 +7,7 @@
 use serde_json::json;
 use serde_json::value::RawValue;
 
-/// Encodes the request of a part.
+/// Encodes the search request for a part.
 pub(super) fn encode_search(part: &OutboundAttempt, host: &str, now: Time) -> Vec<u8> {
     let body = match &part.payload {
         Payload::Query(text) => text.to_string(),
@@ -29,7 +29,7 @@
     [head.as_bytes(), body.as_bytes()].concat()
 }
 
-/// The members of a response that decide its outcome.
+/// The members of a search response that determine its outcome.
 #[derive(Deserialize)]
 struct SearchResponse<'a> {
     #[serde(default)]
@@ -42,7 +42,7 @@
     error: Option<&'a RawValue>,
 }
 
-/// What a hits object must have to be merged with others.
+/// The members that a hits object must have to be merged with others.
 #[derive(Deserialize)]
 struct Hits {
     #[serde(rename = "hits")]
@@ -55,10 +55,10 @@
     failed: u32,
 }
 
-/// Returns a response's outcome for its part, and the hits if it is `Ok`.
+/// Returns the outcome that a response states for its part, and the hits if the outcome is `Ok`.
 ///
-/// Only 429 states that the part never began; an error, by status or in the body of a 200, leaves open
-/// whether it ran.
+/// Only status 429 states that the part never ran. After any other error, whether by status or in the body of a 200,
+/// the part may have run.
 pub fn search_outcome(response: &Response) -> (Outcome, Option<PartValue>) {
     match response.status {
         200 => {}
@@ -71,7 +71,7 @@
     }
 }
 
-/// Returns the hits object of a search that covered its shard completely.
+/// Returns the hits object of a search that covered its shard completely; `None` for any other response.
 fn complete_hits(body: &[u8]) -> Option<&str> {
     let text = std::str::from_utf8(body).ok()?;
     let response = serde_json::from_str::<SearchResponse>(text).ok()?;
--- a/crates/coordinator/src/connections/handle.rs
+++ b/crates/coordinator/src/connections/handle.rs
@@ -1,4 +1,4 @@
-//! The side of a connection that belongs to the task holding its socket.
+//! The interface between a connection task, which owns the socket, and the core.
 
 use crate::clock::Clock;
 use crate::contract::Contracts;
@@ -14,17 +14,17 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
 
-/// What the core asks of a connection's task.
-pub enum Command {
-    /// Send these parts as one call.
+/// A command from the core to a connection task.
+pub enum ConnectionCommand {
+    /// Sends these parts as one call.
     Call(Vec<OutboundAttempt>),
-    /// Stop waiting for an attempt and notify the server.
+    /// Stops waiting for an attempt and notifies the server.
     Cancel(AttemptId),
-    /// Ask the server for its load report.
+    /// Requests the server's load report.
     HealthCheck,
 }
 
-/// State that both sides of a connection see at once, without a message in between.
+/// State that the core and the connection task share, so that changes take effect without a message.
 ///
 /// The flags are independent: a draining connection may be poisoned as well, and poisoning may be revoked.
 #[derive(Default)]
@@ -35,7 +35,7 @@
 }
 
 impl SharedState {
-    /// Whether the server is draining or removed: nothing new may be written.
+    /// Returns whether the server is draining or removed. No further calls may be written in that case.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
@@ -45,8 +45,8 @@
         self.draining.set(draining);
     }
 
-    /// Whether nothing new should be queued: the task is about to close the connection for what was received on
-    /// it, or the server stopped in the middle of an answer.
+    /// Returns whether the connection is poisoned: the task is about to close it because of invalid or unsolicited
+    /// data, or the server stopped in the middle of an answer. No further calls should be queued in that case.
     pub fn is_poisoned(&self) -> bool {
         self.poisoned.get()
     }
@@ -61,46 +61,47 @@
         self.close_requested.notify_one();
     }
 
-    /// Resolves once the core has asked to close the connection.
+    /// Completes once the core has requested to close the connection.
     pub async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
 }
 
-/// What the task behind a connection holds: its commands, and the way back to the core.
+/// The connection task's access to the core: the commands that it receives and the channel for its events.
 pub struct ConnectionHandle {
-    /// The name of the connection in reports to the core.
+    /// The id of the connection in reports to the core.
     pub id: ConnectionId,
-    /// The server's id, as endpoint lists have it.
+    /// The id of the server in endpoint lists.
     pub server: Arc<str>,
     /// The address to dial.
     pub address: SocketAddr,
     /// The descriptions that messages are checked against.
     pub contracts: Rc<Contracts>,
     /// Commands from the core, in order.
-    pub commands: mpsc::Receiver<Command>,
+    pub commands: mpsc::Receiver<ConnectionCommand>,
     /// The state shared with the core.
     pub shared: Rc<SharedState>,
     /// The program's clock.
     pub clock: Clock,
-    /// Names of a load report's values, in the settings' order.
+    /// The names of the values in a load report, in the order of the settings.
     pub report_names: Arc<[String]>,
-    /// Messages to the core.
+    /// The channel for messages to the core.
     pub core: mpsc::Sender<CoreMessage>,
 }
 
 impl ConnectionHandle {
-    /// Whether the server is draining or removed.
+    /// Returns whether the server is draining or removed.
     pub fn is_draining(&self) -> bool {
         self.shared.is_draining()
     }
 
-    /// Keeps the core from queuing more here at once, not only when it receives the close.
+    /// Marks the connection as poisoned, so that the core stops queuing calls on it even before it processes the event
+    /// `Closed`.
     pub fn poison(&self) {
         self.shared.set_poisoned(true);
     }
 
-    /// Sends an event to the core. Events of a core that is gone are dropped.
+    /// Sends an event to the core. The event is dropped if the core has ended.
     pub async fn notify(&self, event: ConnectionEvent) {
         let report = ConnectionReport {
             connection: self.id,
@@ -109,7 +110,7 @@
         let _ = self.core.send(CoreMessage::Connection(report)).await;
     }
 
-    /// Reports how an attempt ended.
+    /// Reports the end of an attempt.
     pub async fn report_attempt(
         &self,
         attempt: AttemptId,
@@ -124,14 +125,14 @@
         .await;
     }
 
-    /// Reports that none of these parts brought a value, all for the same reason.
+    /// Reports that attempts ended without a value, all with the same outcome.
     pub async fn report_failed_parts(&self, parts: Vec<OutboundAttempt>, outcome: Outcome) {
         for part in parts {
             self.report_attempt(part.attempt, outcome, None).await;
         }
     }
 
-    /// Reports that a health check brought no load report.
+    /// Reports that a health check ended without a load report.
     pub async fn report_failed_health_check(&self, outcome: Outcome) {
         self.notify(ConnectionEvent::HealthCheckEnded {
             outcome,
@@ -140,7 +141,8 @@
         .await;
     }
 
-    /// Dials the server and reports the connection. `None` if that fails or the core asks to close it first.
+    /// Dials the server and reports that the connection is established. Returns `None` if dialling fails or the core
+    /// requests to close the connection first.
     pub async fn dial(&self) -> Option<TcpStream> {
         tokio::select! {
             biased;
@@ -154,10 +156,11 @@
         }
     }
 
-    /// Reports everything that was never written, then the close.
+    /// Reports the parts and commands that were never written, then the event `Closed`.
     ///
-    /// `reason` states why the parts never ran: `ConnectFailed` without a connection; `NotSent` where the connection
-    /// was closed from this side, which says nothing of the server's health.
+    /// `reason` is the outcome of these parts, which states why they never ran: `ConnectFailed` if the server could not
+    /// be reached or the connection was lost; `NotSent` if this side closed the connection, which says nothing about
+    /// the server's health.
     pub async fn close(mut self, unsent: Vec<OutboundAttempt>, reason: Outcome) {
         self.report_failed_parts(unsent, reason).await;
         self.commands.close();
@@ -167,15 +170,15 @@
         self.notify(ConnectionEvent::Closed).await;
     }
 
-    /// Reports a command that was not carried out; `reason` is the outcome of a call's parts.
-    async fn reject(&self, command: Command, reason: Outcome) {
+    /// Reports a command that was not executed; `reason` is the outcome of the parts of a call.
+    async fn reject(&self, command: ConnectionCommand, reason: Outcome) {
         match command {
-            Command::Call(parts) => self.report_failed_parts(parts, reason).await,
-            Command::HealthCheck => {
+            ConnectionCommand::Call(parts) => self.report_failed_parts(parts, reason).await,
+            ConnectionCommand::HealthCheck => {
                 self.report_failed_health_check(Outcome::ConnectFailed)
                     .await;
             }
-            Command::Cancel(_) => {}
+            ConnectionCommand::Cancel(_) => {}
         }
     }
 }
--- a/crates/coordinator/src/connections/mod.rs
+++ b/crates/coordinator/src/connections/mod.rs
@@ -1,10 +1,9 @@
 //! Connections to servers.
 //!
-//! [`pool`] is the core's side: which connections there are, what is in flight on each and which one the next call
-//! takes. [`handle`] is the side of the task that owns a socket (see [`backends`](crate::backends)). Commands go to
-//! the task over a bounded queue; [`ConnectionEvent`](crate::messages::ConnectionEvent)s come back to the core.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! [`pool`] is the core's side: it tracks the connections and the attempts in flight on each, and selects the
+//! connection for each call. [`handle`] is the side of the task that owns a socket (see [`backends`](crate::backends)).
+//! The core sends commands to the task over a bounded queue; the task sends
+//! [`ConnectionEvent`](crate::messages::ConnectionEvent)s to the core.
 
 pub mod handle;
 pub mod pool;
--- a/crates/coordinator/src/connections/pool/mod.rs
+++ b/crates/coordinator/src/connections/pool/mod.rs
@@ -1,5 +1,6 @@
-//! The connections to servers, as the core sees them: which there are, what is in flight on each and which one the
-//! next call takes. Each connection is a task of its own (see [`backends`](crate::backends)).
+//! The connection pool, which is part of the core: it tracks the connections to servers and the attempts in flight on
+//! each, and selects the connection for each call. Each connection has its own task (see
+//! [`backends`](crate::backends)).
 
 mod connection;
 mod limits;
@@ -8,7 +9,7 @@
 
 use crate::clock::Clock;
 use crate::configuration::{BackendKind, Config};
-use crate::connections::handle::Command;
+use crate::connections::handle::ConnectionCommand;
 use crate::contract::Contracts;
 use crate::messages::{
     AttemptId, AttemptResult, ConnectionEvent, ConnectionId, ConnectionReport, CoreMessage,
@@ -27,38 +28,38 @@
 
 pub use limits::sweep_interval;
 
-/// What a connection's event means to the rest of the core.
+/// An event of a connection that the rest of the core has to process.
 pub enum PoolEvent {
     /// An attempt that was in flight ended.
     AttemptEnded(AttemptResult),
-    /// A health check ended; `report` has the load report's values, and none if there was no report.
+    /// A health check ended. `report` contains the values of the load report; it is empty if there is no usable report.
     HealthCheckEnded {
         server: ServerId,
         outcome: Outcome,
         report: Vec<f64>,
     },
-    /// A connection closed that was never established.
+    /// A connection was closed before it was established.
     DialFailed,
 }
 
-/// A connection that is being dialled, and the moment by which it must be established.
-pub struct Dial {
-    /// The connection.
+/// A connection that is being dialled, and the time by which it must be established.
+pub struct PendingDial {
+    /// The id of the connection.
     pub connection: ConnectionId,
-    /// When [`Pool::on_dial_deadline`] is to be called for it.
+    /// The time at which [`Pool::on_dial_deadline`] must be called for the connection.
     pub deadline: Time,
 }
 
 /// The result of sending the staged parts.
 #[derive(Default)]
-pub struct Flushed {
-    /// Parts that no connection takes.
+pub struct FlushResult {
+    /// The results of the parts for which no connection was available.
     pub unsent: Vec<AttemptResult>,
-    /// New connections.
-    pub dials: Vec<Dial>,
+    /// The connections that were opened.
+    pub dials: Vec<PendingDial>,
 }
 
-/// A server of the endpoint list.
+/// A server in the endpoint list.
 struct Server {
     id: Arc<str>,
     address: SocketAddr,
@@ -77,14 +78,14 @@
     }
 }
 
-/// Where an attempt is in flight.
+/// An attempt in flight.
 struct AwaitedAttempt {
     connection: ConnectionId,
-    /// Shared with the queued part: whether it is still to be sent.
-    wanted: Rc<Cell<bool>>,
+    /// Whether the attempt may still be sent; shared with the queued [`OutboundAttempt`].
+    send_allowed: Rc<Cell<bool>>,
 }
 
-/// The connections to all servers, and the attempts in flight on them.
+/// The connections to all servers and the attempts in flight on them.
 pub struct Pool {
     backend: BackendKind,
     limits: Limits,
@@ -96,12 +97,12 @@
     servers: BTreeMap<ServerId, Server>,
     connections: BTreeMap<ConnectionId, Connection>,
     in_flight: BTreeMap<AttemptId, AwaitedAttempt>,
-    /// Parts that leave with the next flush.
+    /// Parts to be sent by the next flush, by server.
     staged: BTreeMap<ServerId, Vec<OutboundAttempt>>,
 }
 
 impl Pool {
-    /// Returns a pool without servers, whose connections report to `core`.
+    /// Creates a pool without servers. Its connections send their events to `core`.
     pub fn new(
         config: &Config,
         contracts: Rc<Contracts>,
@@ -125,20 +126,20 @@
 
     /// Applies a reloaded deployment.
     pub fn reconfigure(&mut self, deployment: &Deployment) {
-        self.limits.silence = limits::silence_limit(deployment);
+        self.limits.unresponsive_after = limits::unresponsive_after(deployment);
     }
 
-    /// Whether any server takes requests.
+    /// Returns whether at least one server accepts requests.
     pub fn any_server_ready(&self) -> bool {
         self.servers
             .values()
             .any(|server| server.state == ServerState::Ready)
     }
 
-    /// Applies an endpoint list, or the changes of one. What is queued for a server that is draining or removed is no
-    /// longer sent.
-    pub fn on_endpoint_list(&mut self, entries: &[(ServerId, EndpointEntry)], complete: bool) {
-        if complete && !entries.is_empty() {
+    /// Applies an endpoint list snapshot or delta. Calls that are queued for a server that is draining or removed are
+    /// no longer sent.
+    pub fn on_endpoint_list(&mut self, entries: &[(ServerId, EndpointEntry)], is_snapshot: bool) {
+        if is_snapshot && !entries.is_empty() {
             self.remove_servers_absent_from(entries);
         }
         for (id, entry) in entries {
@@ -151,7 +152,8 @@
             let draining = server.state != ServerState::Ready;
             connection.shared.set_draining(draining);
             if draining && !connection.established {
-                // A connection still being dialled may come up after the grace period, with calls in its queue.
+                // A connection that is still being dialled might be established after the drain's grace period, with
+                // calls in its queue.
                 connection.close();
             }
             if connection.address != server.address {
@@ -169,48 +171,48 @@
         }
     }
 
-    /// Keeps a part for the calls of this tick, so that parts for one server leave together.
+    /// Stages a part until the next flush, so that the parts for a server in this tick are sent together.
     pub fn stage(&mut self, server: ServerId, part: OutboundAttempt) {
         self.staged.entry(server).or_default().push(part);
     }
 
-    /// Whether an attempt is still awaited.
+    /// Returns whether an attempt is in flight, that is, queued or sent and still awaited.
     pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.in_flight.contains_key(&attempt)
     }
 
-    /// Whether a server became ready less than `warm_up` seconds ago.
-    pub fn is_warming_up(&self, now: Time, server: ServerId, warm_up: Seconds) -> bool {
+    /// Returns whether a server is in slow start: it became ready less than `duration` seconds ago.
+    pub fn is_in_slow_start(&self, now: Time, server: ServerId, duration: Seconds) -> bool {
         let ready_at = self.servers.get(&server).and_then(|server| server.ready_at);
-        ready_at.is_some_and(|ready_at| now - ready_at < warm_up)
+        ready_at.is_some_and(|ready_at| now - ready_at < duration)
     }
 
-    /// Returns how many connections there are, established or being dialled.
+    /// Returns the number of connections, established or being dialled.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Stops waiting for an attempt and notifies its server, or drops it where it is still staged.
+    /// Cancels an attempt: drops it if it is still staged; otherwise stops waiting for it and notifies its server.
     pub fn cancel(&mut self, now: Time, attempt: AttemptId) {
         self.unstage(attempt);
         let Some(awaited) = self.in_flight.remove(&attempt) else {
             return;
         };
-        awaited.wanted.set(false);
+        awaited.send_allowed.set(false);
         let Some(connection) = self.connections.get_mut(&awaited.connection) else {
             return;
         };
-        // A search is cancelled by closing its connection: nothing new may be queued there behind the cancel.
+        // A search is cancelled by closing its connection, so no further call may be queued behind the cancel.
         connection.retired |= self.backend == BackendKind::OpenSearch;
         connection.cancel(now, attempt);
     }
 
-    /// Keeps an attempt that nobody waits for any more from being sent, if that has not begun. Its server is not
-    /// notified.
+    /// Withdraws an attempt whose request has ended: the attempt is not sent unless sending has already begun. Its
+    /// server is not notified.
     pub fn withdraw(&mut self, attempt: AttemptId) {
         self.unstage(attempt);
         if let Some(awaited) = self.in_flight.get(&attempt) {
-            awaited.wanted.set(false);
+            awaited.send_allowed.set(false);
         }
     }
 
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Cancels an attempt whose time is up. Returns whether it was still in flight.
+    /// Cancels an attempt whose deadline has passed. Returns whether the attempt was still in flight.
     pub fn time_out(&mut self, attempt: AttemptId) -> bool {
         let in_flight = self.is_in_flight(attempt);
         if in_flight {
@@ -229,16 +231,21 @@
         in_flight
     }
 
-    /// Asks a server for its load report on an established connection. Without one it is not asked: dialling for a
-    /// report would cost the server more than the report tells.
+    /// Requests a server's load report on an established connection. Without such a connection the request is skipped:
+    /// dialling would cost the server more than the report is worth.
     pub fn request_health_check(&mut self, server: ServerId) {
         let mut usable = self.connections.values().filter(|connection| {
             connection.server == server && connection.established && !connection.retired
         });
-        usable.any(|connection| connection.commands.try_send(Command::HealthCheck).is_ok());
+        usable.any(|connection| {
+            connection
+                .commands
+                .try_send(ConnectionCommand::HealthCheck)
+                .is_ok()
+        });
     }
 
-    /// Closes a connection that is not established by its deadline.
+    /// Closes a connection that has not been established by its dial deadline.
     pub fn on_dial_deadline(&mut self, id: ConnectionId) {
         let connection = self.connections.get_mut(&id);
         if let Some(connection) = connection.filter(|connection| !connection.established) {
@@ -246,7 +253,7 @@
         }
     }
 
-    /// Applies what a connection reports. Returns what the rest of the core has to know.
+    /// Applies an event of a connection. Returns the event that the rest of the core has to process, if any.
     pub fn on_connection_event(
         &mut self,
         now: Time,
@@ -256,11 +263,11 @@
         match report.event {
             ConnectionEvent::Connected => {
                 connection.established = true;
-                connection.heard(now);
+                connection.record_received(now);
                 None
             }
             ConnectionEvent::CancelledAttemptAnswered => {
-                connection.heard(now);
+                connection.record_received(now);
                 None
             }
             ConnectionEvent::AttemptEnded {
@@ -271,10 +278,10 @@
                 let awaited = connection.in_flight.remove(&attempt);
                 if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
                     connection.last_used = now;
-                    connection.heard(now);
+                    connection.record_received(now);
                 }
                 if !awaited {
-                    return None; // cancelled or timed out meanwhile
+                    return None; // The attempt has been cancelled or has timed out.
                 }
                 self.in_flight.remove(&attempt);
                 Some(PoolEvent::AttemptEnded(AttemptResult {
@@ -297,7 +304,7 @@
         }
     }
 
-    /// Returns how many servers and connections are known.
+    /// Returns the number of servers and the number of connections.
     #[cfg(test)]
     pub fn size(&self) -> (usize, usize) {
         (self.servers.len(), self.connections.len())
--- a/crates/coordinator/src/connections/pool/selection.rs
+++ b/crates/coordinator/src/connections/pool/selection.rs
@@ -1,8 +1,8 @@
-//! Which connection a call takes, and when a new one is dialled.
+//! Selects the connection for each call and dials new connections.
 
 use super::connection::Connection;
-use super::limits::{COMMAND_QUEUE_LENGTH, MAX_SILENT_PER_SERVER};
-use super::{AwaitedAttempt, Dial, Flushed, Pool};
+use super::limits::{COMMAND_QUEUE_LENGTH, MAX_UNRESPONSIVE_PER_SERVER};
+use super::{AwaitedAttempt, FlushResult, PendingDial, Pool};
 use crate::backends;
 use crate::connections::handle::{ConnectionHandle, SharedState};
 use crate::messages::{AttemptResult, ConnectionId, OutboundAttempt};
@@ -12,20 +12,20 @@
 use tokio::sync::mpsc;
 
 impl Pool {
-    /// Sends the staged parts, call by call.
-    pub fn flush(&mut self, now: Time, metrics: &mut Metrics) -> Flushed {
-        let mut flushed = Flushed::default();
+    /// Sends the staged parts, grouped into calls by server.
+    pub fn flush(&mut self, now: Time, metrics: &mut Metrics) -> FlushResult {
+        let mut result = FlushResult::default();
         for (server, mut parts) in std::mem::take(&mut self.staged) {
             while !parts.is_empty() {
                 let rest = parts.split_off(parts.len().min(self.limits.max_parts_per_call));
                 let call = std::mem::replace(&mut parts, rest);
-                match self.select_connection(now, server, &call, &mut flushed.dials) {
+                match self.select_connection(now, server, &call, &mut result.dials) {
                     Some(id) => self.send_call(now, id, call, metrics),
-                    None => flushed.unsent.extend(call.into_iter().map(connect_failed)),
+                    None => result.unsent.extend(call.into_iter().map(connect_failed)),
                 }
             }
         }
-        flushed
+        result
     }
 
     fn send_call(
@@ -42,21 +42,21 @@
         for part in &call {
             let awaited = AwaitedAttempt {
                 connection: id,
-                wanted: part.wanted.clone(),
+                send_allowed: part.send_allowed.clone(),
             };
             self.in_flight.insert(part.attempt, awaited);
         }
         connection.send_call(now, call);
     }
 
-    /// Returns the connection that a call takes, dialling a new one if necessary; `None` if the server takes nothing
-    /// new or the limit on connections is reached.
+    /// Returns the connection for a call and dials a new one if necessary. Returns `None` if the server accepts no
+    /// requests or the connection limit is reached.
     fn select_connection(
         &mut self,
         now: Time,
         server: ServerId,
         call: &[OutboundAttempt],
-        dials: &mut Vec<Dial>,
+        dials: &mut Vec<PendingDial>,
     ) -> Option<ConnectionId> {
         let target = self.servers.get(&server)?;
         if target.state != ServerState::Ready {
@@ -74,8 +74,8 @@
         self.open_connection(now, server, dials)
     }
 
-    /// Returns the usable connection with the fewest parts in flight. One that is not silent is preferred, then one
-    /// that is established.
+    /// Returns the usable connection with the fewest parts in flight. Responsive connections are preferred over
+    /// unresponsive ones, then established ones over those being dialled.
     fn least_loaded(
         &self,
         now: Time,
@@ -83,32 +83,38 @@
         call: &[OutboundAttempt],
     ) -> Option<ConnectionId> {
         let max_parts = self.limits.max_parts_per_connection;
-        let is_silent = |connection: &Connection| connection.silence(now) > self.limits.silence;
+        let is_unresponsive = |connection: &Connection| {
+            connection.unanswered_time(now) > self.limits.unresponsive_after
+        };
         let to_server = || {
             let all = self.connections.iter();
             all.filter(|(_, connection)| connection.server == server)
         };
-        let silent = to_server()
-            .filter(|(_, connection)| is_silent(connection))
+        let unresponsive_count = to_server()
+            .filter(|(_, connection)| is_unresponsive(connection))
             .count();
-        let allow_silent = silent >= MAX_SILENT_PER_SERVER;
+        let allow_unresponsive = unresponsive_count >= MAX_UNRESPONSIVE_PER_SERVER;
         to_server()
             .filter(|(_, connection)| connection.accepts_calls())
-            .filter(|(_, connection)| allow_silent || !is_silent(connection))
+            .filter(|(_, connection)| allow_unresponsive || !is_unresponsive(connection))
             .filter(|(_, connection)| connection.has_room_for(call, max_parts))
             .min_by_key(|(_, connection)| {
                 let in_flight = connection.in_flight.len();
-                (is_silent(connection), !connection.established, in_flight)
+                (
+                    is_unresponsive(connection),
+                    !connection.established,
+                    in_flight,
+                )
             })
             .map(|(&id, _)| id)
     }
 
-    /// Starts the task of a new connection, which dials.
+    /// Starts the task of a new connection, which dials the server.
     fn open_connection(
         &mut self,
         now: Time,
         server: ServerId,
-        dials: &mut Vec<Dial>,
+        dials: &mut Vec<PendingDial>,
     ) -> Option<ConnectionId> {
         let target = self.servers.get(&server)?;
         let address = target.address;
@@ -130,18 +136,18 @@
         backends::spawn(self.backend, handle);
         let connection = Connection::dialing(server, address, commands, shared, now);
         self.connections.insert(id, connection);
-        dials.push(Dial {
+        dials.push(PendingDial {
             connection: id,
             deadline: now + self.limits.dial_timeout,
         });
         Some(id)
     }
 
-    /// Makes room under the limit on connections by closing the idle one that was used most recently. Returns whether
-    /// there was one.
+    /// Closes the idle connection that was used most recently, to make room under the connection limit. Returns whether
+    /// there was such a connection.
     ///
-    /// Calls come back to that server last of all, while the connection used longest ago is the next one needed:
-    /// closing that one would miss each time where a fleet has more servers than the table has room.
+    /// If there are more servers than the limit allows connections, and calls go to the servers in turn, the connection
+    /// used least recently is the one that is needed next. Closing that one instead would make every call dial.
     pub(super) fn close_most_recent_idle(&mut self) -> bool {
         let all = self.connections.values_mut();
         let idle = all.filter(|connection| connection.is_idle() && !connection.retired);
@@ -155,7 +161,7 @@
     }
 }
 
-/// The result of a part that no connection takes: it never ran.
+/// Returns the result of a part for which no connection was available. Its outcome states that the part never ran.
 fn connect_failed(part: OutboundAttempt) -> AttemptResult {
     AttemptResult {
         attempt: part.attempt,
--- a/crates/coordinator/src/connections/pool/tests.rs
+++ b/crates/coordinator/src/connections/pool/tests.rs
@@ -1,13 +1,14 @@
-//! The pool with a server played by the test: what waits, what crosses on the wire, and what never ran.
+//! Tests of the pool with a server that the test implements: queued calls, answers and cancels that cross on the wire,
+//! and parts that never ran.
 
-use super::limits::{silence_limit, IDLE_SHARE, SILENCE_SHARE};
+use super::limits::{unresponsive_after, IDLE_SHARE, UNRESPONSIVE_SHARE};
 use super::*;
 use crate::connections::handle::SharedState;
 use crate::messages::Payload;
 use crate::observability::metrics::Metrics;
 use cairnroad_types::RequestId;
 
-/// Runs a test with a pool of one server, whose listener the test holds.
+/// Runs a test with a pool that knows one server, whose listener is passed to the test.
 fn with_one_server<F: std::future::Future>(
     test: impl FnOnce(tokio::net::TcpListener, Pool, mpsc::Receiver<CoreMessage>, Clock) -> F,
 ) {
@@ -52,7 +53,7 @@
 fn outbound(attempt: AttemptId, clock: &Clock) -> OutboundAttempt {
     OutboundAttempt {
         attempt,
-        wanted: Rc::new(Cell::new(true)),
+        send_allowed: Rc::new(Cell::new(true)),
         send_by: None,
         external_id: format!("q{}", attempt.part.0).into(),
         class: "c".into(),
@@ -63,15 +64,15 @@
     }
 }
 
-/// Guards against a fleet with more servers than connections: closing the connection used longest ago would close the
-/// one that is needed next.
+/// Guards against closing the least recently used connection at the connection limit. In a fleet with more servers than
+/// connections, that is the connection that is needed next.
 #[test]
 fn at_the_connection_limit_the_most_recently_used_idle_connection_closes() {
     with_one_server(|listener, mut pool, _messages, _clock| async move {
         let address = listener.local_addr().unwrap();
-        let connection = |server: u32, used: f64, busy: bool| {
+        let connection = |server: u32, last_used: f64, busy: bool| {
             let in_flight = if busy {
-                BTreeSet::from([first(9)])
+                BTreeSet::from([first_attempt(9)])
             } else {
                 BTreeSet::new()
             };
@@ -84,13 +85,13 @@
                 shared,
                 established: true,
                 in_flight,
-                last_used: Time::from_secs(used),
-                earlier_silence: 0.0,
+                last_used: Time::from_secs(last_used),
+                earlier_unanswered_time: 0.0,
                 awaiting_since: None,
                 retired: false,
             }
         };
-        for (id, (server, used, busy)) in [
+        for (id, (server, last_used, busy)) in [
             (0, 1.0, false),
             (1, 3.0, false),
             (2, 4.0, true),
@@ -100,7 +101,7 @@
         .enumerate()
         {
             pool.connections
-                .insert(ConnectionId(id as u64), connection(server, used, busy));
+                .insert(ConnectionId(id as u64), connection(server, last_used, busy));
         }
         assert!(pool.close_most_recent_idle());
         let closed: Vec<u32> = pool
@@ -112,19 +113,20 @@
         assert_eq!(
             closed,
             [1],
-            "the idle one used most recently; a busy one stays"
+            "the most recently used idle connection must be closed, and busy connections kept"
         );
     });
 }
 
-/// Guards against a silent connection that stays in use because each part on it is cancelled before the silence has
-/// reached its limit.
+/// Guards against an unresponsive connection that stays in use because each part on it is cancelled before the
+/// unanswered time reaches its limit.
 #[test]
-fn a_cancel_does_not_reset_a_connections_silence() {
+fn a_cancel_does_not_reset_a_connections_unanswered_time() {
     with_one_server(|listener, mut pool, mut messages, clock| async move {
-        let _silent = listener;
+        let _unresponsive = listener;
         let start = clock.now();
-        // When each part is sent and cancelled, and whether it dials. The sample's latency objective is 1 s.
+        // When each part is sent and cancelled, in seconds, and whether a new connection is dialled for it. The latency
+        // objective of the sample settings is 1 s.
         let steps = [
             (0.0, 0.15, true),
             (5.0, 5.05, false),
@@ -132,7 +134,7 @@
             (7.0, 7.1, true),
         ];
         for (number, (sent, cancelled, dials)) in steps.into_iter().enumerate() {
-            let attempt = first(number as u64);
+            let attempt = first_attempt(number as u64);
             pool.stage(ServerId(0), outbound(attempt, &clock));
             assert_eq!(
                 pool.flush(start + sent, &mut metrics()).dials.len(),
@@ -140,70 +142,72 @@
                 "part {number}"
             );
             if dials {
-                let Some(CoreMessage::Connection(event)) = messages.recv().await else {
-                    panic!("no connection")
+                let Some(CoreMessage::Connection(report)) = messages.recv().await else {
+                    panic!("expected a connection event")
                 };
-                assert!(matches!(event.event, ConnectionEvent::Connected));
-                pool.on_connection_event(start + sent, event);
+                assert!(matches!(report.event, ConnectionEvent::Connected));
+                pool.on_connection_event(start + sent, report);
             }
             pool.cancel(start + cancelled, attempt);
         }
     });
 }
 
-/// Guards against calls on a connection whose server stopped in the middle of an answer: they would be lost with it.
+/// Guards against calls on a connection whose server stopped in the middle of an answer. They would be lost when the
+/// connection is closed.
 #[test]
 fn a_connection_with_a_partial_answer_gets_no_new_call() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     with_one_server(|listener, mut pool, mut messages, clock| async move {
         let now = clock.now();
         let send = |pool: &mut Pool, number| {
-            pool.stage(ServerId(0), outbound(first(number), &clock));
+            pool.stage(ServerId(0), outbound(first_attempt(number), &clock));
             pool.flush(now, &mut metrics()).dials.len()
         };
         assert_eq!(send(&mut pool, 1), 1);
         let (mut server, _) = listener.accept().await.unwrap();
-        let Some(CoreMessage::Connection(up)) = messages.recv().await else {
-            panic!("no connection")
+        let Some(CoreMessage::Connection(connected)) = messages.recv().await else {
+            panic!("expected a connection event")
         };
-        pool.on_connection_event(now, up);
+        pool.on_connection_event(now, connected);
         assert_eq!(send(&mut pool, 2), 0);
         server.read_exact(&mut [0; 30]).await.unwrap();
         server
             .write_all(b"\0\0\0\x20Aq1.0 ok 1 -\nhalf")
             .await
             .unwrap();
-        // No new connection is dialled while the old one is still chosen.
+        // No new connection is dialled as long as the first one is selected.
         let mut number = 3;
         while send(&mut pool, number) == 0 {
-            pool.cancel(now, first(number));
+            pool.cancel(now, first_attempt(number));
             tokio::task::yield_now().await;
             number += 1;
         }
         let connection = pool.connections.values().next().unwrap();
         assert!(
-            connection.shared.is_poisoned() && connection.silence(now) == 0.0,
-            "not for its silence"
+            connection.shared.is_poisoned() && connection.unanswered_time(now) == 0.0,
+            "the connection must be avoided because it is poisoned, not because it is unresponsive"
         );
     });
 }
 
-/// Guards against a call that waits behind a dial and is written after the grace period of its server's drain.
+/// Guards against a call that is queued until its connection is established and is then written after the grace period
+/// of its server's drain.
 #[test]
 fn a_call_queued_behind_a_dial_is_not_sent_once_its_server_drains() {
     with_one_server(|listener, mut pool, mut messages, clock| async move {
         let address = listener.local_addr().unwrap();
-        let attempt = first(2);
+        let attempt = first_attempt(2);
         pool.stage(ServerId(0), outbound(attempt, &clock));
         let flushed = pool.flush(clock.now(), &mut metrics());
         assert_eq!((flushed.unsent.len(), flushed.dials.len()), (0, 1));
         pool.on_endpoint_list(&endpoint_list(address, ServerState::Draining), false);
-        let Some(CoreMessage::Connection(event)) = messages.recv().await else {
-            panic!("no outcome")
+        let Some(CoreMessage::Connection(report)) = messages.recv().await else {
+            panic!("expected a connection event")
         };
-        let Some(PoolEvent::AttemptEnded(ended)) = pool.on_connection_event(clock.now(), event)
+        let Some(PoolEvent::AttemptEnded(ended)) = pool.on_connection_event(clock.now(), report)
         else {
-            panic!("no attempt")
+            panic!("expected the end of an attempt")
         };
         assert_eq!(
             (ended.attempt, ended.outcome),
@@ -212,43 +216,44 @@
     });
 }
 
-/// Receives events until this many attempts have ended. Returns their parts and outcomes in order.
-async fn ends(
+/// Processes connection events until `count` attempts have ended. Returns their parts and outcomes in order.
+async fn receive_ended_attempts(
     pool: &mut Pool,
     messages: &mut mpsc::Receiver<CoreMessage>,
     clock: &Clock,
     count: usize,
 ) -> Vec<(u64, Outcome)> {
-    let mut ends = Vec::new();
-    while ends.len() < count {
-        let Some(CoreMessage::Connection(event)) = messages.recv().await else {
-            panic!("no message")
+    let mut ended_attempts = Vec::new();
+    while ended_attempts.len() < count {
+        let Some(CoreMessage::Connection(report)) = messages.recv().await else {
+            panic!("expected a connection event")
         };
-        if let Some(PoolEvent::AttemptEnded(ended)) = pool.on_connection_event(clock.now(), event) {
-            ends.push((ended.attempt.part.0, ended.outcome));
+        let event = pool.on_connection_event(clock.now(), report);
+        if let Some(PoolEvent::AttemptEnded(ended)) = event {
+            ended_attempts.push((ended.attempt.part.0, ended.outcome));
         }
     }
-    ends
+    ended_attempts
 }
 
-/// The first attempt of a part.
-fn first(part: u64) -> AttemptId {
+/// Returns the id of the first attempt at a part.
+fn first_attempt(part: u64) -> AttemptId {
     AttemptId {
         part: RequestId(part),
         number: 0,
     }
 }
 
-/// Sends each of these parts as a call of its own.
-fn send(pool: &mut Pool, clock: &Clock, parts: impl IntoIterator<Item = u64>) {
+/// Sends each of these parts as a separate call.
+fn send_calls(pool: &mut Pool, clock: &Clock, parts: impl IntoIterator<Item = u64>) {
     for part in parts {
-        pool.stage(ServerId(0), outbound(first(part), clock));
+        pool.stage(ServerId(0), outbound(first_attempt(part), clock));
         pool.flush(clock.now(), &mut metrics());
     }
 }
 
-/// Reads the server's next frame, without its length.
-async fn frame(server: &mut tokio::net::TcpStream) -> String {
+/// Reads the next frame that the server receives. Returns it without its length field.
+async fn read_frame(server: &mut tokio::net::TcpStream) -> String {
     use tokio::io::AsyncReadExt;
     let length = server.read_u32().await.unwrap() as usize;
     let mut frame = vec![0; length];
@@ -257,118 +262,129 @@
 }
 
 /// Encodes an answer frame.
-fn answer(line: &str, value: &str) -> Vec<u8> {
+fn encode_answer(line: &str, value: &str) -> Vec<u8> {
     let body = format!("A{line}\n{value}");
     [&(body.len() as u32).to_be_bytes()[..], body.as_bytes()].concat()
 }
 
 /// Resets a connection from the server's side.
-fn reset(server: tokio::net::TcpStream) {
+fn reset_connection(server: tokio::net::TcpStream) {
     socket2::SockRef::from(&server)
         .set_linger(Some(std::time::Duration::ZERO))
         .unwrap();
 }
 
-/// Guards against cancels that wait behind more calls than a connection's task takes in at once.
+/// Guards against cancels that are processed too late because more calls are queued before them than a connection task
+/// accepts at once.
 #[test]
 fn no_cancelled_call_that_waits_behind_a_dial_is_written() {
     with_one_server(|listener, mut pool, mut messages, clock| async move {
         pool.limits.max_parts_per_connection = 400;
-        send(&mut pool, &clock, 0..120);
+        send_calls(&mut pool, &clock, 0..120);
         assert_eq!(pool.connection_count(), 1);
         for part in 0..119 {
-            pool.cancel(clock.now(), first(part));
+            pool.cancel(clock.now(), first_attempt(part));
         }
         let (mut server, _) = listener.accept().await.unwrap();
         assert!(
-            frame(&mut server).await.starts_with("Qq119.0 "),
-            "the only one that is awaited"
+            read_frame(&mut server).await.starts_with("Qq119.0 "),
+            "only part 119 is still awaited"
         );
         use tokio::io::AsyncWriteExt;
         server
-            .write_all(&answer("q119.0 ok 1 -", "v"))
+            .write_all(&encode_answer("q119.0 ok 1 -", "v"))
             .await
             .unwrap();
         assert_eq!(
-            ends(&mut pool, &mut messages, &clock, 1).await,
+            receive_ended_attempts(&mut pool, &mut messages, &clock, 1).await,
             [(119, Outcome::Ok)]
         );
     });
 }
 
-/// Guards against a part that is sent after its request has ended, where the deployment has no cancels.
+/// Guards against a part that is sent after its request has ended, in a deployment without cancels.
 #[test]
 fn a_withdrawn_attempt_is_not_written_and_its_server_is_not_notified() {
     with_one_server(|listener, mut pool, mut messages, clock| async move {
-        send(&mut pool, &clock, [1, 2]);
-        pool.withdraw(first(1));
+        send_calls(&mut pool, &clock, [1, 2]);
+        pool.withdraw(first_attempt(1));
         let (mut server, _) = listener.accept().await.unwrap();
-        assert!(frame(&mut server).await.starts_with("Qq2.0 "));
+        assert!(read_frame(&mut server).await.starts_with("Qq2.0 "));
         assert_eq!(
-            ends(&mut pool, &mut messages, &clock, 1).await,
+            receive_ended_attempts(&mut pool, &mut messages, &clock, 1).await,
             [(1, Outcome::NotSent)],
-            "it never ran"
+            "the withdrawn part never ran"
         );
-        assert!(pool.is_in_flight(first(2)));
+        assert!(pool.is_in_flight(first_attempt(2)));
     });
 }
 
-/// Guards against losing an answer that was received before the connection broke, when the next write is what shows the
-/// break.
+/// Guards against losing an answer that was received before the connection was lost, if the loss is detected by a
+/// failed write.
 #[test]
 fn an_answer_received_before_a_failed_write_still_counts() {
     use tokio::io::AsyncWriteExt;
     with_one_server(|listener, mut pool, mut messages, clock| async move {
-        send(&mut pool, &clock, [1]);
+        send_calls(&mut pool, &clock, [1]);
         let (mut server, _) = listener.accept().await.unwrap();
-        frame(&mut server).await;
-        let Some(CoreMessage::Connection(up)) = messages.recv().await else {
-            panic!("no connection")
+        read_frame(&mut server).await;
+        let Some(CoreMessage::Connection(connected)) = messages.recv().await else {
+            panic!("expected a connection event")
         };
-        pool.on_connection_event(clock.now(), up);
+        pool.on_connection_event(clock.now(), connected);
         tokio::task::yield_now().await;
-        server.write_all(&answer("q1.0 ok 1 -", "v")).await.unwrap();
-        reset(server);
-        // Answer and reset have arrived before the connection's task polls its socket again.
+        server
+            .write_all(&encode_answer("q1.0 ok 1 -", "v"))
+            .await
+            .unwrap();
+        reset_connection(server);
+        // The answer and the reset arrive before the connection task polls its socket again.
         std::thread::sleep(std::time::Duration::from_millis(30));
-        send(&mut pool, &clock, [2]);
-        let ends = ends(&mut pool, &mut messages, &clock, 2).await;
-        assert!(ends.contains(&(1, Outcome::Ok)), "{ends:?}");
+        send_calls(&mut pool, &clock, [2]);
+        let ended = receive_ended_attempts(&mut pool, &mut messages, &clock, 2).await;
+        assert!(ended.contains(&(1, Outcome::Ok)), "{ended:?}");
         assert!(
-            ends.iter()
+            ended
+                .iter()
                 .any(|&(part, outcome)| part == 2 && outcome != Outcome::Ok),
-            "{ends:?}"
+            "{ended:?}"
         );
     });
 }
 
-/// Guards against an answer that crosses its own cancel and is taken for another part's, or closes the connection.
+/// Guards against an answer that crosses its own cancel on the wire and is then taken for the answer to another part,
+/// or causes the connection to be closed.
 #[test]
 fn an_answer_that_crosses_its_cancel_affects_no_other_part() {
     use tokio::io::AsyncWriteExt;
     with_one_server(|listener, mut pool, mut messages, clock| async move {
-        send(&mut pool, &clock, [1, 2]);
+        send_calls(&mut pool, &clock, [1, 2]);
         let (mut server, _) = listener.accept().await.unwrap();
         for _ in 0..2 {
-            frame(&mut server).await;
+            read_frame(&mut server).await;
         }
-        pool.cancel(clock.now(), first(1));
-        let crossing = [answer("q1.0 ok 1 -", "late"), answer("q2.0 ok 1 -", "v")].concat();
+        pool.cancel(clock.now(), first_attempt(1));
+        let crossing = [
+            encode_answer("q1.0 ok 1 -", "late"),
+            encode_answer("q2.0 ok 1 -", "v"),
+        ]
+        .concat();
         server.write_all(&crossing).await.unwrap();
         assert_eq!(
-            ends(&mut pool, &mut messages, &clock, 1).await,
+            receive_ended_attempts(&mut pool, &mut messages, &clock, 1).await,
             [(2, Outcome::Ok)]
         );
-        assert_eq!(frame(&mut server).await, "Xq1.0");
-        send(&mut pool, &clock, [3]);
+        assert_eq!(read_frame(&mut server).await, "Xq1.0");
+        send_calls(&mut pool, &clock, [3]);
         assert!(
-            frame(&mut server).await.starts_with("Qq3.0 "),
-            "the connection stays open"
+            read_frame(&mut server).await.starts_with("Qq3.0 "),
+            "the connection must stay open"
         );
     });
 }
 
-/// Guards against parts that stay in flight, or count as never run, after malformed bytes on their connection.
+/// Guards against parts that stay in flight, or count as never run, after malformed data was received on their
+/// connection.
 #[test]
 fn malformed_bytes_fail_all_parts_in_flight_on_their_connection() {
     use tokio::io::AsyncWriteExt;
@@ -380,59 +396,59 @@
     ];
     for bytes in malformed {
         with_one_server(|listener, mut pool, mut messages, clock| async move {
-            send(&mut pool, &clock, [1, 2]);
+            send_calls(&mut pool, &clock, [1, 2]);
             let (mut server, _) = listener.accept().await.unwrap();
             for _ in 0..2 {
-                frame(&mut server).await;
+                read_frame(&mut server).await;
             }
             server.write_all(bytes).await.unwrap();
-            let mut ends = ends(&mut pool, &mut messages, &clock, 2).await;
-            ends.sort_unstable_by_key(|end| end.0);
+            let mut ended = receive_ended_attempts(&mut pool, &mut messages, &clock, 2).await;
+            ended.sort_unstable_by_key(|&(part, _)| part);
             assert_eq!(
-                ends,
+                ended,
                 [(1, Outcome::Error), (2, Outcome::Error)],
-                "both may have run"
+                "both parts may have run"
             );
         });
     }
 }
 
-/// Guards against confusing parts that never ran with parts that may have: a reset before the frame's last byte is written
-/// proves that its parts never ran, one after it proves nothing.
+/// Guards against confusing parts that never ran with parts that may have run. A reset before the last byte of a frame
+/// is written proves that its parts never ran; a reset after it does not.
 #[test]
 fn a_reset_within_a_frame_is_distinguished_from_one_after_it() {
-    for whole in [false, true] {
+    for frame_complete in [false, true] {
         with_one_server(|listener, mut pool, mut messages, clock| async move {
-            let mut large = outbound(first(1), &clock);
-            // More than the socket buffers hold.
+            let mut large = outbound(first_attempt(1), &clock);
+            // Larger than the socket buffers.
             large.payload = Payload::Plain("t".repeat(64 * 1024 * 1024).into());
             pool.stage(ServerId(0), large);
             pool.flush(clock.now(), &mut metrics());
             let (mut server, _) = listener.accept().await.unwrap();
-            match whole {
-                true => drop(frame(&mut server).await),
+            match frame_complete {
+                true => drop(read_frame(&mut server).await),
                 false => {
                     use tokio::io::AsyncReadExt;
                     server.read_exact(&mut [0; 4096]).await.unwrap();
                 }
             }
-            reset(server);
-            let expected = if whole {
+            reset_connection(server);
+            let expected = if frame_complete {
                 Outcome::Reset
             } else {
                 Outcome::ConnectFailed
             };
             assert_eq!(
-                ends(&mut pool, &mut messages, &clock, 1).await,
+                receive_ended_attempts(&mut pool, &mut messages, &clock, 1).await,
                 [(1, expected)]
             );
         });
     }
 }
 
-/// Guards against limits that fit only one deployment's keepalive time and latency objectives.
+/// Guards against limits that fit only the keepalive time and latency objectives of one deployment.
 #[test]
-fn sweep_interval_and_silence_limit_follow_from_the_settings() {
+fn sweep_interval_and_unresponsive_limit_follow_from_the_settings() {
     let mut deployment = crate::configuration::tests::sample()
         .served
         .deployment
@@ -441,7 +457,7 @@
         deployment.idle_timeout = keepalive;
         assert!(
             IDLE_SHARE * keepalive + sweep_interval(&deployment) <= 0.81 * keepalive,
-            "{keepalive}"
+            "keepalive time of {keepalive} s"
         );
     }
     for objective in [0.1, 1.0, 4.0] {
@@ -450,6 +466,9 @@
             .classes
             .iter_mut()
             .for_each(|class| class.latency_objective = objective);
-        assert_eq!(silence_limit(&deployment), objective * SILENCE_SHARE);
+        assert_eq!(
+            unresponsive_after(&deployment),
+            objective * UNRESPONSIVE_SHARE
+        );
     }
 }
--- a/crates/coordinator/src/connections/socket.rs
+++ b/crates/coordinator/src/connections/socket.rs
@@ -1,20 +1,22 @@
-//! Reading what a socket already holds.
+//! Reads data that a socket has already received.
 
 use std::io::Read;
 use tokio::net::TcpStream;
 
-/// The most that one call of [`read_available`] takes, in bytes.
+/// Number of bytes after which a call of [`read_available`] stops reading. The last read may exceed it by up to
+/// [`CHUNK_SIZE`] - 1 bytes.
 const MAX_READ_AHEAD: usize = 128 * 1024;
-/// Bytes taken by one read.
-const CHUNK: usize = 4096;
+/// Maximum number of bytes per read.
+const CHUNK_SIZE: usize = 4096;
 
-/// Appends to `buffer` what the socket holds at this very moment, even if the runtime has not been notified of it.
-/// Returns whether that was anything.
+/// Appends the data that the socket has already received to `buffer`, even if the runtime has not been notified of it.
+/// Returns whether any data was read.
 ///
-/// Guards against a close that crosses bytes just received: they would be lost, and the connection reset.
+/// Callers use this before they close a socket: closing it with unread data would lose the data and reset the
+/// connection.
 pub fn read_available(stream: &TcpStream, buffer: &mut Vec<u8>) -> bool {
     let before = buffer.len();
-    let mut chunk = [0; CHUNK];
+    let mut chunk = [0; CHUNK_SIZE];
     while buffer.len() - before < MAX_READ_AHEAD {
         match (&*socket2::SockRef::from(stream)).read(&mut chunk) {
             Ok(bytes) if bytes > 0 => buffer.extend_from_slice(&chunk[..bytes]),
--- a/crates/coordinator/src/messages/attempt.rs
+++ b/crates/coordinator/src/messages/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts of a part, as the core sends them and as they end.
+//! Attempts at a part: their ids, the form in which the core sends them, and their results.
 
 use super::{ContractsInForce, PartValue, Payload};
 use cairnroad_types::{Outcome, RequestId, Time};
@@ -6,54 +6,54 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Identifies one attempt of a part.
+/// Identifies one attempt at a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The part.
+    /// The id of the part.
     pub part: RequestId,
-    /// Counts the part's attempts from 0.
+    /// The number of the attempt among the attempts at the part, starting at 0.
     pub number: u8,
 }
 
-/// An attempt as a backend sends it.
+/// An attempt, with everything that a backend needs to send it.
 #[derive(Clone, Debug)]
 pub struct OutboundAttempt {
-    /// Whether the attempt is still to be sent. The core clears it at once, wherever the attempt is queued: behind a
-    /// dial or behind other frames.
-    pub wanted: Rc<Cell<bool>>,
-    /// When sending may no longer begin, for classes with a deduplication window: a part that may have run is repeated
-    /// only within the window.
+    /// Whether the attempt may still be sent. The core shares this flag and clears it when the attempt is cancelled or
+    /// withdrawn, which takes effect wherever the attempt is queued: behind a dial or behind other frames.
+    pub send_allowed: Rc<Cell<bool>>,
+    /// The time from which the attempt must not be sent, for classes with a deduplication window: a part that may have
+    /// run is repeated only within the window. `None` if there is no such limit.
     pub send_by: Option<Time>,
-    /// Which attempt it is.
+    /// The id of the attempt.
     pub attempt: AttemptId,
-    /// The request's name.
+    /// The external id of the request.
     pub external_id: Arc<str>,
-    /// The class's name.
+    /// The name of the request's class.
     pub class: Arc<str>,
-    /// The part's shard.
+    /// The shard that the part queries.
     pub shard: u32,
-    /// The request's payload.
+    /// The payload of the request.
     pub payload: Payload,
-    /// When the core stops waiting for the answer.
+    /// The time at which the core stops waiting for the answer.
     pub deadline: Time,
     /// The descriptions that the server's answer is checked against.
     pub contracts: ContractsInForce,
 }
 
 impl OutboundAttempt {
-    /// Whether sending may begin now.
+    /// Returns whether sending the attempt may begin at `now`.
     pub fn may_be_sent(&self, now: Time) -> bool {
-        self.wanted.get() && self.send_by.is_none_or(|by| now < by)
+        self.send_allowed.get() && self.send_by.is_none_or(|by| now < by)
     }
 }
 
-/// How an attempt ended, and its value if the server answered with one.
+/// The result of an attempt that has ended.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The attempt that ended.
+    /// The id of the attempt.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The server's value.
+    /// The server's value; present only if the outcome is `Ok`.
     pub value: Option<PartValue>,
 }
--- a/crates/coordinator/src/pipeline/admission.rs
+++ b/crates/coordinator/src/pipeline/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: opens a request in the request table, or answers it at once where it can't be served.
+//! Admission: opens a request in the request table, or answers it immediately if it can't be served.
 
 use super::request_table::RequestTable;
 use super::router_driver::RouterDriver;
@@ -6,10 +6,11 @@
 use crate::observability::metrics::{Counter, Metrics};
 use cairnroad_types::{ClassId, Event, RequestId, Time};
 
-/// Retry-After of a request that finds the coordinator at its limit, in latency objectives of its class.
+/// Retry-After of a request that is rejected at the limit on open requests, as a multiple of its class's latency
+/// objective.
 const RETRY_AFTER_OBJECTIVES: f64 = 0.5;
 
-/// Admits a request, or sends its final answer at once.
+/// Admits a request, or sends its final answer immediately if it can't be admitted.
 pub fn admit(
     now: Time,
     client: ClientRequest,
@@ -23,17 +24,17 @@
         Counter::Requests
     });
     if client.reply.is_closed() {
-        return; // The client left before its request was admitted.
+        return; // The client disconnected before its request was admitted.
     }
     if let Some(answer) = immediate_answer(now, &client, requests, router, metrics) {
-        // A closed channel means that the client has left.
+        // Sending fails only if the client has disconnected.
         let _ = client.reply.send(answer);
         return;
     }
     open(now, client, requests, router);
 }
 
-/// The final answer of a request that can't be admitted.
+/// Returns the final answer of a request that can't be admitted; `None` if the request can be admitted.
 fn immediate_answer(
     now: Time,
     client: &ClientRequest,
@@ -42,9 +43,9 @@
     metrics: &mut Metrics,
 ) -> Option<Answer> {
     let request = &client.request;
-    // Servers tell parts apart by the request's name: two requests of one name could swap their values, also where the
-    // first has just ended and an abandoned part of it is still to be answered.
-    if requests.is_recent_name(&request.external_id) {
+    // Servers identify parts by the request's external id. Two requests with the same id could receive each other's
+    // values, even if the first has already ended: a server may still answer one of its abandoned parts.
+    if requests.is_recent_external_id(&request.external_id) {
         return Some(Answer::DuplicateExternalId);
     }
     if !requests.has_capacity_for(request.parts.len()) {
@@ -57,7 +58,7 @@
     (request.deadline <= now).then_some(Answer::Failed { timed_out: true })
 }
 
-/// Opens the request and queues its events for the router.
+/// Opens a request in the request table and queues its events for the router.
 fn open(now: Time, client: ClientRequest, requests: &mut RequestTable, router: &mut RouterDriver) {
     let class = ClassId(client.request.class as u16);
     let deadline = client.request.deadline;
--- a/crates/coordinator/src/pipeline/core.rs
+++ b/crates/coordinator/src/pipeline/core.rs
@@ -1,8 +1,8 @@
 //! The core task: owns all state of the pipeline and ticks at a fixed interval.
 //!
-//! The child modules hold what the core does in the steps of a tick: [`incoming`] messages and timers, the
-//! [`endpoints`] as the router sees them, [`admin_requests`], [`reconfiguration`] and the exchange of
-//! [`outlier_advice`] with other coordinators.
+//! The child modules implement the steps of a tick: [`incoming`] processes messages and timers, [`endpoints`] maintains
+//! the router's view of the endpoint list, [`admin_requests`] and [`reconfiguration`] apply operators' changes, and
+//! [`outlier_advice`] is exchanged with other coordinators.
 
 mod admin_requests;
 mod endpoints;
@@ -34,10 +34,10 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long the core waits for a fresh endpoint list before the cached one suffices to serve, in seconds.
+/// How long after its start the core waits for a fresh endpoint list before it serves from the cached one, in seconds.
 const FRESH_LIST_WAIT: Seconds = 1.0;
 
-/// How often a tick lets the other tasks run before it begins, so that they read what lies in their sockets.
+/// Number of times that the core yields to the other tasks before each tick, so that they can read their sockets.
 const YIELDS_BEFORE_TICK: usize = 3;
 
 /// All state of the pipeline, owned by one task.
@@ -46,9 +46,9 @@
     request_queue: RequestReceiver,
     messages: mpsc::Receiver<CoreMessage>,
     phase: Rc<watch::Sender<ServingPhase>>,
-    /// The configuration that the fronts serve by.
+    /// Publishes the active configuration to the fronts.
     served_configuration: watch::Sender<Arc<ServedConfiguration>>,
-    /// Publishes own outliers for gossip; `None` outside a cluster.
+    /// Publishes the outliers that this coordinator found, for gossip; `None` outside a cluster.
     outlier_publisher: Option<watch::Sender<LocalOutliers>>,
     router: RouterDriver,
     requests: RequestTable,
@@ -57,32 +57,32 @@
     directory: ServerDirectory,
     contracts: Rc<Contracts>,
     suspensions: Suspensions,
-    /// Where suspensions are stored; `None` without an admin API.
+    /// The persistent store of suspensions; `None` without an admin API.
     suspension_store: Option<SuspensionStore>,
     metrics: Metrics,
-    started: Time,
-    /// Whether discovery has delivered an endpoint list in this process.
-    fresh_list: bool,
+    started_at: Time,
+    /// Whether discovery has delivered an endpoint list since the process started.
+    has_fresh_list: bool,
     slow_start_duration: Seconds,
     sweep_interval: Seconds,
 }
 
-/// The core's ends of its channels.
+/// The ends of the channels that the core owns.
 pub struct CoreChannels {
     /// Requests from the fronts.
     pub requests: mpsc::Receiver<ClientRequest>,
     /// Messages from connections, discovery, the admin API, the cluster and the main task.
     pub messages: mpsc::Receiver<CoreMessage>,
-    /// The sending end of `messages`, which the pool gives to its connections.
+    /// The sending end of `messages`, which the pool passes to its connections.
     pub message_sender: mpsc::Sender<CoreMessage>,
-    /// The serving phase; shared with the admin API and the shutdown.
+    /// The serving phase, shared with the admin API and the graceful shutdown.
     pub phase: Rc<watch::Sender<ServingPhase>>,
-    /// The configuration in force, for the fronts.
+    /// The active configuration, read by the fronts.
     pub served_configuration: watch::Sender<Arc<ServedConfiguration>>,
 }
 
 impl Core {
-    /// A core that knows the cached endpoint list and the stored suspensions.
+    /// Creates a core that starts with the cached endpoint list and the stored suspensions.
     pub fn new(
         config: &Config,
         contracts: Rc<Contracts>,
@@ -113,26 +113,27 @@
             suspensions: Suspensions::default(),
             suspension_store,
             metrics: Metrics::new(f64::from(config.log.metrics_interval_s), now),
-            started: now,
-            fresh_list: false,
+            started_at: now,
+            has_fresh_list: false,
             slow_start_duration: deployment.policy.slow_start_duration,
             sweep_interval,
         };
-        // Before any list: suspensions that an earlier process took must hold from the first attempt on.
+        // Suspensions that an earlier process stored are loaded before the endpoint list, so that they apply from the
+        // first attempt on.
         core.poll_suspensions(now);
         core.on_endpoint_update(&config.last_known_endpoints, true);
         core
     }
 
-    /// Ticks every `tick` seconds for as long as the program runs.
+    /// Ticks every `tick` seconds until the program ends.
     pub async fn run(mut self, tick: Seconds) {
         let mut ticks = tokio::time::interval(Duration::from_secs_f64(tick));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             self.clock.record_tick();
-            // After a stall, updates and answers that lie in the sockets must be known before any timer fires or any
-            // attempt is sent.
+            // After a stall, updates and answers that are waiting in the sockets must be processed before any timer
+            // fires and before any attempt is sent.
             for _ in 0..YIELDS_BEFORE_TICK {
                 tokio::task::yield_now().await;
             }
@@ -151,7 +152,7 @@
         self.update_readiness(now);
     }
 
-    /// Withdraws the requests whose clients have left, before anything more is sent for them.
+    /// Withdraws the requests whose clients have disconnected, before any further attempt is sent for them.
     fn withdraw_requests_without_client(&mut self) {
         for request in self.requests.requests_without_client() {
             self.router.push(Event::ClientGone(request));
@@ -171,13 +172,14 @@
         }
     }
 
-    /// Calls the router until no event is left.
+    /// Calls the router until no event is queued.
     ///
-    /// Attempts that fail at once are events of the next round; the limit of attempts a part bounds the rounds.
+    /// An attempt that can't be sent produces an event for the next iteration. The limit on attempts per part bounds
+    /// the number of iterations.
     fn run_router(&mut self, now: Time) {
         while self.router.has_events() {
             for action in self.router.decide(now) {
-                self.carry_out(now, &action);
+                self.execute(now, &action);
             }
             for attempt in self.requests.take_orphaned_attempts() {
                 self.pool.withdraw(attempt);
@@ -190,7 +192,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Time, action: &Action) {
+    fn execute(&mut self, now: Time, action: &Action) {
         self.metrics.record_action(action);
         if let Some(request) = respond::ended_request(action) {
             respond::respond(request, action, now, &mut self.requests, &mut self.metrics);
@@ -213,7 +215,7 @@
         );
     }
 
-    /// Records an attempt's result and queues it for the router.
+    /// Records the result of an attempt and queues it for the router.
     fn on_attempt_ended(&mut self, result: AttemptResult) {
         self.metrics.record_outcome(result.outcome);
         self.requests.record_result(&result);
@@ -236,7 +238,7 @@
         }
     }
 
-    /// Starts to serve as soon as the core is ready.
+    /// Enters the phase `Serving` once the core is ready.
     fn update_readiness(&mut self, now: Time) {
         let current = *self.phase.borrow();
         if current == ServingPhase::Starting && self.is_ready(now) {
@@ -244,9 +246,11 @@
         }
     }
 
-    /// Ready once a server is known, from a fresh list or, if none arrives in time, from the cached one.
+    /// Returns whether the core is ready: at least one server takes requests, and the endpoint list is fresh or no
+    /// fresh list arrived within the wait time.
     fn is_ready(&self, now: Time) -> bool {
-        self.pool.any_server_ready() && (self.fresh_list || now - self.started > FRESH_LIST_WAIT)
+        self.pool.any_server_ready()
+            && (self.has_fresh_list || now - self.started_at > FRESH_LIST_WAIT)
     }
 }
 
--- a/crates/coordinator/src/pipeline/core/admin_requests.rs
+++ b/crates/coordinator/src/pipeline/core/admin_requests.rs
@@ -1,4 +1,4 @@
-//! Operators' requests that change the core: suspending and resuming data nodes, draining and activating the process.
+//! Admin requests that change the core: suspending and resuming data nodes, draining and activating the coordinator.
 
 use super::Core;
 use crate::messages::ServingPhase;
@@ -7,14 +7,14 @@
 use cairnroad_types::Time;
 
 impl Core {
-    /// Carries out an operator's request.
+    /// Executes an operator's request and returns the response for it.
     pub(super) fn handle_admin_request(
         &mut self,
         now: Time,
         request: AdminRequest,
     ) -> AdminResponse {
         let response = match &request {
-            // The admin API answers these by itself.
+            // The admin API answers these requests without the core.
             AdminRequest::Readiness | AdminRequest::ClusterMembers => AdminResponse::Done,
             AdminRequest::Suspend(id) => self.suspend(now, id),
             AdminRequest::Resume(id) => self.resume(now, id),
@@ -46,7 +46,7 @@
         AdminResponse::Done
     }
 
-    /// Puts a suspension, or its end, into force and stores it.
+    /// Applies and stores a suspension or a resumption.
     fn apply_suspension(&mut self, id: &str, suspension: Suspension) {
         if !self.suspensions.apply(id, suspension) {
             return;
@@ -64,14 +64,16 @@
         })
     }
 
-    /// Ends a drain. The end of this tick checks whether the process is ready.
+    /// Ends a drain. The process serves again once `update_readiness`, which runs at the end of this tick, finds it
+    /// ready.
     fn activate(&self) -> AdminResponse {
         self.change_phase(|phase| {
             (phase == ServingPhase::DrainedByOperator).then_some(ServingPhase::Starting)
         })
     }
 
-    /// Changes the phase to what `next` says, unless the process shuts down.
+    /// Changes the serving phase to the one that `next` returns for the current phase; `None` leaves it unchanged.
+    /// Fails while the process shuts down.
     fn change_phase(&self, next: impl Fn(ServingPhase) -> Option<ServingPhase>) -> AdminResponse {
         let current = *self.phase.borrow();
         if current.is_shutting_down() {
--- a/crates/coordinator/src/pipeline/core/endpoints.rs
+++ b/crates/coordinator/src/pipeline/core/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as pool and router see it: discovery's updates, overlaid with the operators' suspensions.
+//! The endpoint list that the connection pool and the router see: discovery's updates, overridden by the operators'
+//! suspensions.
 
 use super::Core;
 use crate::discovery;
@@ -7,12 +8,12 @@
 use crate::pipeline::timer::Timer;
 use cairnroad_types::{Event, Seconds, ServerId, Time};
 
-/// How often stored suspensions, which another process may have changed, are read, in seconds: well within the quarter
-/// of a second after which a suspended server may get nothing new.
+/// Interval at which the stored suspensions, which another process may have changed, are read, in seconds. A suspended
+/// server must receive no new work 0.25 s after its suspension; the interval is well below that.
 const SUSPENSION_POLL_INTERVAL: Seconds = 0.05;
 
 impl Core {
-    /// Applies an update of the endpoint list. `cached`: it was stored by an earlier process.
+    /// Applies an update of the endpoint list. `cached` states that the list was stored by an earlier process.
     pub(super) fn on_endpoint_update(&mut self, update: &EndpointListUpdate, cached: bool) {
         self.contracts
             .on_endpoint_update(&update.entries, update.is_snapshot);
@@ -30,14 +31,14 @@
             }
         }
         self.publish_endpoints(&mut entries, update.is_snapshot, cached);
-        self.fresh_list |= !cached;
+        self.has_fresh_list |= !cached;
     }
 
-    /// Overlays suspensions on the entries and passes them to pool and router.
+    /// Applies the suspensions to the entries and passes the entries to the connection pool and the router.
     fn publish_endpoints(
         &mut self,
         entries: &mut [(ServerId, EndpointEntry)],
-        complete: bool,
+        is_snapshot: bool,
         cached: bool,
     ) {
         for (_, entry) in &mut *entries {
@@ -45,19 +46,20 @@
                 self.suspensions
                     .effective_state(&entry.id, entry.state, entry.ready_at);
         }
-        self.pool.on_endpoint_list(entries, complete);
-        let update = discovery::endpoint_update(entries, complete, cached);
+        self.pool.on_endpoint_list(entries, is_snapshot);
+        let update = discovery::endpoint_update(entries, is_snapshot, cached);
         self.router.push(Event::Endpoints(update));
     }
 
-    /// Publishes the listed state of these servers again, after their suspensions changed.
+    /// Publishes the entries of these servers again after their suspensions have changed.
     pub(super) fn republish_endpoints(&mut self, ids: &[String]) {
         let listed = ids.iter().filter_map(|id| self.directory.get(id));
         let mut entries: Vec<_> = listed.collect();
         self.publish_endpoints(&mut entries, false, false);
     }
 
-    /// Expires suspensions that have ended and takes over those that another process of this coordinator changed.
+    /// Removes expired suspensions, and applies the suspensions and resumptions that another process of this
+    /// coordinator stored.
     pub(super) fn poll_suspensions(&mut self, now: Time) {
         let Some(store) = &mut self.suspension_store else {
             return;
--- a/crates/coordinator/src/pipeline/core/incoming.rs
+++ b/crates/coordinator/src/pipeline/core/incoming.rs
@@ -1,4 +1,4 @@
-//! The first steps of a tick: messages from other tasks, then timers.
+//! The first steps of a tick: processing messages from other tasks, then firing timers.
 
 use super::Core;
 use crate::connections::pool::PoolEvent;
@@ -19,12 +19,12 @@
         match message {
             CoreMessage::Endpoints(update) => self.on_endpoint_update(&update, false),
             CoreMessage::Connection(report) => self.on_connection_report(now, report),
-            // A caller that stopped waiting for the reply closed the channel.
+            // Replying fails if the caller has stopped waiting; the reply is then discarded.
             CoreMessage::Admin { request, reply } => {
                 let _ = reply.send(self.handle_admin_request(now, request));
             }
             CoreMessage::OutlierAdvice(ids) => self.on_outlier_advice(&ids),
-            CoreMessage::LimitDeadlines(deadline) => self.router.finish_by(deadline),
+            CoreMessage::LimitDeadlines(deadline) => self.router.limit_deadlines(deadline),
             CoreMessage::Reconfigure {
                 configuration,
                 reply,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Fires all timers that are due.
+    /// Handles all timers that are due.
     pub(super) fn fire_timers(&mut self, now: Time) {
         for timer in self.timers.advance(now) {
             self.fire_timer(now, timer);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Times an attempt out if it is still in flight.
+    /// Ends an attempt as timed out if it is still in flight.
     fn on_attempt_deadline(&mut self, attempt: AttemptId) {
         if self.pool.time_out(attempt) {
             self.on_attempt_ended(AttemptResult {
--- a/crates/coordinator/src/pipeline/core/outlier_advice.rs
+++ b/crates/coordinator/src/pipeline/core/outlier_advice.rs
@@ -1,4 +1,5 @@
-//! Outliers exchanged with other coordinators: own findings are published, advice of others reaches the router.
+//! Exchange of outliers with other coordinators: publishes the outliers that this coordinator found, and passes the
+//! advice of other coordinators to the router.
 
 use super::Core;
 use crate::messages::LocalOutliers;
@@ -6,21 +7,23 @@
 use cairnroad_types::{Event, Seconds, ServerId, Time};
 use tokio::sync::watch;
 
-/// How often own outliers are published, in seconds.
+/// Interval at which this coordinator's outliers are published, in seconds.
 const OUTLIER_PUBLICATION_INTERVAL: Seconds = 1.0;
-/// An outlier is published while its latest sign is no older than this many intervals. Where all coordinators follow
-/// each other's advice nobody tries the server, so old signs must expire, or it would stay ejected forever.
+/// Number of publication intervals for which an outlier is published after it was last observed. Observations must
+/// expire: if all coordinators follow each other's advice, none sends attempts to the server, and it would stay ejected
+/// forever.
 const RECENT_OUTLIER_INTERVALS: f64 = 3.0;
 
 impl Core {
-    /// Publishes the outliers that own attempts reveal to `publisher` from now on.
+    /// Starts publishing the outliers found by this coordinator's own attempts to `publisher`.
     pub fn publish_outliers_to(&mut self, publisher: watch::Sender<LocalOutliers>) {
         self.outlier_publisher = Some(publisher);
         let first = self.clock.now() + OUTLIER_PUBLICATION_INTERVAL;
         self.timers.insert(first, Timer::OutlierPublication);
     }
 
-    /// Publishes the recent outliers. The cluster is notified of changes, and again while there are any.
+    /// Publishes the recent outliers. The cluster is notified when the outliers change, and at every interval while
+    /// there are any.
     pub(super) fn publish_outliers(&mut self, now: Time) {
         let Some(publisher) = &self.outlier_publisher else {
             return;
@@ -47,7 +50,8 @@
         );
     }
 
-    /// Passes other coordinators' outliers to the router, as far as this coordinator's own list names them.
+    /// Passes outliers found by other coordinators to the router. Servers that are not in this coordinator's endpoint
+    /// list are ignored.
     pub(super) fn on_outlier_advice(&mut self, ids: &[String]) {
         let listed = ids.iter().filter_map(|id| self.directory.get(id));
         let servers: Vec<ServerId> = listed.map(|(server, _)| server).collect();
--- a/crates/coordinator/src/pipeline/core/reconfiguration.rs
+++ b/crates/coordinator/src/pipeline/core/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Applies a reloaded configuration, between two ticks and whole or not at all.
+//! Applies a reloaded configuration atomically, between two ticks.
 
 use super::Core;
 use crate::messages::{SearchIndex, ServedConfiguration};
@@ -7,23 +7,24 @@
 use std::sync::Arc;
 
 impl Core {
-    /// Applies `fresh` and returns the configuration that is in force afterwards.
+    /// Applies the `reloaded` configuration and returns the configuration that is active afterwards. On an error
+    /// nothing changes.
     pub(super) fn reconfigure(
         &mut self,
-        fresh: ServedConfiguration,
+        reloaded: ServedConfiguration,
     ) -> Result<Arc<ServedConfiguration>, ReconfigureError> {
-        let in_force = self.served_configuration.borrow().clone();
+        let active = self.served_configuration.borrow().clone();
         let in_use = |class: ClassId| self.requests.has_request_of_class(usize::from(class.0));
         let Reconfiguration {
             deployment,
             class_ids,
             replaced_slots,
             requires_restart,
-        } = reconfigure::reconfigure(&in_force.deployment, &fresh.deployment, in_use)?;
+        } = reconfigure::reconfigure(&active.deployment, &reloaded.deployment, in_use)?;
         if !requires_restart.is_empty() {
             tracing::warn!(
                 keys = requires_restart.join(", "),
-                "reload: settings that take a restart stay as they were"
+                "reload: changed settings that require a restart keep their previous values"
             );
         }
         self.requests.reconfigure(&deployment);
@@ -32,7 +33,7 @@
             .reconfigure(&deployment, &replaced_slots, &class_ids);
         self.slow_start_duration = deployment.policy.slow_start_duration;
         let served = Arc::new(ServedConfiguration {
-            indices: renumber_classes(fresh.indices, &class_ids),
+            indices: renumber_classes(reloaded.indices, &class_ids),
             deployment,
         });
         self.served_configuration.send_replace(served.clone());
@@ -40,7 +41,8 @@
     }
 }
 
-/// The indices with their classes' slots in the table in force; `class_ids` maps the reloaded file's class numbers.
+/// Returns the indices with their classes renumbered to the slots of the active class table. `class_ids` maps class
+/// numbers of the reloaded configuration to these slots.
 fn renumber_classes(indices: Vec<SearchIndex>, class_ids: &[ClassId]) -> Vec<SearchIndex> {
     let renumbered = indices.into_iter().filter_map(|index| {
         let class_id = class_ids.get(index.class)?;
--- a/crates/coordinator/src/pipeline/core/tests.rs
+++ b/crates/coordinator/src/pipeline/core/tests.rs
@@ -1,4 +1,5 @@
-//! The core, tick by tick. No connection's task runs between two ticks, so the test chooses what arrives in each.
+//! Tests of the core, tick by tick. No connection task runs between two ticks, so a test controls which messages arrive
+//! in each tick.
 
 use super::*;
 use crate::messages::{
@@ -8,14 +9,14 @@
 use cairnroad_types::{Outcome, RequestId, ServerState};
 use tokio::sync::oneshot;
 
-/// A core, and the other ends of its queues.
-struct Rig {
+/// A core under test, and the sending ends of its queues.
+struct CoreHarness {
     core: Core,
     requests: mpsc::Sender<ClientRequest>,
     messages: mpsc::Sender<CoreMessage>,
 }
 
-fn with_core(test: impl FnOnce(Rig)) {
+fn with_core(test: impl FnOnce(CoreHarness)) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -40,7 +41,7 @@
                 served_configuration,
             },
         );
-        test(Rig {
+        test(CoreHarness {
             core,
             requests,
             messages,
@@ -48,9 +49,9 @@
     });
 }
 
-fn row(at: usize, cell: u32, state: ServerState) -> EndpointEntry {
+fn endpoint(number: usize, cell: u32, state: ServerState) -> EndpointEntry {
     EndpointEntry {
-        id: format!("s-{at}"),
+        id: format!("s-{number}"),
         address: "127.0.0.1:1".parse().unwrap(),
         cell,
         zone: 0,
@@ -62,19 +63,19 @@
     }
 }
 
-/// Guards against tables that grow with every server that a long day replaces.
+/// Guards against a memory leak: tables that keep an entry for each server that was ever replaced.
 #[test]
 fn replaced_servers_are_forgotten() {
-    with_core(|Rig { mut core, .. }| {
+    with_core(|CoreHarness { mut core, .. }| {
         for generation in 0..300 {
-            let gone = row(generation, generation as u32 % 2, ServerState::Removed);
-            let fresh = (generation + 1..generation + 5)
-                .map(|at| row(at, at as u32 % 2, ServerState::Ready));
-            // By changes and, now and then, by a whole list without the one that is gone.
+            let removed = endpoint(generation, generation as u32 % 2, ServerState::Removed);
+            let ready = (generation + 1..generation + 5)
+                .map(|number| endpoint(number, number as u32 % 2, ServerState::Ready));
+            // Two of three updates are deltas; every third is a snapshot without the removed server.
             let is_snapshot = generation % 3 == 0;
-            let entries = std::iter::once(gone)
+            let entries = std::iter::once(removed)
                 .filter(|_| !is_snapshot)
-                .chain(fresh)
+                .chain(ready)
                 .collect();
             core.on_endpoint_update(
                 &EndpointListUpdate {
@@ -98,16 +99,18 @@
     });
 }
 
-/// The whole list: two ready servers that hold the same shards.
+/// Returns a snapshot with two ready servers that hold the same shards.
 fn two_replicas() -> EndpointListUpdate {
     EndpointListUpdate {
         revision: 1,
         is_snapshot: true,
-        entries: (0..2).map(|at| row(at, 0, ServerState::Ready)).collect(),
+        entries: (0..2)
+            .map(|number| endpoint(number, 0, ServerState::Ready))
+            .collect(),
     }
 }
 
-/// A request of one part. In a new core the request has the first id, its part the second.
+/// Returns a request of one part. A new core assigns the first id to the request and the second to its part.
 fn request(deadline: Time) -> Request {
     Request {
         external_id: "one".into(),
@@ -124,16 +127,18 @@
     }
 }
 
+/// Returns the id of an attempt of that part.
 fn attempt(number: u8) -> AttemptId {
     let part = RequestId(2);
     AttemptId { part, number }
 }
 
-/// Guards against a retry that is decided in the very tick in which its client leaves, and against a request that is
-/// admitted though its client has left. What the first attempt lost would be sent to the other replica.
+/// Guards against a retry that is decided in the same tick in which its client disconnects, and against admitting a
+/// request whose client has already disconnected. The part would be sent, after a failed first attempt to the other
+/// replica, although nobody waits for its answer.
 #[test]
 fn nothing_is_sent_for_a_client_that_leaves_in_the_same_tick() {
-    // How the first attempt ends in that tick; `None`: it is not sent yet.
+    // The outcome of the first attempt in that tick; `None` if the attempt has not been sent yet.
     for (ended, retried) in [
         (None, false),
         (Some(Outcome::Reset), true),
@@ -141,17 +146,21 @@
         (Some(Outcome::Rejected), true),
     ] {
         for client_leaves in [false, true] {
-            with_core(|rig| {
-                let mut core = rig.core;
+            with_core(|harness| {
+                let mut core = harness.core;
                 core.on_endpoint_update(&two_replicas(), false);
                 let (reply, answer) = oneshot::channel::<Answer>();
                 let request = request(core.clock.now() + 1.9);
-                rig.requests
+                harness
+                    .requests
                     .try_send(ClientRequest { request, reply })
                     .unwrap();
                 if let Some(outcome) = ended {
                     core.tick();
-                    assert!(core.pool.is_in_flight(attempt(0)), "the first attempt");
+                    assert!(
+                        core.pool.is_in_flight(attempt(0)),
+                        "the first attempt is not in flight"
+                    );
                     let report = ConnectionReport {
                         connection: ConnectionId(0),
                         event: ConnectionEvent::AttemptEnded {
@@ -161,14 +170,17 @@
                         },
                     };
                     let message = CoreMessage::Connection(report);
-                    assert!(rig.messages.try_send(message).is_ok());
+                    assert!(harness.messages.try_send(message).is_ok());
                 }
                 if client_leaves {
                     drop(answer);
                 }
                 core.tick();
                 let sent = core.pool.is_in_flight(attempt(u8::from(retried)));
-                assert_eq!(sent, !client_leaves, "{ended:?}, leaves: {client_leaves}");
+                assert_eq!(
+                    sent, !client_leaves,
+                    "first attempt ended: {ended:?}, client left: {client_leaves}"
+                );
             });
         }
     }
--- a/crates/coordinator/src/pipeline/dispatch.rs
+++ b/crates/coordinator/src/pipeline/dispatch.rs
@@ -1,5 +1,5 @@
-//! Dispatch: passes the router's attempts, cancellations, health checks and timers to the pool and the timers. Attempts
-//! of one tick to one server leave together.
+//! Dispatch: passes the router's attempts, cancellations, health checks and timers to the connection pool and the timer
+//! wheel. Attempts to the same server within one tick are sent together.
 
 use super::request_table::RequestTable;
 use super::timer::Timer;
@@ -9,7 +9,7 @@
 use crate::timer_wheel::TimerWheel;
 use cairnroad_types::{Action, Time};
 
-/// Carries out an action that is not a final answer. Attempts are staged until [`flush_calls`].
+/// Executes an action of the router that is not a final answer. Attempts are staged until [`flush_calls`] sends them.
 pub fn dispatch(
     now: Time,
     action: &Action,
@@ -34,7 +34,7 @@
         }
         Action::HealthCheck(server) => pool.request_health_check(server),
         Action::SetTimer(at) => timers.insert(at, Timer::RouterWakeUp),
-        // Discovery subscribes by itself; final answers are `respond`'s.
+        // Discovery subscribes on its own, and `respond` sends the final answers.
         Action::SubscribeEndpoints
         | Action::Answer { .. }
         | Action::Reject { .. }
@@ -42,7 +42,8 @@
     }
 }
 
-/// Sends the staged attempts, in calls of several parts. Returns the results of those that could not be sent at all.
+/// Sends the staged attempts, grouped into calls of several parts. Returns the results of the attempts that could not
+/// be sent.
 pub fn flush_calls(
     now: Time,
     pool: &mut Pool,
@@ -57,8 +58,8 @@
     flushed.unsent
 }
 
-/// Counts an attempt by its kind, before it is dispatched: a further attempt of its part, a hedge, an attempt at a
-/// server in slow start. Skipped where no metrics are logged, for the lookups.
+/// Counts an attempt by kind before it is dispatched: a further attempt of its part, a hedge, or an attempt at a server
+/// in slow start. Does nothing if metrics are not logged, which saves the lookups.
 pub fn count_attempt(
     now: Time,
     action: &Action,
@@ -81,7 +82,7 @@
     if (0..earlier_attempts).any(in_flight) {
         metrics.increment(Counter::Hedges);
     }
-    if pool.is_warming_up(now, server, slow_start_duration) {
+    if pool.is_in_slow_start(now, server, slow_start_duration) {
         metrics.increment(Counter::SlowStartAttempts);
     }
 }
--- a/crates/coordinator/src/pipeline/mod.rs
+++ b/crates/coordinator/src/pipeline/mod.rs
@@ -1,18 +1,19 @@
-//! The request pipeline: one task, [`Core`], that takes requests from the fronts to their final answers.
+//! The request pipeline: a single task, [`Core`], processes each request from its submission by a front to its final
+//! answer.
 //!
-//! The life of a request, in the order of its stages:
+//! A request passes through these stages:
 //!
-//! 1. [`request_queue`]: a front submits the request to the bounded queue; a full queue rejects it.
-//! 2. [`admission`]: the core's next tick gives it ids, or rejects it where the limit on open requests is reached.
-//! 3. [`request_table`]: holds the request, its parts and their results while it is open. The limit on open requests
-//!    (`RequestTable::has_capacity_for`) stands here.
-//! 4. [`router_driver`]: hands the tick's events to the router, which decides on attempts and answers.
+//! 1. [`request_queue`]: a front submits the request to a bounded queue. If the queue is full, the request is rejected.
+//! 2. [`admission`]: at the next tick, the core assigns ids to the request, or rejects it if the limit on open requests
+//!    is reached.
+//! 3. [`request_table`]: stores the request, its parts and their results while the request is open, and enforces the
+//!    limit on open requests (`RequestTable::has_capacity_for`).
+//! 4. [`router_driver`]: passes the tick's events to the router, which decides on attempts and answers.
 //! 5. [`dispatch`]: passes the router's attempts, cancellations, health checks and timers to the pool and the timers.
 //! 6. [`respond`]: builds the final answer and sends it to the front.
 //!
-//! The core runs on one thread and ticks at a fixed interval. All that arrived since the last tick is one call of the
-//! router, so that a decision never misses an event that arrived before it.
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The core runs on one thread and ticks at a fixed interval. All events that arrived since the last tick are passed to
+//! the router in one call, so that every decision takes into account all events that arrived before it.
 
 pub mod admission;
 pub mod core;
--- a/crates/coordinator/src/pipeline/request_queue.rs
+++ b/crates/coordinator/src/pipeline/request_queue.rs
@@ -4,10 +4,10 @@
 use cairnroad_types::Seconds;
 use tokio::sync::{mpsc, oneshot};
 
-/// How many requests may wait for the core's next tick.
+/// Maximum number of requests that wait for the core's next tick.
 pub const REQUEST_QUEUE_CAPACITY: usize = 256;
 
-/// The core's end of the queue.
+/// The receiving end of the queue, owned by the core.
 pub struct RequestReceiver(mpsc::Receiver<ClientRequest>);
 
 impl RequestReceiver {
@@ -16,15 +16,16 @@
         RequestReceiver(requests)
     }
 
-    /// Takes all requests that arrived since the last call.
+    /// Removes and returns all queued requests, in order of arrival.
     pub fn drain(&mut self) -> Vec<ClientRequest> {
         std::iter::from_fn(|| self.0.try_recv().ok()).collect()
     }
 }
 
-/// Submits a front's request to the core and returns where its final answer arrives.
+/// Submits a front's request to the core and returns the channel on which the final answer arrives.
 ///
-/// If the queue is full or the core has ended, the answer is an immediate rejection with `retry_after` seconds.
+/// If the queue is full or the core has ended, the request is rejected immediately; `retry_after` is the Retry-After of
+/// that rejection.
 pub fn submit(
     core: &mpsc::Sender<ClientRequest>,
     request: Request,
@@ -33,7 +34,7 @@
     let (reply, answer) = oneshot::channel();
     if let Err(rejected) = core.try_send(ClientRequest { request, reply }) {
         let client = rejected.into_inner();
-        // The receiving end is still in this function: the send can't fail.
+        // Sending can't fail, because this function still owns the receiving end.
         let _ = client.reply.send(Answer::Rejected {
             retry_after,
             over_capacity: true,
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of open requests: their parts, the attempts sent and the results received.
+//! The table of open requests: their parts, the attempts that were sent and the results that were received.
 
 mod open_request;
 mod recent_names;
@@ -8,59 +8,62 @@
 use cairnroad_settings::Deployment;
 use cairnroad_types::{Class, Idempotency, RequestId, Seconds, Time};
 pub use open_request::OpenRequest;
-use recent_names::RecentNames;
+use recent_names::RecentExternalIds;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A request that fails this close to its deadline counts as late, in seconds and in ticks, whichever is more: failures
-/// come some ticks before the deadline.
-const LATE_MARGIN: Seconds = 0.05;
-const LATE_MARGIN_TICKS: f64 = 5.0;
-/// How long a request's name is remembered, in seconds and in longest deadlines, whichever is more: longer than the
-/// request can be open, and long enough for an abandoned part to be answered after all. Clients use a new name for each
-/// request, also for a retry.
-const NAME_RETENTION: Seconds = 10.0;
-const NAME_RETENTION_DEADLINES: f64 = 2.0;
-/// No attempt at a part of a class with a deduplication window is sent later than this before the window ends, as a
-/// share of the window and in ticks, whichever is more: the attempt takes time to arrive. That holds for the first
-/// attempt as well, which may wait for its connection while a hedge runs.
+/// A request that fails with less time than this left until its deadline counts as timed out, because the router fails
+/// a request some ticks before its deadline. The longer of both values applies; the first is in seconds, the second in
+/// ticks.
+const TIMEOUT_MARGIN: Seconds = 0.05;
+const TIMEOUT_MARGIN_TICKS: f64 = 5.0;
+/// How long the external id of a request is remembered: longer than the request can be open, and long enough for a
+/// server to answer an abandoned part of it. Clients use a new id for each request, including retries. The longer of
+/// both values applies; the first is in seconds, the second in multiples of the longest deadline of all classes.
+const EXTERNAL_ID_RETENTION: Seconds = 10.0;
+const EXTERNAL_ID_RETENTION_DEADLINES: f64 = 2.0;
+/// Safety margin before the end of a deduplication window: no attempt at a part of a class with such a window is sent
+/// later than that, because the attempt takes time to arrive. This also applies to the first attempt, which may wait
+/// for its connection while a hedge runs. The longer of both values applies; the first is a share of the window, the
+/// second is in ticks.
 const RETRY_WINDOW_MARGIN: f64 = 0.02;
 const RETRY_WINDOW_MARGIN_TICKS: f64 = 2.0;
 
 /// An open part of an open request.
 struct OpenPart {
     request: RequestId,
-    /// The part's index in its request.
+    /// The position of the part in its request.
     index: usize,
-    /// How many attempts were sent.
+    /// Number of attempts sent.
     attempts: u8,
-    /// How many of them are known never to have run.
+    /// Number of attempts that are known never to have run.
     never_ran: u8,
-    /// When the first attempt was sent that may have run or may still run.
+    /// When the earliest attempt that may have run, or may still run, was sent; `None` before the first attempt.
     first_sent: Option<Time>,
 }
 
 /// All open requests and their parts.
 pub struct RequestTable {
-    /// Limit on open requests and open parts together.
+    /// Limit on the total number of open requests and open parts.
     capacity: usize,
     requests: BTreeMap<RequestId, OpenRequest>,
     parts: BTreeMap<RequestId, OpenPart>,
-    /// The id that the next request gets; its parts get the ids after it.
+    /// The id of the next request; the ids that follow it are assigned to the request's parts.
     next_id: u64,
+    /// Class names by class slot.
     class_names: Vec<Arc<str>>,
-    /// For each class how long after a part's first attempt another may be sent, in seconds; `None`: no limit.
+    /// Retry windows by class slot, in seconds; `None` for a class without a limit (see [`retry_window`]).
     retry_windows: Vec<Option<Seconds>>,
-    late_margin: Seconds,
-    /// Attempts of closed requests that the pool has not been told of yet.
-    orphaned: Vec<AttemptId>,
-    recent_names: RecentNames,
+    timeout_margin: Seconds,
+    /// Attempts of closed requests that have not been withdrawn from the connection pool yet.
+    orphaned_attempts: Vec<AttemptId>,
+    recent_external_ids: RecentExternalIds,
 }
 
 impl RequestTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(config: &Config) -> Self {
         let mut table = RequestTable {
             capacity: 0,
@@ -69,9 +72,9 @@
             next_id: 1,
             class_names: Vec::new(),
             retry_windows: Vec::new(),
-            late_margin: LATE_MARGIN,
-            orphaned: Vec::new(),
-            recent_names: RecentNames::default(),
+            timeout_margin: TIMEOUT_MARGIN,
+            orphaned_attempts: Vec::new(),
+            recent_external_ids: RecentExternalIds::default(),
         };
         table.reconfigure(&config.served.deployment);
         table
@@ -79,13 +82,13 @@
 
     /// Applies a reloaded deployment.
     ///
-    /// The place of a removed class keeps the class's name for the requests that still use it.
+    /// The slot of a removed class keeps the class's name for the requests that still use it.
     pub fn reconfigure(&mut self, deployment: &Deployment) {
         let policy = &deployment.policy;
-        let retention = NAME_RETENTION_DEADLINES * deployment.longest_deadline();
-        self.recent_names.retention = NAME_RETENTION.max(retention);
+        let retention = EXTERNAL_ID_RETENTION_DEADLINES * deployment.longest_deadline();
+        self.recent_external_ids.retention = EXTERNAL_ID_RETENTION.max(retention);
         self.capacity = deployment.max_in_flight;
-        self.late_margin = LATE_MARGIN.max(LATE_MARGIN_TICKS * policy.tick);
+        self.timeout_margin = TIMEOUT_MARGIN.max(TIMEOUT_MARGIN_TICKS * policy.tick);
         let windows = policy.classes.iter();
         self.retry_windows = windows
             .map(|class| retry_window(class, policy.tick))
@@ -97,34 +100,35 @@
         }
     }
 
-    /// Whether an open request uses a class's place.
+    /// Returns whether an open request uses this class slot.
     pub fn has_request_of_class(&self, class: usize) -> bool {
         let mut open = self.requests.values();
         open.any(|open| open.class() == class)
     }
 
-    /// Whether a request of this many parts fits under the limit on open requests and parts.
+    /// Returns whether a request with this many parts can be opened without exceeding the limit on open requests and
+    /// parts.
     pub fn has_capacity_for(&self, parts: usize) -> bool {
         self.requests.len() + self.parts.len() + 1 + parts <= self.capacity
     }
 
-    /// Whether a request of this name is open or was recently.
-    pub fn is_recent_name(&self, name: &str) -> bool {
-        self.recent_names.contains(name)
+    /// Returns whether a request with this external id is open or was opened recently.
+    pub fn is_recent_external_id(&self, external_id: &str) -> bool {
+        self.recent_external_ids.contains(external_id)
     }
 
-    /// How many attempts of an open part were sent.
+    /// Returns the number of attempts that were sent for a part; 0 if the part is not open.
     pub fn attempt_count(&self, part: RequestId) -> u8 {
         self.parts.get(&part).map_or(0, |part| part.attempts)
     }
 
-    /// Opens a request. Returns its id and its parts' ids.
+    /// Opens a request. Returns the request's id, and its parts with their ids.
     pub fn open(
         &mut self,
         now: Time,
         client: ClientRequest,
     ) -> (RequestId, Vec<(RequestId, PartSpec)>) {
-        self.recent_names
+        self.recent_external_ids
             .insert(now, client.request.external_id.clone());
         let id = RequestId(self.next_id);
         let part_ids = (id.0 + 1..).map(RequestId);
@@ -145,37 +149,40 @@
         (id, parts)
     }
 
-    /// Whether a request's deadline has passed or is about to.
-    pub fn is_late(&self, now: Time, open: &OpenRequest) -> bool {
-        open.deadline() - now < self.late_margin
+    /// Returns whether a request that fails now counts as timed out: its deadline has passed or is closer than the
+    /// timeout margin.
+    pub fn counts_as_timed_out(&self, now: Time, open: &OpenRequest) -> bool {
+        open.deadline() - now < self.timeout_margin
     }
 
-    /// Removes a request from the table. Whoever receives it sends the final answer; nobody else can.
+    /// Removes a request from the table and returns it; `None` if it is not open. Since a request is returned only
+    /// once, only one caller can send its final answer.
     pub fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(&id)?;
         for &part in open.part_ids() {
             let attempts = self.parts.remove(&part).map_or(0, |part| part.attempts);
             let orphaned = (0..attempts).map(|number| AttemptId { part, number });
-            self.orphaned.extend(orphaned);
+            self.orphaned_attempts.extend(orphaned);
         }
         Some(open)
     }
 
-    /// Takes the attempts of requests closed since the last call. Those that are still queued must not be sent.
+    /// Removes and returns the attempts of requests that were closed since the last call. Attempts among them that are
+    /// still queued must not be sent.
     pub fn take_orphaned_attempts(&mut self) -> Vec<AttemptId> {
-        std::mem::take(&mut self.orphaned)
+        std::mem::take(&mut self.orphaned_attempts)
     }
 
-    /// The open requests whose clients have left.
+    /// Returns the open requests whose clients have disconnected.
     pub fn requests_without_client(&self) -> Vec<RequestId> {
-        let left = self
+        let abandoned = self
             .requests
             .iter()
             .filter(|(_, open)| open.reply.is_closed());
-        left.map(|(&id, _)| id).collect()
+        abandoned.map(|(&id, _)| id).collect()
     }
 
-    /// Records how an attempt ended. The first value of a part stands.
+    /// Records the result of an attempt. The first value of a part is kept.
     pub fn record_result(&mut self, result: &AttemptResult) {
         let Some(part) = self.parts.get_mut(&result.attempt.part) else {
             return;
@@ -186,8 +193,8 @@
         }
     }
 
-    /// The next attempt of an open part, to be waited for until `deadline`. Attempts are numbered as the router numbers
-    /// them.
+    /// Creates the next attempt of an open part, whose answer is awaited until `deadline`; `None` if the part is not
+    /// open. Attempts are numbered in the same order as by the router.
     pub fn next_attempt(
         &mut self,
         now: Time,
@@ -204,7 +211,7 @@
         let number = open_part.attempts;
         open_part.attempts += 1;
         Some(OutboundAttempt {
-            wanted: Rc::new(Cell::new(true)),
+            send_allowed: Rc::new(Cell::new(true)),
             send_by: window.map(|window| first_sent + window),
             attempt: AttemptId { part, number },
             external_id: request.external_id.clone(),
@@ -217,7 +224,8 @@
     }
 }
 
-/// How long after a part's first attempt another may be sent, in seconds; `None` where the class sets no window.
+/// Returns how long after the first attempt of a part another attempt may be sent, in seconds; `None` if the class has
+/// no deduplication window.
 fn retry_window(class: &Class, tick: Seconds) -> Option<Seconds> {
     let share = RETRY_WINDOW_MARGIN * class.dedup_window;
     let margin = share.max(RETRY_WINDOW_MARGIN_TICKS * tick);
--- a/crates/coordinator/src/pipeline/request_table/open_request.rs
+++ b/crates/coordinator/src/pipeline/request_table/open_request.rs
@@ -1,4 +1,4 @@
-//! One open request and the results of its parts.
+//! An open request and the results of its parts.
 
 use crate::messages::{
     Answer, AttemptResult, ClientRequest, PartAnswer, PartFailure, PartValue, Request,
@@ -7,20 +7,20 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// An open request.
+/// An open request: a request that has not received its final answer.
 pub struct OpenRequest {
     request: Request,
-    /// Where the final answer goes; closed when the client has left.
+    /// The channel for the final answer; closed once the client has disconnected.
     pub reply: oneshot::Sender<Answer>,
-    /// The parts' ids, in the request's order.
+    /// The ids of the parts, in the order of the request.
     part_ids: Vec<RequestId>,
-    /// Each part's value or latest failure; absent until an attempt ends.
+    /// The value or the latest failure of each part; absent until an attempt of the part ends.
     results: BTreeMap<RequestId, Result<PartValue, PartFailure>>,
     any_attempt_ended: bool,
 }
 
 impl OpenRequest {
-    /// A request of which no attempt was sent yet.
+    /// Creates an open request for which no attempt has been sent yet.
     pub fn new(client: ClientRequest, part_ids: Vec<RequestId>) -> Self {
         OpenRequest {
             request: client.request,
@@ -31,27 +31,27 @@
         }
     }
 
-    /// The request as the front submitted it.
+    /// Returns the request as the front submitted it.
     pub fn request(&self) -> &Request {
         &self.request
     }
 
-    /// Index of the request's class in the deployment's class table.
+    /// Returns the index of the request's class in the deployment's class table.
     pub fn class(&self) -> usize {
         self.request.class
     }
 
-    /// When the client stops waiting.
+    /// Returns the time at which the client stops waiting.
     pub fn deadline(&self) -> Time {
         self.request.deadline
     }
 
-    /// The parts' ids, in the request's order.
+    /// Returns the ids of the parts, in the order of the request.
     pub fn part_ids(&self) -> &[RequestId] {
         &self.part_ids
     }
 
-    /// Each part's result, in the request's order.
+    /// Returns the results of all parts, in the order of the request.
     pub fn answers(&self) -> Vec<PartAnswer> {
         let parts = self.part_ids.iter().zip(&self.request.parts);
         let answers = parts.map(|(id, spec)| PartAnswer {
@@ -61,17 +61,19 @@
         answers.collect()
     }
 
+    /// Returns the result of a part; a part without any ended attempt counts as timed out.
     fn result(&self, part: &RequestId) -> Result<PartValue, PartFailure> {
         let result = self.results.get(part).cloned();
         result.unwrap_or(Err(PartFailure::TimedOut))
     }
 
-    /// Whether no attempt of it has ended. A rejection then means that there was no capacity for it.
+    /// Returns whether no attempt of the request has ended. If such a request is rejected, the reason is a lack of
+    /// capacity.
     pub fn no_attempt_ended(&self) -> bool {
         !self.any_attempt_ended
     }
 
-    /// Records how an attempt ended. The first value of a part stands; before it, the latest failure.
+    /// Records the result of an attempt. The first value of a part is kept; until there is one, the latest failure.
     pub fn record_result(&mut self, ended: &AttemptResult) {
         self.any_attempt_ended = true;
         let result = part_result(ended);
--- a/crates/coordinator/src/pipeline/request_table/recent_names.rs
+++ b/crates/coordinator/src/pipeline/request_table/recent_names.rs
@@ -1,46 +1,43 @@
-//! The names of recent requests, to recognize a name that is used twice.
+//! The external ids of recent requests, kept to detect ids that are used twice.
 
 use cairnroad_types::{Seconds, Time};
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A name and when its request was opened.
-struct UsedName {
+/// An external id and the time at which its request was opened.
+struct UsedId {
     opened_at: Time,
-    name: Arc<str>,
+    id: Arc<str>,
 }
 
-/// The names used within the retention time.
+/// The external ids of the requests that were opened within the retention time.
 #[derive(Default)]
-pub struct RecentNames {
-    /// How long a name is remembered, in seconds.
+pub struct RecentExternalIds {
+    /// How long an id is remembered, in seconds.
     pub retention: Seconds,
-    names: BTreeSet<Arc<str>>,
-    /// The same names, the oldest first.
-    by_age: VecDeque<UsedName>,
+    ids: BTreeSet<Arc<str>>,
+    /// The same ids, oldest first.
+    by_age: VecDeque<UsedId>,
 }
 
-impl RecentNames {
-    /// Whether a request used this name recently.
-    pub fn contains(&self, name: &str) -> bool {
-        self.names.contains(name)
+impl RecentExternalIds {
+    /// Returns whether a request used this id within the retention time.
+    pub fn contains(&self, id: &str) -> bool {
+        self.ids.contains(id)
     }
 
-    /// Remembers a name and forgets those older than the retention time.
-    pub fn insert(&mut self, now: Time, name: Arc<str>) {
-        self.forget_expired(now);
-        self.names.insert(name.clone());
-        self.by_age.push_back(UsedName {
-            opened_at: now,
-            name,
-        });
+    /// Adds an id and removes the ids that are older than the retention time.
+    pub fn insert(&mut self, now: Time, id: Arc<str>) {
+        self.remove_expired(now);
+        self.ids.insert(id.clone());
+        self.by_age.push_back(UsedId { opened_at: now, id });
     }
 
-    fn forget_expired(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         let retention = self.retention;
-        let expired = |used: &mut UsedName| now - used.opened_at > retention;
+        let expired = |used: &mut UsedId| now - used.opened_at > retention;
         while let Some(used) = self.by_age.pop_front_if(expired) {
-            self.names.remove(&used.name);
+            self.ids.remove(&used.id);
         }
     }
 }
--- a/crates/coordinator/src/pipeline/request_table/tests.rs
+++ b/crates/coordinator/src/pipeline/request_table/tests.rs
@@ -1,18 +1,18 @@
-//! The request table, on a clock of the test's own.
+//! Tests of the request table with simulated time.
 
 use super::*;
 use crate::messages::{Payload, Request};
 use cairnroad_types::Outcome;
 use tokio::sync::oneshot;
 
-/// How long a test's client waits for its answer, in seconds.
+/// Time between the arrival of a test request and its deadline, in seconds.
 const CLIENT_WAIT: Seconds = 9.0;
 
 fn start() -> Time {
     Time::from_secs(100.0)
 }
 
-/// A table for a deployment whose classes all have this idempotency, deduplication window and deadline.
+/// Creates a table for a deployment whose classes all have this idempotency, deduplication window and deadline.
 fn table(idempotency: Idempotency, dedup_window: Seconds, deadline: Seconds) -> RequestTable {
     let config = crate::configuration::tests::sample();
     let mut deployment = config.served.deployment.clone();
@@ -26,10 +26,10 @@
     table
 }
 
-fn client(name: &str, now: Time) -> ClientRequest {
+fn client(external_id: &str, now: Time) -> ClientRequest {
     let (reply, _) = oneshot::channel();
     let request = Request {
-        external_id: name.into(),
+        external_id: external_id.into(),
         class: 0,
         deadline: now + CLIENT_WAIT,
         client_retry: false,
@@ -44,9 +44,10 @@
     ClientRequest { request, reply }
 }
 
-/// Guards against a name that is forgotten while its request may still be open, where deadlines are long.
+/// Guards against an external id that is forgotten while its request may still be open, which a fixed retention time
+/// would cause with long deadlines.
 #[test]
-fn a_name_is_remembered_for_longer_than_a_request_may_be_open() {
+fn an_external_id_is_remembered_for_longer_than_a_request_may_be_open() {
     for (deadline, retention) in [(2.0, 10.0), (12.0, 24.0)] {
         let mut table = table(Idempotency::Idempotent, 0.0, deadline);
         table.open(start(), client("first", start()));
@@ -54,16 +55,16 @@
             let now = start() + age;
             table.open(now, client(&age.to_string(), now));
             assert_eq!(
-                table.is_recent_name("first"),
+                table.is_recent_external_id("first"),
                 remembered,
-                "{age} s, with a deadline of {deadline} s"
+                "age {age} s with a deadline of {deadline} s"
             );
         }
     }
 }
 
-/// Guards against an attempt with an idempotency key that is sent after its deduplication window, which counts from the
-/// first attempt that may have run.
+/// Guards against an attempt with an idempotency key that is sent after its deduplication window. The window starts
+/// with the first attempt that may have run.
 #[test]
 fn retries_with_an_idempotency_key_stop_before_the_dedup_window_ends() {
     let start = start();
@@ -79,7 +80,10 @@
         value: None,
     });
     let second = table.next_attempt(start + 1.5, part, end).unwrap();
-    assert!(second.may_be_sent(start + 3.4), "the first one never ran");
+    assert!(
+        second.may_be_sent(start + 3.4),
+        "the first attempt never ran, so the window must start with the second"
+    );
     table.record_result(&AttemptResult {
         attempt: second.attempt,
         outcome: Outcome::Reset,
@@ -88,9 +92,9 @@
     let third = table.next_attempt(start + 2.5, part, end).unwrap();
     assert!(
         third.may_be_sent(start + 3.4) && !third.may_be_sent(start + 3.5),
-        "the second one may have run"
+        "the second attempt may have run, so the window must start with it"
     );
-    third.wanted.set(false);
+    third.send_allowed.set(false);
     assert!(!third.may_be_sent(start + 2.6));
 }
 
@@ -103,9 +107,10 @@
     assert!(attempt.unwrap().may_be_sent(start + 8.0));
 }
 
-/// Guards against a failure some long ticks before the deadline that is not answered as late.
+/// Guards against a failure some ticks before the deadline that is not answered as a timeout, which a fixed margin
+/// would cause with long ticks.
 #[test]
-fn a_failure_some_ticks_before_the_deadline_counts_as_late_with_any_tick() {
+fn a_failure_some_ticks_before_the_deadline_counts_as_timed_out_with_any_tick() {
     for (tick, late, early) in [(0.005, 0.04, 0.06), (0.04, 0.18, 0.22)] {
         let start = start();
         let config = crate::configuration::tests::sample();
@@ -116,12 +121,12 @@
         let (id, _) = table.open(start, client("one", start));
         let open = table.close(id).unwrap();
         assert!(
-            table.is_late(start + (CLIENT_WAIT - late), &open),
-            "a tick of {tick} s"
+            table.counts_as_timed_out(start + (CLIENT_WAIT - late), &open),
+            "{late} s before the deadline with a tick of {tick} s"
         );
         assert!(
-            !table.is_late(start + (CLIENT_WAIT - early), &open),
-            "a tick of {tick} s"
+            !table.counts_as_timed_out(start + (CLIENT_WAIT - early), &open),
+            "{early} s before the deadline with a tick of {tick} s"
         );
     }
 }
--- a/crates/coordinator/src/pipeline/respond.rs
+++ b/crates/coordinator/src/pipeline/respond.rs
@@ -1,14 +1,14 @@
-//! Builds final answers from the router's decisions and sends each to its front, exactly once.
+//! Builds the final answers from the router's decisions and sends each to its front exactly once.
 
 use super::request_table::{OpenRequest, RequestTable};
 use crate::messages::Answer;
 use crate::observability::metrics::{Counter, Metrics};
 use cairnroad_types::{Action, RequestId, Seconds, Time};
 
-/// Retry-After where the router states none, in seconds.
+/// Retry-After of a rejection for which the router states none, in seconds.
 const DEFAULT_RETRY_AFTER: Seconds = 1.0;
 
-/// The request that an action ends; `None` where the action is not a final answer.
+/// Returns the request that an action ends; `None` if the action is not a final answer.
 pub fn ended_request(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Answer { query, .. } | Action::Reject { query, .. } | Action::Fail { query } => {
@@ -26,12 +26,12 @@
     requests: &mut RequestTable,
     metrics: &mut Metrics,
 ) {
-    // An id that is no longer open was withdrawn in this very tick.
+    // A request that is no longer open was withdrawn earlier in this tick.
     let Some(open) = requests.close(id) else {
         return;
     };
     let answer = final_answer(action, now, &open, requests, metrics);
-    // A front that dropped the other end has lost its client: nobody is left to answer.
+    // Sending fails if the front dropped the receiver because its client disconnected; the answer is then discarded.
     let _ = open.reply.send(answer);
 }
 
@@ -57,7 +57,7 @@
             }
         }
         _ => Answer::Failed {
-            timed_out: requests.is_late(now, open),
+            timed_out: requests.counts_as_timed_out(now, open),
         },
     }
 }
--- a/crates/coordinator/src/pipeline/timer.rs
+++ b/crates/coordinator/src/pipeline/timer.rs
@@ -1,19 +1,19 @@
-//! The timers of the core.
+//! The kinds of timers that the core schedules.
 
 use crate::messages::{AttemptId, ConnectionId};
 
-/// What a timer of the core stands for. Timers are not cancelled: the receiver checks whether one still matters.
+/// A timer of the core. Timers are never cancelled: when one fires, the handler checks whether it is still relevant.
 pub enum Timer {
-    /// The router asked to be called.
+    /// Calls the router at a time that it requested.
     RouterWakeUp,
-    /// An attempt's deadline.
+    /// Times out an attempt that is still in flight.
     AttemptDeadline(AttemptId),
-    /// By now the connection with this number should be established.
+    /// Closes a connection that is not established by now.
     DialDeadline(ConnectionId),
-    /// Idle connections are closed.
+    /// Sweeps the connection pool for connections that are no longer needed.
     ConnectionSweep,
-    /// Stored suspensions are read for changes of another process.
+    /// Reads the stored suspensions, which another process may have changed.
     SuspensionPoll,
-    /// The outliers that this coordinator found are published to the cluster.
+    /// Publishes the outliers that this coordinator found to the cluster.
     OutlierPublication,
 }
