--- a/crates/coordinator/src/backends/frames/answers.rs
+++ b/crates/coordinator/src/backends/frames/answers.rs
@@ -56,8 +56,8 @@
         self.in_flight.insert(id, awaited);
     }
 
-    /// Stops awaiting the answer to an attempt. Returns its id in frames; `None` if its
-    /// frame was not written yet or it has already been answered.
+    /// Stops awaiting the answer to an attempt. Returns its id in frames; `None` if its frame was not written yet or it
+    /// has already been answered.
     pub(super) fn cancel(&mut self, attempt: AttemptId) -> Option<String> {
         let id = self.ids.remove(&attempt)?;
         self.in_flight.remove(&id);
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -5,13 +5,15 @@
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A gap between two ticks that is longer than this is a stall of the process. The longer of both values applies; the
-/// first is in seconds, the second in ticks.
+/// A gap between two ticks that is longer than this is a stall of the process. In seconds; the longer of this value and
+/// [`STALL_THRESHOLD_TICKS`] applies.
 const STALL_THRESHOLD: Seconds = 0.025;
+/// The same threshold in ticks.
 const STALL_THRESHOLD_TICKS: f64 = 2.5;
-/// Data that is read within this time after a stall may have arrived during the stall. The longer of both values
-/// applies; the first is in seconds, the second in ticks.
+/// Data that is read within this time after a stall may have arrived during the stall. In seconds; the longer of
+/// this value and [`POST_STALL_WINDOW_TICKS`] applies.
 const POST_STALL_WINDOW: Seconds = 0.010;
+/// The same time in ticks.
 const POST_STALL_WINDOW_TICKS: f64 = 2.0;
 
 /// A monotonic clock that counts from the Unix epoch. Clones share their state.
--- a/crates/coordinator/src/pipeline/request_table.rs
+++ b/crates/coordinator/src/pipeline/request_table.rs
@@ -15,20 +15,22 @@
 use std::sync::Arc;
 
 /// A request that fails with less time than this left until its deadline counts as timed out, because the router fails
-/// a request some ticks before its deadline. The longer of both values applies; the first is in seconds, the second in
-/// ticks.
+/// a request some ticks before its deadline. In seconds; the longer of this value and [`TIMEOUT_MARGIN_TICKS`] applies.
 const TIMEOUT_MARGIN: Seconds = 0.05;
+/// The same margin in ticks.
 const TIMEOUT_MARGIN_TICKS: f64 = 5.0;
 /// How long the external id of a request is remembered: longer than the request can be open, and long enough for a
-/// server to answer an abandoned part of it. Clients use a new id for each request, including retries. The longer of
-/// both values applies; the first is in seconds, the second in multiples of the longest deadline of all classes.
+/// server to answer an abandoned part of it. Clients use a new id for each request, including retries. In seconds; the
+/// longer of this value and [`EXTERNAL_ID_RETENTION_DEADLINES`] applies.
 const EXTERNAL_ID_RETENTION: Seconds = 10.0;
+/// The same retention time, as a multiple of the longest deadline of all classes.
 const EXTERNAL_ID_RETENTION_DEADLINES: f64 = 2.0;
 /// Safety margin before the end of a deduplication window: no attempt at a part of a class with such a window is sent
 /// later than that, because the attempt takes time to arrive. This also applies to the first attempt, which may wait
-/// for its connection while a hedge runs. The longer of both values applies; the first is a share of the window, the
-/// second is in ticks.
+/// for its connection while a hedge runs. As a share of the window; the longer of this value and
+/// [`RETRY_WINDOW_MARGIN_TICKS`] applies.
 const RETRY_WINDOW_MARGIN: f64 = 0.02;
+/// The same margin in ticks.
 const RETRY_WINDOW_MARGIN_TICKS: f64 = 2.0;
 
 /// An open part of an open request.
@@ -37,9 +39,9 @@
     /// The position of the part in its request.
     index: usize,
     /// Number of attempts sent.
-    attempts: u8,
+    attempt_count: u8,
     /// Number of attempts that are known never to have run.
-    never_ran: u8,
+    never_ran_count: u8,
     /// When the earliest attempt that may have run, or may still run, was sent; `None` before the first attempt.
     first_sent: Option<Time>,
 }
@@ -119,7 +121,7 @@
 
     /// Returns the number of attempts that were sent for a part; 0 if the part is not open.
     pub fn attempt_count(&self, part: RequestId) -> u8 {
-        self.parts.get(&part).map_or(0, |part| part.attempts)
+        self.parts.get(&part).map_or(0, |part| part.attempt_count)
     }
 
     /// Opens a request. Returns the request's id, and its parts with their ids.
@@ -138,8 +140,8 @@
             let open = OpenPart {
                 request: id,
                 index,
-                attempts: 0,
-                never_ran: 0,
+                attempt_count: 0,
+                never_ran_count: 0,
                 first_sent: None,
             };
             self.parts.insert(*part, open);
@@ -160,7 +162,10 @@
     pub fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(&id)?;
         for &part in open.part_ids() {
-            let attempts = self.parts.remove(&part).map_or(0, |part| part.attempts);
+            let attempts = self
+                .parts
+                .remove(&part)
+                .map_or(0, |part| part.attempt_count);
             let orphaned = (0..attempts).map(|number| AttemptId { part, number });
             self.orphaned_attempts.extend(orphaned);
         }
@@ -187,7 +192,7 @@
         let Some(part) = self.parts.get_mut(&result.attempt.part) else {
             return;
         };
-        part.never_ran += u8::from(result.outcome.never_ran());
+        part.never_ran_count += u8::from(result.outcome.never_ran());
         if let Some(open) = self.requests.get_mut(&part.request) {
             open.record_result(result);
         }
@@ -203,13 +208,13 @@
     ) -> Option<OutboundAttempt> {
         let open_part = self.parts.get_mut(&part)?;
         let request = self.requests.get(&open_part.request)?.request();
-        if open_part.attempts == open_part.never_ran {
+        if open_part.attempt_count == open_part.never_ran_count {
             open_part.first_sent = Some(now);
         }
         let first_sent = open_part.first_sent.unwrap_or(now);
         let window = self.retry_windows.get(request.class).copied().flatten();
-        let number = open_part.attempts;
-        open_part.attempts += 1;
+        let number = open_part.attempt_count;
+        open_part.attempt_count += 1;
         Some(OutboundAttempt {
             send_allowed: Rc::new(Cell::new(true)),
             send_by: window.map(|window| first_sent + window),
