--- a/crates/cluster/src/membership/anti_entropy.rs
+++ b/crates/cluster/src/membership/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Gossip entries: publishing this coordinator's own, and reconciling all with other members by digests.
+//! Publication of this coordinator's gossip entries, and reconciliation of all entries with other members by digests.
 
 use super::config::Output;
 use super::timing::{
@@ -14,10 +14,10 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Publishes a value without regard to time and state of this coordinator.
+    /// Publishes a value without advancing the clock and without checking whether this coordinator has left.
     pub(super) fn publish_entry(&mut self, value: GossipValue) {
         self.last_entry_version += 1;
-        self.published.insert(value.kind(), value.clone());
+        self.published_values.insert(value.kind(), value.clone());
         let entry = GossipEntry {
             writer: self.local.name,
             generation: self.local.generation,
@@ -30,15 +30,15 @@
 
     fn broadcast(&mut self, entry: &GossipEntry) {
         if let Ok(bytes) = postcard::to_allocvec(entry) {
-            // The library refuses entries that are no news here: nothing to pass on then.
+            // The library refuses entries that are not new to this coordinator; they need not be passed on.
             let _ = self.swim.add_broadcast(&bytes);
         }
     }
 
-    /// Compares digests with a random live member.
+    /// Starts a comparison of digests with a random live member, and schedules the next one.
     pub(super) fn start_anti_entropy(&mut self, out: &mut Vec<Output>) {
         let spread = ANTI_ENTROPY_JITTER.end - ANTI_ENTROPY_JITTER.start;
-        let jitter = ANTI_ENTROPY_JITTER.start + spread * self.random.random::<f64>();
+        let jitter = ANTI_ENTROPY_JITTER.start + spread * self.rng.random::<f64>();
         self.schedule.anti_entropy = self.clock.now() + ANTI_ENTROPY_INTERVAL * jitter;
         let live: Vec<SocketAddr> = self
             .live_members()
@@ -47,11 +47,12 @@
         if live.is_empty() {
             return;
         }
-        let to = live[self.random.random_range(0..live.len())];
+        let to = live[self.rng.random_range(0..live.len())];
         self.send_digests(to, false, out);
     }
 
-    /// Sends a member the entries in which it differs, and this coordinator's digests if the member began.
+    /// Sends a member the entries of differing buckets. Unless the digests are a reply, also sends this coordinator's
+    /// digests in return.
     pub(super) fn on_digests(
         &self,
         sender: MemberId,
@@ -79,7 +80,8 @@
         Ok(())
     }
 
-    /// Merges entries. News is passed on like this coordinator's own: others were cut off from it, too.
+    /// Merges entries. New ones are broadcast like this coordinator's own, because other members may have missed them
+    /// too.
     pub(super) fn on_gossip_entries(&mut self, entries: &[GossipEntry]) {
         for entry in entries {
             self.broadcast(entry);
--- a/crates/cluster/src/membership/clock.rs
+++ b/crates/cluster/src/membership/clock.rs
@@ -1,13 +1,15 @@
-//! A clock that stands still while the process does not run.
+//! A clock that stops while the process is paused.
 
 use super::timing::{PAUSE_THRESHOLD, TICK_INTERVAL};
 use cairnroad_types::{Seconds, Time};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Membership time. After a pause no suspicion ripens by time in which its refutation could not be read.
+/// Clock of the membership time, which leaves out pauses of the process. Otherwise suspicions would time out during a
+/// pause, in which their refutations could not be received.
 pub(super) struct PausableClock {
     now: Rc<Cell<Time>>,
+    /// Total time of all pauses, which is subtracted from the wall clock.
     total_pause: Seconds,
     last_tick: Option<Time>,
 }
@@ -21,29 +23,29 @@
         }
     }
 
-    /// Membership time as it was last set.
+    /// Returns the membership time as of the last [`PausableClock::advance`].
     pub(super) fn now(&self) -> Time {
         self.now.get()
     }
 
-    /// The cell that holds [`PausableClock::now`], to be read by the broadcast handler.
-    pub(super) fn shared(&self) -> Rc<Cell<Time>> {
+    /// Returns the cell that holds [`PausableClock::now`], from which the broadcast handler reads the time.
+    pub(super) fn shared_now(&self) -> Rc<Cell<Time>> {
         self.now.clone()
     }
 
-    /// Notes a tick and returns how long ago the one before it was.
+    /// Records a tick and returns the time since the previous one; 0 at the first tick.
     pub(super) fn record_tick(&mut self, wall_now: Time) -> Seconds {
         let last = self.last_tick.replace(wall_now);
         last.map_or(0.0, |last| wall_now - last)
     }
 
-    /// Leaves a gap between two ticks out of membership time.
+    /// Excludes a gap between two ticks from the membership time, except for one tick interval.
     pub(super) fn skip_pause(&mut self, gap: Seconds) {
         self.total_pause += gap - TICK_INTERVAL;
     }
 
-    /// Sets membership time by the wall clock. In the middle of a pause, before the tick that measures it, time
-    /// stands still.
+    /// Sets the membership time by the wall clock. After a pause, the time does not advance until the next tick has
+    /// measured the pause.
     pub(super) fn advance(&self, wall_now: Time) {
         let is_pause_unmeasured = self
             .last_tick
--- a/crates/cluster/src/membership/config.rs
+++ b/crates/cluster/src/membership/config.rs
@@ -1,4 +1,4 @@
-//! Configuration and outputs of a membership.
+//! Configuration and outputs of a [`Membership`](crate::Membership).
 
 use crate::identity::MemberId;
 use crate::quorum::QuorumView;
@@ -7,59 +7,59 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What a coordinator is in its cluster.
+/// Configuration of one coordinator's membership.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// The cluster's name: two clusters of different names never merge.
+    /// The cluster's name. Two clusters with different names never merge.
     pub cluster_name: String,
     /// The coordinator's name.
     pub name: String,
-    /// The room that it stands in.
+    /// The room that the coordinator is located in, published to the other members.
     pub room: String,
-    /// What it offers to others.
+    /// What the coordinator offers, published to the other members.
     pub offers: Vec<String>,
-    /// Where it receives datagrams.
+    /// The address to which other members send their datagrams.
     pub address: SocketAddr,
-    /// When the process started, in Unix milliseconds.
+    /// Start time of the process in Unix milliseconds.
     pub generation: u64,
-    /// The names of the configured group.
+    /// The names of all members of the configured group, this coordinator included.
     pub member_names: BTreeSet<String>,
-    /// Where other members may be found at first.
+    /// Addresses that are contacted to discover other members.
     pub seeds: Vec<SocketAddr>,
-    /// Seeds the random generator, the only source of chance.
+    /// Seed of the random number generator, the only source of randomness.
     pub random_seed: u64,
 }
 
-/// What is to be done, or has changed.
+/// An action for the caller to carry out, or a change to report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a datagram.
+    /// A datagram has to be sent.
     SendDatagram {
-        /// The receiver.
+        /// The address of the receiver.
         to: SocketAddr,
-        /// The whole datagram.
+        /// The encoded datagram, header included.
         bytes: Vec<u8>,
     },
     /// A member's state changed.
     MemberChanged {
-        /// The member.
+        /// The member's identity.
         id: MemberId,
-        /// Its name, if its description has arrived.
+        /// The member's name, if its description has arrived.
         name: Option<String>,
-        /// Its new state.
+        /// The member's new state.
         state: MemberState,
     },
-    /// A newer process took a member's place under its name.
+    /// A newer process replaced a member, or this coordinator, under its name.
     MemberReplaced {
-        /// The earlier process.
+        /// The process that was replaced.
         earlier: MemberId,
-        /// The later process.
+        /// The process that holds the name now.
         later: MemberId,
     },
-    /// How much of the group is seen has changed.
+    /// This coordinator's view of the configured group changed.
     QuorumChanged(QuorumView),
-    /// Other members had declared this coordinator failed, or it could not know; it rejoined.
+    /// This coordinator rejoined under a new identity: other members had declared it failed, or may have done so.
     Rejoined,
-    /// This process did not run for so many seconds.
+    /// The process was stopped or starved for this number of seconds.
     Paused(Seconds),
 }
--- a/crates/cluster/src/membership/identity_queries.rs
+++ b/crates/cluster/src/membership/identity_queries.rs
@@ -1,11 +1,11 @@
-//! Queries who is alive: to find members through seeds, to check whether this coordinator is heard, and to learn of a
-//! newer process under its own name.
+//! Identity queries. They discover members through seeds, check whether this coordinator is reachable, and detect newer
+//! processes under its own name.
 
 use super::config::Output;
 use super::swim::SwimOutput;
 use super::timing::{
-    CONTACTS_PER_ATTEMPT, REACHABILITY_QUERIES, REACHABILITY_TIMEOUT, SEED_CONTACT_INTERVAL_ALONE,
-    SEED_CONTACT_INTERVAL_PARTIAL,
+    CONTACTS_PER_ATTEMPT, REACHABILITY_QUERIES, REACHABILITY_TIMEOUT,
+    SEED_CONTACT_INTERVAL_INCOMPLETE, SEED_CONTACT_INTERVAL_ISOLATED,
 };
 use super::Membership;
 use crate::datagram::ClusterMessage;
@@ -16,44 +16,44 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Asks seeds who they are: often while no member is live, now and then while some are missing.
+    /// Sends identity queries to random seeds: often while no other member is live, rarely while some are missing.
     pub(super) fn contact_seeds(&mut self, out: &mut Vec<Output>) {
-        let is_alone = self.live_members().next().is_none();
-        let interval = if is_alone {
-            SEED_CONTACT_INTERVAL_ALONE
+        let is_isolated = self.live_members().next().is_none();
+        let interval = if is_isolated {
+            SEED_CONTACT_INTERVAL_ISOLATED
         } else {
-            SEED_CONTACT_INTERVAL_PARTIAL
+            SEED_CONTACT_INTERVAL_INCOMPLETE
         };
         self.schedule.seed_contact = self.clock.now() + interval;
         if self.quorum_view == QuorumView::Complete {
             return;
         }
         for _ in 0..CONTACTS_PER_ATTEMPT.min(self.config.seeds.len()) {
-            let seed = self.config.seeds[self.random.random_range(0..self.config.seeds.len())];
+            let seed = self.config.seeds[self.rng.random_range(0..self.config.seeds.len())];
             if seed != self.local.address {
-                self.send_identity_query(seed, self.anyone(), out);
+                self.send_identity_query(seed, self.any_member(), out);
             }
         }
     }
 
-    /// After a probe that was answered neither directly nor through others: finds out whether the probed member is at
-    /// fault, or this coordinator is not heard.
+    /// Starts a reachability check after a probe failed both directly and through other members. It shows whether the
+    /// probed member failed or this coordinator is unreachable.
     pub(super) fn query_reachability(&mut self, out: &mut Vec<Output>) {
-        let others: Vec<SocketAddr> = self
+        let live_addresses: Vec<SocketAddr> = self
             .live_members()
             .map(|member| member.id.address)
             .collect();
-        if others.is_empty() || self.reachability_deadline.is_some() {
+        if live_addresses.is_empty() || self.reachability_deadline.is_some() {
             return;
         }
         self.reachability_deadline = Some(self.clock.now() + REACHABILITY_TIMEOUT);
         for _ in 0..REACHABILITY_QUERIES {
-            let to = others[self.random.random_range(0..others.len())];
-            self.send_identity_query(to, self.anyone(), out);
+            let to = live_addresses[self.rng.random_range(0..live_addresses.len())];
+            self.send_identity_query(to, self.any_member(), out);
         }
     }
 
-    /// Counts a reachability check that no member answered in time.
+    /// Records poor health if no member answered the reachability check in time.
     pub(super) fn check_reachability(&mut self) {
         let now = self.clock.now();
         if self
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Asks members and seeds who holds this coordinator's name.
+    /// Asks random members and seeds which process holds this coordinator's name.
     pub(super) fn query_own_name(&mut self, out: &mut Vec<Output>) {
         let mut addresses: Vec<SocketAddr> = self
             .members
@@ -74,34 +74,34 @@
             .collect();
         addresses.extend(&self.config.seeds);
         for _ in 0..CONTACTS_PER_ATTEMPT.min(addresses.len()) {
-            let to = addresses[self.random.random_range(0..addresses.len())];
+            let to = addresses[self.rng.random_range(0..addresses.len())];
             self.send_identity_query(to, self.local, out);
         }
     }
 
-    /// Answers who is known under a name, unless the asker knows it already.
+    /// Replies with the process that is known under a name, unless it is the sender of the query itself.
     pub(super) fn on_identity_query(
         &self,
-        asker: MemberId,
+        sender: MemberId,
         subject: NameHash,
         out: &mut Vec<Output>,
     ) {
-        let known = if subject == self.local.name || subject == NameHash::ANY {
-            (!self.ownership.is_replaced()).then_some(self.local)
+        let known_id = if subject == self.local.name || subject == NameHash::ANY {
+            (!self.name_ownership.is_replaced()).then_some(self.local)
         } else {
             self.members.get(&subject).map(|member| member.id)
         };
-        let Some(known) = known.filter(|known| *known != asker) else {
+        let Some(known_id) = known_id.filter(|id| *id != sender) else {
             return;
         };
         let reply = ClusterMessage::IdentityReply {
-            subject: known,
-            from_subject: known.name == self.local.name,
+            subject: known_id,
+            from_subject: known_id.name == self.local.name,
         };
-        self.send(asker.address, &reply, out);
+        self.send(sender.address, &reply, out);
     }
 
-    /// A member says who it is, or who is known under a name.
+    /// Handles a member's reply with its own identity or with the process that it knows under a name.
     pub(super) fn on_identity_reply(
         &mut self,
         subject: MemberId,
@@ -111,8 +111,9 @@
         if subject.name != self.local.name {
             self.on_other_identity(subject, from_subject, out);
         } else if subject.supersedes(&self.local) {
-            // Only the rival's own reply settles the challenge; another member's may be about one that has ended.
-            if from_subject && self.ownership.awaits_answer() {
+            // Only a reply of the newer process itself decides the challenge; the process that another member knows may
+            // have ended.
+            if from_subject && self.name_ownership.awaits_answer() {
                 self.yield_name(subject, out);
             } else {
                 self.filter.borrow_mut().newer_process = Some(subject);
@@ -122,18 +123,19 @@
 
     fn on_other_identity(&mut self, subject: MemberId, from_subject: bool, out: &mut Vec<Output>) {
         if from_subject {
-            // Whoever answers hears this coordinator.
+            // The reply proves that this coordinator is reachable.
             self.reachability_deadline = None;
         }
-        if !self.ownership.is_replaced() && !self.is_live(&subject) {
+        if !self.name_ownership.is_replaced() && !self.is_live(&subject) {
             let mut swim_output = SwimOutput::default();
-            // An announcement that can't be sent is one that was lost.
+            // An announcement that can't be sent is treated like a lost datagram.
             let _ = self.swim.announce(subject, &mut swim_output);
             self.apply(swim_output, out);
         }
     }
 
-    fn anyone(&self) -> MemberId {
+    /// Returns the subject of a query about its receiver.
+    fn any_member(&self) -> MemberId {
         MemberId {
             name: NameHash::ANY,
             ..self.local
--- a/crates/cluster/src/membership/messages.rs
+++ b/crates/cluster/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! Datagrams in and out.
+//! Handling of received datagrams and encoding of sent ones.
 
 use super::config::Output;
 use super::swim::SwimOutput;
@@ -8,7 +8,7 @@
 use crate::identity::NameHash;
 use std::net::SocketAddr;
 
-/// What a SWIM message says of its sender's view.
+/// The version of the sender's view, as carried by a SWIM message.
 struct PeerView {
     member: NameHash,
     epoch: u64,
@@ -58,7 +58,7 @@
         bytes: &[u8],
         out: &mut Vec<Output>,
     ) -> Result<(), DatagramError> {
-        if self.ownership.is_replaced() {
+        if self.name_ownership.is_replaced() {
             return Ok(());
         }
         let mut swim_output = SwimOutput::default();
@@ -71,7 +71,8 @@
             .is_some_and(|member| member.state.is_live());
         if is_live {
             self.peer_digests.insert(peer_view.member, peer_view.digest);
-            self.version.observe_peer(peer_view.epoch, peer_view.digest);
+            self.view_version
+                .observe_peer(peer_view.epoch, peer_view.digest);
         }
         Ok(())
     }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Sends a message; one that is too large for a datagram is dropped.
+    /// Sends a message. A message that is too large for a datagram is dropped.
     pub(super) fn send(&self, to: SocketAddr, message: &ClusterMessage, out: &mut Vec<Output>) {
         if let Some(bytes) = datagram::encode(&self.config.cluster_name, message) {
             out.push(Output::SendDatagram { to, bytes });
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1,19 +1,20 @@
-//! The membership state machine of one coordinator: datagrams and time in, datagrams and changes out.
+//! The membership state machine of one coordinator. Its inputs are datagrams and the time, its outputs are datagrams
+//! and changes to report.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
 //! | `config` | [`MembershipConfig`] and [`Output`] |
-//! | `timing` | intervals, timeouts and bounds |
+//! | `timing` | intervals, timeouts and limits |
 //! | `swim` | the SWIM library: its configuration and callbacks |
-//! | `messages` | datagrams in and out |
-//! | `transitions` | members' states, timers |
-//! | `anti_entropy` | gossip entries: publishing and reconciling |
-//! | `identity_queries` | seeds, reachability of this coordinator |
-//! | `name_ownership` | two processes under one name |
-//! | `rejoin` | coming back after a pause or a verdict of the others |
-//! | `status` | this coordinator's health and quorum view |
-//! | `queries` | what is reported: view, outlier reports, counters |
-//! | `clock`, `timers`, `view_version` | values of their own |
+//! | `messages` | received and sent datagrams |
+//! | `transitions` | state changes of members, timers |
+//! | `anti_entropy` | publication and reconciliation of gossip entries |
+//! | `identity_queries` | contact with seeds, check of this coordinator's reachability |
+//! | `name_ownership` | conflicts between two processes under one name |
+//! | `rejoin` | rejoining after a pause or after other members declared this coordinator failed |
+//! | `status` | this coordinator's health, name ownership and quorum view |
+//! | `queries` | read access: view, outlier reports, counters |
+//! | `clock`, `timers`, `view_version` | data types that the other modules use |
 
 mod anti_entropy;
 mod clock;
@@ -59,7 +60,7 @@
 use timing::{ANTI_ENTROPY_INTERVAL, MEMBER_SCAN_INTERVAL, PAUSE_THRESHOLD};
 use view_version::ViewVersion;
 
-/// When periodic tasks run next.
+/// Times at which the periodic tasks run next.
 struct Schedule {
     seed_contact: Time,
     anti_entropy: Time,
@@ -76,44 +77,45 @@
     }
 }
 
-/// One coordinator's part in its cluster.
+/// The membership of one coordinator in its cluster.
 pub struct Membership {
     config: MembershipConfig,
-    /// The configured group: only its names count towards the quorum.
-    voters: BTreeSet<NameHash>,
+    /// Names of the configured group. Only these members count towards the quorum.
+    voter_names: BTreeSet<NameHash>,
     local: MemberId,
     swim: Swim,
     filter: Rc<RefCell<MessageFilter>>,
     gossip: Rc<RefCell<GossipState>>,
     clock: PausableClock,
-    random: StdRng,
+    rng: StdRng,
     timers: SwimTimers,
     schedule: Schedule,
-    /// All known members, this coordinator not included.
+    /// All known members except this coordinator.
     members: BTreeMap<NameHash, Member>,
-    version: ViewVersion,
-    /// The digest of each live member's view, as in its last message.
+    view_version: ViewVersion,
+    /// The digest of each live member's view, taken from its last message.
     peer_digests: BTreeMap<NameHash, u64>,
-    /// What this coordinator published, to be published again under a new identity.
-    published: BTreeMap<EntryKind, GossipValue>,
+    /// The latest values that this coordinator published. They are published again under a new identity.
+    published_values: BTreeMap<EntryKind, GossipValue>,
     last_entry_version: u32,
     health: LocalHealth,
-    /// This coordinator's SWIM incarnation when its health was last updated.
+    /// This coordinator's SWIM incarnation at the last update of its health.
     last_incarnation: u16,
-    /// Until when members may answer that they hear this coordinator, while it checks that.
+    /// Deadline for replies to the reachability check that is running, if any.
     reachability_deadline: Option<Time>,
-    /// After a restart no member has shown yet that it knows this coordinator's identity.
+    /// Whether the coordinator restarted its membership and no member has confirmed its new identity yet.
     awaits_confirmation: bool,
-    rejoins: RejoinHistory,
-    ownership: NameOwnership,
-    /// It announced that it leaves, and does nothing more.
+    rejoin_history: RejoinHistory,
+    name_ownership: NameOwnership,
+    /// Whether this coordinator announced that it leaves. It then ignores all inputs.
     has_left: bool,
     quorum_view: QuorumView,
-    drops: DropCounts,
+    drop_counts: DropCounts,
 }
 
 impl Membership {
-    /// A coordinator that knows its configuration and no other member. The first [`Membership::tick`]s find others.
+    /// Creates a membership that knows its configuration and no other member. Other members are discovered by the first
+    /// calls of [`Membership::tick`].
     pub fn new(config: MembershipConfig, now: Time) -> Membership {
         let local = MemberId {
             name: NameHash::of(&config.name),
@@ -124,15 +126,15 @@
         let filter = Rc::new(RefCell::new(MessageFilter::new(local)));
         let gossip: Rc<RefCell<GossipState>> = Rc::default();
         let clock = PausableClock::new(now);
-        let mut random = StdRng::seed_from_u64(config.random_seed);
+        let mut rng = StdRng::seed_from_u64(config.random_seed);
         let parts = SwimParts {
             codec: FilteringCodec(filter.clone()),
             gossip: gossip.clone(),
-            now: clock.shared(),
-            random: StdRng::seed_from_u64(random.random()),
+            now: clock.shared_now(),
+            rng: StdRng::seed_from_u64(rng.random()),
         };
         let mut membership = Membership {
-            voters: config
+            voter_names: config
                 .member_names
                 .iter()
                 .map(|name| NameHash::of(name))
@@ -142,23 +144,23 @@
             filter,
             gossip,
             clock,
-            random,
+            rng,
             timers: SwimTimers::default(),
             schedule: Schedule::new(now),
             members: BTreeMap::new(),
-            version: ViewVersion::new(&local),
+            view_version: ViewVersion::new(&local),
             peer_digests: BTreeMap::new(),
-            published: BTreeMap::new(),
+            published_values: BTreeMap::new(),
             last_entry_version: 0,
             health: LocalHealth::default(),
             last_incarnation: 0,
             reachability_deadline: None,
             awaits_confirmation: false,
-            rejoins: RejoinHistory::new(now),
-            ownership: NameOwnership::Held,
+            rejoin_history: RejoinHistory::new(now),
+            name_ownership: NameOwnership::Held,
             has_left: false,
             quorum_view: QuorumView::Isolated,
-            drops: DropCounts::default(),
+            drop_counts: DropCounts::default(),
             config,
         };
         membership.publish_description();
@@ -176,20 +178,20 @@
         self.publish_entry(GossipValue::Description(description));
     }
 
-    /// Handles a datagram. After a pause all waiting datagrams are to be given here before the next
-    /// [`Membership::tick`].
+    /// Handles a received datagram. After a pause of the process, the caller passes all waiting datagrams before the
+    /// next [`Membership::tick`], so that they count before the pause does.
     pub fn on_datagram(&mut self, now: Time, bytes: &[u8], out: &mut Vec<Output>) {
         if self.has_left {
             return;
         }
         self.clock.advance(now);
         if let Err(cause) = self.handle_datagram(bytes, out) {
-            self.drops.record(cause);
+            self.drop_counts.record(cause);
         }
         self.update_status(out);
     }
 
-    /// Lets time pass. To be called every [`TICK_INTERVAL`].
+    /// Advances the time and runs what is due. The caller calls this every [`TICK_INTERVAL`] seconds.
     pub fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.has_left {
             return;
@@ -209,17 +211,17 @@
     fn run_due_timers(&mut self, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop_due(self.clock.now()) {
             if let Timer::RemoveDown(id) = &timer {
-                self.forget_removed(id);
+                self.forget_removed_member(id);
             }
             let mut swim_output = SwimOutput::default();
-            // An error tells of a probe cycle that a rejoin has cut short; the library goes on.
+            // An error means that a rejoin interrupted a probe cycle, from which the library recovers by itself.
             let _ = self.swim.handle_timer(timer, &mut swim_output);
             self.apply(swim_output, out);
         }
     }
 
-    /// Follows the library in forgetting a member, unless it came back under another identity since.
-    fn forget_removed(&mut self, id: &MemberId) {
+    /// Forgets a member that the library removed, unless the member has come back under another identity.
+    fn forget_removed_member(&mut self, id: &MemberId) {
         let is_gone = self
             .members
             .get(&id.name)
@@ -232,10 +234,10 @@
 
     fn run_periodic_tasks(&mut self, out: &mut Vec<Output>) {
         let now = self.clock.now();
-        if now >= self.schedule.seed_contact && !self.ownership.is_replaced() {
+        if now >= self.schedule.seed_contact && !self.name_ownership.is_replaced() {
             self.contact_seeds(out);
         }
-        if now >= self.schedule.anti_entropy && !self.ownership.is_replaced() {
+        if now >= self.schedule.anti_entropy && !self.name_ownership.is_replaced() {
             self.start_anti_entropy(out);
         }
         if now >= self.schedule.member_scan {
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Publishes something about this coordinator to the others.
+    /// Publishes information about this coordinator to the other members.
     pub fn publish(&mut self, now: Time, mut value: GossipValue) {
         if self.has_left {
             return;
@@ -256,15 +258,15 @@
         self.publish_entry(value);
     }
 
-    /// Announces that this coordinator leaves, so that the others don't take it for failed.
+    /// Announces that this coordinator leaves, so that the other members don't consider it failed.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.has_left || self.ownership.is_replaced() {
+        if self.has_left || self.name_ownership.is_replaced() {
             return;
         }
         let at_ms = (now.0 / 1_000) as u64;
         self.publish(now, GossipValue::Departure { at_ms });
         let mut swim_output = SwimOutput::default();
-        // What can't be sent is lost: the others find the member failed instead of left.
+        // If the announcement can't be sent, the other members detect a failure instead of a departure.
         let _ = self.swim.broadcast(&mut swim_output);
         let _ = self.swim.leave_cluster(&mut swim_output);
         self.has_left = true;
--- a/crates/cluster/src/membership/queries.rs
+++ b/crates/cluster/src/membership/queries.rs
@@ -1,4 +1,4 @@
-//! What a membership reports to its owner.
+//! Read access to the state of a membership.
 
 use super::Membership;
 use crate::datagram_error::DropCount;
@@ -8,37 +8,38 @@
 use crate::view::ClusterView;
 use std::collections::BTreeMap;
 
-/// What a member published about itself, as far as it has arrived.
+/// Information that a member published about itself, as far as it has arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberGossip {
-    /// Its description.
+    /// The member's description, if it has arrived.
     pub description: Option<MemberDescription>,
-    /// Its last phase in the generation asked about.
+    /// The last phase that the member published in the requested generation, if any has arrived.
     pub phase: Option<MemberPhase>,
 }
 
 impl Membership {
-    /// What this coordinator sees.
+    /// Returns a snapshot of the cluster as this coordinator sees it.
     pub fn view(&self) -> ClusterView {
         let agreeing_count = self
             .peer_digests
             .values()
-            .filter(|digest| **digest == self.version.digest())
+            .filter(|digest| **digest == self.view_version.digest())
             .count();
         ClusterView {
-            epoch: self.version.epoch(),
-            digest: self.version.digest(),
+            epoch: self.view_version.epoch(),
+            digest: self.view_version.digest(),
             local: self.local,
             quorum_view: self.quorum_view,
             health_score: self.health.score(),
-            replaced_by: self.ownership.replaced_by(),
+            replaced_by: self.name_ownership.replaced_by(),
             agreeing_count,
             differing_count: self.peer_digests.len() - agreeing_count,
             members: self.members.values().cloned().collect(),
         }
     }
 
-    /// For each data node that other members report as an outlier, how many do. Empty where advice may not be used.
+    /// Returns, for each data node that other members report as an outlier, the number of those members. The map is
+    /// empty if the quorum view does not allow the use of advice.
     pub fn outlier_reports(&self) -> BTreeMap<String, usize> {
         if !is_allowed(self.quorum_view, ClusterAction::UseAdvice) {
             return BTreeMap::new();
@@ -51,7 +52,7 @@
             .collect()
     }
 
-    /// What a member published about itself.
+    /// Returns the information that a member published about itself.
     pub fn member_gossip(&self, id: &MemberId) -> MemberGossip {
         let gossip = self.gossip.borrow();
         MemberGossip {
@@ -60,8 +61,8 @@
         }
     }
 
-    /// How many datagrams were dropped, by cause.
+    /// Returns the numbers of dropped datagrams, by cause.
     pub fn drop_counts(&self) -> impl Iterator<Item = DropCount> {
-        self.drops.iter()
+        self.drop_counts.iter()
     }
 }
--- a/crates/cluster/src/membership/rejoin.rs
+++ b/crates/cluster/src/membership/rejoin.rs
@@ -1,4 +1,5 @@
-//! Coming back: after a pause, after other members declared this coordinator failed, or under a later generation.
+//! Rejoining the cluster after a pause, after other members declared this coordinator failed, or under a later
+//! generation.
 
 use super::config::Output;
 use super::swim::{new_swim, Swim, SwimOutput, SwimParts};
@@ -14,56 +15,58 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Recent rejoins: several in quick succession came to nothing.
+/// Record of recent rejoins. A rejoin shortly after another one shows that the earlier one was futile.
 pub(super) struct RejoinHistory {
-    last: Time,
-    futile: u32,
+    last_rejoin: Time,
+    /// Number of futile rejoins in a row.
+    futile_count: u32,
 }
 
 impl RejoinHistory {
     pub(super) fn new(now: Time) -> RejoinHistory {
         RejoinHistory {
-            last: now,
-            futile: 0,
+            last_rejoin: now,
+            futile_count: 0,
         }
     }
 
     fn record(&mut self, now: Time) {
-        let was_futile = now - self.last < FUTILE_REJOIN_WINDOW;
-        self.futile = if was_futile { self.futile + 1 } else { 0 };
-        self.last = now;
+        let was_futile = now - self.last_rejoin < FUTILE_REJOIN_WINDOW;
+        self.futile_count = if was_futile { self.futile_count + 1 } else { 0 };
+        self.last_rejoin = now;
     }
 
-    /// Whether too many rejoins in a row were futile; the count starts anew then.
+    /// Returns whether too many rejoins in a row were futile, and if so resets their count.
     pub(super) fn take_futile_streak(&mut self) -> bool {
-        let is_streak = self.futile >= MAX_FUTILE_REJOINS;
+        let is_streak = self.futile_count >= MAX_FUTILE_REJOINS;
         if is_streak {
-            self.futile = 0;
+            self.futile_count = 0;
         }
         is_streak
     }
 }
 
 impl Membership {
-    /// The process was stopped or starved: its clock leaves the gap out, and it trusts itself less.
+    /// Handles a pause of the process: excludes it from the membership time, lowers the health, and rejoins if the
+    /// other members must have declared this coordinator failed.
     pub(super) fn on_pause(&mut self, gap: Seconds, out: &mut Vec<Output>) {
         self.clock.skip_pause(gap);
         self.health.record(HealthEvidence::Paused);
         out.push(Output::Paused(gap));
         let is_declared_failed = gap > declared_failed_after(self.config.member_names.len());
-        if is_declared_failed && !self.ownership.is_replaced() {
+        if is_declared_failed && !self.name_ownership.is_replaced() {
             self.restart(self.local.renew(), out);
         }
     }
 
-    /// The SWIM library renewed this coordinator's identity.
+    /// Adopts the identity under which the SWIM library rejoined.
     pub(super) fn on_rejoined(&mut self, out: &mut Vec<Output>) {
         self.adopt_identity(*self.swim.identity());
-        self.rejoins.record(self.clock.now());
+        self.rejoin_history.record(self.clock.now());
         out.push(Output::Rejoined);
     }
 
-    /// Goes on as if this process had started with that generation.
+    /// Restarts the membership as if the process had started with the given generation.
     pub(super) fn begin_generation(&mut self, generation: u64, out: &mut Vec<Output>) {
         self.last_entry_version = 0;
         let identity = MemberId {
@@ -75,15 +78,15 @@
     }
 
     fn adopt_identity(&mut self, identity: MemberId) {
-        self.version.toggle(&self.local);
-        self.version.toggle(&identity);
+        self.view_version.toggle(&self.local);
+        self.view_version.toggle(&identity);
         self.local = identity;
         self.filter.borrow_mut().local = identity;
-        self.version.advance();
+        self.view_version.advance();
     }
 
-    /// Starts anew with no live member known, and contacts those that were. Without an identity to go on under, the
-    /// next generation begins.
+    /// Restarts the membership without any live member, and contacts members that were live. If no identity is given,
+    /// the next generation is used.
     fn restart(&mut self, identity: Option<MemberId>, out: &mut Vec<Output>) {
         let identity = identity.unwrap_or(MemberId {
             generation: self.local.generation + 1,
@@ -91,33 +94,33 @@
             ..self.local
         });
         self.adopt_identity(identity);
-        let known: Vec<MemberId> = self.live_members().map(|member| member.id).collect();
+        let previously_live: Vec<MemberId> = self.live_members().map(|member| member.id).collect();
         self.swim = self.new_swim();
-        self.forget_members(&known);
+        self.reset_members(&previously_live);
         out.push(Output::Rejoined);
         let mut swim_output = SwimOutput::default();
-        for _ in 0..CONTACTS_PER_ATTEMPT.min(known.len()) {
-            let contact = known[self.random.random_range(0..known.len())];
-            // An announcement that can't be sent is one that was lost.
+        for _ in 0..CONTACTS_PER_ATTEMPT.min(previously_live.len()) {
+            let contact = previously_live[self.rng.random_range(0..previously_live.len())];
+            // An announcement that can't be sent is treated like a lost datagram.
             let _ = self.swim.announce(contact, &mut swim_output);
         }
         self.apply(swim_output, out);
         self.schedule.seed_contact = self.clock.now();
-        for value in self.published.clone().into_values() {
+        for value in self.published_values.clone().into_values() {
             self.publish_entry(value);
         }
     }
 
-    fn forget_members(&mut self, known: &[MemberId]) {
+    fn reset_members(&mut self, previously_live: &[MemberId]) {
         self.timers.clear();
         self.members.clear();
         self.peer_digests.clear();
-        self.version.reset_digest(&self.local);
+        self.view_version.reset_digest(&self.local);
         self.last_incarnation = 0;
-        self.awaits_confirmation = self.voters.len() > 1;
+        self.awaits_confirmation = self.voter_names.len() > 1;
         let now = self.clock.now();
         let mut gossip = self.gossip.borrow_mut();
-        for id in known {
+        for id in previously_live {
             gossip.mark_absent(now, id.name);
         }
     }
@@ -126,8 +129,8 @@
         let parts = SwimParts {
             codec: FilteringCodec(self.filter.clone()),
             gossip: self.gossip.clone(),
-            now: self.clock.shared(),
-            random: StdRng::seed_from_u64(self.random.random()),
+            now: self.clock.shared_now(),
+            rng: StdRng::seed_from_u64(self.rng.random()),
         };
         new_swim(self.local, self.config.member_names.len(), parts)
     }
--- a/crates/cluster/src/membership/status.rs
+++ b/crates/cluster/src/membership/status.rs
@@ -1,4 +1,4 @@
-//! This coordinator's own status after each input: health, ownership of its name, and quorum view.
+//! Update of this coordinator's own status after each input: health, ownership of its name, and quorum view.
 
 use super::config::Output;
 use super::name_ownership::{AddressChallenge, NameOwnership};
@@ -7,12 +7,13 @@
 use crate::quorum::QuorumView;
 
 impl Membership {
-    /// Updates the status once an input has been handled.
+    /// Updates the status after an input was handled.
     pub(super) fn update_status(&mut self, out: &mut Vec<Output>) {
         self.update_health();
-        self.detect_rival();
-        // Others keep declaring this coordinator failed: a newer process may bear its name, or have borne it.
-        if self.rejoins.take_futile_streak() {
+        self.detect_newer_process();
+        // The other members keep declaring this coordinator failed, possibly because a newer process runs, or ran,
+        // under its name.
+        if self.rejoin_history.take_futile_streak() {
             self.query_own_name(out);
         }
         let quorum_view = self.evaluate_quorum();
@@ -33,28 +34,29 @@
         }
     }
 
-    fn detect_rival(&mut self) {
-        let newer_process = self.filter.borrow_mut().newer_process.take();
-        let Some(rival) = newer_process.filter(|rival| rival.supersedes(&self.local)) else {
+    fn detect_newer_process(&mut self) {
+        let reported = self.filter.borrow_mut().newer_process.take();
+        let Some(newer_process) = reported.filter(|id| id.supersedes(&self.local)) else {
             return;
         };
-        if self.ownership.is_held() {
-            let challenge = AddressChallenge::new(rival, self.clock.now());
-            self.ownership = NameOwnership::Challenged(challenge);
+        if self.name_ownership.is_held() {
+            let challenge = AddressChallenge::new(newer_process, self.clock.now());
+            self.name_ownership = NameOwnership::Challenged(challenge);
         }
     }
 
-    /// How much of the configured group is seen, and can be trusted.
+    /// Returns how much of the configured group this coordinator sees, limited by its trust in its own view.
     pub(super) fn evaluate_quorum(&self) -> QuorumView {
-        if self.ownership.is_replaced() || self.awaits_confirmation {
+        if self.name_ownership.is_replaced() || self.awaits_confirmation {
             return QuorumView::Isolated;
         }
-        let local = usize::from(self.voters.contains(&self.local.name));
-        let others = self
+        let local_count = usize::from(self.voter_names.contains(&self.local.name));
+        let other_count = self
             .live_members()
-            .filter(|member| self.voters.contains(&member.id.name))
+            .filter(|member| self.voter_names.contains(&member.id.name))
             .count();
-        let quorum_view = QuorumView::from_counts(local + others, self.voters.len());
+        let quorum_view =
+            QuorumView::from_counts(local_count + other_count, self.voter_names.len());
         if self.health.is_degraded() {
             return quorum_view.min(QuorumView::Minority);
         }
--- a/crates/cluster/src/membership/swim.rs
+++ b/crates/cluster/src/membership/swim.rs
@@ -1,4 +1,4 @@
-//! Connects the SWIM library `foca` to this package: identity, configuration, callbacks and broadcasts.
+//! Integration of the SWIM library `foca`: identity, configuration, callbacks and broadcasts.
 
 use super::timing::{
     suspicion_timeout, Periodic, ANNOUNCE, ANNOUNCE_TO_FAILED, FAILED_MEMBER_RETENTION, GOSSIP,
@@ -19,11 +19,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The library with this package's parts.
+/// The library, instantiated with this crate's identity, codec and broadcast handler.
 pub(super) type Swim = Foca<MemberId, FilteringCodec, StdRng, GossipBroadcast>;
 
-/// Collects what one call of the library asks for. It is carried out afterwards, since each datagram carries the view
-/// that results from the call.
+/// Collects the timers, events and messages that one call of the library requests. They are handled after the call,
+/// because each datagram carries the version of the view that results from it.
 #[derive(Default)]
 pub(super) struct SwimOutput {
     pub(super) timers: Vec<TimerRequest>,
@@ -31,34 +31,34 @@
     pub(super) sends: Vec<SwimMessage>,
 }
 
-/// A timer that the library wants to get back.
+/// A timer that has to be passed back to the library after a delay.
 pub(super) struct TimerRequest {
     pub(super) timer: Timer<MemberId>,
     pub(super) after: Duration,
 }
 
-/// A message of the library.
+/// A message that the library wants to send to a member.
 pub(super) struct SwimMessage {
     pub(super) to: MemberId,
     pub(super) bytes: Vec<u8>,
 }
 
-/// What the library reports.
+/// An event that the library reports.
 pub(super) enum SwimEvent {
     MemberUp(MemberId),
     MemberDown(MemberId),
-    /// A member goes on under another identity of the same name.
-    MemberRenamed {
+    /// A member continues under another identity of the same name.
+    IdentityChanged {
         earlier: MemberId,
         later: MemberId,
     },
-    /// There is a live member now, where there was none.
+    /// A first live member is known, after there was none.
     Active,
-    /// There is no live member any more.
+    /// No live member is known any more.
     Idle,
     /// This coordinator renewed its identity after it had been declared failed.
     Rejoined,
-    /// This coordinator was declared failed and can't renew its identity, or left.
+    /// This coordinator left, or was declared failed and can't renew its identity.
     Defunct,
     ProbeFailed,
 }
@@ -68,7 +68,7 @@
         match notification {
             Notification::MemberUp(id) => Some(SwimEvent::MemberUp(*id)),
             Notification::MemberDown(id) => Some(SwimEvent::MemberDown(*id)),
-            Notification::Rename(earlier, later) => Some(SwimEvent::MemberRenamed {
+            Notification::Rename(earlier, later) => Some(SwimEvent::IdentityChanged {
                 earlier: *earlier,
                 later: *later,
             }),
@@ -117,13 +117,14 @@
     }
 }
 
-/// Receives broadcast gossip entries; the library passes on those that are news here.
+/// Handler of broadcast gossip entries. The library passes on those that are new to this coordinator.
 pub(super) struct GossipBroadcast {
     gossip: Rc<RefCell<GossipState>>,
     now: Rc<Cell<Time>>,
 }
 
-/// Which entry a broadcast carries. A newer broadcast of an entry replaces an older one that is still being passed on.
+/// Key of the entry that a broadcast carries. A newer broadcast of an entry replaces an older one that is still being
+/// passed on.
 pub(super) struct BroadcastKey(EntryKey);
 
 impl Invalidates for BroadcastKey {
@@ -143,27 +144,27 @@
     ) -> Result<Option<BroadcastKey>, FilterError> {
         let entry: GossipEntry = postcard::from_bytes(data)?;
         let key = entry.key();
-        let is_news = self.gossip.borrow_mut().merge(self.now.get(), entry);
-        Ok(is_news.then_some(BroadcastKey(key)))
+        let is_new = self.gossip.borrow_mut().merge(self.now.get(), entry);
+        Ok(is_new.then_some(BroadcastKey(key)))
     }
 }
 
-/// What the library shares with the rest of the membership.
+/// Objects that the library shares with the rest of the membership.
 pub(super) struct SwimParts {
     pub(super) codec: FilteringCodec,
     pub(super) gossip: Rc<RefCell<GossipState>>,
     pub(super) now: Rc<Cell<Time>>,
-    pub(super) random: StdRng,
+    pub(super) rng: StdRng,
 }
 
-/// A new instance of the library that knows no other member.
+/// Creates an instance of the library that knows no other member.
 pub(super) fn new_swim(local: MemberId, group_size: usize, parts: SwimParts) -> Swim {
     let broadcast = GossipBroadcast {
         gossip: parts.gossip,
         now: parts.now,
     };
     let config = swim_config(group_size);
-    Foca::with_custom_broadcast(local, config, parts.random, parts.codec, broadcast)
+    Foca::with_custom_broadcast(local, config, parts.rng, parts.codec, broadcast)
 }
 
 fn swim_config(group_size: usize) -> foca::Config {
--- a/crates/cluster/src/membership/transitions.rs
+++ b/crates/cluster/src/membership/transitions.rs
@@ -1,4 +1,4 @@
-//! Applies what the SWIM library asks for and reports: timers, messages and changes of members' states.
+//! Handling of the SWIM library's output: timers, messages and state changes of members.
 
 use super::config::Output;
 use super::swim::{SwimEvent, SwimMessage, SwimOutput, TimerRequest};
@@ -10,7 +10,7 @@
 use foca::Timer;
 
 impl Membership {
-    /// Carries out what one call of the library asked for.
+    /// Carries out the requests and handles the events of one call of the library.
     pub(super) fn apply(&mut self, swim_output: SwimOutput, out: &mut Vec<Output>) {
         for request in swim_output.timers {
             self.schedule_timer(request);
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Sets a timer. Only those that lead to declaring others failed are stretched by poor local health.
+    /// Sets a timer. Poor local health extends only the timers that lead to declaring other members failed.
     fn schedule_timer(&mut self, request: TimerRequest) {
         let multiplier = match request.timer {
             Timer::SendIndirectProbe { .. }
@@ -38,8 +38,8 @@
 
     fn send_swim(&mut self, message: SwimMessage, out: &mut Vec<Output>) {
         let datagram = ClusterMessage::Swim {
-            epoch: self.version.epoch(),
-            digest: self.version.digest(),
+            epoch: self.view_version.epoch(),
+            digest: self.view_version.digest(),
             from: self.local.name,
             bytes: message.bytes,
         };
@@ -58,8 +58,8 @@
                 };
                 self.set_member_state(id, state, out);
             }
-            SwimEvent::MemberRenamed { earlier, later } => {
-                self.on_member_renamed(earlier, later, out);
+            SwimEvent::IdentityChanged { earlier, later } => {
+                self.on_identity_changed(earlier, later, out);
             }
             SwimEvent::Active => {
                 self.awaits_confirmation = false;
@@ -68,19 +68,19 @@
             SwimEvent::Idle => self.schedule.seed_contact = self.clock.now(),
             SwimEvent::Rejoined => self.on_rejoined(out),
             SwimEvent::Defunct if self.has_left => {}
-            // The identity can't be renewed once its count of rejoins is used up.
+            // The library can't renew the identity if its number of rejoins has reached the maximum.
             SwimEvent::Defunct => self.begin_generation(self.local.generation + 1, out),
             SwimEvent::ProbeFailed => self.query_reachability(out),
         }
     }
 
-    fn on_member_renamed(&mut self, earlier: MemberId, later: MemberId, out: &mut Vec<Output>) {
+    fn on_identity_changed(&mut self, earlier: MemberId, later: MemberId, out: &mut Vec<Output>) {
         if let Some(member) = self.members.get_mut(&later.name) {
             if member.state.is_live() {
-                // The library reports nothing more of a live member that goes on under a new identity.
-                self.version.toggle(&member.id);
-                self.version.toggle(&later);
-                self.version.advance();
+                // The library sends no further event when a live member continues under a new identity.
+                self.view_version.toggle(&member.id);
+                self.view_version.toggle(&later);
+                self.view_version.advance();
             }
             member.id = later;
         }
@@ -102,28 +102,28 @@
         };
         let earlier = self.members.insert(id.name, member);
         if let Some(earlier) = earlier.filter(|earlier| earlier.state.is_live()) {
-            self.version.toggle(&earlier.id);
+            self.view_version.toggle(&earlier.id);
         }
         if state.is_live() {
-            self.version.toggle(&id);
+            self.view_version.toggle(&id);
             self.gossip.borrow_mut().mark_present(id.name);
         } else {
             self.gossip.borrow_mut().mark_absent(now, id.name);
             self.peer_digests.remove(&id.name);
         }
-        self.version.advance();
+        self.view_version.advance();
         let name = self.gossip.borrow().name(id.name);
         out.push(Output::MemberChanged { id, name, state });
     }
 
-    /// Scans members for what the library does not report, and removes old gossip entries.
+    /// Scans members for changes that the library does not report, and removes expired gossip entries.
     pub(super) fn scan_members(&mut self, out: &mut Vec<Output>) {
         self.detect_suspicions(out);
         self.detect_late_departures(out);
         self.gossip.borrow_mut().remove_expired(self.clock.now());
     }
 
-    /// The library reports neither suspicions nor their refutations.
+    /// Detects suspicions and their refutations, neither of which the library reports.
     fn detect_suspicions(&mut self, out: &mut Vec<Output>) {
         let now = self.clock.now();
         let gossip = self.gossip.borrow();
@@ -148,7 +148,7 @@
         }
     }
 
-    /// A member's announcement that it leaves may arrive after it was declared failed.
+    /// Detects announcements of departure that arrived after the member had been declared failed.
     fn detect_late_departures(&mut self, out: &mut Vec<Output>) {
         let gossip = self.gossip.borrow();
         for member in self.members.values_mut() {
@@ -164,14 +164,14 @@
         }
     }
 
-    /// Members that count as live, this coordinator not included.
+    /// Returns the members that count as live, except this coordinator.
     pub(super) fn live_members(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
             .filter(|member| member.state.is_live())
     }
 
-    /// Whether just this process is known as live.
+    /// Returns whether exactly this process is known as live.
     pub(super) fn is_live(&self, id: &MemberId) -> bool {
         self.members
             .get(&id.name)
--- a/crates/cluster/src/membership/view_version.rs
+++ b/crates/cluster/src/membership/view_version.rs
@@ -2,16 +2,16 @@
 
 use crate::identity::MemberId;
 
-/// Identifies a view: the digest says what is seen, the epoch orders views.
+/// Version of a view. The digest identifies the live members, the epoch orders views in time.
 pub(super) struct ViewVersion {
     epoch: u64,
     digest: u64,
-    /// The highest epoch that a live member sent.
+    /// The highest epoch that a live member has sent.
     highest_peer_epoch: u64,
 }
 
 impl ViewVersion {
-    /// The first version, of a coordinator that sees itself alone.
+    /// Returns the first version, that of a coordinator that sees only itself.
     pub(super) fn new(local: &MemberId) -> ViewVersion {
         ViewVersion {
             epoch: 1,
@@ -28,22 +28,22 @@
         self.digest
     }
 
-    /// Moves on to an epoch that is higher than any known one.
+    /// Increases the epoch above all known ones.
     pub(super) fn advance(&mut self) {
         self.epoch = self.epoch.max(self.highest_peer_epoch) + 1;
     }
 
-    /// Adds a live member to the digest, or takes it out.
+    /// Adds a live member to the digest, or removes it if it is included.
     pub(super) fn toggle(&mut self, member: &MemberId) {
         self.digest ^= member.digest();
     }
 
-    /// Sets the digest to that of a coordinator that sees itself alone.
+    /// Resets the digest to that of a coordinator that sees only itself.
     pub(super) fn reset_digest(&mut self, local: &MemberId) {
         self.digest = local.digest();
     }
 
-    /// Takes in the epoch and digest of a live member. Equal views end up under one epoch.
+    /// Takes the epoch and digest of a live member into account. Equal views adopt the highest epoch among them.
     pub(super) fn observe_peer(&mut self, epoch: u64, digest: u64) {
         self.highest_peer_epoch = self.highest_peer_epoch.max(epoch);
         if digest == self.digest {
