--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Hard cases of a cluster, one by one, and random schedules of all of them from fixed seeds.
+//! Fault scenarios of a simulated cluster, each in a test of its own, and random schedules of faults from fixed seeds.
 
 mod sim;
 
@@ -11,17 +11,17 @@
 use std::collections::BTreeSet;
 
 const SIZE: usize = 12;
-/// Seconds within which the members of a cluster of this size find each other, whatever they start from.
-const FOUND: f64 = 12.0;
-/// Seconds within which all know that a killed member failed.
-const DETECTED: f64 = 12.0;
+/// Seconds within which the members of a cluster of this size discover each other, whatever they start from.
+const DISCOVERY_LIMIT: f64 = 12.0;
+/// Seconds within which all members know that a killed member failed.
+const DETECTION_LIMIT: f64 = 12.0;
 /// Seconds within which all views are consistent again after the last fault.
-const SETTLED: f64 = 30.0;
+const CONVERGENCE_LIMIT: f64 = 30.0;
 
-/// A cluster whose members have found each other.
+/// Returns a cluster whose members have discovered each other.
 fn complete_group(seed: u64) -> Simulation {
     let mut sim = Simulation::new(SIZE, seed);
-    sim.run_until_consistent(FOUND).unwrap();
+    sim.run_until_consistent(DISCOVERY_LIMIT).unwrap();
     sim.run_until(20.0);
     assert_eq!(sim.inconsistency(), None);
     sim
@@ -31,19 +31,23 @@
 fn all_members_find_each_other_and_none_fails_without_a_fault() {
     for seed in 0..5 {
         let mut sim = complete_group(seed);
-        assert!((0..SIZE).all(|by| sim.quorum_view(by) == Some(QuorumView::Complete)));
+        assert!((0..SIZE).all(|observer| sim.quorum_view(observer) == Some(QuorumView::Complete)));
         sim.run_until(600.0);
         assert_eq!((sim.inconsistency(), sim.failures(0.0).len()), (None, 0));
         let view = sim.memberships[3].as_ref().unwrap().view();
         assert_eq!(
             (view.agreeing_count, view.differing_count),
             (SIZE - 1, 0),
-            "all last messages came from an equal view"
+            "every member's last message came from an equal view"
         );
         let epochs: BTreeSet<u64> = (0..SIZE)
-            .map(|by| sim.memberships[by].as_ref().unwrap().view().epoch)
+            .map(|observer| sim.memberships[observer].as_ref().unwrap().view().epoch)
             .collect();
-        assert_eq!(epochs.len(), 1, "equal views have one epoch");
+        assert_eq!(
+            epochs.len(),
+            1,
+            "members with equal views have the same epoch"
+        );
     }
 }
 
@@ -53,11 +57,11 @@
     sim.schedule_fault(20.0, Fault::Kill(4));
     sim.schedule_fault(20.0, Fault::Leave(5));
     sim.run_until(20.1);
-    sim.run_until_consistent(DETECTED).unwrap();
-    for by in sim.running() {
-        let view = sim.memberships[by].as_ref().unwrap().view();
-        let state = |of: usize| {
-            let name = NameHash::of(&format!("n{of}"));
+    sim.run_until_consistent(DETECTION_LIMIT).unwrap();
+    for observer in sim.running() {
+        let view = sim.memberships[observer].as_ref().unwrap().view();
+        let state_of = |member: usize| {
+            let name = NameHash::of(&format!("n{member}"));
             view.members
                 .iter()
                 .find(|member| member.id.name == name)
@@ -65,7 +69,7 @@
                 .state
         };
         assert_eq!(
-            (state(4), state(5)),
+            (state_of(4), state_of(5)),
             (MemberState::Failed, MemberState::Left)
         );
         assert_eq!(view.quorum_view, QuorumView::Majority);
@@ -78,26 +82,26 @@
         let mut sim = complete_group(seed);
         let side: Vec<usize> = (0..5).collect();
         sim.schedule_fault(20.0, Fault::Partition(side.clone()));
-        sim.run_until(20.0 + 2.0 * DETECTED);
-        for by in 0..SIZE {
-            let minority = side.contains(&by);
-            let expected = if minority {
+        sim.run_until(20.0 + 2.0 * DETECTION_LIMIT);
+        for observer in 0..SIZE {
+            let is_minority = side.contains(&observer);
+            let expected = if is_minority {
                 QuorumView::Minority
             } else {
                 QuorumView::Majority
             };
-            assert_eq!(sim.quorum_view(by), Some(expected), "{by}");
+            assert_eq!(sim.quorum_view(observer), Some(expected), "{observer}");
             assert!(
                 is_allowed(expected, ClusterAction::ServeClients),
                 "both sides serve their clients"
             );
             assert_eq!(
                 is_allowed(expected, ClusterAction::ActForCluster),
-                !minority
+                !is_minority
             );
             assert_eq!(
-                sim.live_members_seen_by(by).len(),
-                if minority { 5 } else { 7 }
+                sim.live_members_seen_by(observer).len(),
+                if is_minority { 5 } else { 7 }
             );
         }
         // Another partition begins while this one heals.
@@ -105,8 +109,8 @@
         sim.schedule_fault(51.0, Fault::Partition(vec![3, 7, 11]));
         sim.schedule_fault(70.0, Fault::Heal);
         sim.run_until(70.1);
-        let took = sim.run_until_consistent(SETTLED).unwrap();
-        assert!(took <= SETTLED, "{took}");
+        let convergence_time = sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
+        assert!(convergence_time <= CONVERGENCE_LIMIT, "{convergence_time}");
     }
 }
 
@@ -124,20 +128,20 @@
         sim.run_until(45.0);
         assert!(
             !sim.live_members_seen_by(0).contains(&2),
-            "the others know that it is gone"
+            "the other members consider it failed"
         );
         sim.run_until(51.0);
-        let first = sim
+        let first_change = sim
             .quorum_changes
             .iter()
             .find(|change| change.at >= 50.0 && change.member == 2)
             .unwrap();
         assert_eq!(
-            first.quorum_view,
+            first_change.quorum_view,
             QuorumView::Isolated,
-            "it acts for nobody before others confirm it"
+            "it does not act for others before another member confirms it"
         );
-        sim.run_until_consistent(SETTLED).unwrap();
+        sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
         let reported: Vec<_> = sim
             .failures(20.0)
             .into_iter()
@@ -174,9 +178,12 @@
     for seed in 0..5 {
         let mut sim = complete_group(seed);
         sim.schedule_fault(20.0, Fault::Mute(vec![6]));
-        sim.run_until(20.0 + DETECTED);
-        for by in (0..SIZE).filter(|by| *by != 6) {
-            assert!(!sim.live_members_seen_by(by).contains(&6), "{by}");
+        sim.run_until(20.0 + DETECTION_LIMIT);
+        for observer in (0..SIZE).filter(|observer| *observer != 6) {
+            assert!(
+                !sim.live_members_seen_by(observer).contains(&6),
+                "{observer}"
+            );
         }
         assert!(!is_allowed(
             sim.quorum_view(6).unwrap(),
@@ -190,11 +197,11 @@
             .collect();
         assert!(
             reported.is_empty(),
-            "its reports count for nothing: {reported:?}"
+            "its reports have no effect on other members: {reported:?}"
         );
         sim.schedule_fault(60.0, Fault::Heal);
         sim.run_until(60.1);
-        sim.run_until_consistent(SETTLED).unwrap();
+        sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
     }
 }
 
@@ -211,7 +218,7 @@
         );
     }
     sim.run_until(20.1);
-    sim.run_until_consistent(FOUND).unwrap();
+    sim.run_until_consistent(DISCOVERY_LIMIT).unwrap();
 }
 
 #[test]
@@ -224,10 +231,13 @@
         }
         sim.run_until(20.1);
         // Most probes go to failed members, and degraded local health makes failure detection slower.
-        sim.run_until_consistent(4.0 * DETECTED).unwrap();
-        for by in sim.running() {
+        sim.run_until_consistent(4.0 * DETECTION_LIMIT).unwrap();
+        for observer in sim.running() {
             assert!(
-                !is_allowed(sim.quorum_view(by).unwrap(), ClusterAction::ActForCluster),
+                !is_allowed(
+                    sim.quorum_view(observer).unwrap(),
+                    ClusterAction::ActForCluster
+                ),
                 "a third of the group is no majority"
             );
         }
@@ -241,7 +251,7 @@
             );
         }
         sim.run_until(80.1);
-        sim.run_until_consistent(SETTLED).unwrap();
+        sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
     }
 }
 
@@ -261,7 +271,8 @@
     }
 }
 
-/// Guards against a process whose clock was set back: its generation looks earlier than its predecessor's.
+/// Guards against excluding a process whose clock was set back, so that its generation is earlier than that of the
+/// previous process under its name.
 #[test]
 fn a_clock_that_was_set_back_keeps_no_member_out() {
     for skew in [-3600.0, 3600.0] {
@@ -274,7 +285,7 @@
                 clock_skew: skew,
             },
         );
-        // And the next process, whose clock is right again.
+        // The next process has a correct clock again.
         sim.schedule_fault(
             60.0,
             Fault::Restart {
@@ -283,16 +294,16 @@
             },
         );
         sim.run_until(22.1);
-        sim.run_until_consistent(SETTLED).unwrap();
+        sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
         sim.run_until(60.1);
-        sim.run_until_consistent(SETTLED).unwrap();
+        sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
     }
 }
 
 #[test]
 fn a_member_that_left_is_not_revived_by_stale_gossip() {
     let mut sim = complete_group(5);
-    // The paused member still sees the other as alive, and gossips so when it goes on.
+    // The paused member still sees member 9 as alive and gossips that after its pause.
     sim.schedule_fault(
         20.0,
         Fault::Pause {
@@ -304,7 +315,7 @@
     sim.schedule_fault(30.0, Fault::Partition(vec![7]));
     sim.schedule_fault(60.0, Fault::Heal);
     sim.run_until(60.1);
-    sim.run_until_consistent(SETTLED).unwrap();
+    sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
     let is_revived = sim
         .changes
         .iter()
@@ -312,7 +323,7 @@
     assert!(!is_revived);
 }
 
-/// Guards against forgetting a member that rejoined once its earlier process is forgotten, an hour later.
+/// Guards against forgetting a member that rejoined when its earlier process is removed an hour after its failure.
 #[test]
 fn a_member_that_rejoined_is_not_forgotten_with_its_earlier_process() {
     let mut sim = complete_group(6);
@@ -326,18 +337,18 @@
     );
     sim.schedule_fault(41.0, Fault::Kill(7));
     sim.run_until(41.1);
-    sim.run_until_consistent(SETTLED).unwrap();
+    sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
     sim.run_until(3_700.0);
     assert_eq!(sim.inconsistency(), None);
     let view = sim.memberships[0].as_ref().unwrap().view();
     assert_eq!(
         (view.members.len(), sim.failures(100.0).len()),
         (SIZE - 2, 0),
-        "a member that stays away is forgotten"
+        "only the member that stayed away is forgotten"
     );
 }
 
-/// A handful of faults within a minute, drawn from a seed.
+/// Returns 2 to 8 random faults within a minute, determined by a seed.
 fn random_schedule(seed: u64) -> Vec<(f64, Fault)> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
@@ -380,8 +391,8 @@
     faults
 }
 
-/// What is inconsistent after a schedule of faults and its healing, if anything is.
-fn failure_of(seed: u64, faults: &[(f64, Fault)]) -> Option<String> {
+/// Runs a schedule of faults, ends all faults, and returns the inconsistency that remains after 60 s, if any.
+fn remaining_inconsistency(seed: u64, faults: &[(f64, Fault)]) -> Option<String> {
     let mut sim = Simulation::new(SIZE, seed);
     for (at, fault) in faults {
         sim.schedule_fault(*at, fault.clone());
@@ -399,23 +410,23 @@
     sim.run_until_consistent(60.0).err()
 }
 
-/// The smallest part of a schedule that still fails.
+/// Removes faults from a failing schedule as long as it still fails, and returns the remaining ones.
 fn shrink(seed: u64, mut faults: Vec<(f64, Fault)>) -> Vec<(f64, Fault)> {
-    let mut at = 0;
-    while at < faults.len() {
-        let mut fewer = faults.clone();
-        fewer.remove(at);
-        if failure_of(seed, &fewer).is_some() {
-            faults = fewer;
+    let mut index = 0;
+    while index < faults.len() {
+        let mut reduced = faults.clone();
+        reduced.remove(index);
+        if remaining_inconsistency(seed, &reduced).is_some() {
+            faults = reduced;
         } else {
-            at += 1;
+            index += 1;
         }
     }
     faults
 }
 
-/// Guards against a schedule that once failed, reduced to three faults: a muted member knew only the process before the
-/// one that left, and saw it as failed for good.
+/// Guards against a departed member that stays failed in some views. This schedule once failed, here reduced to three
+/// faults: a muted member knew only the process before the one that left, and considered it failed forever.
 #[test]
 fn a_departure_counts_also_where_only_the_earlier_process_was_known() {
     let faults = [
@@ -429,7 +440,7 @@
         (72.02274311593156, Fault::Leave(5)),
         (46.930528509141766, Fault::Mute(vec![8])),
     ];
-    assert_eq!(failure_of(553, &faults), None);
+    assert_eq!(remaining_inconsistency(553, &faults), None);
 }
 
 #[test]
@@ -440,9 +451,9 @@
         .unwrap_or(60);
     for seed in 0..seeds {
         let faults = random_schedule(seed);
-        if let Some(failure) = failure_of(seed, &faults) {
+        if let Some(inconsistency) = remaining_inconsistency(seed, &faults) {
             panic!(
-                "seed {seed}: {failure}\nthe smallest part that fails: {:?}",
+                "seed {seed}: {inconsistency}\nreduced schedule that still fails: {:?}",
                 shrink(seed, faults)
             );
         }
--- a/crates/cluster/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! Clusters on a virtual clock and an emulated network, with faults at scheduled times. The decisions are those of the
-//! shipped [`Membership`].
+//! Simulation of clusters on a virtual clock and an emulated network, with faults at scheduled times. Each simulated
+//! member runs the production [`Membership`].
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 
 use cairnroad_cluster::gossip_state::{GossipValue, MemberPhase};
@@ -14,27 +14,27 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// Datagrams that wait for a paused process; further ones are lost, as in a socket's buffer.
+/// Maximum number of datagrams that wait for a paused process; further ones are lost, as with a full socket buffer.
 const MAX_WAITING_DATAGRAMS: usize = 200;
 
-/// What happens to the cluster at a moment. Members are numbered from 0.
+/// A fault, or the end of faults, at one point in time. Members are numbered from 0.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// No datagram passes between these members and all others, in both directions.
     Partition(Vec<usize>),
-    /// What these members send is lost; what they are sent arrives.
+    /// Datagrams from these members are lost; datagrams to them arrive.
     Mute(Vec<usize>),
     /// All partitions and mutes end.
     Heal,
-    /// The process ends without a word.
+    /// The process ends without an announcement.
     Kill(usize),
-    /// A new process starts under the member's name, its clock so many seconds off.
+    /// A new process starts under the member's name. Its clock is ahead by `clock_skew` seconds.
     Restart { member: usize, clock_skew: f64 },
-    /// The process is stopped for so many seconds, as by SIGSTOP.
+    /// The process is stopped for a number of seconds, as by SIGSTOP.
     Pause { member: usize, seconds: f64 },
     /// The process announces that it leaves, and ends.
     Leave(usize),
-    /// From now on these shares of datagrams are lost, or delivered twice.
+    /// From now on, these shares of all datagrams are lost or delivered twice.
     Loss { lost: f64, duplicated: f64 },
 }
 
@@ -48,7 +48,7 @@
     Fault(Fault),
 }
 
-/// An event at its time; among events of one time the order in which they were queued counts.
+/// An event with its time. Events with equal times are handled in the order in which they were queued.
 struct QueuedEvent {
     at: Time,
     sequence: u64,
@@ -82,7 +82,7 @@
     pub state: MemberState,
 }
 
-/// A change of how much of the group a member sees.
+/// A change of a member's quorum view.
 #[derive(Clone, Debug)]
 pub struct QuorumChange {
     /// Seconds since the start.
@@ -91,17 +91,17 @@
     pub quorum_view: QuorumView,
 }
 
-/// A process that is paused, and what its socket received since.
+/// A paused process, and the datagrams that its socket has received since.
 struct PausedProcess {
     until: Time,
     waiting: VecDeque<Vec<u8>>,
 }
 
-/// A cluster whose members are numbered from 0.
+/// A simulated cluster whose members are numbered from 0.
 pub struct Simulation {
     pub size: usize,
     pub memberships: Vec<Option<Membership>>,
-    /// Members that announced that they leave and were not started since.
+    /// Members that announced that they leave and have not been restarted since.
     pub left: BTreeSet<usize>,
     pub changes: Vec<MemberChange>,
     pub quorum_changes: Vec<QuorumChange>,
@@ -111,14 +111,14 @@
     now: Time,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
     last_sequence: u64,
-    random: StdRng,
+    rng: StdRng,
     paused: BTreeMap<usize, PausedProcess>,
     partitions: Vec<BTreeSet<usize>>,
     muted: BTreeSet<usize>,
     lost_share: f64,
     duplicated_share: f64,
     names: BTreeMap<NameHash, usize>,
-    seeds: usize,
+    seed_count: usize,
 }
 
 pub fn address(member: usize) -> SocketAddr {
@@ -136,7 +136,7 @@
 }
 
 impl Simulation {
-    /// `size` members that start together and know the first few as seeds.
+    /// Creates a cluster of `size` members that start together. The first three are the seeds.
     pub fn new(size: usize, seed: u64) -> Simulation {
         let start = Time::from_secs(1_790_000_000.0);
         let mut sim = Simulation {
@@ -151,7 +151,7 @@
             now: start,
             queue: BinaryHeap::new(),
             last_sequence: 0,
-            random: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             paused: BTreeMap::new(),
             partitions: Vec::new(),
             muted: BTreeSet::new(),
@@ -160,18 +160,18 @@
             names: (0..size)
                 .map(|member| (NameHash::of(&format!("n{member}")), member))
                 .collect(),
-            seeds: 3.min(size),
+            seed_count: 3.min(size),
         };
         for member in 0..size {
             sim.start_member(member, 0.0);
-            let at = sim.now + sim.random.random::<f64>() * TICK_INTERVAL;
+            let at = sim.now + sim.rng.random::<f64>() * TICK_INTERVAL;
             sim.push(at, Event::Tick(member));
         }
         sim
     }
 
     fn start_member(&mut self, member: usize, clock_skew: f64) {
-        let setup = MembershipConfig {
+        let config = MembershipConfig {
             cluster_name: "sim".into(),
             name: format!("n{member}"),
             room: "kita".into(),
@@ -179,11 +179,11 @@
             address: address(member),
             generation: ((self.now + clock_skew).secs() * 1e3) as u64,
             member_names: (0..self.size).map(|member| format!("n{member}")).collect(),
-            seeds: (0..self.seeds).map(address).collect(),
-            random_seed: self.random.random(),
+            seeds: (0..self.seed_count).map(address).collect(),
+            random_seed: self.rng.random(),
         };
         self.left.remove(&member);
-        let mut membership = Membership::new(setup, self.now);
+        let mut membership = Membership::new(config, self.now);
         membership.publish(self.now, GossipValue::Phase(MemberPhase::Serving));
         self.memberships[member] = Some(membership);
     }
@@ -197,17 +197,17 @@
         }));
     }
 
-    /// Seconds since the start.
+    /// Returns the simulated seconds since the start.
     pub fn elapsed(&self) -> f64 {
         self.now - self.start
     }
 
-    /// Schedules a fault, so many seconds after the start.
+    /// Schedules a fault at a time in seconds after the start.
     pub fn schedule_fault(&mut self, at: f64, fault: Fault) {
         self.push(self.start + at, Event::Fault(fault));
     }
 
-    /// Runs until so many seconds after the start.
+    /// Runs the simulation until a time in seconds after the start.
     pub fn run_until(&mut self, until: f64) {
         let end = self.start + until;
         while self
@@ -250,12 +250,12 @@
             membership.on_datagram(now, &bytes, &mut out);
         }
         membership.tick(now, &mut out);
-        self.carry_out(member, out);
+        self.handle_outputs(member, out);
     }
 
-    fn carry_out(&mut self, from: usize, out: Vec<Output>) {
-        for out in out {
-            match out {
+    fn handle_outputs(&mut self, from: usize, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
                 Output::SendDatagram { to, bytes } => self.send(from, to, &bytes),
                 Output::MemberChanged { id, state, .. } => {
                     let Some(&member) = self.names.get(&id.name) else {
@@ -278,16 +278,16 @@
         }
     }
 
-    /// Sends a datagram through the network, which may lose, delay or duplicate it.
+    /// Sends a datagram through the emulated network, which delays it and may lose or duplicate it.
     fn send(&mut self, from: usize, to: SocketAddr, bytes: &[u8]) {
         self.bytes_sent[from] += bytes.len() as u64;
         self.datagrams_sent += 1;
-        let copies = 1 + usize::from(self.random.random::<f64>() < self.duplicated_share);
+        let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplicated_share);
         for _ in 0..copies {
-            if self.random.random::<f64>() < self.lost_share {
+            if self.rng.random::<f64>() < self.lost_share {
                 continue;
             }
-            let at = self.now + (0.0002 + 0.003 * self.random.random::<f64>());
+            let at = self.now + (0.0002 + 0.003 * self.rng.random::<f64>());
             let bytes = bytes.to_vec();
             self.push(at, Event::Datagram { from, to, bytes });
         }
@@ -313,7 +313,7 @@
         };
         let mut out = Vec::new();
         membership.on_datagram(self.now, &bytes, &mut out);
-        self.carry_out(to, out);
+        self.handle_outputs(to, out);
     }
 
     fn inject(&mut self, fault: Fault) {
@@ -347,7 +347,7 @@
                     membership.leave(self.now, &mut out);
                     self.left.insert(member);
                 }
-                self.carry_out(member, out);
+                self.handle_outputs(member, out);
                 self.memberships[member] = None;
                 self.paused.remove(&member);
             }
@@ -358,88 +358,104 @@
         }
     }
 
-    /// The members whose processes run.
+    /// Returns the members whose processes run, paused ones included.
     pub fn running(&self) -> BTreeSet<usize> {
         (0..self.size)
             .filter(|member| self.memberships[*member].is_some())
             .collect()
     }
 
-    /// The members that one sees as live, itself included.
-    pub fn live_members_seen_by(&self, by: usize) -> BTreeSet<usize> {
-        let Some(membership) = &self.memberships[by] else {
+    /// Returns the members that an observer sees as live, itself included.
+    pub fn live_members_seen_by(&self, observer: usize) -> BTreeSet<usize> {
+        let Some(membership) = &self.memberships[observer] else {
             return BTreeSet::new();
         };
         let view = membership.view();
-        let there = view.members.iter().filter(|member| member.state.is_live());
-        there
+        let live_members = view.members.iter().filter(|member| member.state.is_live());
+        live_members
             .filter_map(|member| self.names.get(&member.id.name).copied())
-            .chain([by])
+            .chain([observer])
             .collect()
     }
 
-    pub fn quorum_view(&self, by: usize) -> Option<QuorumView> {
-        self.memberships[by]
+    /// Returns a member's quorum view; `None` if its process does not run.
+    pub fn quorum_view(&self, member: usize) -> Option<QuorumView> {
+        self.memberships[member]
             .as_ref()
             .map(|membership| membership.view().quorum_view)
     }
 
-    /// What is wrong in the views, if anything: each running member sees just the running ones as live.
+    /// Returns the first inconsistency of the views, if there is any. In consistent views, each running member sees
+    /// exactly the running members as live, and all digests are equal.
     pub fn inconsistency(&self) -> Option<String> {
-        let alive = self.running();
+        let running = self.running();
         let mut digests = BTreeSet::new();
-        let mut left: BTreeMap<usize, BTreeSet<MemberState>> = BTreeMap::new();
-        for &by in &alive {
-            let sees = self.live_members_seen_by(by);
-            if sees != alive {
-                let missing: Vec<&usize> = alive.difference(&sees).collect();
-                let surplus: Vec<&usize> = sees.difference(&alive).collect();
+        let mut states_of_departed: BTreeMap<usize, BTreeSet<MemberState>> = BTreeMap::new();
+        for &observer in &running {
+            let live = self.live_members_seen_by(observer);
+            if live != running {
+                let missing: Vec<&usize> = running.difference(&live).collect();
+                let surplus: Vec<&usize> = live.difference(&running).collect();
                 return Some(format!(
-                    "{by} misses {missing:?} and sees {surplus:?} at {:.1} s",
+                    "member {observer} misses running members {missing:?} and sees ended members {surplus:?} as live \
+                     at {:.1} s",
                     self.elapsed()
                 ));
             }
-            if let Some(membership) = &self.memberships[by] {
+            if let Some(membership) = &self.memberships[observer] {
                 let view = membership.view();
                 digests.insert(view.digest);
                 for member in &view.members {
-                    let of = self.names[&member.id.name];
-                    if self.left.contains(&of) {
-                        left.entry(of).or_default().insert(member.state);
+                    let number = self.names[&member.id.name];
+                    if self.left.contains(&number) {
+                        states_of_departed
+                            .entry(number)
+                            .or_default()
+                            .insert(member.state);
                     }
                 }
             }
         }
-        // The announcement of one that left in the middle of a partition may be lost; all know it, or none does.
-        if let Some((of, states)) = left.iter().find(|(_, states)| states.len() > 1) {
+        // The announcement of a member that left during a partition may be lost, but then all members have to see it as
+        // failed.
+        let differing = states_of_departed
+            .iter()
+            .find(|(_, states)| states.len() > 1);
+        if let Some((departed, states)) = differing {
             return Some(format!(
-                "{of}, who left, is taken for {states:?} at {:.1} s",
+                "departed member {departed} is seen in different states {states:?} at {:.1} s",
                 self.elapsed()
             ));
         }
-        (digests.len() > 1)
-            .then(|| format!("{} views differ at {:.1} s", digests.len(), self.elapsed()))
+        (digests.len() > 1).then(|| {
+            format!(
+                "{} different view digests at {:.1} s",
+                digests.len(),
+                self.elapsed()
+            )
+        })
     }
 
-    /// Runs on until all views are consistent and returns after how many seconds; `Err` with what is wrong at the end.
-    pub fn run_until_consistent(&mut self, within: f64) -> Result<f64, String> {
-        let from = self.elapsed();
+    /// Continues until all views are consistent, and returns the seconds that this took. Returns the remaining
+    /// inconsistency as an error if it took `time_limit` seconds.
+    pub fn run_until_consistent(&mut self, time_limit: f64) -> Result<f64, String> {
+        let start = self.elapsed();
         loop {
-            let Some(wrong) = self.inconsistency() else {
-                return Ok(self.elapsed() - from);
+            let Some(inconsistency) = self.inconsistency() else {
+                return Ok(self.elapsed() - start);
             };
-            if self.elapsed() - from >= within {
-                return Err(wrong);
+            if self.elapsed() - start >= time_limit {
+                return Err(inconsistency);
             }
             self.run_until(self.elapsed() + 0.25);
         }
     }
 
-    /// Reports that a member failed, from this time on.
-    pub fn failures(&self, from: f64) -> Vec<&MemberChange> {
+    /// Returns the reports of failed members since a time in seconds after the start.
+    pub fn failures(&self, since: f64) -> Vec<&MemberChange> {
         self.changes
             .iter()
-            .filter(|change| change.at >= from && change.state == MemberState::Failed)
+            .filter(|change| change.at >= since && change.state == MemberState::Failed)
             .collect()
     }
 }
