--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -1,15 +1,15 @@
-//! The form of a datagram: a common header and one of a few messages. Each fits into one datagram that no network
-//! fragments.
+//! Encoding of datagrams: a common header followed by one message. Every message fits into one datagram that networks
+//! don't fragment.
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 2 | `c`, `r` |
-//! | 1 | the version |
-//! | 4 | CRC-32 of all that follows, least byte first |
-//! | 1 and as many as it says | length of the cluster's name, and the name |
-//! | rest | a [`ClusterMessage`] as `postcard` encodes it |
+//! | 2 | magic bytes `c`, `r` |
+//! | 1 | protocol version |
+//! | 4 | CRC-32 of everything that follows, little-endian |
+//! | 1 + length | length of the cluster's name, then the name |
+//! | rest | a [`ClusterMessage`], encoded by `postcard` |
 //!
-//! The order of enum variants and of fields is that of the bytes.
+//! The encoding follows the order of enum variants and fields, so reordering them breaks compatibility.
 
 use crate::datagram_error::DatagramError;
 use crate::gossip_entry::GossipEntry;
@@ -17,13 +17,13 @@
 use crate::identity::{MemberId, NameHash};
 use serde::{Deserialize, Serialize};
 
-/// Largest datagram in bytes.
+/// Maximum size of a datagram in bytes, small enough that networks don't fragment it.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Version of this form.
+/// Version of the datagram encoding. Datagrams of other versions are dropped.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Largest message of the SWIM library in bytes.
+/// Maximum size of a message of the SWIM library in bytes.
 pub(crate) const MAX_SWIM_BYTES: usize = 1_200;
-/// Longest name of a cluster in bytes.
+/// Maximum length of a cluster's name in bytes.
 pub const MAX_CLUSTER_NAME_BYTES: usize = 64;
 
 const MAGIC: [u8; 2] = *b"cr";
@@ -34,7 +34,7 @@
 /// A message between two coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClusterMessage {
-    /// A message of the SWIM library, with the sender's view so that both learn whether they agree.
+    /// A message of the SWIM library, with the version of the sender's view for comparison with the receiver's.
     Swim {
         /// The epoch of the sender's view.
         epoch: u64,
@@ -42,39 +42,40 @@
         digest: u64,
         /// The hash of the sender's name.
         from: NameHash,
-        /// The library's message.
+        /// The library's message, at most 1,200 bytes.
         bytes: Vec<u8>,
     },
     /// Anti-entropy: digests of the gossip entries that the sender knows.
     Digests {
-        /// The sender.
+        /// The sender, which has to be live in the receiver's view.
         from: MemberId,
-        /// One digest a bucket of writers.
+        /// One digest per bucket of writers.
         digests: Box<Digests>,
-        /// Whether this answers a `Digests` message; a reply is not answered in turn.
+        /// Whether this message answers another `Digests` message. Replies are not answered.
         is_reply: bool,
     },
     /// Gossip entries that the receiver lacks.
     GossipEntries(Vec<GossipEntry>),
     /// Asks whether the member of this name at this address is alive.
     IdentityQuery {
-        /// The sender.
+        /// The sender, to which the reply goes.
         from: MemberId,
-        /// The member asked about; [`NameHash::ANY`] for whoever receives the query.
+        /// The member that the query is about; its name is [`NameHash::ANY`] if the query is about its receiver.
         subject: MemberId,
     },
     /// Answers [`ClusterMessage::IdentityQuery`].
     IdentityReply {
-        /// The newest process known under the name that was asked about.
+        /// The newest known process under the queried name.
         subject: MemberId,
-        /// Whether the subject itself answers, so that it is alive.
+        /// Whether the reply comes from the subject itself, which proves that it is alive.
         from_subject: bool,
     },
 }
 
-/// Encodes a message as a datagram of a cluster. `None` if it would be too large.
-pub fn encode(cluster: &str, message: &ClusterMessage) -> Option<Vec<u8>> {
-    let name = cluster.as_bytes();
+/// Encodes a message as a datagram of the given cluster. Returns `None` if the datagram would exceed
+/// [`MAX_DATAGRAM_BYTES`].
+pub fn encode(cluster_name: &str, message: &ClusterMessage) -> Option<Vec<u8>> {
+    let name = cluster_name.as_bytes();
     let mut body = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     body.push(u8::try_from(name.len()).ok()?);
     body.extend_from_slice(name);
@@ -90,26 +91,26 @@
     Some(bytes)
 }
 
-/// Decodes a datagram of a cluster.
-pub fn decode(cluster: &str, bytes: &[u8]) -> Result<ClusterMessage, DatagramError> {
+/// Decodes a datagram and checks that it belongs to the given cluster.
+pub fn decode(cluster_name: &str, bytes: &[u8]) -> Result<ClusterMessage, DatagramError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Malformed);
     }
-    let message = checked_message(cluster, bytes)?;
+    let message = verified_message(cluster_name, bytes)?;
     match postcard::take_from_bytes(message) {
         Ok((message, [])) => Ok(message),
         _ => Err(DatagramError::Malformed),
     }
 }
 
-/// The bytes of the message, once header, checksum and cluster are checked.
-fn checked_message<'a>(cluster: &str, bytes: &'a [u8]) -> Result<&'a [u8], DatagramError> {
+/// Checks header, checksum and cluster name, and returns the encoded message.
+fn verified_message<'a>(cluster_name: &str, bytes: &'a [u8]) -> Result<&'a [u8], DatagramError> {
     let rest = bytes.strip_prefix(&MAGIC).ok_or(DatagramError::Malformed)?;
     let (&version, rest) = rest.split_first().ok_or(DatagramError::Malformed)?;
     let (checksum, body) = rest
         .split_first_chunk::<CHECKSUM_BYTES>()
         .ok_or(DatagramError::Malformed)?;
-    // Checked before the checksum, which another version may compute differently.
+    // The version is checked first because another version may compute the checksum differently.
     if version != PROTOCOL_VERSION {
         return Err(DatagramError::ForeignVersion);
     }
@@ -120,7 +121,7 @@
     let (name, message) = rest
         .split_at_checked(usize::from(name_length))
         .ok_or(DatagramError::Malformed)?;
-    if name != cluster.as_bytes() {
+    if name != cluster_name.as_bytes() {
         return Err(DatagramError::ForeignCluster);
     }
     Ok(message)
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -17,10 +17,10 @@
     let bytes = encode("sapporo", &message()).unwrap();
     assert_eq!(decode("sapporo", &bytes), Ok(message()));
     assert_eq!(decode("otaru", &bytes), Err(DatagramError::ForeignCluster));
-    let mut later = bytes.clone();
-    later[2] = PROTOCOL_VERSION + 1;
+    let mut newer_version = bytes.clone();
+    newer_version[2] = PROTOCOL_VERSION + 1;
     assert_eq!(
-        decode("sapporo", &later),
+        decode("sapporo", &newer_version),
         Err(DatagramError::ForeignVersion)
     );
     assert_eq!(decode("sapporo", b""), Err(DatagramError::Malformed));
@@ -58,7 +58,7 @@
     }
 }
 
-/// One entry of each kind, and of each phase.
+/// Returns an entry of each kind and, for the phase, one of each value.
 fn sample_entries() -> Vec<GossipEntry> {
     let description = MemberDescription {
         name: "n1".into(),
@@ -95,7 +95,7 @@
     assert_eq!(hex, expected, "{message:?}");
 }
 
-/// Guards against a rename or a new order of fields or variants that changes the bytes of a message.
+/// Guards against renamed or reordered fields and variants that change the encoding of a message.
 #[test]
 fn membership_messages_keep_their_bytes() {
     let id = sample_id();
@@ -129,7 +129,7 @@
     );
 }
 
-/// Guards against the same for gossip.
+/// Guards against the same changes in gossip messages.
 #[test]
 fn gossip_messages_keep_their_bytes() {
     assert_bytes(
@@ -154,15 +154,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Guards against a datagram that ends the program, and against a damaged one that is accepted.
+    /// Guards against damaged or truncated datagrams that are accepted or make the decoder panic.
     #[test]
-    fn damaged_datagrams_are_rejected(at in 0usize..300, with in 1u8..=255, cut in 0usize..300) {
+    fn damaged_datagrams_are_rejected(position in 0usize..300, flipped_bits in 1u8..=255, length in 0usize..300) {
         let bytes = encode("sapporo", &message()).unwrap();
         let mut damaged = bytes.clone();
-        let at = at % damaged.len();
-        damaged[at] ^= with;
+        let position = position % damaged.len();
+        damaged[position] ^= flipped_bits;
         prop_assert!(decode("sapporo", &damaged).is_err());
-        prop_assert!(decode("sapporo", &bytes[..cut.min(bytes.len() - 1)]).is_err());
+        prop_assert!(decode("sapporo", &bytes[..length.min(bytes.len() - 1)]).is_err());
     }
 
     #[test]
--- a/crates/cluster/src/datagram_error.rs
+++ b/crates/cluster/src/datagram_error.rs
@@ -1,27 +1,27 @@
-//! Why a datagram is dropped. Each cause is counted; none is answered.
+//! Causes for which datagrams are dropped. Dropped datagrams are counted by cause and never answered.
 
-/// A datagram that is not accepted. The texts are keys of `dropped` in `GET /v1/peers`.
+/// The cause for which a datagram was dropped. The texts are keys of the `dropped` object in `GET /v1/peers`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DatagramError {
-    /// It is no message of a coordinator, or was damaged on its way.
+    /// The datagram is not a coordinator's message, or was damaged in transit.
     #[error("garbage")]
     Malformed,
-    /// It has another version of the protocol.
+    /// The datagram has a different protocol version.
     #[error("a foreign version")]
     ForeignVersion,
-    /// It is of another cluster.
+    /// The datagram belongs to a different cluster.
     #[error("a foreign cluster")]
     ForeignCluster,
-    /// It claims to come from this coordinator itself, or is meant for another one.
+    /// The datagram claims to come from this coordinator itself, or is addressed to another one.
     #[error("not for this coordinator")]
     Misdirected,
-    /// It names more members than are tracked.
+    /// The datagram names a member beyond the number that is tracked, see [`MAX_MEMBERS`](crate::MAX_MEMBERS).
     #[error("too many members")]
     TooManyMembers,
 }
 
 impl DatagramError {
-    /// All causes, in the order of their counters.
+    /// All causes, in the order in which their counters are reported.
     pub const ALL: [DatagramError; 5] = [
         DatagramError::Malformed,
         DatagramError::ForeignVersion,
@@ -30,34 +30,34 @@
         DatagramError::TooManyMembers,
     ];
 
-    /// What an operator can do.
+    /// Returns a hint for the operator on how to resolve the cause.
     pub fn help(&self) -> &'static str {
         match self {
-            DatagramError::Malformed => "see who else sends to the address of 'peers.listen'",
+            DatagramError::Malformed => "check which other programs send to the address in 'peers.listen'",
             DatagramError::ForeignVersion => {
-                "nothing while a release rolls; else bring all coordinators to one version"
+                "no action is needed during a rolling update; otherwise bring all coordinators to the same version"
             }
             DatagramError::ForeignCluster => {
-                "two fleets share addresses: see 'peers.seeds' and 'peers.cluster' on both sides"
+                "two clusters share addresses: check 'peers.seeds' and 'peers.cluster' on both sides"
             }
             DatagramError::Misdirected => {
-                "nothing; if it goes on, two coordinators may use one address"
+                "no action is needed if the drops stop; otherwise check whether two coordinators use the same address"
             }
-            DatagramError::TooManyMembers => "see whether coordinators start under ever new names",
+            DatagramError::TooManyMembers => "check whether coordinators keep starting under new names",
         }
     }
 }
 
-/// How many datagrams were dropped for one cause.
+/// Number of datagrams that were dropped for one cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DropCount {
-    /// The cause.
+    /// Why the datagrams were dropped.
     pub cause: DatagramError,
-    /// The number of datagrams since the start.
+    /// Number of datagrams since the process started.
     pub count: u64,
 }
 
-/// Counters of dropped datagrams, one a cause.
+/// Counters of dropped datagrams, one per cause.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DropCounts {
     malformed: u64,
@@ -73,7 +73,7 @@
         *self.counter(cause) += 1;
     }
 
-    /// The counters in the order of [`DatagramError::ALL`].
+    /// Returns the counters in the order of [`DatagramError::ALL`].
     pub(crate) fn iter(mut self) -> impl Iterator<Item = DropCount> {
         DatagramError::ALL.into_iter().map(move |cause| DropCount {
             cause,
--- a/crates/cluster/src/gossip_entry.rs
+++ b/crates/cluster/src/gossip_entry.rs
@@ -1,75 +1,76 @@
-//! Entries of the gossip state: what a coordinator shares about itself.
+//! Entries of the gossip state, by which coordinators share information about themselves.
 //!
-//! The order of enum variants and of fields is that of the bytes in a datagram.
+//! The encoding in datagrams follows the order of enum variants and fields, so reordering them breaks compatibility.
 
 use crate::identity::NameHash;
 use crate::member_names;
 use cairnroad_types::{Seconds, Time};
 use serde::{Deserialize, Serialize};
 
-/// Most offers of one coordinator.
+/// Maximum number of offers of one coordinator.
 pub const MAX_OFFERS: usize = 8;
-/// Most outliers that one coordinator reports.
+/// Maximum number of outliers that one coordinator reports.
 pub const MAX_REPORTED_OUTLIERS: usize = 12;
-/// How long a departure is remembered after it happened: as long as stale gossip that the member is alive may live.
+/// How long a departure is remembered after it happened, in seconds: stale gossip that the member is alive may
+/// circulate for that long.
 const DEPARTURE_RETENTION: Seconds = 3_600.0;
 
-/// Phase of a coordinator's life cycle.
+/// Phase of a coordinator's life cycle, as published to the other members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberPhase {
-    /// Not ready yet.
+    /// Not ready to serve clients yet.
     Starting,
     /// Serving clients.
     Serving,
-    /// Sending clients to other coordinators.
+    /// Moving clients to other coordinators; requests are still answered.
     Draining,
     /// Shutting down.
     Stopping,
 }
 
-/// What a coordinator says it is.
+/// A coordinator's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberDescription {
-    /// Its name.
+    /// The coordinator's name; its hash is the entry's writer.
     pub name: String,
-    /// The room that it stands in (setting `peers.room`).
+    /// The room that the coordinator is located in (setting `peers.room`).
     pub room: String,
-    /// What it offers to others (setting `peers.offers`).
+    /// What the coordinator offers to other members (setting `peers.offers`), at most [`MAX_OFFERS`] texts.
     pub offers: Vec<String>,
 }
 
-/// The content of an entry.
+/// The value of a gossip entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipValue {
-    /// Who the writer is.
+    /// The writer's description of itself.
     Description(MemberDescription),
-    /// The writer's phase.
+    /// The writer's current phase.
     Phase(MemberPhase),
-    /// Ids of the data nodes that the writer's own requests showed to be outliers. Advice only.
+    /// Ids of the data nodes that are outliers according to the writer's own requests. Advice only.
     Outliers(Vec<String>),
-    /// The writer announced that it leaves.
+    /// The writer's announcement that it leaves the cluster.
     Departure {
-        /// When, in Unix milliseconds.
+        /// Time of the announcement in Unix milliseconds, by the writer's clock.
         at_ms: u64,
     },
 }
 
-/// Which of a writer's entries one is. The numbers go into digests.
+/// The kind of a gossip entry. The discriminants are part of the digests that members compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EntryKind {
-    /// [`GossipValue::Description`].
+    /// Kind of a [`GossipValue::Description`].
     Description = 0,
-    /// [`GossipValue::Phase`].
+    /// Kind of a [`GossipValue::Phase`].
     Phase = 1,
-    /// [`GossipValue::Outliers`].
+    /// Kind of a [`GossipValue::Outliers`].
     Outliers = 2,
-    /// [`GossipValue::Departure`].
+    /// Kind of a [`GossipValue::Departure`].
     Departure = 3,
 }
 
 impl GossipValue {
-    /// The kind of this value.
+    /// Returns the kind of this value.
     pub fn kind(&self) -> EntryKind {
         match self {
             GossipValue::Description(_) => EntryKind::Description,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Whether sizes are within their limits, and a description is of its writer.
+    /// Returns whether all sizes are within their limits and a description names its own writer.
     fn is_valid_for(&self, writer: NameHash) -> bool {
         let is_short = |text: &String| text.len() <= member_names::MAX_NAME_BYTES;
         match self {
@@ -97,29 +98,29 @@
     }
 }
 
-/// One entry. Only the coordinator named as its writer creates it.
+/// A gossip entry. Only the coordinator identified by `writer` creates it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipEntry {
     /// The hash of the writer's name.
     pub writer: NameHash,
-    /// The writer's generation, see [`MemberId`](crate::identity::MemberId).
+    /// The writer's generation, see [`MemberId::generation`](crate::identity::MemberId::generation).
     pub generation: u64,
-    /// Increases with every entry that the writer publishes in this generation.
+    /// Increases with every entry that the writer publishes in this generation, whatever its kind.
     pub version: u32,
-    /// The content.
+    /// The published information, which also determines the kind of the entry.
     pub value: GossipValue,
 }
 
-/// Identifies an entry whatever its version: each writer has one entry of a kind.
+/// Identifies an entry regardless of its version: each writer has at most one entry of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EntryKey {
     /// The hash of the writer's name.
     pub writer: NameHash,
-    /// The kind of entry.
+    /// The kind of the entry.
     pub kind: EntryKind,
 }
 
-/// Orders the versions of one entry; the greater one wins.
+/// Version of an entry; of two versions under one key, the greater one wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EntryVersion {
     generation: u64,
@@ -127,7 +128,7 @@
 }
 
 impl GossipEntry {
-    /// The key under which this entry is stored.
+    /// Returns the key under which this entry is stored.
     pub fn key(&self) -> EntryKey {
         EntryKey {
             writer: self.writer,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Which version of its key this is.
+    /// Returns the version by which this entry is compared with others under the same key.
     pub(crate) fn entry_version(&self) -> EntryVersion {
         EntryVersion {
             generation: self.generation,
@@ -143,12 +144,12 @@
         }
     }
 
-    /// Whether the entry keeps to the limits of its kind.
+    /// Returns whether the entry keeps to the limits of its kind.
     pub(crate) fn is_valid(&self) -> bool {
         self.value.is_valid_for(self.writer)
     }
 
-    /// A digest of key and version; the content follows from both.
+    /// Returns a digest of key and version. The value is left out because key and version determine it.
     pub(crate) fn digest(&self) -> u64 {
         let mut bytes = [0; 21];
         bytes[..8].copy_from_slice(&self.writer.0.to_le_bytes());
@@ -158,7 +159,7 @@
         xxhash_rust::xxh3::xxh3_64(&bytes)
     }
 
-    /// When an entry that outlives its writer expires; `None` for entries that go with their writer.
+    /// Returns when an entry that outlives its writer expires; `None` for entries that are removed with their writer.
     pub(crate) fn expires_at(&self) -> Option<Time> {
         let GossipValue::Departure { at_ms } = self.value else {
             return None;
@@ -169,8 +170,9 @@
         Some(Time(micros) + DEPARTURE_RETENTION)
     }
 
-    /// Whether anti-entropy exchanges it. Outlier reports go stale before an exchange is worth its datagrams.
-    pub(crate) fn is_reconciled(&self) -> bool {
+    /// Returns whether anti-entropy exchanges the entry. Outlier reports are left out because they go stale before an
+    /// exchange would be worth its datagrams.
+    pub(crate) fn uses_anti_entropy(&self) -> bool {
         !matches!(self.value, GossipValue::Outliers(_))
     }
 }
--- a/crates/cluster/src/gossip_state.rs
+++ b/crates/cluster/src/gossip_state.rs
@@ -1,7 +1,8 @@
-//! The gossip state: small shared entries, each with one writer, of which the newest generation and version win.
+//! The gossip state: small shared entries, each with a single writer. The newest generation and version of an entry
+//! win.
 //!
-//! Bounded in number, size and age. Entries spread with the membership messages and are reconciled by digests after a
-//! partition.
+//! The entries are bounded in number, size and age. They spread with the membership messages, and digests reconcile
+//! them after a partition.
 
 use crate::gossip_entry::{EntryKey, EntryKind, GossipEntry};
 use crate::identity::NameHash;
@@ -13,16 +14,17 @@
     GossipValue, MemberDescription, MemberPhase, MAX_OFFERS, MAX_REPORTED_OUTLIERS,
 };
 
-/// Most entries that are stored: one of each kind for every tracked member.
+/// Maximum number of stored entries: one of each of the four kinds for every tracked member.
 pub const MAX_ENTRIES: usize = 4 * MAX_MEMBERS;
-/// How long an outlier report counts after it was received: the data node may have recovered since.
+/// How long an outlier report counts after it was received, in seconds; the data node may have recovered since.
 pub const OUTLIER_REPORT_TTL: Seconds = 15.0;
-/// How long entries of an absent writer are kept: news of its end and its last entries may arrive in any order.
+/// How long entries of an absent writer are kept, in seconds: the report that it is gone and its last entries may
+/// arrive in any order.
 const ABSENT_RETENTION: Seconds = 60.0;
-/// Into how many buckets, by writer, entries are digested for anti-entropy.
+/// Number of buckets, by writer, into which entries are grouped for the digests of anti-entropy.
 pub(crate) const DIGEST_BUCKETS: usize = 32;
 
-/// One digest a bucket of writers.
+/// One digest per bucket of writers.
 pub(crate) type Digests = [u64; DIGEST_BUCKETS];
 
 struct StoredEntry {
@@ -30,7 +32,7 @@
     received_at: Time,
 }
 
-/// Whether a writer is a live member.
+/// Whether a writer is a live member, and otherwise since when it is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
     Present,
@@ -45,10 +47,11 @@
 }
 
 impl GossipState {
-    /// Stores an entry if it is newer than what is known. Returns whether it was, so that it is passed on.
+    /// Stores an entry if it is valid and newer than the stored one. Returns whether it was stored, so that the caller
+    /// passes only new entries on to other members.
     pub fn merge(&mut self, now: Time, entry: GossipEntry) -> bool {
         let key = entry.key();
-        if !self.is_news(now, &entry) {
+        if !self.accepts(now, &entry) {
             return false;
         }
         if !self.entries.contains_key(&key) && self.entries.len() >= MAX_ENTRIES {
@@ -71,18 +74,19 @@
         true
     }
 
-    fn is_news(&self, now: Time, entry: &GossipEntry) -> bool {
+    /// Returns whether an entry is valid, has not expired and is newer than the stored one.
+    fn accepts(&self, now: Time, entry: &GossipEntry) -> bool {
         let has_expired = entry.expires_at().is_some_and(|expiry| expiry <= now);
         if has_expired || !entry.is_valid() {
             return false;
         }
         let newest_generation = self.newest_generation(entry.writer).unwrap_or(0);
-        let known = self
+        let stored_version = self
             .entries
             .get(&entry.key())
             .map(|stored| stored.entry.entry_version())
             .unwrap_or_default();
-        entry.generation >= newest_generation && entry.entry_version() > known
+        entry.generation >= newest_generation && entry.entry_version() > stored_version
     }
 
     fn entries_of(&self, writer: NameHash) -> impl Iterator<Item = (&EntryKey, &StoredEntry)> {
@@ -97,14 +101,14 @@
         self.entries.range(first..=last)
     }
 
-    /// The newest generation of a writer that has published anything known here.
+    /// Returns the newest generation of a writer of which an entry is stored.
     fn newest_generation(&self, writer: NameHash) -> Option<u64> {
         self.entries_of(writer)
             .map(|(_, stored)| stored.entry.generation)
             .max()
     }
 
-    /// Removes what an earlier generation of a writer published: it is void.
+    /// Removes all entries of a writer: they are invalid once a later generation of the writer publishes.
     fn remove_writer(&mut self, writer: NameHash) {
         let keys: Vec<EntryKey> = self.entries_of(writer).map(|(key, _)| *key).collect();
         for key in keys {
@@ -112,17 +116,17 @@
         }
     }
 
-    /// Notes that a writer is a live member.
+    /// Marks a writer as a live member.
     pub fn mark_present(&mut self, writer: NameHash) {
         self.presence.insert(writer, Presence::Present);
     }
 
-    /// Notes that a writer is no live member any more; its entries expire from now on.
+    /// Marks a writer as no longer live. The retention time of its entries starts now.
     pub fn mark_absent(&mut self, now: Time, writer: NameHash) {
         self.presence.insert(writer, Presence::AbsentSince(now));
     }
 
-    /// Removes entries of writers that have been absent for long.
+    /// Removes expired entries, and entries of writers that have been absent for longer than the retention time.
     pub fn remove_expired(&mut self, now: Time) {
         self.presence.retain(|_, presence| match presence {
             Presence::Present => true,
@@ -141,7 +145,7 @@
         Some(&stored.entry.value)
     }
 
-    /// A writer's description of itself.
+    /// Returns a writer's description of itself.
     pub fn description(&self, writer: NameHash) -> Option<&MemberDescription> {
         match self.value(writer, EntryKind::Description)? {
             GossipValue::Description(description) => Some(description),
@@ -149,12 +153,12 @@
         }
     }
 
-    /// A writer's name, if its description has arrived.
+    /// Returns a writer's name, if its description has arrived.
     pub fn name(&self, writer: NameHash) -> Option<String> {
         Some(self.description(writer)?.name.clone())
     }
 
-    /// The last phase that this generation of a writer published.
+    /// Returns the last phase that this generation of a writer published.
     pub fn phase(&self, writer: NameHash, generation: u64) -> Option<MemberPhase> {
         let kind = EntryKind::Phase;
         let entry = &self.entries.get(&EntryKey { writer, kind })?.entry;
@@ -164,7 +168,8 @@
         }
     }
 
-    /// For each data node that other live members report as an outlier, how many do. Old reports don't count.
+    /// Returns, for each data node that other live members report as an outlier, the number of those members. Reports
+    /// older than [`OUTLIER_REPORT_TTL`] don't count.
     pub fn outlier_reports(&self, now: Time, local: NameHash) -> BTreeMap<&str, usize> {
         let mut counts = BTreeMap::new();
         for (key, stored) in &self.entries {
@@ -182,7 +187,7 @@
         counts
     }
 
-    /// Whether this generation of a writer, or a later one, announced that it leaves.
+    /// Returns whether this generation of a writer, or a later one, announced that it leaves.
     pub fn has_left(&self, writer: NameHash, generation: u64) -> bool {
         let kind = EntryKind::Departure;
         self.entries
@@ -194,50 +199,53 @@
         self.presence.get(&writer) == Some(&Presence::Present)
     }
 
-    /// Digests of all reconciled entries by bucket of writers: equal where the same entries are known.
+    /// Returns the digests of all reconciled entries by bucket of writers. Members that store the same entries have
+    /// equal digests.
     pub(crate) fn digests(&self) -> Digests {
         let mut digests = [0; DIGEST_BUCKETS];
         for entry in self.reconciled_entries() {
-            digests[bucket(entry.writer)] ^= entry.digest();
+            digests[digest_bucket(entry.writer)] ^= entry.digest();
         }
         digests
     }
 
-    /// The entries in those buckets whose digests differ from another coordinator's.
-    pub(crate) fn entries_differing_from(&self, others: &Digests) -> Vec<GossipEntry> {
-        let own = self.digests();
+    /// Returns the entries in the buckets whose digests differ from those of another member.
+    pub(crate) fn entries_differing_from(&self, peer_digests: &Digests) -> Vec<GossipEntry> {
+        let own_digests = self.digests();
         self.reconciled_entries()
             .filter(|entry| {
-                let bucket = bucket(entry.writer);
-                own[bucket] != others[bucket]
+                let bucket = digest_bucket(entry.writer);
+                own_digests[bucket] != peer_digests[bucket]
             })
             .cloned()
             .collect()
     }
 
-    /// What anti-entropy compares: entries that outlive their writer, and lasting ones of live members.
+    /// Returns the entries that anti-entropy compares: those that outlive their writer, and those of live members
+    /// except outlier reports.
     fn reconciled_entries(&self) -> impl Iterator<Item = &GossipEntry> {
         self.entries
             .values()
             .map(|stored| &stored.entry)
             .filter(|entry| {
                 let outlives_writer = entry.expires_at().is_some();
-                outlives_writer || entry.is_reconciled() && self.is_present(entry.writer)
+                outlives_writer || entry.uses_anti_entropy() && self.is_present(entry.writer)
             })
     }
 
-    /// The number of stored entries.
+    /// Returns the number of stored entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is stored.
+    /// Returns whether no entries are stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-fn bucket(writer: NameHash) -> usize {
+/// Returns the index of the digest bucket that a writer belongs to.
+fn digest_bucket(writer: NameHash) -> usize {
     (writer.0 % DIGEST_BUCKETS as u64) as usize
 }
 
--- a/crates/cluster/src/identity.rs
+++ b/crates/cluster/src/identity.rs
@@ -1,54 +1,55 @@
-//! Identities of coordinators: the hash of a name, and one process that bears it.
+//! Identities of coordinators: the hash of a name, and one process that runs under it.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A coordinator's name as it travels: the xxh3 hash of its text.
+/// xxh3 hash of a coordinator's name, which stands for the name in datagrams.
 ///
-/// The text itself is in the member's [`MemberDescription`](crate::gossip_state::MemberDescription).
+/// The name itself is in the member's [`MemberDescription`](crate::gossip_state::MemberDescription).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct NameHash(pub u64);
 
 impl NameHash {
-    /// Stands for whoever receives a query, whatever its name.
+    /// Wildcard that stands for the receiver of a query, whatever its name.
     pub const ANY: NameHash = NameHash(0);
 
-    /// The hash of a name.
-    pub fn of(text: &str) -> NameHash {
-        NameHash(xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
+    /// Returns the hash of a name.
+    pub fn of(name: &str) -> NameHash {
+        NameHash(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
 }
 
-/// One process of a coordinator. Of two processes under one name the later one holds the name.
+/// Identity of one process of a coordinator. Of two processes under one name, the later one holds the name.
 ///
-/// The order of the fields is that of the bytes in a datagram.
+/// The encoding in datagrams follows the order of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// The hash of its name.
+    /// The hash of the coordinator's name.
     pub name: NameHash,
-    /// Start of the process in Unix milliseconds, or a later number if it met a process with a later one.
+    /// Start time of the process in Unix milliseconds. Raised above another process's generation if that process was
+    /// known under the same name with a later one but has ended, and by one when `rejoins` can't be incremented.
     pub generation: u64,
-    /// How often this process rejoined after other members had declared it failed.
+    /// Number of times this process rejoined after other members had declared it failed.
     pub rejoins: u16,
-    /// Where it receives datagrams.
+    /// Address at which the process receives datagrams.
     pub address: SocketAddr,
 }
 
 impl MemberId {
-    /// Whether this identity holds the name that both bear.
+    /// Returns whether this identity, rather than `other`, holds the name that the two share.
     pub fn supersedes(&self, other: &MemberId) -> bool {
         (self.generation, self.rejoins, self.address)
             > (other.generation, other.rejoins, other.address)
     }
 
-    /// Whether the two are different processes, not two rejoins of one.
+    /// Returns whether the two identities belong to different processes, not to two rejoins of one process.
     pub fn is_another_process(&self, other: &MemberId) -> bool {
         (self.generation, self.address) != (other.generation, other.address)
     }
 
-    /// This member's share of a view's digest. Equal for equal name, generation and rejoins.
+    /// Returns this member's contribution to the digest of a view; equal for equal name, generation and rejoins.
     pub(crate) fn digest(&self) -> u64 {
         let mut bytes = [0; 18];
         bytes[..8].copy_from_slice(&self.name.0.to_le_bytes());
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,12 +1,13 @@
-//! Membership and gossip among coordinators, decided without I/O and clock.
+//! Cluster membership and gossip among coordinators, as a state machine without I/O and without a clock of its own.
 //!
-//! [`Membership`] is one coordinator's part: it takes datagrams and the time, and returns datagrams to send and changes
-//! to report ([`Output`]). The SWIM library `foca` detects failures by probes, suspicion and incarnations. On top of it
-//! stand the state of each member ([`view`]), a coordinator's awareness of its own health ([`local_health`]), small
-//! shared entries ([`gossip_state`]) and the [`quorum::QuorumView`], which one table ([`quorum::is_allowed`]) turns into
-//! what a coordinator may do.
+//! [`Membership`] is the state machine of one coordinator. Its inputs are datagrams and the current time; its outputs
+//! ([`Output`]) are datagrams to send and changes to report. The SWIM library `foca` detects failures by probes,
+//! suspicion and incarnations. This crate adds the state of each member ([`view`]), a coordinator's estimate of its own
+//! health ([`local_health`]), shared entries ([`gossip_state`]) and the [`quorum::QuorumView`], from which
+//! [`quorum::is_allowed`] derives the actions that a coordinator may take.
 //!
-//! What other coordinators share is advice: requests are sent only to servers of the coordinator's own endpoint list.
+//! Data shared by other coordinators is advice only: a coordinator sends requests only to servers on its own endpoint
+//! list.
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 pub mod datagram;
--- a/crates/cluster/src/local_health.rs
+++ b/crates/cluster/src/local_health.rs
@@ -1,36 +1,37 @@
-//! A coordinator's awareness of its own health (after Lifeguard: Dadgar, Phillips, Currey 2018).
+//! A coordinator's estimate of its own health (after Lifeguard: Dadgar, Phillips, Currey 2018).
 //!
-//! A process that was paused, starved or can't be heard sees others fail though it is the one that failed. The less
-//! healthy it is, the longer it waits before it declares others failed.
+//! A process that was paused, is starved of CPU time or can't be reached sees other members fail although it is the
+//! faulty one itself. The less healthy it is, the longer it waits before it declares other members failed.
 
-/// The worst score.
+/// Score of the worst health.
 const MAX_SCORE: u32 = 8;
-/// The most by which timeouts are multiplied: a member that is cut off alone has to find out in the end.
+/// Maximum factor for timeouts. It is bounded because a member that is cut off from all others has to detect that
+/// eventually.
 const MAX_TIMEOUT_MULTIPLIER: u32 = 3;
-/// From this score on a coordinator does nothing for others: what it sees may be its own fault.
+/// Score from which a coordinator takes no action for other members: the failures that it sees may be its own.
 const DEGRADED_SCORE: u32 = 4;
 
-/// What counts for or against a coordinator's own health.
+/// An observation that raises or lowers a coordinator's health score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthEvidence {
-    /// One of its probes was answered.
+    /// One of the coordinator's probes was answered.
     ProbeAnswered,
-    /// One of its probes was not, and none of the members asked afterwards answered either.
+    /// One of its probes was not answered, and none of the members queried afterwards replied either.
     Unreachable,
-    /// Others suspected it, and it had to refute that.
+    /// Other members suspected the coordinator, and it had to refute the suspicion.
     Suspected,
-    /// Its process did not run for a while.
+    /// The process was stopped or starved for a while.
     Paused,
 }
 
-/// How healthy a coordinator takes itself to be. The default is fully healthy.
+/// Health of a coordinator by its own estimate. The default is fully healthy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalHealth {
     score: u32,
 }
 
 impl LocalHealth {
-    /// Adjusts the score.
+    /// Adjusts the score by an observation.
     pub(crate) fn record(&mut self, evidence: HealthEvidence) {
         self.score = match evidence {
             HealthEvidence::ProbeAnswered => self.score.saturating_sub(1),
@@ -39,17 +40,17 @@
         };
     }
 
-    /// The score: 0 is healthy, 8 the worst.
+    /// Returns the score, from 0 (healthy) to 8 (worst).
     pub fn score(self) -> u32 {
         self.score
     }
 
-    /// By how much timeouts that lead to declaring others failed are multiplied, 1 to 3.
+    /// Returns the factor, from 1 to 3, for the timeouts that lead to declaring other members failed.
     pub fn timeout_multiplier(self) -> u32 {
         (self.score + 1).min(MAX_TIMEOUT_MULTIPLIER)
     }
 
-    /// Whether the coordinator is too unhealthy to do anything for others.
+    /// Returns whether the coordinator is too unhealthy to act for other members.
     pub fn is_degraded(self) -> bool {
         self.score >= DEGRADED_SCORE
     }
--- a/crates/cluster/src/message_filter.rs
+++ b/crates/cluster/src/message_filter.rs
@@ -1,7 +1,8 @@
-//! Filters what the SWIM library is shown: messages about this coordinator's own name and about forgotten members.
+//! Filter of the messages that reach the SWIM library, for those about this coordinator's own name and about forgotten
+//! members.
 //!
-//! The library takes whoever bears its name for an earlier process of its own and declares that one failed. Where the
-//! other is in fact the newer process, the two would declare each other failed forever.
+//! The library takes any other process under its own name for an earlier process of this coordinator and declares that
+//! process failed. If the other process is in fact the newer one, the two would declare each other failed forever.
 
 use crate::identity::{MemberId, NameHash};
 use crate::view::MAX_MEMBERS;
@@ -11,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// How many forgotten members are still recognized, so that no stale gossip brings them back.
+/// Maximum number of forgotten members that are still recognized, so that stale gossip does not bring them back.
 const MAX_FORGOTTEN: usize = 2 * MAX_MEMBERS;
 
-/// Which process of a forgotten member was the last; the order is that of time.
+/// The last known process of a forgotten member. The order is chronological.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ForgottenProcess {
     generation: u64,
@@ -30,17 +31,17 @@
     }
 }
 
-/// Decides which members messages may name, and notes what the library does not report.
+/// Decides which members the messages to the library may name, and records events that the library does not report.
 pub(crate) struct MessageFilter {
-    /// This coordinator.
+    /// This coordinator's current identity.
     pub(crate) local: MemberId,
-    /// A newer process under this coordinator's name that others named, until it is taken from here.
+    /// The newest process under this coordinator's name that other members named, until the status update takes it.
     pub(crate) newer_process: Option<MemberId>,
     /// This coordinator's SWIM incarnation as last sent.
     pub(crate) local_incarnation: u16,
-    /// Answers to this coordinator's probes since this was last reset.
+    /// Number of answers to this coordinator's probes since the counter was last reset.
     pub(crate) probe_acks: u32,
-    known: BTreeSet<NameHash>,
+    known_names: BTreeSet<NameHash>,
     forgotten: BTreeMap<NameHash, ForgottenProcess>,
     /// The keys of `forgotten`, oldest first.
     forgotten_order: VecDeque<NameHash>,
@@ -53,20 +54,20 @@
             newer_process: None,
             local_incarnation: 0,
             probe_acks: 0,
-            known: BTreeSet::new(),
+            known_names: BTreeSet::new(),
             forgotten: BTreeMap::new(),
             forgotten_order: VecDeque::new(),
         }
     }
 
-    /// Whether no further name is accepted.
+    /// Returns whether [`MAX_MEMBERS`] names are known, so that no further one is accepted.
     pub(crate) fn is_full(&self) -> bool {
-        self.known.len() >= MAX_MEMBERS
+        self.known_names.len() >= MAX_MEMBERS
     }
 
-    /// Follows the library in forgetting a member that has been gone for long.
+    /// Forgets a member that the library removed after the retention time of failed members.
     pub(crate) fn forget(&mut self, id: &MemberId) {
-        self.known.remove(&id.name);
+        self.known_names.remove(&id.name);
         let process = ForgottenProcess::of(id);
         if self.forgotten.insert(id.name, process).is_none() {
             self.forgotten_order.push_back(id.name);
@@ -78,23 +79,24 @@
         }
     }
 
-    /// Checks whether a message that names this member may be shown to the library.
+    /// Checks whether a message that names this member may be passed to the library.
     fn check(&mut self, id: &MemberId, state: State) -> Result<(), FilterError> {
         if id.name == self.local.name && id.supersedes(&self.local) {
-            self.note_newer_process(id);
-            // Where the newer process has ended too, there is nobody to yield to and nothing to declare.
+            self.record_newer_process(id);
+            // If the newer process is down too, there is no process to yield the name to, and the library has nothing
+            // to declare failed.
             if state != State::Down {
                 return Err(FilterError::NewerProcess);
             }
         }
-        if self.is_full() && !self.known.contains(&id.name) {
+        if self.is_full() && !self.known_names.contains(&id.name) {
             return Err(FilterError::TooManyMembers);
         }
-        self.known.insert(id.name);
+        self.known_names.insert(id.name);
         Ok(())
     }
 
-    fn note_newer_process(&mut self, id: &MemberId) {
+    fn record_newer_process(&mut self, id: &MemberId) {
         if self.newer_process.is_none_or(|known| id.supersedes(&known)) {
             self.newer_process = Some(*id);
         }
@@ -107,7 +109,7 @@
     }
 }
 
-/// Why a message is not shown to the library.
+/// The reason why a message is not passed to the library.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FilterError {
     #[error("the message names a newer process under this coordinator's name")]
@@ -118,7 +120,7 @@
     Malformed(#[from] postcard::Error),
 }
 
-/// The library's codec: `postcard`, with a [`MessageFilter`] in between.
+/// The library's codec: `postcard` encoding, with a [`MessageFilter`] applied to decoded members.
 #[derive(Clone)]
 pub(crate) struct FilteringCodec(pub(crate) Rc<RefCell<MessageFilter>>);
 
--- a/crates/cluster/src/quorum.rs
+++ b/crates/cluster/src/quorum.rs
@@ -1,4 +1,4 @@
-//! How much of the configured group a coordinator sees, and the one table of what it may do then.
+//! How much of the configured group a coordinator sees, and the table of the actions that this allows.
 
 use serde::Serialize;
 
@@ -6,42 +6,44 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum QuorumView {
-    /// Only itself, or it can't trust what it sees: it was replaced, or was paused for long and is not confirmed yet.
+    /// The coordinator sees only itself, or can't trust its view: a newer process replaced it, or it was paused for
+    /// long and no other member has confirmed it yet.
     #[serde(rename = "alone")]
     Isolated,
-    /// Half of the group or less, or its own health is degraded.
+    /// The coordinator sees half of the group or less, or its own health is degraded.
     Minority,
-    /// More than half of the group.
+    /// The coordinator sees more than half of the group, but not all of it.
     Majority,
-    /// The whole group.
+    /// The coordinator sees the whole group.
     #[serde(rename = "whole")]
     Complete,
 }
 
 impl QuorumView {
-    /// The view of a coordinator that sees `live` of `configured` names, its own included.
-    pub fn from_counts(live: usize, configured: usize) -> QuorumView {
-        match live {
-            _ if live >= configured => QuorumView::Complete,
+    /// Returns the view of a coordinator that sees `live_count` of `configured_count` members, itself included.
+    pub fn from_counts(live_count: usize, configured_count: usize) -> QuorumView {
+        match live_count {
+            _ if live_count >= configured_count => QuorumView::Complete,
             0 | 1 => QuorumView::Isolated,
-            _ if 2 * live > configured => QuorumView::Majority,
+            _ if 2 * live_count > configured_count => QuorumView::Majority,
             _ => QuorumView::Minority,
         }
     }
 }
 
-/// What a coordinator may want to do and has to ask [`is_allowed`] for first. Later features add a variant.
+/// An action that a coordinator takes only if [`is_allowed`] permits it. New features that act for others add a
+/// variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClusterAction {
-    /// Serve clients by its own endpoint list.
+    /// Serve clients, based on the coordinator's own endpoint list.
     ServeClients,
-    /// Share its phase and the outliers it found.
+    /// Publish the coordinator's phase and the outliers that it found.
     ShareState,
-    /// Use what others share, as advice.
+    /// Use the state that other members publish, as advice.
     UseAdvice,
-    /// Act for the whole cluster, where only one member may at a time.
+    /// Act on behalf of the whole cluster, which only one member may do at a time.
     ActForCluster,
-    /// Take over from a failed member.
+    /// Take over the work of a failed member.
     TakeOver,
 }
 
@@ -55,7 +57,7 @@
         ClusterAction::TakeOver,
     ];
 
-    /// The key of this action in the `may` object of `GET /v1/peers`.
+    /// Returns the key of this action in the `may` object of `GET /v1/peers`.
     pub fn key(self) -> &'static str {
         match self {
             ClusterAction::ServeClients => "serve",
@@ -67,7 +69,7 @@
     }
 }
 
-/// Whether an action is allowed with a view of the group.
+/// Returns whether an action is allowed with the given view of the group.
 ///
 /// | | isolated | minority | majority | complete |
 /// | --- | --- | --- | --- | --- |
@@ -78,11 +80,11 @@
 /// | `TakeOver` | no | no | yes | yes |
 pub fn is_allowed(quorum_view: QuorumView, action: ClusterAction) -> bool {
     match action {
-        // Partitioned or not, a coordinator owes its clients answers, and serving takes only its own list.
+        // Clients need answers during a partition too, and serving them takes only the coordinator's own endpoint list.
         ClusterAction::ServeClients => true,
-        // Whoever receives it can use it, and nobody else is misled.
+        // Any member that receives the state can use it, and no other member is misled.
         ClusterAction::ShareState => true,
-        // What was received before isolation is stale, and an unhealthy member may have received it wrongly.
+        // Advice from before the isolation is stale, and an unhealthy member may have received it incorrectly.
         ClusterAction::UseAdvice => quorum_view > QuorumView::Isolated,
         // Two sides of a partition can't both see more than half of the group.
         ClusterAction::ActForCluster | ClusterAction::TakeOver => {
--- a/crates/cluster/src/view.rs
+++ b/crates/cluster/src/view.rs
@@ -1,83 +1,83 @@
-//! Members as one coordinator sees them.
+//! The members of a cluster as one coordinator sees them.
 
 use crate::identity::MemberId;
 use crate::quorum::{is_allowed, ClusterAction, QuorumView};
 use cairnroad_types::Time;
 use serde::Serialize;
 
-/// Most members that are tracked, failed and departed ones included: a group's names, and as many processes as
-/// change in an hour.
+/// Maximum number of tracked members, including failed and departed ones: the names of a group, and as many processes
+/// as are replaced within an hour.
 pub const MAX_MEMBERS: usize = 8_192;
 
 /// A member's state as one coordinator sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers probes, or others say that it does.
+    /// The member answers probes, or other members report that it does.
     Alive,
-    /// Some member got no answer from it. It still counts as live.
+    /// A probe of the member got no answer. It still counts as live.
     Suspected,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Failed,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// Whether the member counts as live.
+    /// Returns whether the member counts as live.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspected)
     }
 }
 
-/// What one coordinator knows of another.
+/// A member as another coordinator, the observer, sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its newest known process.
+    /// The member's newest known process.
     pub id: MemberId,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
-    /// Since when it is in this state, on the observer's clock.
+    /// Time since which the member is in this state, on the observer's clock.
     pub since: Time,
-    /// SWIM incarnation: how often it refuted a suspicion.
+    /// SWIM incarnation: the number of suspicions that the member refuted under this identity.
     pub incarnation: u16,
 }
 
-/// A consistent snapshot of what one coordinator sees.
+/// A consistent snapshot of the cluster as one coordinator, the observer, sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterView {
     /// Increases with every change of the view. Members with equal digests adopt the highest epoch among them.
     pub epoch: u64,
-    /// Equal at all coordinators that see the same members.
+    /// Digest of the live members; equal at all coordinators that see the same ones.
     pub digest: u64,
-    /// The observing coordinator.
+    /// The observer's identity.
     pub local: MemberId,
-    /// How much of the configured group it sees.
+    /// How much of the configured group the observer sees.
     pub quorum_view: QuorumView,
-    /// Its local health score: 0 is healthy, see [`LocalHealth`](crate::local_health::LocalHealth).
+    /// The observer's local health score, from 0 (healthy) to 8, see [`LocalHealth`](crate::local_health::LocalHealth).
     pub health_score: u32,
-    /// A newer process under the observer's name that took its place.
+    /// The newer process that replaced the observer under its name, if any.
     pub replaced_by: Option<MemberId>,
-    /// Live members whose last message carried this view's digest.
+    /// Number of live members whose last message carried this view's digest.
     pub agreeing_count: usize,
-    /// Live members whose last message carried another digest.
+    /// Number of live members whose last message carried another digest.
     pub differing_count: usize,
-    /// All known members except the observer.
+    /// All known members except the observer, failed and departed ones included.
     pub members: Vec<Member>,
 }
 
 impl ClusterView {
-    /// The number of live members, the observer included.
+    /// Returns the number of live members, the observer included.
     pub fn live_count(&self) -> usize {
-        let others = self
+        let other_members = self
             .members
             .iter()
             .filter(|member| member.state.is_live())
             .count();
-        1 + others
+        1 + other_members
     }
 
-    /// Whether the observer may do this now.
+    /// Returns whether the observer may take this action now.
     pub fn allows(&self, action: ClusterAction) -> bool {
         is_allowed(self.quorum_view, action)
     }
--- a/crates/coordinator/src/cluster.rs
+++ b/crates/coordinator/src/cluster.rs
@@ -1,8 +1,7 @@
-//! This coordinator's part in its cluster: a task that owns the UDP socket.
+//! The cluster task: I/O of this coordinator's membership in its cluster.
 //!
-//! All decisions are made by [`Membership`]; the task gives it datagrams and the time, sends what it returns, logs
-//! changes, and exchanges outliers with the core.
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The task owns the UDP socket. It passes received datagrams and the time to [`Membership`], which makes all
+//! decisions, sends the datagrams that it returns, logs changes, and exchanges outliers with the core.
 
 mod page;
 
@@ -21,88 +20,90 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Interval, MissedTickBehavior};
 
-/// Most datagrams that are read in one tick: a flood must not occupy the core's thread.
+/// Maximum number of datagrams read in one tick. A flood of datagrams must not occupy the core's thread.
 const MAX_DATAGRAMS_PER_TICK: usize = 1_024;
-/// How often outlier advice is passed to the core, in ticks.
+/// Interval, in ticks, at which outlier advice is passed to the core.
 const ADVICE_INTERVAL_TICKS: u32 = 10;
-/// Capacity of the channel of requests to the task.
-const MAX_WAITING_REQUESTS: usize = 16;
-/// How long the announcement that this coordinator leaves may take to be sent.
+/// Capacity of the channel for requests to the cluster task.
+const REQUEST_CHANNEL_CAPACITY: usize = 16;
+/// Time limit for the cluster task to announce that this coordinator leaves.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why this coordinator can't join its cluster.
+/// An error that prevents this coordinator from joining its cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// The socket can't be bound.
-    #[error("peers.listen: {address}: {source}")]
+    /// The UDP socket can't be bound.
+    #[error("peers.listen: can't bind UDP socket to {address}: {source}")]
     Bind {
         /// The address of the setting `peers.listen`.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
 impl ClusterError {
-    /// What an operator can do.
+    /// Returns a hint for the operator on how to fix the error.
     pub fn help(&self) -> &'static str {
         match self {
             ClusterError::Bind { .. } => {
-                "free the port, or name another in 'peers.listen'; 0 takes any, which 'peers.advertise' can't name"
+                "free the port or set another one in 'peers.listen'; port 0 selects any free port, which 'peers.advertise' can't announce"
             }
         }
     }
 }
 
-/// Sends requests to the cluster task.
+/// Handle by which other tasks send requests to the cluster task.
 pub struct ClusterHandle {
     requests: mpsc::Sender<ClusterRequest>,
 }
 
-/// A request to the cluster task, with the channel for its answer.
+/// A request to the cluster task, with the channel for the response.
 enum ClusterRequest {
     /// Render the page of `GET /v1/peers`.
-    View(oneshot::Sender<String>),
-    /// Announce that this coordinator leaves, and end the task.
+    MembersPage(oneshot::Sender<String>),
+    /// Announce that this coordinator leaves, and end the cluster task.
     Leave(oneshot::Sender<()>),
 }
 
 impl ClusterHandle {
-    /// What this coordinator sees, as JSON. `None` if the task has ended or has too many requests waiting.
+    /// Returns the page of `GET /v1/peers` as JSON; `None` if the task has ended or too many requests are waiting.
     pub async fn members_page(&self) -> Option<String> {
         let (reply, page) = oneshot::channel();
-        self.requests.try_send(ClusterRequest::View(reply)).ok()?;
+        self.requests
+            .try_send(ClusterRequest::MembersPage(reply))
+            .ok()?;
         page.await.ok()
     }
 
     /// Announces to the other members that this coordinator leaves.
     pub async fn leave(&self) {
-        let (reply, left) = oneshot::channel();
+        let (reply, announced) = oneshot::channel();
         if self
             .requests
             .send(ClusterRequest::Leave(reply))
             .await
             .is_ok()
         {
-            // Unannounced, the others find this coordinator failed instead.
-            let _ = tokio::time::timeout(LEAVE_TIMEOUT, left).await;
+            // Without the announcement, the other members detect a failure instead of a departure.
+            let _ = tokio::time::timeout(LEAVE_TIMEOUT, announced).await;
         }
     }
 }
 
-/// What the cluster task needs of the program beside its settings.
+/// The values that the cluster task needs in addition to its settings.
 pub struct ClusterDependencies {
     /// This coordinator's name.
     pub name: String,
-    /// Seeds the random generator.
+    /// Seed of the membership's random number generator.
     pub random_seed: u64,
     /// The program's clock.
     pub clock: Clock,
-    /// The program's phase, published to the cluster.
+    /// Updates of the serving phase, which is published to the cluster.
     pub phase_updates: watch::Receiver<ServingPhase>,
-    /// The data nodes that this coordinator's own requests show to be outliers, published to the cluster.
+    /// Updates of the outliers that this coordinator's own requests identify, which are published to the cluster.
     pub outlier_updates: watch::Receiver<LocalOutliers>,
-    /// The core, which receives outlier advice.
+    /// The channel of messages to the core, which receives outlier advice.
     pub core_messages: mpsc::Sender<CoreMessage>,
 }
 
@@ -112,14 +113,14 @@
     settings: &configuration::ClusterSettings,
     dependencies: ClusterDependencies,
 ) -> Result<ClusterHandle, ClusterError> {
-    let listen_error = |source| ClusterError::Bind {
+    let bind_error = |source| ClusterError::Bind {
         address: settings.listen_address,
         source,
     };
     let socket = UdpSocket::bind(settings.listen_address)
         .await
-        .map_err(listen_error)?;
-    let bound = socket.local_addr().map_err(listen_error)?;
+        .map_err(bind_error)?;
+    let bound = socket.local_addr().map_err(bind_error)?;
     let address = settings.advertised_address.unwrap_or(bound);
     tracing::info!(listen = %bound, %address, cluster = settings.cluster_name, "joining the cluster");
     let now = dependencies.clock.now();
@@ -134,14 +135,14 @@
         seeds: settings.seeds.clone(),
         random_seed: dependencies.random_seed,
     };
-    let (sender, requests) = mpsc::channel(MAX_WAITING_REQUESTS);
+    let (sender, requests) = mpsc::channel(REQUEST_CHANNEL_CAPACITY);
     let task = ClusterTask {
         socket,
         membership: Membership::new(config, now),
         requests,
         dependencies,
         buffer: [0; MAX_DATAGRAM_BYTES + 1],
-        ticks: 0,
+        tick_count: 0,
         confirmed_outliers: Vec::new(),
     };
     tokio::task::spawn_local(task.run());
@@ -153,26 +154,26 @@
     membership: Membership,
     requests: mpsc::Receiver<ClusterRequest>,
     dependencies: ClusterDependencies,
-    /// One byte longer than a datagram may be, so that a longer one is seen to be.
+    /// One byte longer than the largest valid datagram, so that longer ones are detected.
     buffer: [u8; MAX_DATAGRAM_BYTES + 1],
-    ticks: u32,
-    /// The outlier advice that was logged last.
+    tick_count: u32,
+    /// The outlier advice that was last logged.
     confirmed_outliers: Vec<String>,
 }
 
-/// What wakes the cluster task.
+/// An event that the cluster task waits for.
 enum Input {
     Tick,
-    /// A datagram of this length is in the buffer.
+    /// A datagram of this length, in bytes, is in the buffer.
     Datagram(usize),
-    /// Nothing could be read from the socket.
+    /// A read from the socket failed.
     ReceiveFailed,
     PhaseChanged,
     OutliersChanged,
     Request(ClusterRequest),
 }
 
-/// Whether the task goes on.
+/// Whether the cluster task continues after an input.
 #[derive(PartialEq)]
 enum Progress {
     Continue,
@@ -183,7 +184,7 @@
     async fn run(mut self) {
         let mut interval = tokio::time::interval(Duration::from_secs_f64(TICK_INTERVAL));
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        // The phase that was reached before this task began is published, too.
+        // Publishes the phase that was reached before the task started.
         self.dependencies.phase_updates.mark_changed();
         loop {
             let input = self.next_input(&mut interval).await;
@@ -214,10 +215,10 @@
             Input::ReceiveFailed => {}
             Input::PhaseChanged => self.publish_phase(),
             Input::OutliersChanged => self.publish_outliers(),
-            Input::Request(ClusterRequest::View(reply)) => {
+            Input::Request(ClusterRequest::MembersPage(reply)) => {
                 let now = self.dependencies.clock.now();
                 let page = page::render(&self.membership, &self.dependencies.name, now);
-                // An asker that has gone needs no answer.
+                // The requester may have given up waiting.
                 let _ = reply.send(page);
             }
             Input::Request(ClusterRequest::Leave(reply)) => {
@@ -234,14 +235,15 @@
         self.read_waiting_datagrams(&mut out);
         self.membership
             .tick(self.dependencies.clock.now(), &mut out);
-        self.ticks = self.ticks.wrapping_add(1);
-        if self.ticks.is_multiple_of(ADVICE_INTERVAL_TICKS) {
-            self.pass_on_advice();
+        self.tick_count = self.tick_count.wrapping_add(1);
+        if self.tick_count.is_multiple_of(ADVICE_INTERVAL_TICKS) {
+            self.forward_outlier_advice();
         }
-        self.carry_out(out);
+        self.handle_outputs(out);
     }
 
-    /// What arrived during a pause is read before the pause itself is judged.
+    /// Reads all waiting datagrams. Datagrams that arrived during a pause of the process have to be handled before the
+    /// tick that detects the pause.
     fn read_waiting_datagrams(&mut self, out: &mut Vec<Output>) {
         for _ in 0..MAX_DATAGRAMS_PER_TICK {
             match self.socket.try_recv_from(&mut self.buffer) {
@@ -251,7 +253,7 @@
                         .on_datagram(now, &self.buffer[..length], out);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // A peer's port that is closed is reported here; it says nothing of this socket.
+                // The error concerns an earlier send, such as to a closed port of a peer, and not this socket.
                 Err(_) => {}
             }
         }
@@ -262,7 +264,7 @@
         let now = self.dependencies.clock.now();
         self.membership
             .on_datagram(now, &self.buffer[..length], &mut out);
-        self.carry_out(out);
+        self.handle_outputs(out);
     }
 
     fn publish_phase(&mut self) {
@@ -286,17 +288,18 @@
         let mut out = Vec::new();
         self.membership
             .leave(self.dependencies.clock.now(), &mut out);
-        self.carry_out(out);
+        self.handle_outputs(out);
     }
 
-    /// Passes on the outliers that enough members report, as long as there are any, and logs changes.
-    fn pass_on_advice(&mut self) {
-        let listed_servers = self.dependencies.outlier_updates.borrow().endpoint_count;
+    /// Sends the core the outliers that enough members report, if there are any, and logs changes.
+    fn forward_outlier_advice(&mut self) {
+        let listed_server_count = self.dependencies.outlier_updates.borrow().endpoint_count;
         let reports = self.membership.outlier_reports();
-        let live_members = self.membership.view().live_count();
-        let confirmed = outlier_advice::confirmed_outliers(&reports, live_members, listed_servers);
+        let live_member_count = self.membership.view().live_count();
+        let confirmed =
+            outlier_advice::confirmed_outliers(&reports, live_member_count, listed_server_count);
         if !confirmed.is_empty() {
-            // A core that is too busy gets the advice anew at the next interval.
+            // If the core's channel is full, the advice is sent again after the next interval.
             let advice = CoreMessage::OutlierAdvice(confirmed.clone());
             let _ = self.dependencies.core_messages.try_send(advice);
         }
@@ -309,11 +312,11 @@
         }
     }
 
-    fn carry_out(&self, outputs: Vec<Output>) {
+    fn handle_outputs(&self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::SendDatagram { to, bytes } => {
-                    // A datagram that can't be sent is one that was lost, which the protocol tolerates.
+                    // The protocol tolerates lost datagrams, so one that can't be sent is dropped.
                     let _ = self.socket.try_send_to(&bytes, to);
                 }
                 Output::MemberChanged { id, name, state } => log_member_change(&id, name, state),
@@ -333,7 +336,7 @@
     }
 }
 
-/// Logs a member's new state. A member whose name has not arrived yet is logged by its hash.
+/// Logs a member's new state. If the member's name has not arrived yet, its hash is logged.
 fn log_member_change(id: &MemberId, name: Option<String>, state: MemberState) {
     let member = name.unwrap_or_else(|| format!("{:016x}", id.name.0));
     match state {
@@ -344,7 +347,7 @@
     }
 }
 
-/// The phase that is published to other members.
+/// Returns the phase that is published to other members for a serving phase of this process.
 fn gossip_phase(phase: ServingPhase) -> gossip_state::MemberPhase {
     match phase {
         ServingPhase::Starting => gossip_state::MemberPhase::Starting,
--- a/crates/coordinator/src/cluster/page.rs
+++ b/crates/coordinator/src/cluster/page.rs
@@ -1,5 +1,4 @@
-//! The page of `GET /v1/peers`: what this coordinator sees of its cluster, as JSON.
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The page of `GET /v1/peers`: the cluster as this coordinator sees it, as JSON.
 
 use cairnroad_cluster::quorum::ClusterAction;
 use cairnroad_cluster::view::{ClusterView, Member};
@@ -7,7 +6,8 @@
 use cairnroad_types::{Seconds, Time};
 use serde_json::{json, Map, Value};
 
-/// Renders the page. `name` is this coordinator's, `now` the time by which members' ages are computed.
+/// Renders the page. `name` is this coordinator's name, `now` the time from which the ages of members' states are
+/// computed.
 pub fn render(membership: &Membership, name: &str, now: Time) -> String {
     let view = membership.view();
     let members: Vec<Value> = view
--- a/crates/coordinator/src/cluster/page/tests.rs
+++ b/crates/coordinator/src/cluster/page/tests.rs
@@ -25,7 +25,7 @@
     Membership::new(config, start)
 }
 
-/// Lets two members run for three seconds, each datagram delivered at once.
+/// Runs two members for three seconds and delivers each datagram immediately.
 fn run(members: &mut [Membership; 2], start: Time) {
     for tick in 0..30 {
         let now = start + f64::from(tick) * TICK_INTERVAL;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Guards against a rename in the code that changes a key or a value of the page, which operators' programs read.
+/// Guards against renames in the code that change a key or value of the page, which operators' programs parse.
 #[test]
 fn the_page_keeps_its_keys_and_values() {
     let start = Time::from_secs(1_790_000_000.0);
--- a/crates/coordinator/src/configuration/tests.rs
+++ b/crates/coordinator/src/configuration/tests.rs
@@ -149,10 +149,10 @@
     for (key, value, cause) in [
         ("listen", "\"nowhere\"", "is not an address"),
         ("advertise", "\"10.0.0.1:0\"", "nobody can send to port 0"),
-        ("cluster", "\"a b\"", "can't be a name"),
-        ("group", "[\"n[3-1]\"]", "a range is written as"),
+        ("cluster", "\"a b\"", "is not a valid name"),
+        ("group", "[\"n[3-1]\"]", "is not a valid range"),
         ("group", "[\"n2\"]", "'n1', the name of this coordinator"),
-        ("group", "[]", "the group names nobody"),
+        ("group", "[]", "the group has no members"),
         ("seeds", "[\"x\"]", "is not an address"),
         (
             "offers",
