--- a/crates/cluster/examples/simulate.rs
+++ b/crates/cluster/examples/simulate.rs
@@ -152,7 +152,7 @@
     }
     sim.run_until(killed_at + TIME_LIMIT);
     let mut delays: Vec<f64> = sim
-        .changes
+        .member_changes
         .iter()
         .filter(|change| change.at >= killed_at && change.state == MemberState::Failed)
         .filter(|change| killed.contains(&change.member))
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -179,7 +179,7 @@
     }
 
     /// Handles a received datagram. After a pause of the process, the caller passes all waiting datagrams before the
-    /// next [`Membership::tick`], so that they count before the pause does.
+    /// next [`Membership::tick`], so that they are handled before the pause is.
     pub fn on_datagram(&mut self, now: Time, bytes: &[u8], out: &mut Vec<Output>) {
         if self.has_left {
             return;
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -90,7 +90,11 @@
             } else {
                 QuorumView::Majority
             };
-            assert_eq!(sim.quorum_view(observer), Some(expected), "{observer}");
+            assert_eq!(
+                sim.quorum_view(observer),
+                Some(expected),
+                "observer {observer}"
+            );
             assert!(
                 is_allowed(expected, ClusterAction::ServeClients),
                 "both sides serve their clients"
@@ -182,7 +186,7 @@
         for observer in (0..SIZE).filter(|observer| *observer != 6) {
             assert!(
                 !sim.live_members_seen_by(observer).contains(&6),
-                "{observer}"
+                "observer {observer}"
             );
         }
         assert!(!is_allowed(
@@ -317,7 +321,7 @@
     sim.run_until(60.1);
     sim.run_until_consistent(CONVERGENCE_LIMIT).unwrap();
     let is_revived = sim
-        .changes
+        .member_changes
         .iter()
         .any(|change| change.member == 9 && change.state == MemberState::Alive && change.at > 25.0);
     assert!(!is_revived);
--- a/crates/cluster/tests/sim/mod.rs
+++ b/crates/cluster/tests/sim/mod.rs
@@ -102,8 +102,8 @@
     pub size: usize,
     pub memberships: Vec<Option<Membership>>,
     /// Members that announced that they leave and have not been restarted since.
-    pub left: BTreeSet<usize>,
-    pub changes: Vec<MemberChange>,
+    pub departed: BTreeSet<usize>,
+    pub member_changes: Vec<MemberChange>,
     pub quorum_changes: Vec<QuorumChange>,
     pub bytes_sent: Vec<u64>,
     pub datagrams_sent: u64,
@@ -121,11 +121,13 @@
     seed_count: usize,
 }
 
+/// Returns the address of a member.
 pub fn address(member: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, (member >> 8) as u8, member as u8], 4000))
 }
 
-fn member(address: SocketAddr) -> usize {
+/// Returns the number of the member at an address, see [`address`].
+fn member_at(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => {
             let [_, _, high, low] = address.ip().octets();
@@ -142,8 +144,8 @@
         let mut sim = Simulation {
             size,
             memberships: (0..size).map(|_| None).collect(),
-            left: BTreeSet::new(),
-            changes: Vec::new(),
+            departed: BTreeSet::new(),
+            member_changes: Vec::new(),
             quorum_changes: Vec::new(),
             bytes_sent: vec![0; size],
             datagrams_sent: 0,
@@ -182,7 +184,7 @@
             seeds: (0..self.seed_count).map(address).collect(),
             random_seed: self.rng.random(),
         };
-        self.left.remove(&member);
+        self.departed.remove(&member);
         let mut membership = Membership::new(config, self.now);
         membership.publish(self.now, GossipValue::Phase(MemberPhase::Serving));
         self.memberships[member] = Some(membership);
@@ -261,7 +263,7 @@
                     let Some(&member) = self.names.get(&id.name) else {
                         continue;
                     };
-                    self.changes.push(MemberChange {
+                    self.member_changes.push(MemberChange {
                         at: self.elapsed(),
                         observer: from,
                         member,
@@ -294,7 +296,7 @@
     }
 
     fn deliver(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        let to = member(to);
+        let to = member_at(to);
         let is_partitioned = self
             .partitions
             .iter()
@@ -345,7 +347,7 @@
                 let mut out = Vec::new();
                 if let Some(membership) = &mut self.memberships[member] {
                     membership.leave(self.now, &mut out);
-                    self.left.insert(member);
+                    self.departed.insert(member);
                 }
                 self.handle_outputs(member, out);
                 self.memberships[member] = None;
@@ -407,7 +409,7 @@
                 digests.insert(view.digest);
                 for member in &view.members {
                     let number = self.names[&member.id.name];
-                    if self.left.contains(&number) {
+                    if self.departed.contains(&number) {
                         states_of_departed
                             .entry(number)
                             .or_default()
@@ -453,7 +455,7 @@
 
     /// Returns the reports of failed members since a time in seconds after the start.
     pub fn failures(&self, since: f64) -> Vec<&MemberChange> {
-        self.changes
+        self.member_changes
             .iter()
             .filter(|change| change.at >= since && change.state == MemberState::Failed)
             .collect()
