--- a/crates/coordinator/tests/admin_operations.rs
+++ b/crates/coordinator/tests/admin_operations.rs
@@ -538,7 +538,9 @@
                     .remove("keepaliveS"),
             )
         }),
-        ("is there twice", |config| add(config, "pick-confirm", 0)),
+        ("duplicate class name", |config| {
+            add(config, "pick-confirm", 0)
+        }),
     ];
     for (words, spoil) in broken {
         std::fs::write(&path, &sound).unwrap();
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,53 +1,56 @@
-//! The settings of one deployment, as the program uses them.
+//! The settings of one deployment after parsing and validation.
 
 use cairnroad_types::{Class, Seconds, Settings};
 
-/// Latency objective where no class is offered.
+/// Latency objective that is assumed if no class is offered.
 const DEFAULT_LATENCY_OBJECTIVE: Seconds = 1.0;
 
-/// All settings of one deployment: those of the decisions, and those that only a program on sockets needs.
+/// All settings of one deployment: those that the router decides by, and those that only a program with network
+/// connections needs.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
-    /// The settings of the decisions.
+    /// The settings that the router decides by.
     pub policy: Settings,
-    /// Names of the classes, in the order of `policy.classes`; empty for a class that was removed by a reload.
+    /// Names of the classes, in the order of `policy.classes`. The name of a class that a reload removed is empty.
     pub class_names: Vec<String>,
-    /// Names of the values in a load report, in order.
+    /// Names of the values in a server's load report, in order.
     pub report_names: Vec<String>,
-    /// Number of shards; `u32::MAX` where the deployment doesn't say.
+    /// Number of shards; `u32::MAX` if the deployment does not state it.
     pub shards: u32,
-    /// Most requests and parts in flight at a time.
+    /// Maximum number of requests and parts in flight, counted together; `usize::MAX` if the deployment does not state
+    /// it.
     pub max_in_flight: usize,
-    /// Time after which a connection that is not established has failed.
+    /// Time-out for establishing a connection.
     pub connect_timeout: Seconds,
-    /// Time after which the other side closes an idle connection.
+    /// Time after which the remote side closes an idle connection.
     pub idle_timeout: Seconds,
-    /// Most parts in flight on one connection.
+    /// Maximum number of parts in flight on one connection.
     pub max_parts_per_connection: usize,
-    /// The longest `Retry-After` that clients heed, whether or not the simulator passes it on.
+    /// The longest `Retry-After` that clients honor. Unlike `policy.max_retry_after` it is set even if the deployment
+    /// does not pass `Retry-After` on to clients.
     pub longest_retry_after: Seconds,
 }
 
-/// A class that clients may ask for.
+/// A query class that clients may request.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferedClass<'a> {
-    /// Its index in `policy.classes` and `class_names`.
+    /// Index of the class in `policy.classes` and `class_names`.
     pub index: usize,
-    /// Its name, never empty.
+    /// Name of the class, never empty.
     pub name: &'a str,
-    /// Its settings.
+    /// Settings of the class.
     pub class: &'a Class,
 }
 
 impl Deployment {
-    /// The index of the offered class of this name.
+    /// Returns the index of the offered class with this name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.class_names
             .iter()
             .position(|other| other == name && !name.is_empty())
     }
 
-    /// The shortest latency objective of all offered classes.
+    /// Returns the shortest latency objective of all offered classes, or a default if none is offered.
     pub fn shortest_latency_objective(&self) -> Seconds {
         self.offered_classes()
             .map(|offered| offered.class.latency_objective)
@@ -55,14 +58,14 @@
             .unwrap_or(DEFAULT_LATENCY_OBJECTIVE)
     }
 
-    /// The longest deadline of all offered classes.
+    /// Returns the longest deadline of all offered classes, or 0 if none is offered.
     pub fn longest_deadline(&self) -> Seconds {
         self.offered_classes()
             .map(|offered| offered.class.deadline)
             .fold(0.0, f64::max)
     }
 
-    /// The classes that clients may ask for; a removed class, whose name is empty, is left out.
+    /// Iterates over the classes that clients may request, without those that a reload removed (empty name).
     pub fn offered_classes(&self) -> impl Iterator<Item = OfferedClass<'_>> {
         let classes = self.class_names.iter().zip(&self.policy.classes);
         classes
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,18 +1,18 @@
 //! The error type of [`parse`](crate::parse()).
 
-/// Why a deployment's settings are rejected, with the key at fault where there is one.
+/// The reason why a deployment's settings are rejected, with the faulty key where one is known.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The text is not JSON, or a key is missing or has the wrong type.
     #[error("settings: {key}: {cause}")]
     Malformed {
-        /// Path of the key, as far as the text was read; `.` for the whole document.
+        /// Path of the key at which parsing stopped; `.` for the document itself.
         key: String,
-        /// The JSON reader's message.
+        /// The JSON parser's message.
         cause: String,
     },
-    /// A number that has to be above 0 is not.
-    #[error("settings: {key} is {value}, but must be above 0")]
+    /// A number that must be positive is zero, negative or not finite.
+    #[error("settings: {key} is {value}, expected a finite number above 0")]
     NotPositive {
         /// Path of the key.
         key: String,
@@ -20,33 +20,33 @@
         value: f64,
     },
     /// The list of query classes is empty.
-    #[error("settings: classes is empty")]
+    #[error("settings: classes is empty, expected at least one class")]
     NoClasses,
-    /// Two query classes share a name.
-    #[error("settings: classes[{index}].name '{name}' is there twice")]
+    /// Two query classes have the same name.
+    #[error("settings: classes[{index}].name: duplicate class name '{name}'")]
     DuplicateClass {
-        /// Index of the second class of this name.
+        /// Index of the second class with this name.
         index: usize,
-        /// The shared name.
+        /// The name that both classes have.
         name: String,
     },
-    /// A list with one entry for each class is too short.
-    #[error("settings: extra.{key} lacks class {index}")]
+    /// A per-class list has fewer entries than there are classes.
+    #[error("settings: extra.{key} has no entry for classes[{index}]")]
     MissingClassEntry {
-        /// Key of the list, below `extra`.
+        /// Key of the list within `extra`.
         key: &'static str,
         /// Index of the first class without an entry.
         index: usize,
     },
-    /// A keyword that is none of the known ones.
-    #[error("settings: {key} '{keyword}' is unknown")]
+    /// A value is not one of the keywords that its key accepts.
+    #[error("settings: {key}: unknown keyword '{keyword}'")]
     UnknownKeyword {
         /// Path of the key.
         key: String,
         /// The keyword found.
         keyword: String,
     },
-    /// A key that another key's value makes mandatory is missing.
+    /// A key is missing that another key's value makes mandatory.
     #[error("settings: {key} is missing")]
     MissingKey {
         /// Path of the key.
@@ -55,23 +55,23 @@
 }
 
 impl SettingsError {
-    /// What an operator can do about it.
+    /// Returns advice for the operator on how to correct the settings.
     pub fn help(&self) -> &'static str {
         match self {
             SettingsError::Malformed { .. } => {
-                "compare the key with the deployment's page; api/sample/config.json is a valid file"
+                "compare the key with the deployment's documentation; api/sample/config.json is a valid example"
             }
-            SettingsError::NotPositive { .. } => "give a figure above 0; times are in seconds",
-            SettingsError::NoClasses => "name at least one class of query",
-            SettingsError::DuplicateClass { .. } => "give each class a name of its own",
+            SettingsError::NotPositive { .. } => "set a number above 0; times are in seconds",
+            SettingsError::NoClasses => "define at least one query class",
+            SettingsError::DuplicateClass { .. } => "give each class a unique name",
             SettingsError::MissingClassEntry { .. } => {
-                "give this list one entry for each class, in the order of 'classes'"
+                "give the list one entry for each class, in the order of 'classes'"
             }
             SettingsError::UnknownKeyword { .. } => {
-                "effect: idempotent, deduplicated or at_most_once; registryMode: pushed or on_request"
+                "effect accepts idempotent, deduplicated and at_most_once; registryMode accepts pushed and on_request"
             }
             SettingsError::MissingKey { .. } => {
-                "add the key: with lists on request it says how often one has to ask"
+                "add the key: with registryMode on_request it sets the longest time between two polls, in seconds"
             }
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The deployment's JSON settings, read and validated in one place for the program and for the simulator's host.
+//! Parses and validates a deployment's JSON settings for the coordinator and the simulator's host.
 //!
-//! [`parse()`] turns the text into a [`Deployment`]: the [`Settings`](cairnroad_types::Settings) of the decisions, and
-//! what only a program on sockets needs.
+//! [`parse()`] turns the text into a [`Deployment`]: the [`Settings`](cairnroad_types::Settings) that the router
+//! decides by, and the values that only a program with network connections needs.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,30 +1,31 @@
-//! From the JSON text to a [`Deployment`]: read, validate, convert.
+//! Converts the JSON text of the settings to a [`Deployment`]: parses, validates, converts.
 
 use crate::json::{CapsJson, ClassJson, ExtraJson, ReportJson, SafetyJson, SettingsJson};
 use crate::{Deployment, SettingsError};
 use cairnroad_types::{Class, Idempotency, RetryBudgetLimits, Seconds, Settings};
 
-/// The value of a load report that a health check reads.
+/// Name of the value in a load report that health checks read: the server's requests in flight.
 const HEALTH_CHECK_VALUE: &str = "inflight";
-/// Longest `Retry-After` where the deployment states none.
+/// Longest `Retry-After` that clients honor if the deployment does not state it.
 const DEFAULT_LONGEST_RETRY_AFTER: Seconds = 1.0;
 
-/// Reads and validates a deployment's settings. Unknown keys are ignored: deployments carry keys of other programs.
+/// Parses and validates a deployment's settings. Unknown keys are ignored, because the document also holds keys of
+/// other programs.
 ///
 /// # Errors
 ///
-/// The first fault found, with its key.
+/// Returns the first fault found, with its key.
 pub fn parse(text: &[u8]) -> Result<Deployment, SettingsError> {
-    let json = read(text)?;
+    let json = parse_json(text)?;
     check_positive_numbers(&json)?;
     check_classes(&json.classes)?;
-    let policy = policy(&json)?;
-    Ok(deployment(json, policy))
+    let policy = convert_policy(&json)?;
+    Ok(build_deployment(json, policy))
 }
 
-fn read(text: &[u8]) -> Result<SettingsJson, SettingsError> {
-    let mut reader = serde_json::Deserializer::from_slice(text);
-    serde_path_to_error::deserialize(&mut reader).map_err(|error| SettingsError::Malformed {
+fn parse_json(text: &[u8]) -> Result<SettingsJson, SettingsError> {
+    let mut deserializer = serde_json::Deserializer::from_slice(text);
+    serde_path_to_error::deserialize(&mut deserializer).map_err(|error| SettingsError::Malformed {
         key: error.path().to_string(),
         cause: error.inner().to_string(),
     })
@@ -66,8 +67,8 @@
     })
 }
 
-/// The settings of the decisions.
-fn policy(json: &SettingsJson) -> Result<Settings, SettingsError> {
+/// Converts the settings that the router decides by.
+fn convert_policy(json: &SettingsJson) -> Result<Settings, SettingsError> {
     let SettingsJson {
         extra,
         caps,
@@ -78,7 +79,7 @@
         .classes
         .iter()
         .enumerate()
-        .map(|(index, class)| query_class(index, class, extra));
+        .map(|(index, class)| convert_class(index, class, extra));
     Ok(Settings {
         classes: classes.collect::<Result<_, SettingsError>>()?,
         coordinator_count: json.group_size,
@@ -101,7 +102,11 @@
     })
 }
 
-fn query_class(index: usize, class: &ClassJson, extra: &ExtraJson) -> Result<Class, SettingsError> {
+fn convert_class(
+    index: usize,
+    class: &ClassJson,
+    extra: &ExtraJson,
+) -> Result<Class, SettingsError> {
     Ok(Class {
         latency_objective: class.aim_s,
         objective_per_work: class.aim_stretch.unwrap_or(0.0),
@@ -117,6 +122,7 @@
     })
 }
 
+/// Returns a class's entry in a list with one entry per class.
 fn class_entry<T: Copy>(
     entries: &[T],
     key: &'static str,
@@ -138,14 +144,15 @@
     }
 }
 
-/// The place of the number of requests in flight in a load report, where health checks are allowed.
+/// Returns the index of the value that health checks read in a load report; `None` if health checks are not allowed or
+/// the report lacks the value.
 fn health_check_value(report: Option<&ReportJson>, caps: &CapsJson) -> Option<usize> {
     let allowed = caps.probes == Some(true);
     let names = &report.filter(|_| allowed)?.names;
     names.iter().position(|name| name == HEALTH_CHECK_VALUE)
 }
 
-/// The longest time between two polls of the endpoint list; `None` where it is pushed.
+/// Returns the longest time between two polls of the endpoint list; `None` if the list is pushed.
 fn max_poll_interval(
     registry_mode: &str,
     safety: &SafetyJson,
@@ -165,7 +172,7 @@
     }
 }
 
-/// The retry budget; `None`, without a bound, unless the window and at least one of the two allowances are stated.
+/// Returns the limits of the retry budget. `None` means no limit: the window or both allowances are not stated.
 fn retry_budget(safety: &SafetyJson) -> Option<RetryBudgetLimits> {
     if safety.budget_free.is_none() && safety.resend_ratio.is_none() {
         return None;
@@ -177,7 +184,7 @@
     })
 }
 
-fn deployment(json: SettingsJson, policy: Settings) -> Deployment {
+fn build_deployment(json: SettingsJson, policy: Settings) -> Deployment {
     let longest_retry_after = json
         .caps
         .max_retry_after_s
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -90,7 +90,7 @@
             .policy
             .in_flight_report_index,
         None,
-        "not without permission"
+        "health checks are not allowed without caps.probes"
     );
     let allowed = with_report.replace("\"cancel\": true", "\"cancel\": true, \"probes\": true");
     assert_eq!(
