--- a/crates/coordinator/src/configuration/build.rs
+++ b/crates/coordinator/src/configuration/build.rs
@@ -1,4 +1,4 @@
-//! Validates the content of all sources and builds the [`Config`].
+//! Validates the content of all sources and builds the [`Config`] from it.
 
 use super::config::Config;
 use super::deployment_file::{address, document, DeploymentFile};
@@ -17,7 +17,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// The name of a coordinator that neither the file nor the environment names.
+/// Name of the coordinator if neither the file nor the environment states one.
 const DEFAULT_NAME: &str = "cairnroad";
 
 /// Builds the configuration from the deployment's file, the project's own file and the environment.
@@ -76,7 +76,8 @@
     })
 }
 
-/// A process with an inherited socket shares its limits with the one that it replaces or that replaces it.
+/// Returns how many processes share the granted resources. A process with an inherited socket shares them with the
+/// process that it replaces, or that replaces it.
 fn processes_sharing_limits(inherited_listener: Option<i32>) -> usize {
     match inherited_listener {
         Some(_) => 2,
@@ -117,7 +118,7 @@
     value.map(|value| address("admin", value)).transpose()
 }
 
-/// A value of the file or else, since the platform states it in both, of the environment.
+/// Returns the file's value or else the environment's: the platform states these values in both places.
 fn required(
     key: &'static str,
     variable: &'static str,
--- a/crates/coordinator/src/configuration/cluster.rs
+++ b/crates/coordinator/src/configuration/cluster.rs
@@ -1,4 +1,4 @@
-//! `[peers]`: the group of coordinators that this one is a member of.
+//! The `[peers]` table: membership in a group of coordinators.
 
 use super::error::{ContentError, DeploymentFileError, ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The table as it stands in the file.
+/// The table as parsed from the file.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterTable {
@@ -27,26 +27,26 @@
     seeds: Vec<String>,
 }
 
-/// The group of coordinators that this one is a member of.
+/// Settings of this coordinator's membership in a group of coordinators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterSettings {
-    /// Where datagrams are received.
+    /// Address that the UDP socket is bound to.
     pub listen_address: SocketAddr,
-    /// The address announced to other members, where it differs from `listen_address`.
+    /// Address announced to other members, if it differs from `listen_address`.
     pub advertised_address: Option<SocketAddr>,
-    /// The group's name: two groups with different names never merge.
+    /// Name of the group. Groups with different names never merge.
     pub cluster_name: String,
-    /// The room of this coordinator, announced to other members.
+    /// Room in which this coordinator runs, announced to other members; empty if it is not stated.
     pub room: String,
-    /// What this coordinator offers, announced to other members.
+    /// Services that this coordinator offers, announced to other members.
     pub offers: Vec<String>,
-    /// The names of all members.
+    /// Names of all members, this coordinator included.
     pub member_names: BTreeSet<String>,
-    /// Addresses at which other members may be found at first.
+    /// Addresses that are contacted to find the first members.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// The group that the coordinator of this name is a member of; `None` if it is in none.
+/// Validates the table for the coordinator called `name`. Returns `None` if membership is disabled.
 pub fn cluster(
     table: ClusterTable,
     name: &str,
@@ -134,7 +134,7 @@
     Err(file.error(key, error))
 }
 
-/// The names of all members, which have to include this coordinator's.
+/// Expands the patterns to the names of all members, which must include this coordinator's.
 fn read_member_names(
     patterns: &[String],
     name: &str,
--- a/crates/coordinator/src/configuration/config.rs
+++ b/crates/coordinator/src/configuration/config.rs
@@ -1,4 +1,4 @@
-//! The program's whole configuration, and how a reloaded one compares to it.
+//! The program's complete configuration, and its comparison with a reloaded one.
 
 use super::{
     BackendKind, ClusterSettings, ConnectionLimits, ContractSettings, EndpointFilesSettings,
@@ -14,51 +14,52 @@
 /// All settings of the program.
 #[derive(Debug)]
 pub struct Config {
-    /// This coordinator's name.
+    /// Name of this coordinator.
     pub name: String,
-    /// Where the first front, the platform's protocol, listens.
+    /// Address that the first front (the platform's protocol) listens on.
     pub listen: SocketAddr,
-    /// Address of the discovery agent; `None` where the endpoint list is read from files.
+    /// Address of the discovery agent; `None` if the endpoint list is read from files.
     pub discovery: Option<SocketAddr>,
-    /// The files of the endpoint list; `None` where an agent serves it.
+    /// Files that hold the endpoint list; `None` if a discovery agent serves it.
     pub endpoint_files: Option<EndpointFilesSettings>,
-    /// Seed of all random choices.
+    /// Seed for all random choices.
     pub seed: u64,
-    /// Bounds on connections.
+    /// Limits on client and server connections.
     pub limits: ConnectionLimits,
-    /// The endpoint list that the previous incarnation had.
+    /// The endpoint list that the previous process of this coordinator had; empty if it is not stated.
     pub last_known_endpoints: EndpointListUpdate,
-    /// What clients may ask for; the part that a reload changes live.
+    /// The classes and indices that clients may request. A reload replaces them without a restart.
     pub served: Arc<ServedConfiguration>,
-    /// Where the admin API listens, if it is on.
+    /// Address that the admin API listens on; `None` if it is disabled.
     pub admin_listen: Option<SocketAddr>,
-    /// The folder that successive processes of one coordinator share (`TMPDIR`), if there is one.
+    /// Folder shared by successive processes of one coordinator (`TMPDIR`), if there is one.
     pub shared_dir: Option<PathBuf>,
-    /// Descriptor of the clients' listening socket, where the platform holds that socket open across processes.
+    /// Descriptor of the listening socket for clients, if the platform keeps that socket open across processes.
     pub inherited_listener: Option<i32>,
-    /// Where the second front, the query protocol, listens, if it is on.
+    /// Address that the second front (the query protocol) listens on; `None` if it is disabled.
     pub opensearch_listen: Option<SocketAddr>,
-    /// What servers speak.
+    /// The protocol that servers speak.
     pub backend: BackendKind,
-    /// How the log is written.
+    /// Settings of the log.
     pub log: LogSettings,
-    /// The group of coordinators that this one is a member of, if any.
+    /// Membership in a group of coordinators; `None` if this coordinator is in none.
     pub cluster: Option<ClusterSettings>,
-    /// The interface descriptions that traffic is checked against.
+    /// The interfaces whose traffic is checked against a description.
     pub contracts: Vec<(Interface, ContractSettings)>,
-    /// The deployment's file as it was read, without the endpoint list: tells which keys a later file lacks.
+    /// The deployment's file as it was read, without the endpoint list. A reload compares its keys with those of the
+    /// new file.
     pub deployment_document: serde_json::Value,
 }
 
 impl Config {
-    /// The first key that this configuration's file has and another's lacks.
+    /// Returns the first key that this configuration's file has and the file of `other` lacks.
     pub fn first_key_missing_in(&self, other: &Config) -> Option<String> {
         first_missing_key(&self.deployment_document, &other.deployment_document)
     }
 
-    /// The keys that differ in another configuration and take effect only at a restart.
+    /// Returns the keys whose values differ in `other` and take effect only after a restart.
     ///
-    /// `discovery` takes effect live; `seed` and `known` matter at a start only.
+    /// A change of `discovery` takes effect without a restart; `seed` and `known` are read only at a start.
     pub fn changed_keys_requiring_restart(&self, other: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != other.name),
--- a/crates/coordinator/src/configuration/contracts.rs
+++ b/crates/coordinator/src/configuration/contracts.rs
@@ -1,4 +1,4 @@
-//! `[contract.*]`: the interfaces whose traffic is checked against a description.
+//! The `[contract.*]` tables: the interfaces whose traffic is checked against a description.
 
 use super::error::{ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// The table as it stands in the file.
+/// The `[contract]` table as parsed from the file, one subtable per interface.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ContractTable {
@@ -17,7 +17,7 @@
     discovery: Option<InterfaceTable>,
 }
 
-/// One interface's table.
+/// The table of one interface as parsed from the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct InterfaceTable {
@@ -30,15 +30,15 @@
 /// How one interface's traffic is checked against its description.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ContractSettings {
-    /// Whether departures are counted or rejected.
+    /// Whether violations are only counted, or rejected.
     pub mode: Mode,
-    /// The share of messages that is checked under `observe`, above 0 and at most 1.
+    /// Share of messages that is checked in mode `observe`, above 0 and at most 1.
     pub share: f64,
-    /// The description's file.
+    /// Path of the description.
     pub path: PathBuf,
 }
 
-/// The interfaces that are checked, each with its settings.
+/// Validates the tables. Returns the interfaces that are checked, each with its settings.
 pub fn contracts(
     table: ContractTable,
     file: &ProjectFile,
@@ -54,12 +54,12 @@
         let Some(table) = table.filter(|table| table.mode != Mode::Off) else {
             continue;
         };
-        checked.push((interface, contract(interface, table, file)?));
+        checked.push((interface, contract_settings(interface, table, file)?));
     }
     Ok(checked)
 }
 
-fn contract(
+fn contract_settings(
     interface: Interface,
     table: InterfaceTable,
     file: &ProjectFile,
--- a/crates/coordinator/src/configuration/deployment_file.rs
+++ b/crates/coordinator/src/configuration/deployment_file.rs
@@ -1,4 +1,4 @@
-//! The deployment's JSON file, whose path `NODE_CONFIG` holds.
+//! The deployment's JSON file at the path in `NODE_CONFIG`.
 
 use super::error::DeploymentFileError;
 use crate::discovery::endpoint_list::EndpointListPayload;
@@ -6,54 +6,55 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The file's keys. Unknown ones are ignored: they may be other programs'.
+/// The file's keys. Unknown keys are ignored, because they may belong to other programs.
 #[derive(Deserialize)]
 pub struct DeploymentFile {
-    /// This coordinator's name.
+    /// Name of this coordinator.
     pub name: Option<String>,
-    /// Address of the first front.
+    /// Address that the first front listens on.
     pub listen: Option<String>,
     /// Address of the discovery agent.
     pub discovery: Option<String>,
-    /// Address of the admin API.
+    /// Address that the admin API listens on.
     pub admin: Option<String>,
-    /// Random seed, in hexadecimal.
+    /// Random seed, up to 64 bits in hexadecimal.
     pub seed: Option<String>,
-    /// What the program is granted.
+    /// Resources granted to the program.
     pub limits: Option<LimitsJson>,
-    /// The endpoint list that the previous incarnation had.
+    /// The endpoint list that the previous process of this coordinator had.
     pub known: Option<EndpointListPayload>,
     settings: Box<serde_json::value::RawValue>,
 }
 
-/// What the program is granted.
+/// Resources granted to the program.
 #[derive(Default, Deserialize)]
 pub struct LimitsJson {
-    /// Memory in MB.
+    /// Memory, in megabytes.
     pub memory_mb: Option<u64>,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: Option<usize>,
 }
 
 impl DeploymentFile {
-    /// Reads the file's text.
+    /// Parses the file's content.
     pub fn parse(text: &[u8]) -> Result<DeploymentFile, DeploymentFileError> {
         Ok(serde_json::from_slice(text)?)
     }
 
-    /// The deployment's settings, with what the program needs and the simulator's instances do without.
+    /// Returns the deployment's settings, checked and completed for a program with clients: unlike in the simulator,
+    /// every class needs a name, and every rejection carries a `Retry-After`.
     pub fn deployment(&self) -> Result<Deployment, DeploymentFileError> {
         let mut deployment = cairnroad_settings::parse(self.settings.get().as_bytes())?;
         if deployment.class_names.iter().any(String::is_empty) {
             return Err(DeploymentFileError::UnnamedClass);
         }
-        // Every rejection carries a Retry-After, whether or not the simulator's clients are told.
+        // `caps.retryAfter` only says whether the simulator's clients are told; here they always are.
         let longest = deployment.longest_retry_after;
         deployment.policy.max_retry_after.get_or_insert(longest);
         Ok(deployment)
     }
 
-    /// The random seed; 0 where none is stated.
+    /// Returns the random seed; 0 if none is stated.
     pub fn seed(&self) -> Result<u64, DeploymentFileError> {
         let Some(seed) = &self.seed else {
             return Ok(0);
@@ -62,7 +63,7 @@
     }
 }
 
-/// The file's text as a document, without the endpoint list.
+/// Parses the file's content as a JSON value and removes the endpoint list.
 pub fn document(text: &[u8]) -> Result<serde_json::Value, DeploymentFileError> {
     let mut document: serde_json::Value = serde_json::from_slice(text)?;
     if let Some(keys) = document.as_object_mut() {
@@ -71,7 +72,7 @@
     Ok(document)
 }
 
-/// Reads an address with a port.
+/// Parses the value of `key` as an address with a port.
 pub fn address(key: &'static str, value: String) -> Result<SocketAddr, DeploymentFileError> {
     value
         .parse()
--- a/crates/coordinator/src/configuration/effective.rs
+++ b/crates/coordinator/src/configuration/effective.rs
@@ -1,4 +1,4 @@
-//! The configuration in effect, as `check-config` prints it for people and programs.
+//! The configuration in effect, in the form that `check-config` prints as JSON or YAML.
 
 use super::config::Config;
 use super::{ClusterSettings, ContractSettings, EndpointFilesSettings};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 impl Config {
-    /// All that takes effect. The keys are read by operators' programs.
+    /// Returns every setting in effect. Operators' programs read these keys, so they must not change.
     pub fn effective(&self) -> Value {
         let deployment = &self.served.deployment;
         let classes = deployment.offered_classes().map(class).collect::<Vec<_>>();
@@ -112,7 +112,7 @@
     address.map(|address| address.to_string())
 }
 
-/// An enum's value as the project's own file spells it.
+/// Returns an enum's value as it is written in the project's own file: the variant's name in lower case.
 fn keyword(value: &dyn Debug) -> String {
     format!("{value:?}").to_lowercase()
 }
--- a/crates/coordinator/src/configuration/endpoint_files.rs
+++ b/crates/coordinator/src/configuration/endpoint_files.rs
@@ -1,4 +1,4 @@
-//! `[membership]`: the endpoint list in files instead of from a discovery agent.
+//! The `[membership]` table: reading the endpoint list from files instead of a discovery agent.
 
 use super::error::{ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// The table as it stands in the file.
+/// The table as parsed from the file.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MembershipTable {
@@ -19,31 +19,31 @@
     shrink: Option<f64>,
 }
 
-/// Where the endpoint list comes from.
+/// The source of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum MembershipSource {
-    /// The discovery agent.
+    /// A discovery agent.
     #[default]
     Agent,
-    /// Files that are watched.
+    /// Files, which are watched for changes.
     Files,
 }
 
-/// The files of the endpoint list, and what a new list has to fulfil.
+/// The files of the endpoint list, and the conditions that a new list must meet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointFilesSettings {
-    /// A folder of `*.toml` files, or one file.
+    /// Path of a folder of `*.toml` files, or of a single file.
     pub path: PathBuf,
-    /// The folder of the last good list's snapshot, if one is kept.
+    /// Folder for snapshots of the last valid list; `None` if they are not stored.
     pub state_dir: Option<PathBuf>,
-    /// The share of active servers that one list may remove, from 0 to 1.
+    /// Maximum share of active servers that one update may remove, from 0 to 1.
     pub max_removed_share: f64,
-    /// The cells and shards that servers have to cover.
+    /// The cells and shards that the servers of a list must cover.
     pub layout: ShardLayout,
 }
 
-/// The files of the endpoint list; `None` where a discovery agent serves it.
+/// Validates the table. Returns `None` if a discovery agent serves the endpoint list.
 pub fn endpoint_files(
     table: MembershipTable,
     file: &ProjectFile,
--- a/crates/coordinator/src/configuration/error.rs
+++ b/crates/coordinator/src/configuration/error.rs
@@ -1,113 +1,114 @@
-//! What can be wrong with the configuration, from a missing file down to a single value.
+//! Configuration errors, from a missing file down to a single invalid value.
 
 use cairnroad_cluster::member_names::MemberNamesError;
 use cairnroad_settings::SettingsError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why there is no configuration.
+/// The reason why the configuration can't be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The environment does not name the deployment's file.
-    #[error("NODE_CONFIG is not set")]
+    #[error("NODE_CONFIG is not set: expected the path of the deployment's JSON file")]
     NoDeploymentFile,
     /// The deployment's file can't be read.
     #[error("NODE_CONFIG: {}: {source}", path.display())]
     DeploymentFileUnreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
     /// The project's own file can't be read.
     #[error("{}: {source}", path.display())]
     ProjectFileUnreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// The deployment's file, or the environment in its place, is faulty.
+    /// The content of the deployment's file, or an environment variable that replaces a key of it, is invalid.
     #[error("configuration: {}: {source}", path.display())]
     DeploymentFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The fault.
         source: DeploymentFileError,
     },
-    /// The project's own file is faulty.
+    /// The content of the project's own file is invalid.
     #[error("configuration: {}{}: {source}", path.display(), line_suffix(.source.line()))]
     ProjectFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong in it, and in which line.
+        /// The fault and, if known, its line.
         source: ProjectFileError,
     },
 }
 
+/// Returns `:LINE` to append to a path; empty if the line is unknown.
 fn line_suffix(line: Option<usize>) -> String {
     line.map(|line| format!(":{line}")).unwrap_or_default()
 }
 
-/// A fault in the content of either file, whose path the reader of the content does not know.
+/// A fault in the content of either file, reported by code that does not know the file's path.
 #[derive(Debug, thiserror::Error)]
 pub enum ContentError {
-    /// In the deployment's file, or the environment in its place.
+    /// A fault in the deployment's file, or in the environment variables that replace its keys.
     #[error(transparent)]
     Deployment(#[from] DeploymentFileError),
-    /// In the project's own file.
+    /// A fault in the project's own file.
     #[error(transparent)]
     Project(#[from] ProjectFileError),
 }
 
-/// What is wrong with the deployment's file, or with the environment in its place.
+/// A fault in the deployment's file, or in the environment variables that replace its keys.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentFileError {
-    /// It is not JSON, or a key has the wrong type.
+    /// The file is not JSON, or a key has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// The settings are rejected.
     #[error("{0}: {help}", help = .0.help())]
     Settings(#[from] SettingsError),
-    /// A query class has no name. The simulator's classes may; those that clients ask for by name may not.
+    /// A query class has no name. The simulator's classes may lack one, but clients request a class by its name.
     #[error("settings: classes[].name is missing")]
     UnnamedClass,
     /// Neither the file nor the environment states a mandatory value.
     #[error("'{key}' ({variable}) is missing")]
     Missing {
-        /// Its key in the file.
+        /// The value's key in the file.
         key: &'static str,
-        /// Its environment variable.
+        /// The value's environment variable.
         variable: &'static str,
     },
     /// A value is not an address with a port.
-    #[error("'{key}': '{value}' is not an address and a port")]
+    #[error("'{key}': expected an IP address with a port, found '{value}'")]
     InvalidAddress {
-        /// Its key.
+        /// The value's key in the file.
         key: &'static str,
         /// The value found.
         value: String,
     },
-    /// The seed is not a hexadecimal number of 64 bits at most.
-    #[error("'seed': '{0}' is not hexadecimal")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("'seed': expected a hexadecimal number of at most 64 bits, found '{0}'")]
     InvalidSeed(String),
-    /// The inherited socket's variable does not name a descriptor above the standard ones.
-    #[error("NODE_INHERITED_FD: '{0}' is not a descriptor above 2")]
+    /// The variable for the inherited socket does not name a descriptor above the standard ones.
+    #[error("NODE_INHERITED_FD: expected a descriptor above 2, found '{0}'")]
     InvalidDescriptor(String),
-    /// A member of a group of coordinators needs a name that its datagrams can carry.
-    #[error("'name': '{0}' can't be a peer's: {help}", help = MemberNamesError::InvalidName(String::new()).help())]
+    /// The coordinator's name is not valid as the name of a group member, which datagrams carry.
+    #[error("'name': '{0}' is not a valid member name: {help}", help = MemberNamesError::InvalidName(String::new()).help())]
     InvalidMemberName(String),
 }
 
-/// What is wrong with the project's own file.
+/// A fault in the project's own file.
 #[derive(Debug, thiserror::Error)]
 pub enum ProjectFileError {
-    /// It is not TOML, or a key is unknown or has the wrong type.
+    /// The file is not TOML, or a key is unknown or has the wrong type.
     #[error("{message}")]
     Malformed {
-        /// The line, from 1.
+        /// Line of the fault, from 1.
         line: usize,
-        /// The TOML reader's message, on one line.
+        /// The TOML parser's message, joined to one line.
         message: String,
     },
     /// A value is missing or not allowed.
@@ -115,15 +116,15 @@
     Value {
         /// Path of the key, such as `contract.servers.share`.
         key: String,
-        /// The line of the key or else of its table, from 1, if either stands in the file.
+        /// Line of the key or else of its table, from 1; `None` if the file has neither.
         line: Option<usize>,
-        /// What is wrong with the value.
+        /// Why the value is rejected.
         source: ValueError,
     },
 }
 
 impl ProjectFileError {
-    /// The faulty line, from 1, where one is known.
+    /// Returns the line of the fault, from 1, if it is known.
     pub fn line(&self) -> Option<usize> {
         match self {
             ProjectFileError::Malformed { line, .. } => Some(*line),
@@ -132,68 +133,69 @@
     }
 }
 
-/// Why a value of the project's own file is rejected.
+/// The reason why a value in the project's own file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
-    /// It is missing though another key makes it mandatory.
-    #[error("this is missing though '{0}' is true")]
+    /// A key is missing that another key's value makes mandatory.
+    #[error("missing, but required when '{0}' is true")]
     RequiredBy(&'static str),
-    /// It is not an address with a port.
-    #[error("'{0}' is not an address and a port")]
+    /// The value is not an address with a port.
+    #[error("expected an IP address with a port, found '{0}'")]
     InvalidAddress(String),
-    /// Others can't send to port 0.
-    #[error("nobody can send to port 0: name the port that others reach")]
+    /// The advertised port is 0, which is not an address that other members can send to.
+    #[error("port 0 can't receive datagrams: set the port that other members send to")]
     PortZero,
-    /// The endpoint list is to be read from files, but none are named.
-    #[error("the folder of the roster's files, or its one file, is missing")]
+    /// The endpoint list is read from files, but their path is not set.
+    #[error("missing, expected the path of a folder of endpoint files or of a single file")]
     NoEndpointFiles,
-    /// A share outside [0, 1].
-    #[error("{0} is not from 0 to 1")]
+    /// A share is outside [0, 1].
+    #[error("expected a number from 0 to 1, found {0}")]
     InvalidShare(f64),
-    /// A sampled share outside (0, 1].
-    #[error("{0} is not above 0 and 1 at most")]
+    /// The sampled share of messages is outside (0, 1].
+    #[error("expected a number above 0 and at most 1, found {0}")]
     InvalidSampledShare(f64),
-    /// An interface is to be checked, but its description is not named.
-    #[error("the description's file is missing")]
+    /// Checks are enabled for an interface, but the path of its description is not set.
+    #[error("missing, expected the path of the interface's description")]
     NoDescription,
-    /// An endpoint list that is rejected would leave servers in use that drain or are gone.
-    #[error("discovery's updates can be observed, not rejected")]
+    /// Enforcement is not available for discovery: rejecting an endpoint list would keep servers in use that are
+    /// draining or gone.
+    #[error("'enforce' is not available for discovery: its updates can only be observed")]
     DiscoveryEnforced,
     /// An index maps to a class that the deployment does not have.
-    #[error("'{0}' is no class")]
+    #[error("unknown class '{0}'")]
     UnknownClass(String),
-    /// An index covers shards that do not exist.
-    #[error("of '{index}': there are shards 0 to {last_shard}")]
+    /// An index covers shards that do not exist, or its first shard is after its last.
+    #[error("index '{index}': expected the first and the last shard, within 0 to {last_shard}")]
     UnknownShards {
-        /// The index.
+        /// Name of the index.
         index: String,
-        /// The deployment's last shard.
+        /// The deployment's last shard, inclusive.
         last_shard: u32,
     },
-    /// A name that the query protocol does not allow for an index.
-    #[error("'{0}' can't be an index")]
+    /// The query protocol does not allow this index name.
+    #[error("'{0}' is not a valid index name")]
     InvalidIndexName(String),
-    /// The name of a group of coordinators is not allowed.
+    /// The name of the group of coordinators is invalid.
     #[error(transparent)]
     InvalidClusterName(MemberNamesError),
-    /// The member names of a group of coordinators are faulty.
+    /// The member names of the group of coordinators are invalid.
     #[error("{0}: {help}", help = .0.help())]
     InvalidMemberNames(MemberNamesError),
-    /// A text is too long for a datagram.
+    /// A string is too long for a datagram.
     #[error("'{value}' is longer than {limit} bytes")]
     TooLong {
-        /// The text.
+        /// The string found.
         value: String,
-        /// Most bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// There are more offers than a datagram carries.
-    #[error("there are more than {limit}")]
+    /// There are more offers than a datagram can carry.
+    #[error("expected at most {limit} entries")]
     TooManyOffers {
-        /// Most offers.
+        /// Maximum number of offers.
         limit: usize,
     },
-    /// The group does not include this coordinator.
-    #[error("'{0}', the name of this coordinator, is not among them")]
+    /// The member names do not include this coordinator's.
+    #[error("'{0}', the name of this coordinator, is not among the member names")]
     NotAMember(String),
 }
--- a/crates/coordinator/src/configuration/limits.rs
+++ b/crates/coordinator/src/configuration/limits.rs
@@ -1,35 +1,36 @@
-//! Bounds on connections, from the memory and descriptors that the deployment grants.
+//! Limits on connections, derived from the memory and descriptors that the deployment grants.
 
 use super::deployment_file::LimitsJson;
 
-/// Memory of the reference deployment, for deployments that state none.
+/// Memory in megabytes if the deployment does not state it: that of the reference deployment.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Descriptors of the reference deployment, for deployments that state none.
+/// Number of descriptors if the deployment does not state it: that of the reference deployment.
 pub(super) const DEFAULT_SOCKETS: usize = 1024;
-/// Memory that one client may hold: 64 KiB of body twice over, and its buffers.
+/// Memory in kilobytes that one client may hold: twice a body of 64 KiB, and buffers.
 const CLIENT_MEMORY_KB: usize = 160;
-/// Fewest client connections and fewest server connections, however small the machine.
-const FEWEST_CONNECTIONS: usize = 8;
+/// Minimum of the limits on client and server connections, however small the machine is.
+const MIN_CONNECTIONS: usize = 8;
 
-/// Bounds on connections.
+/// Limits on connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionLimits {
-    /// Client connections that stay open while idle; above this number those idle for longest are closed. Clients hold
-    /// at most a third of the descriptors for their requests, those of idle connections included.
+    /// Number of open client connections above which those that have been idle for longest are closed. Clients hold at
+    /// most a third of the descriptors for their requests, those of idle connections included.
     pub idle_eviction_threshold: usize,
-    /// Client connections that may have a request in flight; more are told to retry later.
+    /// Maximum number of client connections with a request in flight; requests on further ones are answered with 503
+    /// and a `Retry-After`.
     pub max_active_clients: usize,
-    /// Client connections that are accepted at all.
+    /// Maximum number of accepted client connections, whatever their state.
     pub max_accepted_clients: usize,
-    /// Connections to servers.
+    /// Maximum number of connections to servers.
     pub max_server_connections: usize,
 }
 
 impl ConnectionLimits {
-    /// Bounds for what the deployment states.
+    /// Derives the limits from the resources that the deployment grants.
     ///
-    /// `processes` is how many processes share the grant: a process that is replaced under load shares it with the one
-    /// that replaces it.
+    /// `processes` is the number of processes that share the resources: a process that is replaced under load shares
+    /// them with its replacement.
     pub(super) fn for_deployment(granted: LimitsJson, processes: usize) -> ConnectionLimits {
         ConnectionLimits::new(
             granted.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) / processes as u64,
@@ -37,19 +38,21 @@
         )
     }
 
-    /// Half of the descriptors for clients with a request in flight and a sixteenth more to tell others to retry,
-    /// three eighths for servers; the rest is for discovery and the runtime. Memory caps clients too.
+    /// Derives the limits from memory and descriptors.
     ///
-    /// Round robin uses every replica of a shard, so a coordinator connects to every server of the fleet, and each
-    /// connection closed for lack of room costs a handshake later.
+    /// Half of the descriptors are for clients with a request in flight, a sixteenth for telling further clients to
+    /// retry, and three eighths for servers; the rest is for discovery and the runtime. Memory limits the number of
+    /// clients too. The share for servers is that large because round robin uses every replica of a shard: a
+    /// coordinator connects to every server of the fleet, and a connection that is closed to stay below the limit costs
+    /// a handshake later.
     pub(super) fn new(memory_mb: u64, sockets: usize) -> ConnectionLimits {
         let by_memory = (memory_mb as usize).saturating_mul(1024) / CLIENT_MEMORY_KB / 2;
-        let max_active_clients = (sockets / 2).min(by_memory).max(FEWEST_CONNECTIONS);
+        let max_active_clients = (sockets / 2).min(by_memory).max(MIN_CONNECTIONS);
         ConnectionLimits {
-            idle_eviction_threshold: (sockets / 5).clamp(FEWEST_CONNECTIONS, max_active_clients),
+            idle_eviction_threshold: (sockets / 5).clamp(MIN_CONNECTIONS, max_active_clients),
             max_active_clients,
             max_accepted_clients: sockets / 2 + sockets / 16,
-            max_server_connections: (sockets * 3 / 8).max(FEWEST_CONNECTIONS),
+            max_server_connections: (sockets * 3 / 8).max(MIN_CONNECTIONS),
         }
     }
 }
--- a/crates/coordinator/src/configuration/load.rs
+++ b/crates/coordinator/src/configuration/load.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration's files.
+//! Reads the configuration files.
 
 use super::build::build;
 use super::config::Config;
@@ -8,14 +8,15 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-/// Where the project's own file is looked for, relative to the working directory.
+/// Default path of the project's own file, relative to the working directory.
 const DEFAULT_PROJECT_FILE: &str = "deploy/cairnroad.toml";
 
-/// Reads the whole configuration, as this process's environment names it.
+/// Reads the configuration from the files that this process's environment names.
 ///
 /// # Errors
 ///
-/// A file that can't be read, or the first fault in one, with file, key and, for the project's own file, line.
+/// Returns an error if a file can't be read, or else the first fault in a file, with its path, its key and, in the
+/// project's own file, its line.
 pub fn load() -> Result<Config, ConfigError> {
     let deployment_path = process_variable(NODE_CONFIG).ok_or(ConfigError::NoDeploymentFile)?;
     let deployment_path = PathBuf::from(deployment_path);
@@ -28,9 +29,9 @@
             })
         }
     };
-    let named_path = process_variable(CAIRNROAD_FILE).map(PathBuf::from);
-    let project_text = read_project_file(named_path.as_deref())?;
-    let project_path = named_path.unwrap_or_else(|| DEFAULT_PROJECT_FILE.into());
+    let explicit_path = process_variable(CAIRNROAD_FILE).map(PathBuf::from);
+    let project_text = read_project_file(explicit_path.as_deref())?;
+    let project_path = explicit_path.unwrap_or_else(|| DEFAULT_PROJECT_FILE.into());
     let project_file = ProjectFile {
         text: &project_text,
         folder: project_path.parent().unwrap_or(Path::new("")),
@@ -47,12 +48,12 @@
     })
 }
 
-/// The text of the project's own file. Only a file that the environment names has to be there.
-fn read_project_file(named_path: Option<&Path>) -> Result<String, ConfigError> {
-    let path = named_path.unwrap_or(Path::new(DEFAULT_PROJECT_FILE));
+/// Reads the project's own file. Only a file that the environment names must exist.
+fn read_project_file(explicit_path: Option<&Path>) -> Result<String, ConfigError> {
+    let path = explicit_path.unwrap_or(Path::new(DEFAULT_PROJECT_FILE));
     match std::fs::read_to_string(path) {
         Ok(text) => Ok(text),
-        Err(source) if source.kind() == ErrorKind::NotFound && named_path.is_none() => {
+        Err(source) if source.kind() == ErrorKind::NotFound && explicit_path.is_none() => {
             Ok(String::new())
         }
         Err(source) => Err(ConfigError::ProjectFileUnreadable {
--- a/crates/coordinator/src/configuration/mod.rs
+++ b/crates/coordinator/src/configuration/mod.rs
@@ -1,10 +1,8 @@
-//! The one place where configuration is read, validated and given defaults.
+//! Reads and validates the configuration and fills in its defaults; no other module does so.
 //!
-//! Three sources make one [`Config`]: the deployment's JSON file that `NODE_CONFIG` names, this project's own TOML file
-//! under `deploy/` (or where `CAIRNROAD_FILE` says), and the environment. [`load()`] is the entry point; errors name the
-//! file, the key and, for the project's file, the line.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! A [`Config`] combines three sources: the deployment's JSON file at the path in `NODE_CONFIG`, this project's own
+//! TOML file (`deploy/cairnroad.toml`, or the path in `CAIRNROAD_FILE`), and environment variables. [`load()`] is the
+//! entry point. Errors name the file, the key and, for the project's own file, the line.
 
 mod build;
 mod cluster;
--- a/crates/coordinator/src/configuration/opensearch.rs
+++ b/crates/coordinator/src/configuration/opensearch.rs
@@ -1,4 +1,4 @@
-//! `[opensearch]`: the second front and its indices.
+//! The `[opensearch]` table: the second front and its indices.
 
 use super::error::{ProjectFileError, ValueError};
 use super::project_file::ProjectFile;
@@ -7,21 +7,21 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The table as it stands in the file.
+/// The table as parsed from the file.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OpenSearchTable {
-    /// Whether the second front is on.
+    /// Whether the second front is enabled.
     #[serde(default)]
     pub enabled: bool,
-    /// Where it listens.
+    /// Address that the second front listens on; mandatory if it is enabled.
     pub listen: Option<String>,
-    /// The indices; none: each class is one.
+    /// The indices. If there are none, each class is an index.
     #[serde(default)]
     pub index: Vec<IndexTable>,
 }
 
-/// One `[[opensearch.index]]`.
+/// One `[[opensearch.index]]` table as parsed from the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IndexTable {
@@ -30,7 +30,7 @@
     shards: Option<[u32; 2]>,
 }
 
-/// Where the second front listens; `None` if it is off.
+/// Returns the address that the second front listens on; `None` if it is disabled.
 pub fn listen_address(
     enabled: bool,
     listen: Option<String>,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The indices that the file names; where it names none, each class is an index over all shards.
+/// Returns the indices that the file defines. If it defines none, each class is an index over all shards.
 pub fn indices(
     tables: Vec<IndexTable>,
     deployment: &Deployment,
@@ -71,7 +71,7 @@
 
 fn index(
     table: IndexTable,
-    last_of_deployment: u32,
+    deployment_last_shard: u32,
     deployment: &Deployment,
     file: &ProjectFile,
 ) -> Result<SearchIndex, ProjectFileError> {
@@ -87,15 +87,15 @@
     else {
         return Err(file.error("opensearch.index.class", ValueError::UnknownClass(class)));
     };
-    let [first_shard, last_shard] = shards.unwrap_or([0, last_of_deployment]);
-    if first_shard > last_shard || last_shard > last_of_deployment {
+    let [first_shard, last_shard] = shards.unwrap_or([0, deployment_last_shard]);
+    if first_shard > last_shard || last_shard > deployment_last_shard {
         let error = ValueError::UnknownShards {
             index: name,
-            last_shard: last_of_deployment,
+            last_shard: deployment_last_shard,
         };
         return Err(file.error("opensearch.index.shards", error));
     }
-    if !is_index_name(&name) {
+    if !is_valid_index_name(&name) {
         return Err(file.error("opensearch.index.name", ValueError::InvalidIndexName(name)));
     }
     Ok(SearchIndex {
@@ -106,7 +106,8 @@
     })
 }
 
-/// Paths, lists of indices, wildcards and the API's own names, which begin with `_`, can't be index names.
-fn is_index_name(name: &str) -> bool {
+/// Returns whether searches can address an index by this name. Paths, lists of indices, wildcards and the API's own
+/// names, which begin with `_`, are excluded.
+fn is_valid_index_name(name: &str) -> bool {
     !name.is_empty() && !name.starts_with('_') && !name.contains(['/', ',', '*', '?'])
 }
--- a/crates/coordinator/src/configuration/project_file.rs
+++ b/crates/coordinator/src/configuration/project_file.rs
@@ -1,4 +1,4 @@
-//! The project's own TOML file: its tables, and the line of a key for errors. All of it is optional.
+//! The project's own TOML file: its tables, all of them optional, and the lines of its keys for error messages.
 
 use super::cluster::ClusterTable;
 use super::contracts::ContractTable;
@@ -10,35 +10,35 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The file's tables. Unknown keys are errors: a misspelt one must not count as left out.
+/// The file's tables. Unknown keys are errors, because a misspelt key would otherwise be silently ignored.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProjectTables {
-    /// The second front.
+    /// The second front and its indices.
     #[serde(default)]
     pub opensearch: OpenSearchTable,
-    /// The connections to servers.
+    /// The protocol to servers.
     #[serde(default)]
     pub backend: BackendTable,
-    /// The log.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
-    /// The checks of traffic against descriptions.
+    /// The interfaces whose traffic is checked against a description.
     #[serde(default)]
     pub contract: ContractTable,
-    /// The endpoint list from files.
+    /// The source of the endpoint list.
     #[serde(default)]
     pub membership: MembershipTable,
-    /// The group of coordinators.
+    /// Membership in a group of coordinators.
     #[serde(default)]
     pub peers: ClusterTable,
 }
 
-/// `[backend]`
+/// The `[backend]` table.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendTable {
-    /// What servers speak.
+    /// The protocol that servers speak.
     #[serde(default)]
     pub kind: BackendKind,
 }
@@ -54,31 +54,31 @@
     OpenSearch,
 }
 
-/// How the log is written: `[log]`.
+/// The `[log]` table: how the log is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// The least severity that is written.
+    /// Lowest severity that is written.
     #[serde(default)]
     pub level: log::Level,
-    /// The form of a line.
+    /// Format of a line.
     #[serde(default)]
     pub format: log::LineFormat,
-    /// Seconds between two lines of metrics; 0: none.
+    /// Interval of the metrics line in seconds; 0 disables it.
     #[serde(default, rename = "tally_s")]
     pub metrics_interval_s: u32,
 }
 
-/// The file's text and the folder from which its relative paths count.
+/// The file's text, and the folder that relative paths in it refer to.
 pub struct ProjectFile<'a> {
-    /// The file's text.
+    /// The file's content; empty if there is no file.
     pub text: &'a str,
-    /// The folder that the file stands in.
+    /// The folder that contains the file.
     pub folder: &'a Path,
 }
 
 impl ProjectFile<'_> {
-    /// Reads the file's tables.
+    /// Parses the file's tables.
     pub fn parse(&self) -> Result<ProjectTables, ProjectFileError> {
         toml::from_str(self.text).map_err(|error: toml::de::Error| {
             let start = error.span().map_or(0, |span| span.start);
@@ -90,7 +90,7 @@
         })
     }
 
-    /// The error for the value at a key, such as `contract.servers.share`.
+    /// Returns the error for the value of `key`, a dotted path such as `contract.servers.share`.
     pub fn error(&self, key: &str, source: ValueError) -> ProjectFileError {
         ProjectFileError::Value {
             key: key.into(),
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Reads the address with a port at a key.
+    /// Parses the value of `key` as an address with a port.
     pub fn address(&self, key: &str, value: String) -> Result<SocketAddr, ProjectFileError> {
         value
             .parse()
             .map_err(|_| self.error(key, ValueError::InvalidAddress(value)))
     }
 
-    /// The line of a key or, where the key is not stated, of its table.
+    /// Returns the line of a key, from 1; the line of its table if the key is absent, `None` if both are.
     fn line_of(&self, key: &str) -> Option<usize> {
         let (table, name) = key.rsplit_once('.').unwrap_or(("", key));
         let mut current_table = "";
@@ -118,7 +118,7 @@
                 if current_table == table {
                     table_line = table_line.or(Some(index + 1));
                 }
-            } else if current_table == table && stated_key(line) == name {
+            } else if current_table == table && key_of_line(line) == name {
                 return Some(index + 1);
             }
         }
@@ -126,13 +126,13 @@
     }
 }
 
-/// The name in a header, `[name]` or `[[name]]`.
+/// Returns the name in a table header, `[name]` or `[[name]]`.
 fn table_name(header: &str) -> &str {
     let name = header.trim_start_matches('[').split(']').next();
     name.unwrap_or("").trim()
 }
 
-/// The key of a line `key = value`.
-fn stated_key(line: &str) -> &str {
+/// Returns the key of a line `key = value`.
+fn key_of_line(line: &str) -> &str {
     line.split('=').next().unwrap_or("").trim()
 }
--- a/crates/coordinator/src/configuration/tests.rs
+++ b/crates/coordinator/src/configuration/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration, and samples of it for other modules' tests.
+//! Tests of the configuration, and sample configurations for the tests of other modules.
 
 use super::build::build;
 use super::error::ContentError;
@@ -25,12 +25,12 @@
     )
 }
 
-/// A configuration for other modules' tests.
+/// Returns a valid configuration without a project file.
 pub fn sample() -> Config {
     with_project_file("")
 }
 
-/// The same with a project's own file, which stands in the folder `d`.
+/// Returns the sample configuration with a project file of this content in the folder `d`.
 pub fn with_project_file(text: &str) -> Config {
     let folder = Path::new("d");
     build_in(folder, &json(SETTINGS), text).unwrap()
@@ -66,7 +66,7 @@
     );
 }
 
-/// Guards against idle connections, used once, that take all descriptors of the clients.
+/// Guards against idle connections, each used for one request, that take all descriptors meant for clients.
 #[test]
 fn idle_connections_leave_descriptors_for_active_clients() {
     for (sockets, memory) in [(256, 32), (384, 48), (1024, 128), (1024, 32)] {
@@ -82,8 +82,8 @@
     }
 }
 
-/// Guards against a connection pool smaller than the fleet: deployments of 512 descriptors have up to 190 servers, and
-/// round robin over replicas uses all of them.
+/// Guards against a connection pool smaller than the fleet: deployments with 512 descriptors have up to 190 servers,
+/// and round robin over replicas uses all of them.
 #[test]
 fn a_coordinator_keeps_a_connection_to_each_server_of_a_large_fleet() {
     for (sockets, servers) in [(512, 190), (1024, 380)] {
@@ -106,7 +106,7 @@
         old.changed_keys_requiring_restart(&read(text.replace("\"n1\"", "\"n2\""))),
         ["name"]
     );
-    // A key with a default may be left out of a first file, not of a later one.
+    // A key with a default may be missing from the first file, but not from a later file once it was stated.
     let shortened = read(text.replace(r#""dialTimeoutS":0.25,"#, ""));
     assert_eq!(
         old.first_key_missing_in(&shortened).as_deref(),
@@ -144,20 +144,20 @@
     assert!(error_text(json(SETTINGS), "[backend]\nkind = \"soap\"").starts_with("2:"));
     let project_text =
         "[contract.query]\nmode = \"observe\"\nshare = 1.5\ndescription = \"q.yaml\"";
-    let expected = "3:'contract.query.share': 1.5 is not above 0 and 1 at most";
+    let expected = "3:'contract.query.share': expected a number above 0 and at most 1, found 1.5";
     assert_eq!(error_text(json(SETTINGS), project_text), expected);
     for (key, value, cause) in [
-        ("listen", "\"nowhere\"", "is not an address"),
-        ("advertise", "\"10.0.0.1:0\"", "nobody can send to port 0"),
+        ("listen", "\"nowhere\"", "expected an IP address"),
+        ("advertise", "\"10.0.0.1:0\"", "port 0 can't receive"),
         ("cluster", "\"a b\"", "can't be a name"),
         ("group", "[\"n[3-1]\"]", "a range is written as"),
         ("group", "[\"n2\"]", "'n1', the name of this coordinator"),
         ("group", "[]", "the group names nobody"),
-        ("seeds", "[\"x\"]", "is not an address"),
+        ("seeds", "[\"x\"]", "expected an IP address"),
         (
             "offers",
             "[\"1\",\"2\",\"3\",\"4\",\"5\",\"6\",\"7\",\"8\",\"9\"]",
-            "more than 8",
+            "expected at most 8 entries",
         ),
     ] {
         let valid = [
--- a/crates/coordinator/tests/serving.rs
+++ b/crates/coordinator/tests/serving.rs
@@ -505,7 +505,8 @@
         "GET /catalog/members HTTP/1.1"
     );
     coordinator.reconfigure(|config| config["discovery"] = json!("nowhere"));
-    coordinator.wait_for_log_line("'discovery': 'nowhere'");
+    coordinator
+        .wait_for_log_line("'discovery': expected an IP address with a port, found 'nowhere'");
     // The old settings stay in force: the second discovery is still followed, and the first is not called any more.
     let before = coordinator.discovery.calls.lock().unwrap().len();
     let watches = second.calls.lock().unwrap().len();
