--- a/crates/coordinator/src/cli.rs
+++ b/crates/coordinator/src/cli.rs
@@ -1,6 +1,4 @@
-//! The command line. `docs/CLI.md` describes it; the comments here are also the help texts.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The command line, described in `docs/CLI.md`. Doc comments of commands and arguments are their help texts.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
@@ -9,12 +7,13 @@
 #[derive(Debug, Parser)]
 #[command(name = "cairnroad", version, arg_required_else_help = false)]
 #[command(
-    after_help = "Without a command, the coordinator is run. The configuration is the JSON file that NODE_CONFIG \
-    names and deploy/cairnroad.toml, or the file that CAIRNROAD_FILE names.\n\n\
-    Exit codes: 0 success, 1 what was checked is faulty or differs, 2 usage, or something can't be read."
+    after_help = "Without a command, the coordinator runs. The configuration is read from the JSON file at the path in \
+    NODE_CONFIG and from deploy/cairnroad.toml, or the file at the path in CAIRNROAD_FILE.\n\n\
+    Exit codes: 0 success; 1 faults or breaking changes found, or the coordinator failed; 2 wrong usage, or a file \
+    can't be read or written."
 )]
 pub struct Cli {
-    /// What to do; without one, run the coordinator
+    /// Command to run; without one, the coordinator runs
     #[command(subcommand)]
     pub command: Option<Command>,
 }
@@ -24,46 +23,46 @@
 pub enum Command {
     /// Run the coordinator (the default)
     Serve,
-    /// Read all configuration and print what takes effect
+    /// Check the configuration and print the settings in effect
     #[command(
         after_help = "Example:\n  NODE_CONFIG=/run/balancer/config.json cairnroad check-config"
     )]
     CheckConfig(OutputOptions),
-    /// Interface descriptions, in OpenAPI and AsyncAPI
+    /// Check, show, compare and replay interface descriptions (OpenAPI and AsyncAPI)
     #[command(subcommand)]
     Contract(ContractCommand),
-    /// The endpoint list in files
+    /// Check, compare, show and apply endpoint lists in files
     #[command(subcommand)]
     Roster(RosterCommand),
 }
 
-/// Commands on the endpoint list in files.
+/// Commands on endpoint lists in files.
 #[derive(Debug, Subcommand)]
 pub enum RosterCommand {
-    /// Read a list and print all its faults; without PATH, the configured one
+    /// Check an endpoint list and print all its faults; without PATH, check the configured list
     Check {
-        /// The folder of its files, or its one file
+        /// Folder of endpoint files, or a single file
         path: Option<PathBuf>,
         #[command(flatten)]
         output: OutputOptions,
     },
-    /// Print what a list would do in place of another
+    /// Print the changes that take effect if one list replaces another
     #[command(after_help = "Example:\n  cairnroad roster diff storm/ servers.d/")]
     Diff {
-        /// The new one
+        /// New list: a folder or a file
         new: PathBuf,
-        /// The old one; without it, the configured one
+        /// Old list: a folder or a file; without it, the configured list
         old: Option<PathBuf>,
         #[command(flatten)]
         output: OutputOptions,
     },
-    /// Print the latest snapshot: the list in force, and since when
+    /// Print the latest snapshot: the list in force and the time since when it is in force
     Show(OutputOptions),
-    /// Check a list and put it in place of the configured one, as one file and one generation later
+    /// Check a list and replace the configured one with it, as a single file under the next generation
     Apply {
-        /// The new one: a folder or a file
+        /// New list: a folder or a file
         new: PathBuf,
-        /// Allow the list to remove more servers than is usual
+        /// Allow the list to remove a larger share of servers than the configured limit
         #[arg(long)]
         allow_shrink: bool,
     },
@@ -72,12 +71,12 @@
 /// How a command prints its result.
 #[derive(Clone, Copy, Debug, Args)]
 pub struct OutputOptions {
-    /// Print JSON, for programs
+    /// Print JSON instead of text
     #[arg(long)]
     pub json: bool,
 }
 
-/// Which of the coordinator's own descriptions is printed.
+/// The coordinator's own description to print.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum DescriptionKind {
     /// The HTTP interfaces
@@ -89,45 +88,45 @@
 /// Commands on interface descriptions.
 #[derive(Debug, Subcommand)]
 pub enum ContractCommand {
-    /// Read descriptions and print all their faults
+    /// Check descriptions and print all their faults
     #[command(after_help = "Example:\n  cairnroad contract check nodes.yaml clients.json")]
     Check {
-        /// The descriptions
+        /// Files of the descriptions
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[command(flatten)]
         output: OutputOptions,
     },
-    /// Print this coordinator's own description, as it is configured
+    /// Print the coordinator's own description for the current configuration
     #[command(
         after_help = "Example:\n  NODE_CONFIG=config.json cairnroad contract show --kind openapi --yaml"
     )]
     Show {
-        /// Which one
+        /// Kind of description
         #[arg(long, value_enum)]
         kind: DescriptionKind,
-        /// Print YAML; else JSON
+        /// Print YAML instead of JSON
         #[arg(long)]
         yaml: bool,
     },
-    /// Print what changed between two descriptions; exit 1 if anything breaks
+    /// Print the changes between two descriptions; exit with 1 if any change is breaking
     Diff {
-        /// The old one
+        /// File of the old description
         old: PathBuf,
-        /// The new one
+        /// File of the new description
         new: PathBuf,
         #[command(flatten)]
         output: OutputOptions,
     },
     /// Check recorded traffic against a description
-    #[command(after_help = "Traffic is one JSON object a line:\n  \
+    #[command(after_help = "Traffic is one JSON object per line:\n  \
         {\"method\":\"GET\",\"target\":\"/a?b=1\",\"answer\":{\"status\":200,\
         \"fields\":{\"Content-Type\":\"application/json\"},\"body\":{}}}\n  \
         {\"channel\":\"frames\",\"message\":\"A\",\"headers\":{},\"payload\":\"\"}")]
     Replay {
-        /// The description
+        /// File of the description
         description: PathBuf,
-        /// The traffic, or - for standard input
+        /// File of the recorded traffic, or - for standard input
         traffic: PathBuf,
         #[command(flatten)]
         output: OutputOptions,
--- a/crates/coordinator/src/commands/check_config.rs
+++ b/crates/coordinator/src/commands/check_config.rs
@@ -1,6 +1,6 @@
-//! `check-config`: reads the configuration with all descriptions that it names, and prints what takes effect.
+//! `check-config`: reads the configuration and the descriptions that it names, and prints the settings in effect.
 
-use super::output::{print, print_json, report};
+use super::output::{print, print_error, print_json};
 use super::CommandStatus;
 use crate::cli::OutputOptions;
 use crate::configuration::{self, Config, ConfigError};
@@ -8,11 +8,12 @@
 use cairnroad_contract::document::to_yaml;
 use serde_json::json;
 
-/// Why the configuration would not start.
+/// The reason why the coordinator would not start with this configuration.
 #[derive(Debug, thiserror::Error)]
 enum CheckError {
     #[error(transparent)]
     Configuration(#[from] ConfigError),
+    /// Faults of the descriptions, one line each.
     #[error("{}", .0.join("\n"))]
     Descriptions(Vec<String>),
 }
@@ -32,15 +33,16 @@
             let text = error.to_string();
             let faults: Vec<&str> = text.lines().collect();
             print_json(&json!({"sound": false, "faults": faults}));
-            CommandStatus::Faulty
+            CommandStatus::FaultsFound
         }
         (Err(error), false) => {
-            report(&error);
-            CommandStatus::Faulty
+            print_error(&error);
+            CommandStatus::FaultsFound
         }
     }
 }
 
+/// Loads the configuration and the descriptions that it names, as a start of the coordinator does.
 fn check() -> Result<Config, CheckError> {
     let config = configuration::load()?;
     let faults: Vec<String> = contract::read(&config.contracts, config.backend)
--- a/crates/coordinator/src/commands/contract/check.rs
+++ b/crates/coordinator/src/commands/contract/check.rs
@@ -1,24 +1,24 @@
-//! `contract check`: reads descriptions and prints all their faults.
+//! `contract check`: parses descriptions and prints all their faults.
 
 use super::check_readable;
 use crate::cli::OutputOptions;
-use crate::commands::output::{print, print_json, report};
+use crate::commands::output::{print, print_error, print_json};
 use crate::commands::CommandStatus;
 use cairnroad_contract::fault::Faults;
 use cairnroad_contract::model::Description;
 use serde_json::json;
 use std::path::{Path, PathBuf};
 
-/// Runs the command. All files are read, whatever is wrong with one of them; the worst status counts.
+/// Runs the command. All files are checked, even after a fault in one of them; the worst status is returned.
 pub fn check(files: &[PathBuf], output: OutputOptions) -> CommandStatus {
-    files.iter().fold(CommandStatus::Success, |worst, path| {
-        worst.or_worse(check_file(path, output))
+    files.iter().fold(CommandStatus::Success, |status, path| {
+        status.max_severity(check_file(path, output))
     })
 }
 
 fn check_file(path: &Path, output: OutputOptions) -> CommandStatus {
     if let Err(error) = check_readable(path) {
-        report(&error);
+        print_error(&error);
         return error.status();
     }
     match Description::open(path) {
@@ -28,7 +28,7 @@
         }
         Err(faults) => {
             print_faults(path, &faults, output);
-            CommandStatus::Faulty
+            CommandStatus::FaultsFound
         }
     }
 }
@@ -49,13 +49,13 @@
         }));
         return;
     }
-    // OpenAPI describes operations, AsyncAPI messages.
+    // OpenAPI documents describe operations, AsyncAPI documents messages.
     let (count, unit) = match operations {
         0 => (messages, "messages"),
         _ => (operations, "operations"),
     };
     print(&format!(
-        "{}: sound: {:?} {}, {}, {count} {unit}\n",
+        "{}: valid: {:?} {}, {}, {count} {unit}\n",
         path.display(),
         description.kind,
         description.version,
--- a/crates/coordinator/src/commands/contract/diff.rs
+++ b/crates/coordinator/src/commands/contract/diff.rs
@@ -1,9 +1,9 @@
-//! `contract diff`: prints what changed between two descriptions, and for whom it breaks.
+//! `contract diff`: prints the changes between two descriptions and whether they break compatibility.
 
 use super::open_description;
 use crate::cli::OutputOptions;
 use crate::commands::error::CommandError;
-use crate::commands::output::{print, print_json, report};
+use crate::commands::output::{print, print_error, print_json};
 use crate::commands::CommandStatus;
 use cairnroad_contract::diff::{self, Change, ChangeImpact};
 use cairnroad_contract::model::Description;
@@ -17,14 +17,14 @@
         diff::diff(&old, &new).map_err(|cause| CommandError::Incomparable(cause.into()))?;
     print_changes(&changes, output);
     let is_breaking = |change: &Change| change.impact == ChangeImpact::Breaking;
-    Ok(CommandStatus::of(changes.iter().any(is_breaking)))
+    Ok(CommandStatus::from_faults(changes.iter().any(is_breaking)))
 }
 
-/// Opens both descriptions. Where both are faulty, both errors are reported.
+/// Opens both descriptions. If both are invalid, both errors are printed.
 fn open_both(old: &Path, new: &Path) -> Result<(Description, Description), CommandError> {
     match (open_description(old), open_description(new)) {
         (Err(old_error), Err(new_error)) => {
-            report(&old_error);
+            print_error(&old_error);
             Err(new_error)
         }
         (old, new) => Ok((old?, new?)),
--- a/crates/coordinator/src/commands/contract/mod.rs
+++ b/crates/coordinator/src/commands/contract/mod.rs
@@ -1,4 +1,4 @@
-//! `contract ...`: commands on interface descriptions.
+//! The `contract` subcommands, which work on interface descriptions.
 
 mod check;
 mod diff;
@@ -15,7 +15,7 @@
 use std::fs::File;
 use std::path::Path;
 
-/// Checks that a path names a plain file that can be opened.
+/// Checks that a path names a regular file that can be opened.
 fn check_readable(path: &Path) -> Result<(), CommandError> {
     let metadata = std::fs::metadata(path).map_err(|source| CommandError::file(path, source))?;
     if !metadata.is_file() {
@@ -25,7 +25,7 @@
     Ok(())
 }
 
-/// Opens a description that a command uses, rather than checks: any fault in it ends the command.
+/// Opens a description that a command needs as input. Any fault in it is an error of the command.
 fn open_description(path: &Path) -> Result<Description, CommandError> {
     check_readable(path)?;
     Description::open(path).map_err(CommandError::Description)
--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -12,7 +12,7 @@
 use std::io::{self, BufRead, BufReader, Read};
 use std::path::Path;
 
-/// Stands for standard input on the command line.
+/// Command-line argument that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
 /// Runs the command.
@@ -22,7 +22,7 @@
     output: OutputOptions,
 ) -> Result<CommandStatus, CommandError> {
     let description = open_description(description)?;
-    let mut lines = Lines {
+    let mut lines = RecordedLines {
         reader: BufReader::new(open_traffic(traffic)?),
         error: None,
     };
@@ -33,12 +33,12 @@
     if output.json {
         print_json(&json!(outcome));
     } else {
-        print(&report_of(&outcome));
+        print(&format_outcome(&outcome));
     }
     if !outcome.unreadable.is_empty() {
-        return Ok(CommandStatus::Unreadable);
+        return Ok(CommandStatus::InputError);
     }
-    Ok(CommandStatus::of(!outcome.violations.is_empty()))
+    Ok(CommandStatus::from_faults(!outcome.violations.is_empty()))
 }
 
 fn open_traffic(path: &Path) -> Result<Box<dyn Read>, CommandError> {
@@ -51,16 +51,17 @@
     }
 }
 
-/// The lines of a recording. They end at an error, which is stored.
-struct Lines<R> {
+/// An iterator over the lines of recorded traffic. It ends at the first read error, which is stored.
+struct RecordedLines<R> {
     reader: R,
     error: Option<io::Error>,
 }
 
-impl<R: BufRead> Iterator for Lines<R> {
+impl<R: BufRead> Iterator for RecordedLines<R> {
     type Item = Vec<u8>;
 
-    /// The next line, cut one byte above the limit, so that the replay sees that it is too long.
+    /// Returns the next line, truncated to one byte more than the limit, so that the replay can reject lines that are
+    /// too long.
     fn next(&mut self) -> Option<Vec<u8>> {
         let limit = MAX_LINE as u64 + 1;
         let mut line = Vec::new();
@@ -76,16 +77,16 @@
     }
 }
 
-/// The outcome as text: the counts, then each departure, then each line that can't be read.
-fn report_of(outcome: &Outcome) -> String {
+/// Returns the outcome as text: the counts, then each violation, then each line that can't be parsed.
+fn format_outcome(outcome: &Outcome) -> String {
     let mut text = format!(
-        "{} messages, {} departures\n",
+        "{} messages, {} violations\n",
         outcome.messages,
         outcome.violations.len()
     );
-    // Writing to a string can't fail.
+    // Writing to a string never fails.
     let _ = write_counts(outcome, &mut text)
-        .and_then(|()| write_departures(outcome, &mut text))
+        .and_then(|()| write_violations(outcome, &mut text))
         .and_then(|()| write_unreadable_lines(outcome, &mut text));
     text
 }
@@ -101,7 +102,7 @@
     Ok(())
 }
 
-fn write_departures(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
+fn write_violations(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
     for found in &outcome.violations {
         let violation = &found.violation;
         writeln!(
--- a/crates/coordinator/src/commands/contract/show.rs
+++ b/crates/coordinator/src/commands/contract/show.rs
@@ -1,4 +1,4 @@
-//! `contract show`: prints this coordinator's own description, as it is configured.
+//! `contract show`: prints the coordinator's own description for the current configuration.
 
 use crate::cli::DescriptionKind;
 use crate::commands::error::CommandError;
@@ -26,6 +26,6 @@
 }
 
 fn indented_json(document: &Value) -> String {
-    // Every value has a text.
+    // Serializing a `Value` never fails.
     serde_json::to_string_pretty(document).unwrap_or_default() + "\n"
 }
--- a/crates/coordinator/src/commands/error.rs
+++ b/crates/coordinator/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not be carried out.
+//! Errors that end a command.
 
 use super::CommandStatus;
 use crate::configuration::ConfigError;
@@ -8,48 +8,48 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a command could not be carried out.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The configuration can't be read or is faulty.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
     /// A file can't be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The system's error.
         source: io::Error,
     },
     /// A path names a folder or a device.
-    #[error("{}: this is no plain file", .0.display())]
+    #[error("{}: not a regular file", .0.display())]
     NotAFile(PathBuf),
-    /// A description that the command uses is faulty.
+    /// A description that the command needs is invalid.
     #[error("{0}")]
     Description(Faults),
     /// Descriptions of different formats can't be compared.
     #[error("{0}")]
     Incomparable(#[source] Box<dyn Error + Send + Sync>),
     /// The endpoint list is not read from files.
-    #[error("'membership.source' is not \"files\" in the project's own file: there is no roster")]
+    #[error("'membership.source' in the project's own file is not \"files\": the endpoint list is not read from files")]
     NoEndpointFiles,
-    /// No snapshot of the endpoint list is kept.
-    #[error("'membership.state' is not set in the project's own file: no list is kept")]
+    /// No folder for snapshots of the endpoint list is configured.
+    #[error("'membership.state' is not set in the project's own file: no snapshot of the endpoint list is stored")]
     NoStateDir,
     /// There is no usable snapshot of the endpoint list.
-    #[error("{}: no list is kept here", .0.display())]
+    #[error("{}: no usable snapshot of the endpoint list", .0.display())]
     NoSnapshot(PathBuf),
-    /// The files of an endpoint list are faulty.
+    /// The files of an endpoint list are invalid.
     #[error("{}", join_lines(.0))]
-    Roster(Vec<Fault>),
-    /// A new endpoint list must not replace the one in force.
+    InvalidEndpointList(Vec<Fault>),
+    /// A new endpoint list is not allowed to replace the one in force.
     #[error("nothing was written: {}", join_lines(.0))]
-    RosterRejected(Vec<Fault>),
+    EndpointListRejected(Vec<Fault>),
 }
 
 impl CommandError {
-    /// A file that can't be read or written.
+    /// Returns the error for a file that can't be read or written.
     pub fn file(path: &Path, source: io::Error) -> CommandError {
         CommandError::File {
             path: path.into(),
@@ -57,10 +57,12 @@
         }
     }
 
-    /// The status that the command ends with.
+    /// Returns the status that the command ends with.
     pub fn status(&self) -> CommandStatus {
         match self {
-            CommandError::Roster(_) | CommandError::RosterRejected(_) => CommandStatus::Faulty,
+            CommandError::InvalidEndpointList(_) | CommandError::EndpointListRejected(_) => {
+                CommandStatus::FaultsFound
+            }
             CommandError::Configuration(_)
             | CommandError::File { .. }
             | CommandError::NotAFile(_)
@@ -68,7 +70,7 @@
             | CommandError::Incomparable(_)
             | CommandError::NoEndpointFiles
             | CommandError::NoStateDir
-            | CommandError::NoSnapshot(_) => CommandStatus::Unreadable,
+            | CommandError::NoSnapshot(_) => CommandStatus::InputError,
         }
     }
 }
--- a/crates/coordinator/src/commands/mod.rs
+++ b/crates/coordinator/src/commands/mod.rs
@@ -1,8 +1,6 @@
-//! The commands that check, show and compare, a module each.
+//! The commands that check, show, compare and apply configuration, one module per command.
 //!
-//! Results go to standard output, errors to standard error; the exit code tells programs which it was.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Results go to standard output and errors to standard error; the exit code is that of [`CommandStatus`].
 
 mod check_config;
 mod contract;
@@ -14,28 +12,28 @@
 use error::CommandError;
 use std::process::ExitCode;
 
-/// How a command ended.
+/// The result of a command, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandStatus {
-    /// What was asked for is done, and nothing is at fault.
+    /// The command succeeded and found no fault (exit code 0).
     Success,
-    /// What was checked is at fault, or differs so that something breaks.
-    Faulty,
-    /// The command line is wrong, or something can't be read.
-    Unreadable,
+    /// The input that was checked has faults, or a change breaks compatibility (exit code 1).
+    FaultsFound,
+    /// The command line is wrong, or a file can't be read or written (exit code 2).
+    InputError,
 }
 
 impl CommandStatus {
-    /// [`Faulty`](CommandStatus::Faulty) if there is any fault.
-    fn of(faulty: bool) -> CommandStatus {
-        match faulty {
-            true => CommandStatus::Faulty,
+    /// Returns [`FaultsFound`](CommandStatus::FaultsFound) if there is any fault, otherwise `Success`.
+    fn from_faults(any_fault: bool) -> CommandStatus {
+        match any_fault {
+            true => CommandStatus::FaultsFound,
             false => CommandStatus::Success,
         }
     }
 
-    /// The worse of two.
-    fn or_worse(self, other: CommandStatus) -> CommandStatus {
+    /// Returns the worse of two results: the one with the higher exit code.
+    fn max_severity(self, other: CommandStatus) -> CommandStatus {
         match self.code() >= other.code() {
             true => self,
             false => other,
@@ -45,8 +43,8 @@
     fn code(self) -> u8 {
         match self {
             CommandStatus::Success => 0,
-            CommandStatus::Faulty => 1,
-            CommandStatus::Unreadable => 2,
+            CommandStatus::FaultsFound => 1,
+            CommandStatus::InputError => 2,
         }
     }
 }
@@ -57,14 +55,14 @@
     }
 }
 
-/// `check-config`
+/// Runs `check-config`.
 pub fn check_config(output: OutputOptions) -> CommandStatus {
     check_config::run(output)
 }
 
-/// `contract ...`
+/// Runs a `contract` subcommand.
 pub fn contract(command: ContractCommand) -> CommandStatus {
-    status_of(match command {
+    status_or_print_error(match command {
         ContractCommand::Check { files, output } => Ok(contract::check(&files, output)),
         ContractCommand::Show { kind, yaml } => contract::show(kind, yaml),
         ContractCommand::Diff { old, new, output } => contract::diff(&old, &new, output),
@@ -76,9 +74,9 @@
     })
 }
 
-/// `roster ...`
+/// Runs a `roster` subcommand.
 pub fn roster(command: RosterCommand) -> CommandStatus {
-    status_of(match command {
+    status_or_print_error(match command {
         RosterCommand::Check { path, output } => roster::check(path.as_deref(), output),
         RosterCommand::Diff { new, old, output } => roster::diff(&new, old.as_deref(), output),
         RosterCommand::Show(output) => roster::show(output),
@@ -86,10 +84,10 @@
     })
 }
 
-/// Reports the error of a command that failed.
-fn status_of(result: Result<CommandStatus, CommandError>) -> CommandStatus {
+/// Returns the status of a command, and prints the error of a command that failed.
+fn status_or_print_error(result: Result<CommandStatus, CommandError>) -> CommandStatus {
     result.unwrap_or_else(|error| {
-        output::report(&error);
+        output::print_error(&error);
         error.status()
     })
 }
--- a/crates/coordinator/src/commands/roster/apply.rs
+++ b/crates/coordinator/src/commands/roster/apply.rs
@@ -1,6 +1,6 @@
-//! `roster apply`: checks an endpoint list and puts it in place of the configured files, one generation later.
+//! `roster apply`: validates an endpoint list and replaces the configured files with it, under the next generation.
 
-use super::{configured_files, read_roster};
+use super::{configured_files, read_endpoint_set};
 use crate::commands::error::CommandError;
 use crate::commands::output::print;
 use crate::commands::CommandStatus;
@@ -14,29 +14,30 @@
 use cairnroad_endpoint_files::validation::{decide_update, UpdateDecision};
 use std::path::{Path, PathBuf};
 
-/// The file that a list is written to where the configuration names a folder.
-const ROSTER_FILE: &str = "roster.toml";
+/// Name of the file that the list is written to if the configured path is a folder.
+const ENDPOINT_LIST_FILE: &str = "roster.toml";
 
 /// Runs the command.
 pub fn apply(new: &Path, allow_shrink: bool) -> Result<CommandStatus, CommandError> {
     let configured = configured_files()?;
-    let mut roster = read_roster(new)?;
-    let in_force = roster_in_force(&configured);
-    roster.generation = in_force.as_ref().map_or(0, |old| old.generation) + 1;
-    roster.allow_shrink |= allow_shrink;
-    check_replacement(in_force.as_ref(), &roster, &configured)?;
-    let target = write_roster(&configured, &roster)?;
-    let plan = plan_update(&in_force.unwrap_or_default(), &roster, &configured.layout);
+    let mut new_set = read_endpoint_set(new)?;
+    let in_force = endpoint_set_in_force(&configured);
+    new_set.generation = in_force.as_ref().map_or(0, |old| old.generation) + 1;
+    new_set.allow_shrink |= allow_shrink;
+    check_replacement(in_force.as_ref(), &new_set, &configured)?;
+    let target = write_endpoint_set(&configured, &new_set)?;
+    let plan = plan_update(&in_force.unwrap_or_default(), &new_set, &configured.layout);
     print(&format!(
         "generation {} written to {}\n{plan}",
-        roster.generation,
+        new_set.generation,
         target.display()
     ));
     Ok(CommandStatus::Success)
 }
 
-/// The later of the files as they are and the snapshot, which is in force where the files are faulty.
-fn roster_in_force(configured: &EndpointFilesSettings) -> Option<EndpointSet> {
+/// Returns the set of the configured files or that of the latest snapshot, whichever has the higher generation. The
+/// snapshot is in force if the files are invalid.
+fn endpoint_set_in_force(configured: &EndpointFilesSettings) -> Option<EndpointSet> {
     let files = parse_files(&file_source::read_files(&configured.path)).ok();
     let state_dir = configured.state_dir.clone();
     let snapshot = state_dir.and_then(|state_dir| {
@@ -47,35 +48,36 @@
     [files, snapshot]
         .into_iter()
         .flatten()
-        .max_by_key(|roster| roster.generation)
+        .max_by_key(|endpoint_set| endpoint_set.generation)
 }
 
+/// Returns an error if the new set is invalid or not allowed to replace the old one.
 fn check_replacement(
     old: Option<&EndpointSet>,
     new: &EndpointSet,
     configured: &EndpointFilesSettings,
 ) -> Result<(), CommandError> {
     match decide_update(old, new, &configured.layout, configured.max_removed_share) {
-        UpdateDecision::Reject(faults) => Err(CommandError::RosterRejected(faults)),
+        UpdateDecision::Reject(faults) => Err(CommandError::EndpointListRejected(faults)),
         UpdateDecision::Apply | UpdateDecision::Unchanged => Ok(()),
     }
 }
 
-/// Writes the list as one file and returns its path. Until the last file of the old generation is gone, a coordinator
-/// rejects the folder as a mix.
-fn write_roster(
+/// Writes the set as one file and returns the file's path. Coordinators reject the folder, because it mixes
+/// generations, until the last file of the old generation is removed.
+fn write_endpoint_set(
     configured: &EndpointFilesSettings,
-    roster: &EndpointSet,
+    endpoint_set: &EndpointSet,
 ) -> Result<PathBuf, CommandError> {
     let folder = &configured.path;
     if !folder.is_dir() {
-        replace_file(folder, roster)?;
+        replace_file(folder, endpoint_set)?;
         return Ok(folder.clone());
     }
-    let target = folder.join(ROSTER_FILE);
-    replace_file(&target, roster)?;
+    let target = folder.join(ENDPOINT_LIST_FILE);
+    replace_file(&target, endpoint_set)?;
     for file in file_source::read_files(folder) {
-        if file.name != ROSTER_FILE {
+        if file.name != ENDPOINT_LIST_FILE {
             let path = folder.join(file.name);
             std::fs::remove_file(&path).map_err(|source| CommandError::file(&path, source))?;
         }
@@ -83,7 +85,7 @@
     Ok(target)
 }
 
-fn replace_file(path: &Path, roster: &EndpointSet) -> Result<(), CommandError> {
-    snapshot_store::replace_file(path, to_toml(roster).as_bytes())
+fn replace_file(path: &Path, endpoint_set: &EndpointSet) -> Result<(), CommandError> {
+    snapshot_store::replace_file(path, to_toml(endpoint_set).as_bytes())
         .map_err(|source| CommandError::file(path, source))
 }
--- a/crates/coordinator/src/commands/roster/check.rs
+++ b/crates/coordinator/src/commands/roster/check.rs
@@ -1,4 +1,4 @@
-//! `roster check`: reads an endpoint list and prints all its faults.
+//! `roster check`: parses an endpoint list and prints all its faults.
 
 use super::{check_exists, configured_files};
 use crate::cli::OutputOptions;
@@ -12,19 +12,19 @@
 use serde_json::json;
 use std::path::Path;
 
-/// Runs the command; without a path, on the configured files.
+/// Runs the command on a path or, without one, on the configured files.
 pub fn check(path: Option<&Path>, output: OutputOptions) -> Result<CommandStatus, CommandError> {
     let configured = configured_files()?;
     let path = path.unwrap_or(&configured.path);
     check_exists(path)?;
-    let roster = parse_files(&file_source::read_files(path));
-    let faults = match &roster {
-        Ok(roster) => validate(roster, &configured.layout),
+    let endpoint_set = parse_files(&file_source::read_files(path));
+    let faults = match &endpoint_set {
+        Ok(endpoint_set) => validate(endpoint_set, &configured.layout),
         Err(faults) => faults.clone(),
     };
-    let status = CommandStatus::of(!faults.is_empty());
+    let status = CommandStatus::from_faults(!faults.is_empty());
     if output.json {
-        let generation = roster.ok().map(|roster| roster.generation);
+        let generation = endpoint_set.ok().map(|set| set.generation);
         print_json(&json!({
             "sound": faults.is_empty(),
             "generation": generation,
@@ -32,13 +32,13 @@
         }));
         return Ok(status);
     }
-    match roster {
-        Ok(roster) if faults.is_empty() => print(&format!(
-            "{}: sound: generation {}, {} servers, {} of them active\n",
+    match endpoint_set {
+        Ok(endpoint_set) if faults.is_empty() => print(&format!(
+            "{}: valid: generation {}, {} servers, {} of them active\n",
             path.display(),
-            roster.generation,
-            roster.endpoints.len(),
-            roster.active_count()
+            endpoint_set.generation,
+            endpoint_set.endpoints.len(),
+            endpoint_set.active_count()
         )),
         _ => print(&format!("{}\n", join_lines(&faults))),
     }
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -1,7 +1,7 @@
-//! The cairnroad coordinator: accepts queries from clients on two fronts, routes their parts by the decisions of
+//! The cairnroad coordinator: accepts queries from clients on two fronts, routes their parts as decided by
 //! `cairnroad_routing`, and sends them to servers over one of two backends. See `ARCHITECTURE.md`.
 //!
-//! `main` parses the command line and calls: `server` runs the coordinator, `commands` does everything else.
+//! `main` parses the command line. `server` runs the coordinator; `commands` implements all other commands.
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 mod admin_api;
--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -632,7 +632,7 @@
     check(
         &["contract", "check", &good],
         0,
-        &["sound: OpenApi 3.1.0, stand-in servers 1, 1 operations"],
+        &["valid: OpenApi 3.1.0, stand-in servers 1, 1 operations"],
     );
     check(
         &["contract", "check", &good, &bad],
@@ -670,7 +670,7 @@
     check(
         &["contract", "replay", &good, &traffic],
         1,
-        &["2 messages, 1 departures", "body /hits"],
+        &["2 messages, 1 violations", "body /hits"],
     );
     check(&["contract", "replay", &good, "nowhere"], 2, &["nowhere"]);
     check(
--- a/crates/coordinator/tests/endpoint_files.rs
+++ b/crates/coordinator/tests/endpoint_files.rs
@@ -389,7 +389,7 @@
     run(
         &["roster", "check"],
         0,
-        "sound: generation 1, 4 servers, 4 of them active",
+        "valid: generation 1, 4 servers, 4 of them active",
     );
     let storm = file("storm.toml", &roster(1, &all));
     run(
