--- a/crates/coordinator/src/fronts/client_connections.rs
+++ b/crates/coordinator/src/fronts/client_connections.rs
@@ -1,7 +1,7 @@
-//! Accounting of client connections, over all fronts together.
+//! Tracking of client connections over all fronts.
 //!
-//! Counts what is open, in flight and lingering, and evicts the connection that has been idle for longest when its slot
-//! is needed, so that clients that send nothing don't keep out those that do.
+//! Counts open connections, requests in flight and lingering connections. When a slot is needed, the connection that
+//! has been idle for longest is evicted, so that idle clients don't keep active clients out.
 
 use cairnroad_admin::shutdown::ShutdownObservation;
 use cairnroad_types::{Seconds, Time};
@@ -10,27 +10,29 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Shortest idle time before a connection that has sent no request may be evicted. Its first request may be on its
-/// way, and clients count that one as failed if the connection is closed under it.
+/// Minimum idle time before a connection that has sent no request may be evicted. Its first request may be in transit,
+/// and a client counts that request as failed if the connection closes.
 const MIN_IDLE_BEFORE_FIRST_REQUEST: Seconds = 0.25;
-/// The same once a request was received. Clients send a later request again on a new connection, and where many
-/// requests come, a client returns to its connection soon.
+/// The same minimum after a request was received. Clients repeat a later request on a new connection, and under load a
+/// client soon reuses its connection.
 const MIN_IDLE_AFTER_REQUEST: Seconds = 0.05;
 
-/// Identifies an idle connection; ordered by how long it has been idle, the longest first.
+/// Identifies an idle connection. Keys are ordered by idle time, the longest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleKey {
-    since: Time,
+    idle_since: Time,
     id: u64,
 }
 
 /// An idle connection that may be evicted.
 struct IdleConnection {
+    /// Idle time before which the connection is not evicted.
     min_idle: Seconds,
-    evict: Rc<Notify>,
+    /// Notifies the session that its connection is evicted.
+    eviction: Rc<Notify>,
 }
 
-/// A count of things under way. Each is represented by a guard, so that the count can't be left too high.
+/// A counter whose units are held by guards, so that no unit is left over when its holder is dropped.
 #[derive(Clone, Default)]
 struct Gauge(Rc<Cell<usize>>);
 
@@ -39,13 +41,13 @@
         self.0.get()
     }
 
-    fn enter(&self) -> GaugeGuard {
+    fn acquire(&self) -> GaugeGuard {
         self.0.set(self.0.get() + 1);
         GaugeGuard(self.0.clone())
     }
 }
 
-/// One unit of a [`Gauge`], given back when dropped.
+/// One unit of a [`Gauge`], released on drop.
 struct GaugeGuard(Rc<Cell<usize>>);
 
 impl Drop for GaugeGuard {
@@ -57,46 +59,47 @@
 /// The client connections of all fronts.
 #[derive(Default)]
 pub struct ClientConnections {
+    /// Open connections.
     open: Gauge,
-    /// Requests that were received and aren't answered.
+    /// Requests that were received and are not answered yet.
     in_flight: Gauge,
-    /// Connections that were half-closed and are only drained.
+    /// Connections that were half-closed and whose incoming bytes are discarded.
     lingering: Gauge,
     last_request_at: Cell<Time>,
     last_answer_at: Cell<Time>,
-    /// When every request has to be answered, once a graceful shutdown has begun.
+    /// Time by which every request must be answered; `None` unless a graceful shutdown has begun.
     answer_deadline: Cell<Option<Time>>,
     next_id: Cell<u64>,
     idle: RefCell<BTreeMap<IdleKey, IdleConnection>>,
 }
 
 impl ClientConnections {
-    /// Takes a slot for a connection that was just accepted. The slot is given back when the result is dropped.
+    /// Takes a slot for an accepted connection. Dropping the returned value releases the slot.
     pub fn register(self: &Rc<Self>) -> ClientConnection {
         let id = self.next_id.replace(self.next_id.get() + 1);
         ClientConnection {
-            _open: self.open.enter(),
+            _open: self.open.acquire(),
             in_flight: RefCell::default(),
             lingering: RefCell::default(),
             id,
             idle_since: Cell::new(None),
             received_request: Cell::new(false),
-            evict: Rc::default(),
+            eviction: Rc::default(),
             connections: self.clone(),
         }
     }
 
-    /// Number of open connections, whatever they do.
+    /// Returns the number of open connections in any state.
     pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
-    /// Number of connections with a request in flight or partly received.
+    /// Returns the number of connections with a request in flight or partially received.
     pub fn busy_count(&self) -> usize {
         self.open.get() - self.idle.borrow().len()
     }
 
-    /// What a graceful shutdown decides by.
+    /// Returns the state of client connections that the phases of a graceful shutdown depend on.
     pub fn shutdown_observation(&self) -> ShutdownObservation {
         let in_flight = self.in_flight.get();
         ShutdownObservation {
@@ -108,29 +111,29 @@
         }
     }
 
-    /// Limits the deadlines of all requests from now on to this moment.
+    /// Limits the deadlines of all later requests to this time.
     pub fn set_answer_deadline(&self, moment: Time) {
         self.answer_deadline.set(Some(moment));
     }
 
-    /// A request's deadline, limited by a graceful shutdown where one has begun.
+    /// Returns a request's deadline, limited to the answer deadline if a graceful shutdown has begun.
     pub fn cap_deadline(&self, deadline: Time) -> Time {
         self.answer_deadline
             .get()
-            .map_or(deadline, |end| end.min(deadline))
+            .map_or(deadline, |limit| limit.min(deadline))
     }
 
-    /// Evicts the connection that has been idle for longest, of those that may be evicted. Returns whether there was
+    /// Evicts the connection that has been idle for longest among those that may be evicted. Returns whether there was
     /// one.
     pub fn evict_longest_idle(&self, now: Time) -> bool {
         let mut idle = self.idle.borrow_mut();
         let longest = idle
             .iter()
-            .find(|(key, connection)| now - key.since >= connection.min_idle)
+            .find(|(key, connection)| now - key.idle_since >= connection.min_idle)
             .map(|(&key, _)| key);
         match longest.and_then(|key| idle.remove(&key)) {
             Some(connection) => {
-                connection.evict.notify_one();
+                connection.eviction.notify_one();
                 true
             }
             None => false,
@@ -138,29 +141,29 @@
     }
 }
 
-/// One connection's slot. Dropping it gives back all that it is counted in.
+/// The slot of one connection. Dropping it removes the connection from all counts.
 pub struct ClientConnection {
     _open: GaugeGuard,
-    /// Present from a request, or a rejection that is due, until the answer was written.
+    /// Held while an answer is pending, from the receipt of a request until its answer or rejection is written.
     in_flight: RefCell<Option<GaugeGuard>>,
-    /// Present once the connection was half-closed.
+    /// Held once the connection is half-closed.
     lingering: RefCell<Option<GaugeGuard>>,
     id: u64,
     idle_since: Cell<Option<Time>>,
     received_request: Cell<bool>,
-    evict: Rc<Notify>,
+    eviction: Rc<Notify>,
     connections: Rc<ClientConnections>,
 }
 
 impl ClientConnection {
-    /// Marks the connection as idle from `now` on, if it isn't already: it may be evicted.
+    /// Marks the connection as idle since `now`, unless it already is idle. An idle connection may be evicted.
     pub fn mark_idle(&self, now: Time) {
         if self.idle_since.get().is_some() {
             return;
         }
         self.idle_since.set(Some(now));
         let key = IdleKey {
-            since: now,
+            idle_since: now,
             id: self.id,
         };
         let idle = IdleConnection {
@@ -168,15 +171,18 @@
                 true => MIN_IDLE_AFTER_REQUEST,
                 false => MIN_IDLE_BEFORE_FIRST_REQUEST,
             },
-            evict: self.evict.clone(),
+            eviction: self.eviction.clone(),
         };
         self.connections.idle.borrow_mut().insert(key, idle);
     }
 
-    /// Marks the connection as busy: it can't be evicted.
+    /// Marks the connection as busy. A busy connection is not evicted.
     pub fn mark_busy(&self) {
-        if let Some(since) = self.idle_since.take() {
-            let key = IdleKey { since, id: self.id };
+        if let Some(idle_since) = self.idle_since.take() {
+            let key = IdleKey {
+                idle_since,
+                id: self.id,
+            };
             self.connections.idle.borrow_mut().remove(&key);
         }
     }
@@ -186,14 +192,14 @@
         self.received_request.set(true);
         self.mark_busy();
         self.connections.last_request_at.set(now);
-        self.expect_answer();
+        self.mark_answer_pending();
     }
 
-    /// Counts an answer as owed, be it the rejection of a request that was received in part.
-    pub fn expect_answer(&self) {
+    /// Records that an answer is pending, which may be the rejection of a partially received request.
+    pub fn mark_answer_pending(&self) {
         self.in_flight
             .borrow_mut()
-            .get_or_insert_with(|| self.connections.in_flight.enter());
+            .get_or_insert_with(|| self.connections.in_flight.acquire());
     }
 
     /// Records that the answer was written.
@@ -202,18 +208,18 @@
         self.in_flight.take();
     }
 
-    /// Records that the connection was half-closed. What still comes is drained, until the slot is needed.
+    /// Records that the connection was half-closed. It then counts as idle, so that it may be evicted.
     pub fn begin_linger(&self, now: Time) {
         self.mark_busy();
         self.mark_idle(now);
         self.lingering
             .borrow_mut()
-            .get_or_insert_with(|| self.connections.lingering.enter());
+            .get_or_insert_with(|| self.connections.lingering.acquire());
     }
 
-    /// Resolves once the slot is needed and the connection should be closed.
-    pub async fn evicted(&self) {
-        self.evict.notified().await;
+    /// Waits until the connection is evicted and should be closed.
+    pub async fn wait_for_eviction(&self) {
+        self.eviction.notified().await;
     }
 }
 
--- a/crates/coordinator/src/fronts/client_connections/tests.rs
+++ b/crates/coordinator/src/fronts/client_connections/tests.rs
@@ -1,32 +1,39 @@
-//! Which connection is evicted, and what a graceful shutdown observes.
+//! Tests of the choice of evicted connections and of the state that a graceful shutdown observes.
 
 use super::*;
 
 #[test]
-fn the_longest_idle_is_evicted_first_and_neither_recent_nor_busy_connections_are() {
+fn the_longest_idle_connection_is_evicted_first_and_recent_or_busy_ones_are_not() {
     let connections = Rc::new(ClientConnections::default());
     let at = Time::from_secs;
-    let held: Vec<ClientConnection> = (0..4).map(|_| connections.register()).collect();
-    assert!(!connections.evict_longest_idle(at(9.0)), "nobody idles");
-    for (connection, since) in held.iter().zip([3.0, 1.0, 2.0, 9.0]) {
-        connection.mark_idle(at(since));
+    let slots: Vec<ClientConnection> = (0..4).map(|_| connections.register()).collect();
+    assert!(
+        !connections.evict_longest_idle(at(9.0)),
+        "no connection is idle"
+    );
+    for (slot, idle_since) in slots.iter().zip([3.0, 1.0, 2.0, 9.0]) {
+        slot.mark_idle(at(idle_since));
     }
-    held[1].mark_busy();
+    slots[1].mark_busy();
     assert_eq!((connections.open_count(), connections.busy_count()), (4, 1));
-    let left = |now: f64| {
+    let idle_after_eviction = |now: f64| {
         connections.evict_longest_idle(at(now));
         let idle = connections.idle.borrow();
         idle.keys().map(|key| key.id).collect::<Vec<_>>()
     };
     assert_eq!(
-        (left(9.1), left(9.1), left(9.1)),
+        (
+            idle_after_eviction(9.1),
+            idle_after_eviction(9.1),
+            idle_after_eviction(9.1)
+        ),
         (vec![0, 3], vec![3], vec![3])
     );
-    assert_eq!(left(9.3), Vec::<u64>::new());
-    // Of two that are idle since the same moment, the one that sent a request may be evicted sooner.
-    held[2].mark_busy();
-    held[2].mark_idle(at(10.0));
-    held[1].request_received(at(9.9));
+    assert_eq!(idle_after_eviction(9.3), Vec::<u64>::new());
+    // Of two connections that became idle at the same time, the one that sent a request may be evicted sooner.
+    slots[2].mark_busy();
+    slots[2].mark_idle(at(10.0));
+    slots[1].request_received(at(9.9));
     assert_eq!(
         (
             connections.shutdown_observation().unanswered_requests,
@@ -34,24 +41,27 @@
         ),
         (1, at(9.9))
     );
-    held[1].answer_sent(at(9.9));
+    slots[1].answer_sent(at(9.9));
     assert_eq!(connections.shutdown_observation().unanswered_requests, 0);
-    held[1].mark_idle(at(10.0));
-    assert_eq!((left(10.04), left(10.06)), (vec![1, 2], vec![2]));
-    held[1].mark_busy();
-    held[2].mark_busy();
-    drop(held);
+    slots[1].mark_idle(at(10.0));
+    assert_eq!(
+        (idle_after_eviction(10.04), idle_after_eviction(10.06)),
+        (vec![1, 2], vec![2])
+    );
+    slots[1].mark_busy();
+    slots[2].mark_busy();
+    drop(slots);
     assert_eq!((connections.open_count(), connections.busy_count()), (0, 0));
 }
 
-/// Guards against connections that only linger being counted as requests that are being received, or as clients that
-/// still expect service, or keeping others out.
+/// Guards against lingering connections that count as partially received requests or as clients that were not told of
+/// the close, or that can't be evicted.
 #[test]
 fn a_lingering_connection_counts_only_as_open() {
     let connections = Rc::new(ClientConnections::default());
-    let held: Vec<ClientConnection> = (0..3).map(|_| connections.register()).collect();
-    held[0].mark_idle(Time::from_secs(1.0));
-    let seen = |connections: &ClientConnections| {
+    let slots: Vec<ClientConnection> = (0..3).map(|_| connections.register()).collect();
+    slots[0].mark_idle(Time::from_secs(1.0));
+    let counts = |connections: &ClientConnections| {
         (
             connections.open_count(),
             connections.busy_count(),
@@ -59,18 +69,18 @@
             connections.shutdown_observation().unnotified_connections,
         )
     };
-    assert_eq!(seen(&connections), (3, 2, 2, 3));
+    assert_eq!(counts(&connections), (3, 2, 2, 3));
     assert!(connections.evict_longest_idle(Time::from_secs(9.0)));
     for _ in 0..2 {
-        held[0].begin_linger(Time::from_secs(9.0));
-        held[1].begin_linger(Time::from_secs(9.0));
+        slots[0].begin_linger(Time::from_secs(9.0));
+        slots[1].begin_linger(Time::from_secs(9.0));
     }
-    assert_eq!(seen(&connections), (3, 1, 1, 1));
+    assert_eq!(counts(&connections), (3, 1, 1, 1));
     assert!(
         connections.evict_longest_idle(Time::from_secs(9.5))
             && connections.evict_longest_idle(Time::from_secs(9.5))
     );
     assert!(!connections.evict_longest_idle(Time::from_secs(9.5)));
-    drop(held);
-    assert_eq!(seen(&connections), (0, 0, 0, 0));
+    drop(slots);
+    assert_eq!(counts(&connections), (0, 0, 0, 0));
 }
--- a/crates/coordinator/src/fronts/exchange.rs
+++ b/crates/coordinator/src/fronts/exchange.rs
@@ -1,4 +1,4 @@
-//! One request's way to the routing core and back, while the connection is watched for a client that disconnects.
+//! Submits requests to the core and waits for their answers, while watching for the client's disconnect.
 
 use super::front::Front;
 use crate::messages::{Answer, ContractsInForce, Request};
@@ -7,68 +7,76 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Bytes that a client may pipeline while its answer is made. Clients usually send one request at a time.
+/// Maximum number of bytes buffered from a client that pipelines while its answer is pending. Clients usually send one
+/// request at a time.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
-/// Bytes that are discarded before a pause: a client that floods must not take a whole CPU.
+/// Number of bytes discarded between two delays, so that a flooding client can't occupy a CPU.
 const DISCARD_BURST: usize = 256 * 1024;
-/// The pause after such a burst.
-const DISCARD_PAUSE: Duration = Duration::from_millis(5);
-/// Bytes that one read discards at most.
-const DISCARD_BUFFER: usize = 16 * 1024;
+/// Delay after such a burst.
+const DISCARD_DELAY: Duration = Duration::from_millis(5);
+/// Maximum number of bytes discarded by one read.
+const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The client closed or reset its connection before it had its answer.
+/// The error of a client that closed or reset its connection before it received its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the client closed its connection")]
-pub struct ClientGone;
+pub struct ClientDisconnected;
 
-/// A connection that waits for final answers.
+/// A client connection whose requests are submitted to the core.
 pub struct Exchange<'a> {
-    /// The front that the connection belongs to.
+    /// The front that accepted the connection.
     pub front: &'a Front,
-    /// The client's connection, read for pipelined bytes and for its end.
+    /// The client's connection, which is read for pipelined bytes and a disconnect.
     pub stream: &'a mut TcpStream,
-    /// Where pipelined bytes go.
+    /// The buffer for pipelined bytes.
     pub buffer: &'a mut Vec<u8>,
-    /// Set once the client has pipelined more than is buffered: what lies behind the buffer is lost.
+    /// Set once the client has pipelined more than the buffer holds; the excess bytes are discarded.
     pub overrun: &'a mut bool,
-    /// The API descriptions that were in force when the request came.
+    /// The interface descriptions that were in force when the request arrived.
     pub contracts: ContractsInForce,
 }
 
 impl Exchange<'_> {
-    /// Queues the requests for the core together and waits for their final answers, which come in the same order. A
-    /// client that closes its connection meanwhile withdraws them.
-    pub async fn submit(&mut self, requests: Vec<Request>) -> Result<Vec<Answer>, ClientGone> {
+    /// Queues the requests for the core and waits for their final answers, which are returned in the same order. If the
+    /// client disconnects meanwhile, the requests are withdrawn.
+    pub async fn submit(
+        &mut self,
+        requests: Vec<Request>,
+    ) -> Result<Vec<Answer>, ClientDisconnected> {
         let retry_after = self.front.retry_after();
-        let submitted = requests.into_iter().map(|mut request| {
+        let receivers = requests.into_iter().map(|mut request| {
             request.contracts = self.contracts.clone();
             request.deadline = self.front.connections.cap_deadline(request.deadline);
             request_queue::submit(&self.front.request_queue, request, retry_after)
         });
-        let waiting: Vec<_> = submitted.collect();
+        let receivers: Vec<_> = receivers.collect();
         let answers = async {
-            let mut all = Vec::with_capacity(waiting.len());
-            for answer in waiting {
-                all.push(answer.await.unwrap_or(Answer::Failed { timed_out: false }));
+            let mut answers = Vec::with_capacity(receivers.len());
+            for receiver in receivers {
+                answers.push(
+                    receiver
+                        .await
+                        .unwrap_or(Answer::Failed { timed_out: false }),
+                );
             }
-            all
+            answers
         };
         tokio::pin!(answers);
         loop {
             *self.overrun |= self.buffer.len() >= MAX_PIPELINED_BYTES;
             if *self.overrun {
-                // Reading goes on all the same: the client's disconnect lies behind what it sent.
+                // The bytes are discarded but still read, because a disconnect is only seen behind them.
                 tokio::select! {
                     biased;
-                    all = &mut answers => return Ok(all),
-                    () = discard(self.stream) => return Err(ClientGone),
+                    answers = &mut answers => return Ok(answers),
+                    () = discard(self.stream) => return Err(ClientDisconnected),
                 }
             }
             tokio::select! {
                 biased;
-                all = &mut answers => return Ok(all),
+                answers = &mut answers => return Ok(answers),
                 read = self.stream.read_buf(self.buffer) => match read {
-                    Ok(0) | Err(_) => return Err(ClientGone),
+                    Ok(0) | Err(_) => return Err(ClientDisconnected),
                     Ok(_) => {}
                 },
             }
@@ -76,17 +84,17 @@
     }
 }
 
-/// Reads and discards what still comes, at a bounded pace. Returns once the client has closed or reset its connection.
+/// Reads and discards incoming bytes at a limited rate. Returns once the client has closed or reset its connection.
 pub async fn discard(stream: &mut TcpStream) {
-    let mut discarded = vec![0; DISCARD_BUFFER];
+    let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
     loop {
-        let mut left = DISCARD_BURST;
-        while left > 0 {
-            match stream.read(&mut discarded).await {
-                Ok(bytes) if bytes > 0 => left = left.saturating_sub(bytes),
+        let mut remaining = DISCARD_BURST;
+        while remaining > 0 {
+            match stream.read(&mut buffer).await {
+                Ok(bytes) if bytes > 0 => remaining = remaining.saturating_sub(bytes),
                 _ => return,
             }
         }
-        tokio::time::sleep(DISCARD_PAUSE).await;
+        tokio::time::sleep(DISCARD_DELAY).await;
     }
 }
--- a/crates/coordinator/src/fronts/front.rs
+++ b/crates/coordinator/src/fronts/front.rs
@@ -1,4 +1,4 @@
-//! What all connections of one front share.
+//! State shared by all connections of one front.
 
 use super::client_connections::ClientConnections;
 use super::reply::Reply;
@@ -14,55 +14,57 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// Longest Retry-After where this machine is full or shuts down.
+/// Upper bound of the Retry-After if the coordinator is out of capacity or shuts down.
 const MAX_RETRY_AFTER: Seconds = 1.0;
-/// The same in shortest latency objectives: a client that should return after its deadline never does.
+/// The same bound as a multiple of the shortest latency objective: a client that is told to retry after its deadline
+/// never does.
 const MAX_RETRY_AFTER_OBJECTIVES: f64 = 1.0;
 
-/// A client protocol.
+/// The protocol of a front.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FrontKind {
-    /// The platform's own, `POST /api`.
+    /// The platform's own protocol, `POST /api`.
     Platform,
     /// The query API, `_search` and `_msearch`.
     OpenSearch,
 }
 
-/// One front: its protocol, and its handles to the rest of the program.
+/// A front: its protocol, and its handles to other subsystems.
 pub struct Front {
-    /// The classes and indices that clients may use; a reload changes it.
+    /// The classes and indices that clients may request; a reload replaces them.
     pub served: watch::Receiver<Arc<ServedConfiguration>>,
-    /// The queue to the routing core.
+    /// The queue of requests to the core.
     pub request_queue: mpsc::Sender<ClientRequest>,
     /// The program's clock.
     pub clock: Clock,
-    /// Whether the program starts, serves, drains or shuts down.
+    /// The serving phase of the process.
     pub phase: watch::Receiver<ServingPhase>,
-    /// Limits on connections, of all fronts together.
+    /// Limits on connections, for all fronts together.
     pub limits: ConnectionLimits,
-    /// The connections of all fronts.
+    /// The client connections of all fronts.
     pub connections: Rc<ClientConnections>,
     /// The protocol that this front speaks.
     pub kind: FrontKind,
-    /// State of the generator of names for requests that bring none.
+    /// State of the generator of names for requests without one.
     pub request_name_state: Cell<u64>,
-    /// The API descriptions that requests and answers are checked against.
+    /// The interface descriptions that requests and responses are checked against.
     pub contracts: Rc<Contracts>,
 }
 
 impl Front {
-    /// The classes and indices in force now.
-    pub fn served(&self) -> Arc<ServedConfiguration> {
+    /// Returns the classes and indices in force.
+    pub fn served_configuration(&self) -> Arc<ServedConfiguration> {
         self.served.borrow().clone()
     }
 
-    /// When a client may return that this machine has no capacity for, in seconds.
+    /// Returns the Retry-After for requests that the coordinator has no capacity for.
     pub fn retry_after(&self) -> Seconds {
         let shortest_objective = self.served.borrow().deployment.shortest_latency_objective();
         MAX_RETRY_AFTER.min(MAX_RETRY_AFTER_OBJECTIVES * shortest_objective)
     }
 
-    /// A name for a request that brings none, different from any other of this or another coordinator.
+    /// Generates a name for a request without one. The names differ from each other and, as each coordinator has its
+    /// own seed, from those of other coordinators.
     pub fn generate_request_name(&self) -> String {
         let number = self
             .request_name_state
@@ -73,7 +75,7 @@
         format!("{:016x}", mixed ^ (mixed >> 29))
     }
 
-    /// The description that requests of this front are checked against.
+    /// Returns the interface whose description the requests of this front are checked against.
     pub fn interface(&self) -> Interface {
         match self.kind {
             FrontKind::Platform => Interface::Platform,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// An error response in this front's form.
+    /// Returns an error response in this front's protocol.
     pub fn error_reply(&self, status: u16, text: &str) -> Reply {
         match self.kind {
             FrontKind::Platform => platform::error_reply(status, text),
@@ -91,7 +93,7 @@
         }
     }
 
-    /// An error response with a Retry-After, in this front's form.
+    /// Returns an error response with a Retry-After in this front's protocol.
     pub fn retry_later_reply(&self, status: u16, text: &str) -> Reply {
         match self.kind {
             FrontKind::Platform => platform::retry_later_reply(status, text, self.retry_after()),
--- a/crates/coordinator/src/fronts/health.rs
+++ b/crates/coordinator/src/fronts/health.rs
@@ -1,13 +1,13 @@
-//! `GET /_health`, the same on both fronts.
+//! The health check `GET /_health`, which both fronts answer alike.
 
 use super::front::Front;
 use super::reply::Reply;
 use crate::messages::ServingPhase;
 
-/// The path that health checks ask.
+/// Path of the health check.
 pub const PATH: &str = "/_health";
 
-/// 200 only while the program is ready to serve, 503 otherwise.
+/// Returns the response to a health check: 200 while the coordinator is serving, otherwise 503.
 pub fn reply(front: &Front, method: &str) -> Reply {
     match (method, *front.phase.borrow()) {
         ("GET", ServingPhase::Serving) => Reply::json(200, b"{\"status\":\"ready\"}".to_vec()),
--- a/crates/coordinator/src/fronts/listener.rs
+++ b/crates/coordinator/src/fronts/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections and spawns a session for each.
+//! Accepts client connections and spawns a session for each of them.
 
 use super::front::Front;
 use super::session;
@@ -7,16 +7,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Pause between two looks for a free slot at the hard limit of connections.
-const FULL_PAUSE: Duration = Duration::from_millis(1);
-/// Pause after a failed accept, which otherwise would be repeated without end.
-const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
-/// Idle connections that are evicted for each one that is accepted over the soft limit. One alone would never win back
-/// what was lost while all were too recent to be evicted.
+/// Interval of checks for a free slot while the hard limit on connections is reached.
+const FREE_SLOT_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Delay after a failed accept, without which a lasting failure would make the loop spin.
+const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(10);
+/// Number of idle connections that are evicted for each connection accepted above the soft limit. Evicting only one
+/// would never reduce the excess that builds up while all idle connections are too recent to be evicted.
 const EVICTIONS_PER_ACCEPT: usize = 2;
 
-/// Accepts connections until the listener is to be closed, then those that wait in its backlog: closing a listener
-/// resets all that wait there.
+/// Accepts connections until the listener is to be closed. Then accepts those in its backlog, because closing a
+/// listener resets the connections that wait there.
 pub async fn listen(
     listener: TcpListener,
     front: Rc<Front>,
@@ -35,21 +35,21 @@
 }
 
 async fn accept(listener: &TcpListener, front: &Rc<Front>) {
-    // At the hard limit nothing is accepted; the backlog waits until a slot is free.
+    // At the hard limit, connections wait in the backlog until a slot is free.
     while front.connections.open_count() >= front.limits.max_accepted_clients {
         front.connections.evict_longest_idle(front.clock.now());
-        tokio::time::sleep(FULL_PAUSE).await;
+        tokio::time::sleep(FREE_SLOT_POLL_INTERVAL).await;
     }
     match listener.accept().await {
         Ok((stream, _)) => spawn_session(stream, front),
-        Err(e) => {
-            tracing::warn!(cause = %e, "client accept failed");
-            tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
+        Err(error) => {
+            tracing::warn!(cause = %error, "client accept failed");
+            tokio::time::sleep(ACCEPT_ERROR_DELAY).await;
         }
     }
 }
 
-/// Accepts what waits in the backlog at this moment, up to the hard limit. The listener doesn't block.
+/// Accepts the connections in the backlog, up to the hard limit. The listener is in non-blocking mode.
 fn accept_backlog(listener: &std::net::TcpListener, front: &Rc<Front>) {
     while front.connections.open_count() < front.limits.max_accepted_clients {
         let Ok((stream, _)) = listener.accept() else {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Runs the connection's session as a task of its own. The session owns the stream and the connection's slot.
+/// Spawns the connection's session as a separate task, which owns the stream and the connection's slot.
 fn spawn_session(stream: TcpStream, front: &Rc<Front>) {
     let connection = front.connections.register();
     for _ in 0..EVICTIONS_PER_ACCEPT {
--- a/crates/coordinator/src/fronts/mod.rs
+++ b/crates/coordinator/src/fronts/mod.rs
@@ -1,9 +1,8 @@
-//! The fronts: what clients connect to. A front turns a client's bytes into requests for the routing core, and final
-//! answers into its protocol's responses.
+//! The fronts, which clients connect to. A front parses a client's bytes into requests for the core, and writes final
+//! answers as responses of its protocol.
 //!
-//! [`listen`] accepts connections, a `session` serves one connection request after another, and `platform` and
-//! `opensearch` know one protocol each. All connections of all fronts are counted in `client_connections`.
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! [`listen`] accepts connections, `session` serves the requests of one connection in sequence, and `platform` and
+//! `opensearch` implement one protocol each. `client_connections` tracks the connections of all fronts.
 
 pub mod client_connections;
 mod exchange;
--- a/crates/coordinator/src/fronts/opensearch/duration.rs
+++ b/crates/coordinator/src/fronts/opensearch/duration.rs
@@ -1,9 +1,9 @@
-//! Time values of the API, such as `500ms`.
+//! Parses time values of the API, such as `500ms`.
 
 use super::error::QueryError;
 use cairnroad_types::Seconds;
 
-/// Parses the time value of the parameter or clause `name`. `None` for -1, which sets no limit.
+/// Parses the time value of the parameter or clause `name`. Returns `None` for -1, which means no limit.
 pub fn parse(name: &str, value: &str) -> Result<Option<Seconds>, QueryError> {
     if value == "-1" {
         return Ok(None);
@@ -12,9 +12,9 @@
         name: name.into(),
         value: value.into(),
     };
-    let without_digits = value.trim_start_matches(|c: char| c.is_ascii_digit());
-    let (count, unit) = value.split_at(value.len() - without_digits.len());
-    let unit = match unit {
+    let unit = value.trim_start_matches(|c: char| c.is_ascii_digit());
+    let (count, unit) = value.split_at(value.len() - unit.len());
+    let unit_seconds = match unit {
         "nanos" => 1e-9,
         "micros" => 1e-6,
         "ms" => 1e-3,
@@ -25,10 +25,10 @@
         _ => return Err(malformed()),
     };
     let count: f64 = count.parse().map_err(|_| malformed())?;
-    Ok(Some(count * unit))
+    Ok(Some(count * unit_seconds))
 }
 
-/// Lowers `timeout` to `other`, if that is shorter.
+/// Sets `timeout` to `other` if `timeout` is `None` or longer.
 pub fn limit_to_shorter(timeout: &mut Option<Seconds>, other: Option<Seconds>) {
     if let Some(other) = other {
         *timeout = Some(timeout.map_or(other, |timeout| timeout.min(other)));
--- a/crates/coordinator/src/fronts/opensearch/error.rs
+++ b/crates/coordinator/src/fronts/opensearch/error.rs
@@ -1,11 +1,11 @@
-//! Errors that end a search before it is forwarded.
+//! Errors in a search that prevent it from being forwarded.
 
 use super::multi_search::MAX_SEARCHES;
 use super::response::error_reply;
 use super::search::MAX_RESULT_WINDOW;
 use crate::fronts::reply::Reply;
 
-/// Why a search is not forwarded. The text is the `reason` in the response, which also has a status and a type.
+/// The reason why a search is not forwarded. The text is the `reason` in the response, next to a status and a type.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     #[error("there is nothing at this path")]
@@ -71,7 +71,7 @@
 }
 
 impl QueryError {
-    /// The HTTP status and the error's type in the API's terms.
+    /// Returns the HTTP status and the API's type of the error.
     fn status_and_type(&self) -> (u16, &'static str) {
         match self {
             QueryError::UnknownPath => (404, "resource_not_found_exception"),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The response to the client.
+    /// Returns the response to the client.
     pub fn reply(&self) -> Reply {
         let (status, error_type) = self.status_and_type();
         error_reply(status, error_type, &self.to_string())
--- a/crates/coordinator/src/fronts/opensearch/hits.rs
+++ b/crates/coordinator/src/fronts/opensearch/hits.rs
@@ -1,4 +1,4 @@
-//! Merging the hits of all shards into one list.
+//! Merges the hits of all shards into one list.
 
 use super::search::Search;
 use crate::messages::{PartAnswer, PartValue};
@@ -7,10 +7,10 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// The score of a hit that stands for a value without one.
+/// Score of a hit made from a value that has no score.
 const PLAIN_VALUE_SCORE: f64 = 1.0;
 
-/// Why the answers of data nodes can't be merged.
+/// The reason why the values of data nodes can't be merged. The text is sent to the client.
 #[derive(Debug, thiserror::Error)]
 pub enum MergeError {
     #[error("a value is not text")]
@@ -21,7 +21,7 @@
     MalformedHit(#[source] serde_json::Error),
 }
 
-/// The hits object of a data node.
+/// The hits object of one data node. The type's name appears in error texts to clients.
 #[derive(Deserialize)]
 struct Hits<'a> {
     #[serde(default)]
@@ -30,7 +30,7 @@
     hits: Vec<&'a RawValue>,
 }
 
-/// A count of hits, exact where the relation is `eq`.
+/// The total number of hits, which is exact if the relation is `eq`. The type's name appears in error texts to clients.
 #[derive(Clone, Deserialize, Serialize)]
 struct Total {
     value: u64,
@@ -38,7 +38,7 @@
 }
 
 impl Total {
-    fn exactly(value: u64) -> Self {
+    fn exact(value: u64) -> Self {
         Total {
             value,
             relation: "eq".into(),
@@ -53,42 +53,42 @@
     }
 }
 
-/// The part of a hit that orders it. The type's name stands in error texts to clients.
+/// The field of a hit that determines its rank. The type's name appears in error texts to clients.
 #[derive(Deserialize)]
 struct Scored {
     #[serde(rename = "_score", default)]
     score: Option<f64>,
 }
 
-/// A hit's JSON, unchanged, with the score that it is ordered by.
+/// The unchanged JSON of a hit, and the score that determines its rank.
 struct ScoredHit<'a> {
     score: Option<f64>,
     json: Cow<'a, str>,
 }
 
 impl ScoredHit<'_> {
-    /// Hits without a score come last.
+    /// Returns the sort key. Hits without a score come last.
     fn rank(&self) -> f64 {
         self.score.unwrap_or(f64::NEG_INFINITY)
     }
 }
 
-/// The hits of all parts, and their count.
+/// The hits of all parts, and their total number.
 struct MergedHits<'a> {
     hits: Vec<ScoredHit<'a>>,
-    /// `None` once a data node didn't count: there is nothing to add up.
+    /// Sum of the totals; `None` once a data node returned no total.
     total: Option<Total>,
 }
 
 impl<'a> MergedHits<'a> {
-    fn count(&mut self, other: Option<Total>) {
+    fn add_total(&mut self, other: Option<Total>) {
         match (&mut self.total, other) {
             (Some(total), Some(other)) => total.add(other),
             (total, _) => *total = None,
         }
     }
 
-    /// Adds a value that isn't in the query API's form as a hit of its own.
+    /// Adds a value that is not a hits object as a single hit.
     fn add_plain(&mut self, index: &str, shard: u32, bytes: &[u8]) -> Result<(), MergeError> {
         let text = std::str::from_utf8(bytes).map_err(MergeError::NotText)?;
         let id = shard.to_string();
@@ -97,13 +97,14 @@
             score: Some(PLAIN_VALUE_SCORE),
             json: hit.to_string().into(),
         });
-        self.count(Some(Total::exactly(1)));
+        self.add_total(Some(Total::exact(1)));
         Ok(())
     }
 
+    /// Adds the hits of a hits object.
     fn add_hits(&mut self, text: &'a str) -> Result<(), MergeError> {
         let part: Hits = serde_json::from_str(text).map_err(MergeError::MalformedHits)?;
-        self.count(part.total);
+        self.add_total(part.total);
         for hit in part.hits {
             let scored: Scored =
                 serde_json::from_str(hit.get()).map_err(MergeError::MalformedHit)?;
@@ -116,12 +117,12 @@
     }
 }
 
-/// The hits object of the response: all parts' hits in one list, the best first; equal ones stay in the order of their
-/// shards. Hits pass unchanged, byte by byte.
+/// Returns the hits object of the response: the hits of all parts in descending order of their scores. Hits with equal
+/// scores stay in the order of their shards. The JSON of each hit is passed on byte by byte.
 pub fn merge(search: &Search, parts: &[PartAnswer]) -> Result<String, MergeError> {
     let mut merged = MergedHits {
         hits: Vec::new(),
-        total: Some(Total::exactly(0)),
+        total: Some(Total::exact(0)),
     };
     for part in parts {
         match &part.value {
--- a/crates/coordinator/src/fronts/opensearch/mod.rs
+++ b/crates/coordinator/src/fronts/opensearch/mod.rs
@@ -1,5 +1,5 @@
-//! The query API: `_search` and `_msearch` in OpenSearch's form. An index is a class of request over a range of shards;
-//! each shard is one part.
+//! The query API: `_search` and `_msearch` as in OpenSearch. An index is a request class over a range of shards; each
+//! shard is one part of a request.
 
 mod duration;
 mod error;
@@ -9,7 +9,7 @@
 mod response;
 mod search;
 
-use super::exchange::{ClientGone, Exchange};
+use super::exchange::{ClientDisconnected, Exchange};
 use super::front::Front;
 use super::reply::Reply;
 use crate::http;
@@ -24,14 +24,14 @@
 
 const METHOD_NOT_ALLOWED: &str = "method_not_allowed_exception";
 
-/// What a path asks for.
+/// The operation that a path requests.
 enum Operation<'a> {
     Search { index: &'a str },
     MultiSearch { index: Option<&'a str> },
 }
 
 impl<'a> Operation<'a> {
-    fn of_path(path: &'a str) -> Result<Self, QueryError> {
+    fn from_path(path: &'a str) -> Result<Self, QueryError> {
         let segments: Vec<&str> = path
             .split('/')
             .filter(|segment| !segment.is_empty())
@@ -55,19 +55,19 @@
     }
 }
 
-/// Answers one request.
+/// Answers one request. `arrived_at` is the time from which its deadline and `took` count.
 pub async fn answer(
     front: &Front,
     request: &http::Request,
-    arrived: Time,
+    arrived_at: Time,
     exchange: &mut Exchange<'_>,
-) -> Result<Reply, ClientGone> {
+) -> Result<Reply, ClientDisconnected> {
     let target = &request.target;
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     if let Some(page) = front.contracts.page(path) {
         return Ok(description_reply(&request.method, page));
     }
-    let operation = match Operation::of_path(path) {
+    let operation = match Operation::from_path(path) {
         Ok(operation) => operation,
         Err(error) => return Ok(error.reply()),
     };
@@ -88,15 +88,15 @@
         .map(|index| decode(index).unwrap_or_else(|| index.into()));
     match operation {
         Operation::MultiSearch { .. } => {
-            multi_search::answer(front, request, parameters, arrived, exchange).await
+            multi_search::answer(front, request, parameters, arrived_at, exchange).await
         }
         Operation::Search { .. } => {
-            answer_search(front, request, parameters, arrived, exchange).await
+            answer_search(front, request, parameters, arrived_at, exchange).await
         }
     }
 }
 
-/// The response to a request for one of the program's own API descriptions.
+/// Returns the response to a request for one of the coordinator's pages about interface descriptions.
 fn description_reply(method: &str, page: Vec<u8>) -> Reply {
     match method {
         "GET" => Reply::json(200, page),
@@ -109,28 +109,33 @@
     front: &Front,
     request: &http::Request,
     parameters: SearchParameters,
-    arrived: Time,
+    arrived_at: Time,
     exchange: &mut Exchange<'_>,
-) -> Result<Reply, ClientGone> {
-    let search = match Search::parse(&front.served().indices, &request.body, parameters) {
+) -> Result<Reply, ClientDisconnected> {
+    let search = match Search::parse(
+        &front.served_configuration().indices,
+        &request.body,
+        parameters,
+    ) {
         Ok(search) => search,
         Err(error) => return Ok(error.reply()),
     };
-    let core_request = core_request(front, &search, arrived);
+    let core_request = core_request(front, &search, arrived_at);
     let answers = exchange.submit(vec![core_request]).await?;
-    let took = front.clock.now() - arrived;
+    let took = front.clock.now() - arrived_at;
     let answer = answers.into_iter().next();
     Ok(response::answer_reply(&search, answer, took))
 }
 
-/// The core's request for a search: one part for each shard, all of the same weight.
-fn core_request(front: &Front, search: &Search, arrived: Time) -> Request {
-    let deadline = front.served().deployment.policy.classes[search.index.class].deadline;
+/// Converts a search to a request for the core, with one part per shard and equal weights.
+fn core_request(front: &Front, search: &Search, arrived_at: Time) -> Request {
+    let deadline =
+        front.served_configuration().deployment.policy.classes[search.index.class].deadline;
     let weight = 1.0 / search.shards.len() as f64;
     Request {
         external_id: front.generate_request_name().into(),
         class: search.index.class,
-        deadline: arrived
+        deadline: arrived_at
             + search
                 .timeout
                 .map_or(deadline, |timeout| timeout.min(deadline)),
--- a/crates/coordinator/src/fronts/opensearch/multi_search.rs
+++ b/crates/coordinator/src/fronts/opensearch/multi_search.rs
@@ -1,11 +1,11 @@
-//! `_msearch`: several searches in one request, each with its own final answer.
+//! `_msearch`: several searches in one request, each with a separate final answer.
 
 use super::core_request;
 use super::error::QueryError;
 use super::parameters::SearchParameters;
 use super::response::{answer_reply, millis};
 use super::search::Search;
-use crate::fronts::exchange::{ClientGone, Exchange};
+use crate::fronts::exchange::{ClientDisconnected, Exchange};
 use crate::fronts::front::Front;
 use crate::fronts::reply::Reply;
 use crate::http;
@@ -13,28 +13,32 @@
 use cairnroad_types::{Seconds, Time};
 use serde_json::{Map, Value as Json};
 
-/// Most searches in one `_msearch`.
+/// Maximum number of searches in one `_msearch`.
 pub const MAX_SEARCHES: usize = 64;
 
-/// Forwards all searches at once and answers them in the order of the request.
+/// Submits all searches together and returns their responses in the order of the request.
 pub async fn answer(
     front: &Front,
     request: &http::Request,
     parameters: SearchParameters,
-    arrived: Time,
+    arrived_at: Time,
     exchange: &mut Exchange<'_>,
-) -> Result<Reply, ClientGone> {
-    let searches = match parse(&front.served().indices, &request.body, &parameters) {
+) -> Result<Reply, ClientDisconnected> {
+    let searches = match parse(
+        &front.served_configuration().indices,
+        &request.body,
+        &parameters,
+    ) {
         Ok(searches) => searches,
         Err(error) => return Ok(error.reply()),
     };
     let requests = searches
         .iter()
         .flatten()
-        .map(|search| core_request(front, search, arrived))
+        .map(|search| core_request(front, search, arrived_at))
         .collect();
     let mut answers = exchange.submit(requests).await?.into_iter();
-    let took = front.clock.now() - arrived;
+    let took = front.clock.now() - arrived_at;
     let replies: Vec<Reply> = searches
         .into_iter()
         .map(|search| match search {
@@ -45,8 +49,8 @@
     Ok(combine(&replies, took))
 }
 
-/// Parses a body of line pairs, a header and a search each. A body of another form is an error of the whole request; an
-/// error in one search is that search's own.
+/// Parses a body of line pairs, each with a header and a search. A body of another form is an error of the request; an
+/// error in one search does not affect the others.
 fn parse(
     indices: &[SearchIndex],
     body: &[u8],
@@ -71,7 +75,7 @@
     Ok(lines.chunks(2).map(parse_pair).collect())
 }
 
-/// Sets what a header line says. A blank one says nothing.
+/// Applies a header line to the parameters. A blank line changes nothing.
 fn apply_header(parameters: &mut SearchParameters, line: &str) -> Result<(), QueryError> {
     if line.trim().is_empty() {
         return Ok(());
@@ -84,7 +88,7 @@
             Json::Array(_) | Json::Object(_) | Json::Null => {
                 return Err(QueryError::HeaderNotOneValue(name));
             }
-            plain => plain.to_string(),
+            scalar => scalar.to_string(),
         };
         match name.as_str() {
             "index" => parameters.index = Some(value),
@@ -94,8 +98,8 @@
     Ok(())
 }
 
-/// One response of all searches' responses. Each item has a status of its own; of the Retry-After fields the longest
-/// stands in the one head there is.
+/// Combines the responses to all searches into one. Each item has its own status; the head has the longest Retry-After
+/// of all items.
 fn combine(replies: &[Reply], took: Seconds) -> Reply {
     let longest_retry_after = replies
         .iter()
@@ -110,7 +114,7 @@
         }
         body.extend_from_slice(&reply.body);
         if reply.status == 200 {
-            // An error has its status in the body; an answer gets it here.
+            // The body of an error already has a status; that of an answer gets it here.
             body.pop();
             body.extend_from_slice(b",\"status\":200}");
         }
--- a/crates/coordinator/src/fronts/opensearch/parameters.rs
+++ b/crates/coordinator/src/fronts/opensearch/parameters.rs
@@ -1,12 +1,12 @@
-//! Parameters of a search: from the query string, and from the header lines of a multi search.
+//! Parameters of a search, from the query string or from the header lines of an `_msearch`.
 
 use super::duration;
 use super::error::QueryError;
 use cairnroad_types::Seconds;
 use serde_json::Value as Json;
 
-/// Parameters that change nothing here: they format a response, which is free, or control what a single named index
-/// doesn't have.
+/// Parameters that are accepted and ignored: they control the formatting of the response, or features that do not apply
+/// to a single named index.
 const IGNORED_PARAMETERS: [&str; 11] = [
     "pretty",
     "human",
@@ -21,29 +21,29 @@
     "pre_filter_shard_size",
 ];
 
-/// What a path, its parameters and the header line of a multi search say about a search.
+/// The parameters of a search from the path, the query string and the header line of an `_msearch`.
 #[derive(Clone, Default)]
 pub struct SearchParameters {
-    /// The name of the index.
+    /// Name of the index.
     pub index: Option<String>,
-    /// The `preference`, which may name shards.
+    /// The `preference`, which may list shards.
     pub preference: Option<String>,
-    /// The shortest time limit that was given.
+    /// The shortest of the given time limits.
     pub timeout: Option<Seconds>,
-    /// Whether an answer without some shards is wanted.
+    /// Whether an answer that lacks some shards may be returned.
     pub allow_partial_results: Option<bool>,
-    /// Hits of the merged order that the response skips.
+    /// Number of merged hits that the response skips.
     pub from: Option<usize>,
-    /// Most hits in the response.
+    /// Maximum number of hits in the response.
     pub size: Option<usize>,
-    /// A query in the query string's own syntax.
+    /// A query in the syntax of `query_string`.
     pub q: Option<String>,
-    /// A boolean or a count.
+    /// A boolean, or the number of hits up to which the total is exact.
     pub track_total_hits: Option<Json>,
 }
 
 impl SearchParameters {
-    /// Parses a URL's query string.
+    /// Parses the query string of a URL.
     pub fn parse(query: &str) -> Result<Self, QueryError> {
         let mut parameters = SearchParameters::default();
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
@@ -54,7 +54,7 @@
         Ok(parameters)
     }
 
-    /// Sets one parameter, from a query string or a header line.
+    /// Sets one parameter from a query string or a header line.
     pub fn set(&mut self, name: &str, value: String) -> Result<(), QueryError> {
         match name {
             "preference" => self.preference = Some(value),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Decodes a word of a query string; `None` where its encoding is malformed.
+/// Percent-decodes a component of a URL, with `+` as a space; `None` if the encoding is malformed.
 pub fn decode(text: &str) -> Option<String> {
     cairnroad_contract::sources::decode(&text.replace('+', " "))
 }
--- a/crates/coordinator/src/fronts/opensearch/response.rs
+++ b/crates/coordinator/src/fronts/opensearch/response.rs
@@ -1,4 +1,4 @@
-//! Final answers as responses of the query API.
+//! Converts final answers to responses of the query API.
 
 use super::hits;
 use super::search::Search;
@@ -10,7 +10,7 @@
 const SEARCH_FAILED: &str = "search_phase_execution_exception";
 const REJECTED: &str = "rejected_execution_exception";
 
-/// The response to a search. `took` is the time since it arrived.
+/// Returns the response to a search. `took` is the time since the search arrived.
 pub fn answer_reply(search: &Search, answer: Option<Answer>, took: Seconds) -> Reply {
     match answer {
         None => error_reply(500, SEARCH_FAILED, "no answer"),
@@ -57,7 +57,7 @@
     Reply::json(200, body.into_bytes())
 }
 
-/// The `_shards` object: how many parts succeeded, and why the others did not.
+/// Returns the `_shards` object: the number of successful parts, and the reasons why the others failed.
 fn shards_summary(index: &str, parts: &[PartAnswer]) -> Json {
     let failures: Vec<Json> = parts
         .iter()
@@ -75,22 +75,23 @@
     summary
 }
 
-/// Whole milliseconds of a duration, rounded down.
+/// Returns a duration in whole milliseconds, rounded down.
 pub fn millis(duration: Seconds) -> u64 {
     (duration * 1000.0).max(0.0) as u64
 }
 
-/// A Retry-After in whole seconds, as HTTP has it, and never under one.
+/// Returns a Retry-After in whole seconds, as HTTP requires; at least 1.
 fn whole_seconds(retry_after: Seconds) -> String {
     format!("{}", retry_after.ceil().max(1.0) as u64)
 }
 
-/// An error response with a Retry-After, for want of capacity or of time to be received.
+/// Returns an error response with a Retry-After, for requests that are rejected for lack of capacity or because the
+/// process shuts down.
 pub fn retry_later_reply(status: u16, text: &str, retry_after: Seconds) -> Reply {
     error_reply(status, REJECTED, text).with_header("Retry-After", whole_seconds(retry_after))
 }
 
-/// An error response.
+/// Returns an error response.
 pub fn error_reply(status: u16, error_type: &str, reason: &str) -> Reply {
     let cause = json!({"type": error_type, "reason": reason});
     let body = json!({"error": {"root_cause": [cause], "type": error_type, "reason": reason}, "status": status});
--- a/crates/coordinator/src/fronts/opensearch/search.rs
+++ b/crates/coordinator/src/fronts/opensearch/search.rs
@@ -1,4 +1,4 @@
-//! One search: its index, shards, window, and the body that is forwarded to data nodes.
+//! A search: its index, its shards, the window of its hits, and the body that is forwarded to data nodes.
 
 use super::duration;
 use super::error::QueryError;
@@ -10,35 +10,35 @@
 use serde_json::{json, Map, Value as Json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hits of a response where the client sets no size, as the API has it.
+/// Maximum number of hits in a response if the client sets no `size`: the API's default.
 const DEFAULT_SIZE: usize = 10;
-/// The API's limit on `from` + `size`.
+/// Maximum of `from` + `size`: the API's limit.
 pub const MAX_RESULT_WINDOW: usize = 10_000;
 
-/// A search that can be forwarded.
+/// A validated search.
 #[derive(Debug)]
 pub struct Search {
     /// The index that is searched.
     pub index: SearchIndex,
-    /// The shards that the search is sent to, in ascending order.
+    /// Shards that the search is sent to, in ascending order.
     pub shards: Vec<u32>,
-    /// Hits of the merged order that the response skips.
+    /// Number of merged hits that the response skips.
     pub from: usize,
-    /// Most hits in the response.
+    /// Maximum number of hits in the response.
     pub size: usize,
-    /// The client's own time limit.
+    /// Time limit set by the client; `None` if it set none.
     pub timeout: Option<Seconds>,
-    /// Whether an answer without some shards is wanted.
+    /// Whether an answer that lacks some shards may be returned.
     pub allow_partial_results: bool,
-    /// The JSON body for data nodes.
+    /// JSON body that is sent to data nodes.
     pub body: String,
 }
 
 impl Search {
-    /// Combines a search's body with its parameters.
+    /// Combines the body of a search with its parameters.
     ///
-    /// The clauses that are understood are forwarded to data nodes; any other is an error, for an answer that silently
-    /// left one out would be wrong.
+    /// Supported clauses are forwarded to data nodes. Any other clause is an error, because an answer that silently
+    /// ignored it would be wrong.
     pub fn parse(
         indices: &[SearchIndex],
         body: &[u8],
@@ -70,8 +70,7 @@
     }
 }
 
-/// The clauses of a search. Parameters take precedence over the body, except for the time limit, where the shorter one
-/// counts.
+/// The clauses of a search. Parameters take precedence over the body, except that the shorter time limit applies.
 struct Clauses {
     from: Option<usize>,
     size: Option<usize>,
@@ -138,7 +137,7 @@
         Ok(())
     }
 
-    /// Adds the query of the parameter `q`.
+    /// Adds the query of parameter `q`.
     fn add_query_string(&mut self, q: Option<String>) -> Result<(), QueryError> {
         let Some(q) = q else { return Ok(()) };
         if self.query.is_some() {
@@ -149,7 +148,8 @@
         Ok(())
     }
 
-    /// The body for data nodes. Any hit of the merged window may come from any one shard.
+    /// Returns the body for data nodes. It requests the complete window from every shard, because all hits of the
+    /// merged window may come from a single shard.
     fn into_body(self, window: usize) -> String {
         let mut body = format!("{{\"from\":0,\"size\":{window}");
         let clauses = [
@@ -182,6 +182,7 @@
     }
 }
 
+/// Returns the index with this name; a search must name exactly one.
 fn find_index(indices: &[SearchIndex], name: Option<&str>) -> Result<SearchIndex, QueryError> {
     let name = name.ok_or(QueryError::NoIndex)?;
     if name.contains([',', '*']) || name == "_all" {
@@ -194,25 +195,25 @@
         .ok_or_else(|| QueryError::UnknownIndex(name.into()))
 }
 
-/// The shards that a search is sent to: its index's, or those that `preference=_shards:` names.
+/// Returns the shards that a search is sent to: those of its index, or those listed in `preference=_shards:`.
 fn requested_shards(index: &SearchIndex, preference: Option<&str>) -> Result<Vec<u32>, QueryError> {
     let all = || (index.first_shard..=index.last_shard).collect();
     let Some(preference) = preference else {
         return Ok(all());
     };
     let Some(list) = preference.strip_prefix("_shards:") else {
-        // Any other word only selects replicas, which is the coordinator's own choice.
+        // Any other custom value only selects replicas, which the coordinator chooses itself.
         return match preference.starts_with('_') {
             true => Err(QueryError::UnsupportedPreference(preference.into())),
             false => Ok(all()),
         };
     };
     let mut requested = BTreeSet::new();
-    for word in list.split(',') {
-        let shard: u32 = word
+    for number in list.split(',') {
+        let shard: u32 = number
             .trim()
             .parse()
-            .map_err(|_| QueryError::NotAShard(word.into()))?;
+            .map_err(|_| QueryError::NotAShard(number.into()))?;
         if !(index.first_shard..=index.last_shard).contains(&shard) {
             return Err(QueryError::UnknownShard {
                 index: index.name.clone(),
--- a/crates/coordinator/src/fronts/platform.rs
+++ b/crates/coordinator/src/fronts/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's own protocol: `POST /api` with the class and the deadline in header fields.
+//! The platform's own protocol: `POST /api`, with the class and the deadline in header fields.
 
-use super::exchange::{ClientGone, Exchange};
+use super::exchange::{ClientDisconnected, Exchange};
 use super::front::Front;
 use super::reply::Reply;
 use crate::http;
@@ -10,30 +10,32 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What a client is thought to have spent of its deadline on the network.
+/// Part of a client's deadline that is assumed to be spent on the network.
 const CLIENT_NETWORK_DELAY: Seconds = 0.003;
-/// The longest request id, in bytes.
+/// Maximum length of a request id, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 128;
-/// Deadlines from here on are rejected.
+/// Upper bound of a deadline, exclusive.
 const DEADLINE_BOUND: Seconds = 1e6;
-/// The largest weight of one part, with its rounding by clients.
+/// Maximum weight of one part: 1 and a tolerance for rounding by clients.
 const MAX_WEIGHT: f64 = 1.001;
-/// How far the sum of all weights may be from 1, since clients round each.
+/// Maximum difference of the sum of all weights from 1: clients round each weight.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The shortest Retry-After: it is written to the millisecond, and 0 would say nothing.
+/// Minimum Retry-After. The value is written with millisecond precision, and 0 would tell the client nothing.
 const MIN_RETRY_AFTER: Seconds = 0.001;
 
-/// The body of a request. Its type names stand in error texts to clients.
+/// The body of a request. The type names `Body` and `Shard` appear in error texts to clients.
 #[derive(Deserialize)]
 struct Body {
     shards: Vec<Shard>,
     q: String,
 }
 
+/// One requested part.
 #[derive(Deserialize)]
 struct Shard {
     shard: u32,
+    /// Share of the complete answer.
     weight: f64,
     /// Expected work in microseconds.
     cost: Option<f64>,
@@ -51,7 +53,7 @@
     doc: &'a str,
 }
 
-/// Why a request is answered with status 400. The text goes to the client.
+/// The reason why a request is answered with status 400. The text is sent to the client.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error("{0} is missing")]
@@ -78,13 +80,13 @@
     WeightSum(f64),
 }
 
-/// Answers one request.
+/// Answers one request. `arrived_at` is the time from which its deadline counts.
 pub async fn answer(
     front: &Front,
     request: &http::Request,
-    arrived: Time,
+    arrived_at: Time,
     exchange: &mut Exchange<'_>,
-) -> Result<Reply, ClientGone> {
+) -> Result<Reply, ClientDisconnected> {
     let path = request.target.split('?').next().unwrap_or("");
     match (path, request.method.as_str()) {
         ("/api", "POST") => {}
@@ -94,7 +96,11 @@
         }
         _ => return Ok(error_reply(404, "there is nothing at this path")),
     }
-    let parsed = parse_request(&front.served().deployment, request, arrived);
+    let parsed = parse_request(
+        &front.served_configuration().deployment,
+        request,
+        arrived_at,
+    );
     let core_request = match parsed {
         Ok(core_request) => core_request,
         Err(error) => return Ok(error_reply(400, &error.to_string())),
@@ -106,11 +112,11 @@
     })
 }
 
-/// The request that an HTTP message stands for.
+/// Converts an HTTP message to a request for the core.
 fn parse_request(
     deployment: &Deployment,
     message: &http::Request,
-    arrived: Time,
+    arrived_at: Time,
 ) -> Result<Request, RequestError> {
     let header = |name: &'static str| {
         let value = message.fields.get(name);
@@ -138,7 +144,7 @@
     Ok(Request {
         external_id: id.into(),
         class,
-        deadline: arrived + (deadline - CLIENT_NETWORK_DELAY),
+        deadline: arrived_at + (deadline - CLIENT_NETWORK_DELAY),
         client_retry: message.fields.get("X-Retry") == Some("1"),
         expected_work: work_micros.map(|micros| micros / MICROS_PER_SECOND),
         parts,
@@ -147,7 +153,7 @@
     })
 }
 
-/// Whether data nodes can take this as a request's name: it stands in the head of frames.
+/// Returns whether data nodes accept this request id, which is written in the head of frames.
 fn is_request_id(id: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     !id.is_empty() && id.len() <= MAX_REQUEST_ID_LENGTH && id.bytes().all(allowed)
@@ -162,18 +168,17 @@
     }
 }
 
-/// Checks that the core can work with the parts: at least one, each at a shard of its own that exists, with weights
-/// that add up to 1.
+/// Checks the parts: there is at least one, each has a different, existing shard, and the weights sum to 1.
 fn check_parts(deployment: &Deployment, parts: &[PartSpec]) -> Result<(), RequestError> {
     if parts.is_empty() {
         return Err(RequestError::NoShards);
     }
-    let mut seen = BTreeSet::new();
+    let mut shards = BTreeSet::new();
     for part in parts {
         if part.shard >= deployment.shards {
             return Err(RequestError::UnknownShard(part.shard));
         }
-        if !seen.insert(part.shard) {
+        if !shards.insert(part.shard) {
             return Err(RequestError::RepeatedShard(part.shard));
         }
         if !(part.weight.is_finite() && part.weight > 0.0 && part.weight <= MAX_WEIGHT) {
@@ -187,7 +192,7 @@
     Ok(())
 }
 
-/// The final answer in this protocol's form.
+/// Converts a final answer to a response of this protocol.
 fn answer_reply(answer: Answer) -> Reply {
     match answer {
         Answer::Served { complete, parts } => served_reply(complete, &parts),
@@ -208,7 +213,7 @@
     let mut hits = Vec::with_capacity(parts.len());
     for part in parts {
         let Ok(value) = &part.value else { continue };
-        // A value that a JSON string can't carry unchanged can't be passed on at all.
+        // A value that is not UTF-8 can't be forwarded unchanged in a JSON string.
         let doc = match value {
             PartValue::Hits(text) => text,
             PartValue::Plain(bytes) => match std::str::from_utf8(bytes) {
@@ -225,13 +230,13 @@
     Reply::json(200, body)
 }
 
-/// An error response with a Retry-After, to the millisecond.
+/// Returns an error response with a Retry-After in seconds, to the millisecond.
 pub fn retry_later_reply(status: u16, text: &str, retry_after: Seconds) -> Reply {
     let seconds = retry_after.max(MIN_RETRY_AFTER);
     error_reply(status, text).with_header("Retry-After", format!("{seconds:.3}"))
 }
 
-/// An error response.
+/// Returns an error response.
 pub fn error_reply(status: u16, text: &str) -> Reply {
     let body = serde_json::json!({ "error": text });
     Reply::json(status, body.to_string().into_bytes())
--- a/crates/coordinator/src/fronts/reply.rs
+++ b/crates/coordinator/src/fronts/reply.rs
@@ -1,19 +1,19 @@
-//! A response to a client.
+//! Responses to clients.
 
-/// A response that is ready to be written.
+/// A response that is independent of its wire format.
 pub struct Reply {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The media type of the body.
+    /// Media type of the body.
     pub content_type: &'static str,
-    /// Header fields beside those that every response has.
+    /// Header fields in addition to `Content-Type`, `Content-Length` and `Connection`.
     pub headers: Vec<(&'static str, String)>,
-    /// The body, written with its length.
+    /// Content of the body.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// A JSON response.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: Vec<u8>) -> Self {
         Reply {
             status,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The same with one more header field.
+    /// Adds a header field.
     pub fn with_header(mut self, name: &'static str, value: String) -> Self {
         self.headers.push((name, value));
         self
--- a/crates/coordinator/src/fronts/session.rs
+++ b/crates/coordinator/src/fronts/session.rs
@@ -1,10 +1,10 @@
-//! One client connection from accept to close: one request after another.
+//! A client connection from accept to close. Its requests are served in sequence.
 
 mod lingering_close;
 mod next_request;
 
 use super::client_connections::ClientConnection;
-use super::exchange::{ClientGone, Exchange};
+use super::exchange::{ClientDisconnected, Exchange};
 use super::front::{Front, FrontKind};
 use super::reply::Reply;
 use super::{health, opensearch, platform};
@@ -23,10 +23,10 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How long a client may take to read a response.
+/// Time limit for writing a response to a client.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// For how long a client that pipelines is served one request after another. Hundreds of requests at once have to end
-/// within 3 s; what wasn't read by then is rejected, and never ran.
+/// Time for which the requests of a pipelining client are served in sequence. Hundreds of requests sent at once must be
+/// finished within 3 s; requests that are not read by then are rejected without having run.
 const PIPELINING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Serves a connection until either side closes it.
@@ -36,7 +36,7 @@
         front,
         buffer: Vec::new(),
         overrun: false,
-        first_request_due: Some(Instant::now() + REQUEST_READ_TIMEOUT),
+        first_request_deadline: Some(Instant::now() + REQUEST_READ_TIMEOUT),
         pipelining_since: None,
         connection,
         stream,
@@ -47,34 +47,35 @@
 /// The state of a connection between two requests.
 struct ClientSession {
     front: Rc<Front>,
-    /// Bytes that were read and not yet parsed.
+    /// Bytes that were received and not yet parsed.
     buffer: Vec<u8>,
-    /// The client pipelined more than is buffered: what lies behind the buffer is lost.
+    /// Whether the client pipelined more than the buffer holds; the excess bytes were discarded.
     overrun: bool,
-    /// When the first request has to be complete; `None` once it was waited for.
-    first_request_due: Option<Instant>,
-    /// Since when further requests lie in the buffer as an answer is sent.
+    /// Time by which the first request must be complete; `None` once the wait for it has begun.
+    first_request_deadline: Option<Instant>,
+    /// Receipt of the first in a run of pipelined requests; `None` if no request was in the buffer after the last
+    /// response.
     pipelining_since: Option<Instant>,
     connection: ClientConnection,
     stream: TcpStream,
 }
 
 impl ClientSession {
-    /// Serves the next request. `Break` where the connection is at its end.
+    /// Serves the next request. Returns `Break` once the connection is to be dropped.
     async fn serve_request(&mut self) -> ControlFlow<()> {
         let request = match self.next_request().await {
             Ok(NextRequest::Received(request)) => request,
-            Ok(NextRequest::ClientGone) => return ControlFlow::Break(()),
-            Ok(NextRequest::IdleEnd) => {
+            Ok(NextRequest::ClientDisconnected) => return ControlFlow::Break(()),
+            Ok(NextRequest::IdleClose) => {
                 self.linger(IDLE_LINGER_TIMEOUT).await;
                 return ControlFlow::Break(());
             }
             Err(error) => return self.reject_unreadable(error).await,
         };
-        let arrived = self.front.clock.earliest_arrival();
+        let arrived_at = self.front.clock.earliest_arrival();
         let received_at = Instant::now();
         let overloaded = self.front.connections.busy_count() > self.front.limits.max_active_clients;
-        let Ok(reply) = self.answer(&request, arrived, overloaded).await else {
+        let Ok(reply) = self.answer(&request, arrived_at, overloaded).await else {
             return ControlFlow::Break(());
         };
         let close =
@@ -89,26 +90,27 @@
         self.limit_pipelining(received_at).await
     }
 
-    /// The response to a request. It is checked against its description even if it isn't forwarded.
+    /// Returns the response to a request. The request is checked against its description even if it is not forwarded to
+    /// the core.
     async fn answer(
         &mut self,
         request: &http::Request,
-        arrived: Time,
+        arrived_at: Time,
         overloaded: bool,
-    ) -> Result<Reply, ClientGone> {
+    ) -> Result<Reply, ClientDisconnected> {
         let contracts = self.front.contracts.current();
-        let checked = self.check_contract(&contracts, request);
+        let contract_check = self.check_contract(&contracts, request);
         let path = request.target.split('?').next().unwrap_or("");
         let reply = if path == health::PATH {
             health::reply(&self.front, &request.method)
         } else if overloaded {
             self.front.retry_later_reply(503, "too many connections")
-        } else if let Err(rejection) = &checked {
+        } else if let Err(rejection) = &contract_check {
             self.front.error_reply(400, &rejection.to_string())
         } else {
-            self.forward(request, arrived, contracts).await?
+            self.forward(request, arrived_at, contracts).await?
         };
-        if let Ok(Some(sampled)) = checked {
+        if let Ok(Some(sampled)) = contract_check {
             self.front.contracts.on_response(
                 sampled,
                 reply.status,
@@ -120,7 +122,8 @@
         Ok(reply)
     }
 
-    /// Checks a request against its front's description, if one is in force. `Err` says why it must not be served.
+    /// Checks a request against the front's description, if one is in force. An error means that the request must not
+    /// be served.
     fn check_contract(
         &self,
         contracts: &ContractsInForce,
@@ -136,12 +139,13 @@
         }
     }
 
+    /// Answers a request with the front's protocol.
     async fn forward(
         &mut self,
         request: &http::Request,
-        arrived: Time,
+        arrived_at: Time,
         contracts: ContractsInForce,
-    ) -> Result<Reply, ClientGone> {
+    ) -> Result<Reply, ClientDisconnected> {
         let front = &*self.front;
         let mut exchange = Exchange {
             front,
@@ -151,16 +155,18 @@
             contracts,
         };
         match front.kind {
-            FrontKind::Platform => platform::answer(front, request, arrived, &mut exchange).await,
+            FrontKind::Platform => {
+                platform::answer(front, request, arrived_at, &mut exchange).await
+            }
             FrontKind::OpenSearch => {
-                opensearch::answer(front, request, arrived, &mut exchange).await
+                opensearch::answer(front, request, arrived_at, &mut exchange).await
             }
         }
     }
 
-    /// Rejects a request that can't be read to its end, and closes the connection.
+    /// Rejects a request that can't be received completely or parsed, and closes the connection.
     async fn reject_unreadable(&mut self, error: http::MessageError) -> ControlFlow<()> {
-        self.connection.expect_answer();
+        self.connection.mark_answer_pending();
         let reply = match error.is_transient() {
             true => self
                 .front
@@ -173,21 +179,21 @@
         ControlFlow::Break(())
     }
 
-    /// Rejects what a client still has in the buffer once it has pipelined for too long.
+    /// Rejects the requests left in the buffer once a client has pipelined for too long.
     async fn limit_pipelining(&mut self, received_at: Instant) -> ControlFlow<()> {
-        // Line ends behind a body are no request.
-        let more = self.buffer.iter().any(|byte| !b"\r\n".contains(byte));
+        // Line breaks after a body are not a request.
+        let has_more = self.buffer.iter().any(|byte| !b"\r\n".contains(byte));
         self.pipelining_since = self
             .pipelining_since
-            .filter(|_| more)
-            .or(more.then_some(received_at));
+            .filter(|_| has_more)
+            .or(has_more.then_some(received_at));
         let too_long = self
             .pipelining_since
             .is_some_and(|since| since.elapsed() > PIPELINING_TIMEOUT);
         if !too_long {
             return ControlFlow::Continue(());
         }
-        let error = http::MessageError::Pipelined;
+        let error = http::MessageError::ExcessPipelining;
         let reply = self
             .front
             .retry_later_reply(error.status(), error.message());
@@ -196,16 +202,16 @@
         ControlFlow::Break(())
     }
 
-    /// Closes the connection after its last answer. Closing with bytes unread would reset it under the answer, and a
-    /// client that didn't ask for the close may have sent more.
-    async fn close(&mut self, client_asked: bool) -> ControlFlow<()> {
-        if !client_asked || !self.buffer.is_empty() {
+    /// Closes the connection after its last response. A client that did not request the close may have sent more, and
+    /// closing with unread bytes would reset the connection before the client has read the response.
+    async fn close(&mut self, close_requested: bool) -> ControlFlow<()> {
+        if !close_requested || !self.buffer.is_empty() {
             self.linger(LINGER_TIMEOUT).await;
         }
         ControlFlow::Break(())
     }
 
-    /// Writes a response. Returns whether the client took it in time.
+    /// Writes a response. Returns whether it was written completely within [`WRITE_TIMEOUT`].
     async fn write(&mut self, reply: Reply, close: bool) -> bool {
         let bytes = http::write_response(
             reply.status,
@@ -219,7 +225,7 @@
     }
 }
 
-/// Whether connections are closed after their answer.
+/// Returns whether connections are closed after their next response in this phase.
 fn is_stopping(phase: ServingPhase) -> bool {
     matches!(
         phase,
--- a/crates/coordinator/src/fronts/session/next_request.rs
+++ b/crates/coordinator/src/fronts/session/next_request.rs
@@ -1,4 +1,4 @@
-//! Waiting for a connection's next request, and for what ends that wait.
+//! Waits for the next request of a connection, or for an event that ends the wait.
 
 use super::{is_stopping, ClientSession};
 use crate::connections::socket;
@@ -9,84 +9,85 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a connection may idle between two requests. Clients that stay for good would occupy all slots; one that
-/// returns later pays for a new connection.
+/// Maximum idle time between two requests. Without a limit, idle clients would occupy all slots; a client that returns
+/// later pays for a new connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a request may take to be received, from its first byte; for a connection's first request, from the start of
-/// the connection. A client that sends nothing, or half a request, has to have its end within 3 s of connecting, and it
-/// may have waited in the backlog for some of that.
+/// Time limit for receiving a request, from its first byte; for a connection's first request, from the accept. A client
+/// that sends nothing or half a request must be disconnected within 3 s of connecting, part of which it may have spent
+/// in the backlog.
 pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an idle connection is still read once the program shuts down.
+/// Time for which an idle connection is still read after shutdown begins to close idle connections.
 const SHUTDOWN_IDLE_GRACE: Duration = Duration::from_millis(100);
-/// How long an idle connection stays open before that once operators drain the coordinator: the load balancer checks
-/// health ten times a second and sends no new client 0.2 s after a failure, and present clients may still send requests
-/// and learn from the answers that they should leave.
+/// Additional time for which an idle connection stays open while an operator drains the coordinator. The load balancer
+/// checks health ten times a second and sends no new clients 0.2 s after a failure; connected clients may send further
+/// requests, whose responses announce the close.
 const DRAINED_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Capacity that the buffer of an idle connection keeps, in bytes.
+/// Capacity to which the buffer of an idle connection is shrunk, in bytes.
 const IDLE_BUFFER_CAPACITY: usize = 4 * 1024;
 
-/// How the wait for a connection's next request ended.
+/// The result of waiting for a connection's next request.
 pub enum NextRequest {
-    /// A complete request was read.
+    /// A complete request was received.
     Received(http::Request),
     /// The client closed the connection.
-    ClientGone,
-    /// The connection idled for too long, its slot is needed, or the program shuts down.
-    IdleEnd,
+    ClientDisconnected,
+    /// The idle connection is to be closed: it idled for too long, its slot is needed, or the program drains or shuts
+    /// down.
+    IdleClose,
 }
 
 impl ClientSession {
-    /// Reads the connection's next request. `Err` says why it can't be read to its end.
+    /// Receives the connection's next request. Returns an error if the request can't be received completely or parsed.
     pub async fn next_request(&mut self) -> Result<NextRequest, http::MessageError> {
-        let first_request_due = self.first_request_due.take();
+        let first_request_deadline = self.first_request_deadline.take();
         let mut idle_phase = self.front.phase.clone();
         let mut final_phase = self.front.phase.clone();
         let mut continue_sent = false;
-        let mut begun: Option<Instant> = None;
-        let idle_end = Instant::now() + IDLE_TIMEOUT;
+        let mut first_byte_at: Option<Instant> = None;
+        let idle_deadline = Instant::now() + IDLE_TIMEOUT;
         loop {
             if let Some(request) = self.parse_request()? {
                 return Ok(NextRequest::Received(request));
             }
             if self.overrun {
-                return Err(http::MessageError::Pipelined);
+                return Err(http::MessageError::ExcessPipelining);
             }
             if !continue_sent && http::expects_continue(&self.buffer) {
                 continue_sent = true;
                 if self.send_continue().await.is_err() {
-                    return Ok(NextRequest::ClientGone);
+                    return Ok(NextRequest::ClientDisconnected);
                 }
             }
             let idle = self.update_idle_state();
-            // From its first byte on a request has one time-out for all of it: bytes that trickle in don't renew it.
-            let due = first_request_due.unwrap_or_else(|| match idle {
-                true => idle_end,
-                false => *begun.get_or_insert_with(Instant::now) + REQUEST_READ_TIMEOUT,
+            // A request has a single time-out from its first byte: bytes that trickle in don't extend it.
+            let deadline = first_request_deadline.unwrap_or_else(|| match idle {
+                true => idle_deadline,
+                false => *first_byte_at.get_or_insert_with(Instant::now) + REQUEST_READ_TIMEOUT,
             });
             let error = tokio::select! {
                 biased;
                 read = self.stream.read_buf(&mut self.buffer) => match read {
-                    Ok(0) | Err(_) => return Ok(NextRequest::ClientGone),
+                    Ok(0) | Err(_) => return Ok(NextRequest::ClientDisconnected),
                     Ok(_) => continue,
                 },
-                () = idle_connections_close(&mut idle_phase), if idle => None,
-                () = partial_requests_end(&mut final_phase), if !idle => Some(http::MessageError::ShuttingDown),
-                () = tokio::time::sleep_until(due) => (!idle).then_some(http::MessageError::ReceiveTimeout),
-                () = self.connection.evicted(), if idle => None,
+                () = wait_for_idle_close(&mut idle_phase), if idle => None,
+                () = wait_for_partial_rejection(&mut final_phase), if !idle => Some(http::MessageError::ShuttingDown),
+                () = tokio::time::sleep_until(deadline) => (!idle).then_some(http::MessageError::ReceiveTimeout),
+                () = self.connection.wait_for_eviction(), if idle => None,
             };
-            // A request that has already come is served first; what comes from now on crosses the close.
-            let more_came = socket::read_available(&self.stream, &mut self.buffer);
+            // A request that has already arrived is still served; later bytes cross the close.
+            let received_more = socket::read_available(&self.stream, &mut self.buffer);
             match error {
-                Some(error) if !more_came || http::parse_request(&self.buffer)?.is_none() => {
+                Some(error) if !received_more || http::parse_request(&self.buffer)?.is_none() => {
                     return Err(error)
                 }
-                None if !more_came => return Ok(NextRequest::IdleEnd),
+                None if !received_more => return Ok(NextRequest::IdleClose),
                 _ => {}
             }
         }
     }
 
-    /// Takes a complete request from the buffer, if there is one.
+    /// Removes a complete request from the front of the buffer; `None` if there is none.
     fn parse_request(&mut self) -> Result<Option<http::Request>, http::MessageError> {
         let Some((request, length)) = http::parse_request(&self.buffer)? else {
             return Ok(None);
@@ -102,7 +103,7 @@
             .await
     }
 
-    /// Marks the connection as idle or busy, by whether part of a request has come. Returns whether it is idle.
+    /// Marks the connection as idle if the buffer is empty, or else as busy. Returns whether it is idle.
     fn update_idle_state(&mut self) -> bool {
         let idle = self.buffer.is_empty();
         if idle {
@@ -115,21 +116,21 @@
     }
 }
 
-/// Resolves once idle connections are closed, in a drain or a shutdown. A connection that came late in it gets the time
-/// for its request to follow.
-async fn idle_connections_close(phase: &mut watch::Receiver<ServingPhase>) {
-    let drained = phase
+/// Waits until idle connections are to be closed because of a drain or a shutdown. The delay is the same for
+/// connections accepted after its begin, so that their first request has time to arrive.
+async fn wait_for_idle_close(phase: &mut watch::Receiver<ServingPhase>) {
+    let drained_by_operator = phase
         .wait_for(|phase| is_stopping(*phase) && *phase != ServingPhase::ShuttingDown)
         .await
         .is_ok_and(|phase| *phase == ServingPhase::DrainedByOperator);
-    if drained {
+    if drained_by_operator {
         tokio::time::sleep(DRAINED_IDLE_TIMEOUT).await;
     }
     tokio::time::sleep(SHUTDOWN_IDLE_GRACE).await;
 }
 
-/// Resolves once requests that were received in part are rejected, at the end of a shutdown.
-async fn partial_requests_end(phase: &mut watch::Receiver<ServingPhase>) {
+/// Waits until partially received requests are to be rejected, at the end of a shutdown.
+async fn wait_for_partial_rejection(phase: &mut watch::Receiver<ServingPhase>) {
     if phase
         .wait_for(|phase| *phase == ServingPhase::PartialRequestsRejected)
         .await
--- a/crates/coordinator/src/http/body.rs
+++ b/crates/coordinator/src/http/body.rs
@@ -1,4 +1,4 @@
-//! The body of a message: how it is framed, and its bytes once all have been received.
+//! Message bodies: their framing, and their bytes once they are completely received.
 
 use super::error::MessageError;
 use super::head::{head_length, is_line_break, line_end, Fields, RuleResult};
@@ -6,27 +6,29 @@
 use winnow::token::take_till;
 use winnow::Parser;
 
-/// The longest size line of a chunk that is waited for, in bytes.
+/// Maximum number of buffered bytes in which the end of a chunk's size line is still awaited.
 const MAX_CHUNK_LINE: usize = 256;
 
-/// How a body is delimited.
+/// The way in which a body is delimited.
 pub(super) enum Framing {
-    /// By a length in bytes, which is within the caller's limit.
+    /// A length in bytes, which is within the caller's limit.
     Length(usize),
-    /// By chunks, which end themselves.
+    /// Chunked transfer coding.
     Chunked,
-    /// The head does not say.
+    /// The head has no framing fields.
     Unspecified,
 }
 
-/// A complete body and the bytes that it took on the wire, its framing included.
+/// A complete body.
 pub(super) struct Body {
+    /// The content without framing.
     pub(super) bytes: Vec<u8>,
+    /// Length on the wire in bytes, including the framing.
     pub(super) wire_length: usize,
 }
 
 impl Body {
-    /// Returns the body of a message that has none.
+    /// Returns an empty body.
     pub(super) fn empty() -> Self {
         Body {
             bytes: Vec::new(),
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Returns a body that is on the wire without framing of its own.
+    /// Returns a body whose bytes on the wire are its content.
     pub(super) fn verbatim(bytes: &[u8]) -> Self {
         Body {
             bytes: bytes.to_vec(),
@@ -43,12 +45,12 @@
     }
 }
 
-/// Reads from a head how the body is delimited. A stated length may be `max_body` bytes at most.
+/// Determines from the header fields how the body is delimited. A stated length may be at most `max_body` bytes.
 pub(super) fn framing(fields: &Fields, max_body: usize) -> Result<Framing, MessageError> {
     if fields.get("transfer-encoding").is_some() {
         return chunked_framing(fields);
     }
-    let mut lengths = fields.all("content-length");
+    let mut lengths = fields.values("content-length");
     let Some(length) = lengths.next() else {
         return Ok(Framing::Unspecified);
     };
@@ -63,25 +65,25 @@
 }
 
 fn chunked_framing(fields: &Fields) -> Result<Framing, MessageError> {
-    let mut codings = fields.all("transfer-encoding");
+    let mut codings = fields.values("transfer-encoding");
     let is_chunked = codings
         .next()
         .is_some_and(|coding| coding.eq_ignore_ascii_case("chunked"));
-    // Any further coding would leave a body that nothing here can decode.
+    // Bodies with any further transfer coding can't be decoded.
     let is_only = is_chunked && codings.next().is_none();
-    // Guards against request smuggling: with both framings at once, another reader might choose the other one.
+    // Guards against request smuggling: of two framings in one message, another recipient might use the other one.
     if !is_only || fields.get("content-length").is_some() {
         return Err(MessageError::Malformed("the body's framing is unclear"));
     }
     Ok(Framing::Chunked)
 }
 
-/// Returns the body of that length at the front of `input`; `None` while it is incomplete.
+/// Returns the body of `length` bytes at the front of `input`; `None` while it is incomplete.
 pub(super) fn sized_body(input: &[u8], length: usize) -> Option<Body> {
     input.get(..length).map(Body::verbatim)
 }
 
-/// Decodes a chunked body at the front of `input`, `max_body` bytes at most; `None` while it is incomplete.
+/// Decodes the chunked body of at most `max_body` bytes at the front of `input`; `None` while it is incomplete.
 pub(super) fn chunked_body(input: &[u8], max_body: usize) -> Result<Option<Body>, MessageError> {
     let malformed = MessageError::Malformed("a chunk is malformed");
     let mut rest = input;
@@ -108,14 +110,14 @@
         rest = &rest[size..];
         line_end(&mut rest).map_err(|_| malformed)?;
     }
-    let before_trailers = input.len() - rest.len();
+    let chunks_length = input.len() - rest.len();
     Ok(trailers_length(rest)?.map(|length| Body {
         bytes,
-        wire_length: before_trailers + length,
+        wire_length: chunks_length + length,
     }))
 }
 
-/// A chunk's size line; extensions are dropped.
+/// Parses a chunk's size line and discards its extensions.
 fn chunk_size(input: &mut &[u8]) -> RuleResult<u32> {
     let size = hex_uint.parse_next(input)?;
     let _extension = take_till(0.., is_line_break).parse_next(input)?;
@@ -123,7 +125,8 @@
     Ok(size)
 }
 
-/// Returns the length of the trailers, which are dropped, and of the empty line behind them.
+/// Returns the length of the trailer section with its empty line; `None` while it is incomplete. Trailers are
+/// discarded.
 fn trailers_length(input: &[u8]) -> Result<Option<usize>, MessageError> {
     match input {
         [b'\r', b'\n', ..] => Ok(Some(2)),
--- a/crates/coordinator/src/http/error.rs
+++ b/crates/coordinator/src/http/error.rs
@@ -1,44 +1,47 @@
-//! Why an HTTP message is not accepted, and the status that answers it.
+//! Errors of receiving and parsing HTTP messages, and the response status for each.
 
 use thiserror::Error;
 
-/// Why a message is not accepted. The text goes to the other side.
+/// The reason why a message is not accepted. The text is sent to the peer.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("{}", self.message())]
 pub enum MessageError {
-    /// The message does not follow the grammar; the text says where.
+    /// The message violates the grammar; the text names the element.
     Malformed(&'static str),
     /// The head exceeds [`MAX_HEAD`](super::MAX_HEAD) or [`MAX_FIELDS`](super::MAX_FIELDS).
     HeadTooLarge,
     /// The body, or its framing, exceeds the limit.
     BodyTooLarge,
-    /// The message was not complete within its time.
+    /// The message was not completely received within its time limit.
     ReceiveTimeout,
-    /// The message was not complete when the program had to stop.
+    /// The message was not completely received when the program had to stop.
     ShuttingDown,
-    /// The client pipelined so far ahead of its answers that the rest was not kept.
-    Pipelined,
+    /// The client pipelined more requests than are buffered; the rest was discarded.
+    ExcessPipelining,
 }
 
 impl MessageError {
-    /// Returns the status that answers such a request.
+    /// Returns the status of the response to such a request.
     pub fn status(self) -> u16 {
         match self {
             MessageError::Malformed(_) => 400,
             MessageError::ReceiveTimeout => 408,
             MessageError::BodyTooLarge => 413,
-            MessageError::Pipelined => 429,
+            MessageError::ExcessPipelining => 429,
             MessageError::HeadTooLarge => 431,
             MessageError::ShuttingDown => 503,
         }
     }
 
-    /// Whether the same request may be served when it is sent again.
+    /// Returns whether the request may succeed if the client sends it again unchanged.
     pub fn is_transient(self) -> bool {
-        matches!(self, MessageError::ShuttingDown | MessageError::Pipelined)
+        matches!(
+            self,
+            MessageError::ShuttingDown | MessageError::ExcessPipelining
+        )
     }
 
-    /// Returns the text that goes to the other side, without allocating.
+    /// Returns the text that is sent to the peer, without allocating.
     pub fn message(self) -> &'static str {
         match self {
             MessageError::Malformed(detail) => detail,
@@ -48,7 +51,7 @@
             MessageError::ShuttingDown => {
                 "this process ends: send the request again on a new connection"
             }
-            MessageError::Pipelined => "one request at a time: the rest is refused",
+            MessageError::ExcessPipelining => "one request at a time: the rest is refused",
         }
     }
 }
--- a/crates/coordinator/src/http/head.rs
+++ b/crates/coordinator/src/http/head.rs
@@ -1,4 +1,4 @@
-//! The head of a message: start lines, header fields and where the head ends.
+//! Message heads: start line, header fields and the empty line that ends them.
 
 use super::error::MessageError;
 use super::{MAX_FIELDS, MAX_HEAD};
@@ -8,23 +8,23 @@
 use winnow::token::{literal, take_till, take_while};
 use winnow::Parser;
 
-/// The result of a grammar rule, which advances its input past what it matched.
+/// The result of a grammar rule. A rule advances its input past the matched bytes.
 pub(super) type RuleResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// The longest name of a method or field, in bytes.
+/// Maximum length of a method or field name, in bytes.
 const MAX_TOKEN: usize = 64;
 
-/// The header fields of a message, in the order received. Names compare without regard to case.
+/// The header fields of a message in the order received. Names are compared case-insensitively.
 #[derive(Clone, Debug, Default)]
 pub struct Fields(Vec<(String, String)>);
 
 impl Fields {
-    /// Returns all names and values as they were received.
+    /// Returns all names and values as received.
     pub fn pairs(&self) -> &[(String, String)] {
         &self.0
     }
 
-    /// Returns the value of the first field of that name.
+    /// Returns the value of the first field called `name`.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -32,45 +32,45 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Iterates over the values of all fields of that name.
-    pub(super) fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+    /// Iterates over the values of all fields called `name`.
+    pub(super) fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
             .filter(move |(field, _)| field.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether the comma-separated lists of that name contain `token`.
-    pub(super) fn lists(&self, name: &str, token: &str) -> bool {
-        self.all(name)
+    /// Returns whether `token` is an element of the comma-separated lists in the fields called `name`.
+    pub(super) fn contains_token(&self, name: &str, token: &str) -> bool {
+        self.values(name)
             .flat_map(|value| value.split(','))
             .any(|element| element.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Whether the sender closes the connection after this message: by `Connection: close`, or by HTTP/1.0's default.
-    pub(super) fn ask_for_close(&self, is_http_1_0: bool) -> bool {
-        self.lists("connection", "close")
-            || (is_http_1_0 && !self.lists("connection", "keep-alive"))
+    /// Returns whether the connection ends after this message: by `Connection: close`, or by default in HTTP/1.0.
+    pub(super) fn indicates_close(&self, is_http_1_0: bool) -> bool {
+        self.contains_token("connection", "close")
+            || (is_http_1_0 && !self.contains_token("connection", "keep-alive"))
     }
 }
 
-/// The first line of a request.
+/// The start line of a request.
 pub(super) struct RequestLine {
     pub(super) method: String,
     pub(super) target: String,
     pub(super) is_http_1_0: bool,
 }
 
-/// The first line of a response.
+/// The start line of a response.
 pub(super) struct StatusLine {
     pub(super) status: u16,
     pub(super) is_http_1_0: bool,
 }
 
-/// Parses `METHOD SP target SP version`.
+/// Parses a request line: `METHOD SP target SP version`.
 pub(super) fn request_line(input: &mut &[u8]) -> RuleResult<RequestLine> {
     let (method, _, target, _, is_http_1_0, ()) =
-        (token, literal(" "), word, literal(" "), version, line_end).parse_next(input)?;
+        (token, literal(" "), target, literal(" "), version, line_end).parse_next(input)?;
     Ok(RequestLine {
         method,
         target,
@@ -78,7 +78,7 @@
     })
 }
 
-/// Parses `version SP three digits`; the reason phrase is dropped.
+/// Parses a status line: `version SP status`, with a status of three digits. The reason phrase is discarded.
 pub(super) fn status_line(input: &mut &[u8]) -> RuleResult<StatusLine> {
     let is_http_1_0 = terminated(version, literal(" ")).parse_next(input)?;
     let digits = take_while(3, |byte: u8| byte.is_ascii_digit()).parse_next(input)?;
@@ -93,7 +93,7 @@
     })
 }
 
-/// Parses all header fields up to the end of `input`, [`MAX_FIELDS`] at most.
+/// Parses the header fields up to the end of `input`, at most [`MAX_FIELDS`].
 pub(super) fn fields(input: &mut &[u8]) -> Result<Fields, MessageError> {
     let mut all = Vec::new();
     while !input.is_empty() {
@@ -106,17 +106,17 @@
     Ok(Fields(all))
 }
 
-/// Parses a line break: LF, or CR LF.
+/// Parses a line break: CR LF, or LF alone.
 pub(super) fn line_end(input: &mut &[u8]) -> RuleResult<()> {
     (opt(literal("\r")), literal("\n")).void().parse_next(input)
 }
 
-/// Whether a byte belongs to a line break.
+/// Returns whether a byte is part of a line break.
 pub(super) fn is_line_break(byte: u8) -> bool {
     byte == b'\r' || byte == b'\n'
 }
 
-/// Returns the length of the head including its empty line, once that has been received.
+/// Returns the length of the head including the empty line that ends it; `None` until that line has been received.
 pub(super) fn head_length(input: &[u8]) -> Result<Option<usize>, MessageError> {
     let window = &input[..input.len().min(MAX_HEAD)];
     let line_feeds = window.iter().enumerate().filter(|(_, &byte)| byte == b'\n');
@@ -140,7 +140,7 @@
         .unwrap_or(head)
 }
 
-/// Returns the length of the empty lines before a message, which a server should ignore (RFC 9112, section 2.2).
+/// Returns the length of empty lines before a request, which a server should ignore (RFC 9112, section 2.2).
 pub(super) fn leading_empty_lines(input: &[u8]) -> usize {
     input
         .iter()
@@ -148,6 +148,7 @@
         .count()
 }
 
+/// Parses one header field with its line break.
 fn field(input: &mut &[u8]) -> RuleResult<(String, String)> {
     let name = terminated(token, literal(":")).parse_next(input)?;
     let value = preceded(
@@ -160,7 +161,7 @@
     Ok((name, value))
 }
 
-/// The name of a method or field.
+/// Parses the name of a method or field.
 fn token(input: &mut &[u8]) -> RuleResult<String> {
     let is_token = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     take_while(1..=MAX_TOKEN, is_token)
@@ -168,14 +169,14 @@
         .parse_next(input)
 }
 
-/// Visible bytes up to a space or control character.
-fn word(input: &mut &[u8]) -> RuleResult<String> {
+/// Parses a request target: all bytes up to a space or control character.
+fn target(input: &mut &[u8]) -> RuleResult<String> {
     take_while(1.., |byte: u8| byte > b' ' && byte != 0x7f)
         .map(lossy_string)
         .parse_next(input)
 }
 
-/// `HTTP/1.0` or `HTTP/1.1`; returns whether it is the former.
+/// Parses `HTTP/1.0` or `HTTP/1.1`. Returns whether the version is 1.0.
 fn version(input: &mut &[u8]) -> RuleResult<bool> {
     preceded(
         literal("HTTP/1."),
--- a/crates/coordinator/src/http/mod.rs
+++ b/crates/coordinator/src/http/mod.rs
@@ -1,9 +1,7 @@
-//! HTTP/1.1 messages, parsed from a buffer without I/O.
+//! Parser and writer for HTTP/1.1 messages, without I/O.
 //!
-//! A message is either complete or not there yet. A body has a length or comes in chunks, and may not exceed its
-//! caller's limit. The grammar is that of RFC 9112, with line breaks of LF alone accepted as well.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! A message is parsed from a buffer as soon as it is complete. Its body is delimited by a length or by chunked coding,
+//! and may not exceed the caller's limit. The grammar is that of RFC 9112; a bare LF is accepted as a line break too.
 
 mod body;
 mod error;
@@ -16,14 +14,14 @@
 pub use request::{expects_continue, parse_request, Request};
 pub use response::{parse_response, write_response, Response};
 
-/// The longest head that is read, in bytes.
+/// Maximum size of a message head, in bytes.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// The most fields in a head.
+/// Maximum number of header fields in a head.
 pub const MAX_FIELDS: usize = 100;
-/// The largest body of a request in bytes, as the platform states it.
+/// Maximum size of a request body in bytes, as specified by the platform.
 pub const MAX_BODY: usize = 64 * 1024;
-/// The most bytes that a request may take on the wire, its chunks' framing included.
+/// Maximum size of a request on the wire in bytes, including the framing of chunks.
 const MAX_MESSAGE: usize = MAX_HEAD + 4 * MAX_BODY;
 
-/// A complete message and the bytes that it took off the front of the buffer; `None` while it is incomplete.
+/// A complete message and its length in bytes at the front of the buffer; `None` while the message is incomplete.
 pub type Parsed<T> = Result<Option<(T, usize)>, MessageError>;
--- a/crates/coordinator/src/http/request.rs
+++ b/crates/coordinator/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Requests as clients and operators send them.
+//! Parsing of requests from clients and operators.
 
 use super::body::{chunked_body, framing, sized_body, Body, Framing};
 use super::error::MessageError;
@@ -7,10 +7,10 @@
 };
 use super::{Parsed, MAX_BODY, MAX_MESSAGE};
 
-/// A request.
+/// A complete request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The method as received; case matters.
+    /// The method as received; methods are case-sensitive.
     pub method: String,
     /// The path and query string as received.
     pub target: String,
@@ -18,7 +18,7 @@
     pub fields: Fields,
     /// The body without its framing.
     pub body: Vec<u8>,
-    /// The client wants the connection closed after the answer.
+    /// Whether the connection must be closed after the response, as the client requested.
     pub close_requested: bool,
 }
 
@@ -37,15 +37,15 @@
         Framing::Unspecified => Some(Body::empty()),
         Framing::Length(length) => sized_body(body_input, length),
         Framing::Chunked => match chunked_body(body_input, MAX_BODY)? {
-            // Chunks of a byte or two, or endless extensions, must not fill the buffer either.
+            // The framing of very small chunks, or endless chunk extensions, must not fill the buffer either.
             None if input.len() > MAX_MESSAGE => return Err(MessageError::BodyTooLarge),
-            found => found,
+            body => body,
         },
     };
     let Some(body) = body else {
         return Ok(None);
     };
-    let close_requested = fields.ask_for_close(line.is_http_1_0);
+    let close_requested = fields.indicates_close(line.is_http_1_0);
     let request = Request {
         method: line.method,
         target: line.target,
@@ -56,7 +56,7 @@
     Ok(Some((request, start + head_length + body.wire_length)))
 }
 
-/// Whether a complete head is there whose client waits for `100 Continue` before it sends the body.
+/// Returns whether `input` starts with a complete head whose sender waits for `100 Continue` before it sends the body.
 pub fn expects_continue(input: &[u8]) -> bool {
     let input = &input[leading_empty_lines(input)..];
     let Ok(Some(head_length)) = head_length(input) else {
@@ -65,5 +65,5 @@
     let mut head = &input[..head_length];
     request_line(&mut head).is_ok()
         && fields(&mut strip_empty_line(head))
-            .is_ok_and(|fields| fields.lists("expect", "100-continue"))
+            .is_ok_and(|fields| fields.contains_token("expect", "100-continue"))
 }
--- a/crates/coordinator/src/http/response.rs
+++ b/crates/coordinator/src/http/response.rs
@@ -1,11 +1,11 @@
-//! Responses: parsed as servers and the discovery service send them, and written for clients.
+//! Parsing of responses from servers and the discovery agent, and writing of responses to clients.
 
 use super::body::{chunked_body, framing, sized_body, Body, Framing};
 use super::error::MessageError;
 use super::head::{fields, head_length, status_line, strip_empty_line, Fields};
 use super::Parsed;
 
-/// A response.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// The status code.
@@ -14,13 +14,14 @@
     pub fields: Fields,
     /// The body without its framing.
     pub body: Vec<u8>,
-    /// The sender closes the connection after this response.
+    /// Whether the sender closes the connection after this response.
     pub closes_connection: bool,
 }
 
-/// Parses the response at the front of `input`, whose body may be `max_body` bytes at most.
+/// Parses the response at the front of `input`, with a body of at most `max_body` bytes.
 ///
-/// A response without framing lasts until the connection's end, which `at_end` states.
+/// The body of a response without framing extends to the end of the connection; `at_end` states whether that has been
+/// reached.
 pub fn parse_response(input: &[u8], at_end: bool, max_body: usize) -> Parsed<Response> {
     let Some(head_length) = head_length(input)? else {
         return Ok(None);
@@ -29,7 +30,7 @@
     let line = status_line(&mut head)
         .map_err(|_| MessageError::Malformed("the status line is malformed"))?;
     let fields = fields(&mut strip_empty_line(head))?;
-    let mut closes_connection = fields.ask_for_close(line.is_http_1_0);
+    let mut closes_connection = fields.indicates_close(line.is_http_1_0);
     let body = match framing(&fields, max_body)? {
         Framing::Unspecified if has_no_body(line.status) => Some(Body::empty()),
         Framing::Unspecified if body_input.len() > max_body => {
@@ -54,32 +55,32 @@
     }))
 }
 
-/// Whether a response of this status has no body unless its head frames one.
+/// Returns whether a response with this status has no body unless its head states a framing.
 fn has_no_body(status: u16) -> bool {
     status == 204 || status == 304 || status < 200
 }
 
-/// Returns the bytes of a response whose body has the media type `content_type`.
+/// Serializes a response whose body has the media type `content_type`.
 ///
-/// `extra` are further header fields; `close` announces that the connection is closed after it.
+/// `extra_fields` are additional header fields. `close_connection` adds `Connection: close`.
 pub fn write_response(
     status: u16,
     content_type: &str,
-    extra: &[(&str, String)],
-    close: bool,
+    extra_fields: &[(&str, String)],
+    close_connection: bool,
     body: &[u8],
 ) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).into_bytes();
-    let mut put = |name: &str, value: &str| {
+    let mut write_field = |name: &str, value: &str| {
         bytes.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
     };
-    put("Content-Type", content_type);
-    put("Content-Length", &body.len().to_string());
-    for (name, value) in extra {
-        put(name, value);
+    write_field("Content-Type", content_type);
+    write_field("Content-Length", &body.len().to_string());
+    for (name, value) in extra_fields {
+        write_field(name, value);
     }
-    if close {
-        put("Connection", "close");
+    if close_connection {
+        write_field("Connection", "close");
     }
     bytes.extend_from_slice(b"\r\n");
     bytes.extend_from_slice(body);
