--- a/crates/coordinator/src/errors_page.rs
+++ b/crates/coordinator/src/errors_page.rs
@@ -1,4 +1,4 @@
-//! Generates `docs/ERRORS.md` from the error types; the test here fails when the page is stale.
+//! Generates `docs/ERRORS.md` from the error types, and tests that the page is up to date.
 
 use crate::cluster;
 use cairnroad_cluster::member_names::MemberNamesError;
@@ -6,10 +6,10 @@
 use cairnroad_discovery_watch::WatchError;
 use cairnroad_settings::SettingsError;
 
-/// The command that generates the page.
+/// Command that generates the page.
 const GENERATED_BY: &str = "UPDATE_ERRORS=1 cargo test -p cairnroad-coordinator errors_page";
 
-/// A row of the page: an example of one cause, and what an operator can do.
+/// A row of the page: an example message of one error variant, and advice for the operator.
 struct Row {
     message: String,
     help: &'static str,
@@ -28,7 +28,7 @@
     std::io::Error::from(std::io::ErrorKind::AddrInUse)
 }
 
-/// One error of each variant. The matches here and below fail to compile when a variant is added that is not listed.
+/// Returns a row for each variant. The matches here and below fail to compile if a variant is added but not listed.
 fn settings_errors() -> Vec<Row> {
     let all = vec![
         SettingsError::Malformed {
--- a/crates/coordinator/src/observability/log.rs
+++ b/crates/coordinator/src/observability/log.rs
@@ -1,9 +1,7 @@
-//! The log: events with fields, as text or JSON lines on standard error.
+//! The log: events with fields, written to standard error as lines of text or JSON.
 //!
-//! Lines are limited in rate, so that a repeating fault can't overload the machine; a line that follows suppressed ones
-//! says how many they were.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The rate of lines is limited, so that a repeating fault can't overload the machine. The first line after a
+//! suppression is preceded by the number of suppressed lines.
 
 use serde::Deserialize;
 use std::fmt;
@@ -14,12 +12,12 @@
 use tracing_subscriber::fmt::FmtContext;
 use tracing_subscriber::registry::LookupSpan;
 
-/// Lines a second in the long run.
+/// Sustained rate of lines per second.
 const LINES_PER_SECOND: f64 = 5.0;
-/// Lines that may be written at once.
+/// Number of lines that may be written in a burst.
 const BURST_LINES: f64 = 40.0;
 
-/// The form of a line.
+/// The format of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LineFormat {
@@ -30,18 +28,18 @@
     Json,
 }
 
-/// The least severity that is written.
+/// The lowest severity that is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
     /// Errors only.
     Error,
-    /// Warnings, too.
+    /// Warnings and above.
     Warn,
-    /// Changes of state, too.
+    /// State changes and above.
     #[default]
     Info,
-    /// Details, too.
+    /// Details and above.
     Debug,
 }
 
@@ -56,12 +54,13 @@
     }
 }
 
-/// A token bucket that limits the rate of lines and counts the suppressed ones.
+/// A token bucket that limits the rate of lines and counts suppressed lines.
 struct TokenBucket {
+    /// Lines that may be written now, up to [`BURST_LINES`]; fractions accumulate.
     tokens: f64,
-    /// When tokens were last added.
+    /// Time of the last refill; `None` before the first line.
     refilled_at: Option<Instant>,
-    /// Lines suppressed since the last one that was written.
+    /// Lines suppressed since the last written line.
     suppressed: u64,
 }
 
@@ -72,13 +71,13 @@
         suppressed: 0,
     };
 
-    /// Takes a token for a line, and returns how many lines were suppressed since the last one; `None`: this line is
-    /// suppressed, too.
+    /// Takes a token for a line. Returns the number of lines suppressed since the last written line, or `None` if this
+    /// line is suppressed too.
     fn admit(&mut self, now: Instant) -> Option<u64> {
-        let earned = self
+        let refill = self
             .refilled_at
             .map_or(0.0, |at| (now - at).as_secs_f64() * LINES_PER_SECOND);
-        self.tokens = (self.tokens + earned).min(BURST_LINES);
+        self.tokens = (self.tokens + refill).min(BURST_LINES);
         self.refilled_at = Some(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -89,24 +88,24 @@
     }
 }
 
-/// A format whose lines are limited in rate.
+/// An event format that limits the rate of lines.
 struct RateLimited<F> {
     inner: F,
-    form: LineFormat,
+    line_format: LineFormat,
     bucket: Mutex<TokenBucket>,
 }
 
 impl<F> RateLimited<F> {
-    fn new(inner: F, form: LineFormat) -> RateLimited<F> {
+    fn new(inner: F, line_format: LineFormat) -> RateLimited<F> {
         RateLimited {
             inner,
-            form,
+            line_format,
             bucket: Mutex::new(TokenBucket::FULL),
         }
     }
 
     fn admit(&self) -> Option<u64> {
-        // The lock is poisoned only by a panic, which ends the program.
+        // Only a panic poisons the lock, and a panic ends the program.
         let mut bucket = self.bucket.lock().ok()?;
         bucket.admit(Instant::now())
     }
@@ -127,11 +126,12 @@
         let Some(suppressed) = self.admit() else {
             return Ok(());
         };
-        match self.form {
+        match self.line_format {
             _ if suppressed == 0 => {}
-            LineFormat::Text => {
-                writeln!(writer, "held_back={suppressed} lines before the next one")?
-            }
+            LineFormat::Text => writeln!(
+                writer,
+                "held_back={suppressed} log lines suppressed by the rate limit"
+            )?,
             LineFormat::Json => {
                 writeln!(writer, "{{\"level\":\"WARN\",\"held_back\":{suppressed}}}")?
             }
@@ -140,23 +140,23 @@
     }
 }
 
-/// Starts the log for the program's life. Events before this are dropped.
-pub fn init(level: Level, form: LineFormat) {
-    let build = tracing_subscriber::fmt()
+/// Installs the global log subscriber. Events before this call are discarded.
+pub fn init(level: Level, line_format: LineFormat) {
+    let builder = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(tracing::Level::from(level))
         .with_ansi(false);
-    let format = Format::default().with_target(false).with_ansi(false);
-    // A process has one log: a second start, as in tests, changes nothing.
-    let _ = match form {
+    let event_format = Format::default().with_target(false).with_ansi(false);
+    // The subscriber can be set once per process: later calls, as in tests, change nothing.
+    let _ = match line_format {
         LineFormat::Text => {
-            let limited = RateLimited::new(format, form);
-            tracing::subscriber::set_global_default(build.event_format(limited).finish())
+            let limited = RateLimited::new(event_format, line_format);
+            tracing::subscriber::set_global_default(builder.event_format(limited).finish())
         }
         LineFormat::Json => {
-            let limited = RateLimited::new(format.json().flatten_event(true), form);
-            let build = build.fmt_fields(JsonFields::new());
-            tracing::subscriber::set_global_default(build.event_format(limited).finish())
+            let limited = RateLimited::new(event_format.json().flatten_event(true), line_format);
+            let builder = builder.fmt_fields(JsonFields::new());
+            tracing::subscriber::set_global_default(builder.event_format(limited).finish())
         }
     };
 }
--- a/crates/coordinator/src/observability/metrics.rs
+++ b/crates/coordinator/src/observability/metrics.rs
@@ -1,45 +1,44 @@
-//! Counters of what this coordinator did since its last log line, which can be summed over a fleet (`docs/FLEET.md`).
-//! They decide nothing.
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Counters that are logged and reset at a fixed interval, and can be summed over a fleet (`docs/FLEET.md`). No
+//! decision of the coordinator depends on them.
 
 use cairnroad_types::{Action, HealthSummary, Outcome, Seconds, Time};
 
-/// A counter.
+/// A counter of the metrics line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counter {
     /// Requests that their clients did not mark as retries.
     Requests,
     /// Requests that their clients marked as retries.
     ClientRetries,
-    /// Requests rejected at the limit on open requests.
+    /// Requests rejected because the limit on open requests was reached.
     OverCapacity,
     /// Complete answers.
     Complete,
     /// Partial answers.
     Partial,
-    /// Rejections by the router before any attempt of the request ended.
+    /// Rejections by the router before any attempt of the request had ended.
     RejectedUnsent,
     /// Rejections by the router.
     Rejected,
     /// Requests that failed.
     Failed,
-    /// Attempts.
+    /// Attempts that the router sent.
     Attempts,
-    /// Attempts after the first of their part.
+    /// Attempts of a part after its first.
     FurtherAttempts,
-    /// Attempts while another of their part was in flight.
+    /// Attempts sent while another attempt of the same part was in flight.
     Hedges,
-    /// Attempts at servers in slow start.
+    /// Attempts sent to servers in slow start.
     SlowStartAttempts,
     /// Cancelled attempts.
     Cancels,
-    /// Health checks.
+    /// Health checks that the router sent.
     HealthChecks,
-    /// Calls on the wire, each of one or more attempts.
+    /// Calls to servers, each with one or more attempts.
     Calls,
-    /// Connections begun.
+    /// Connections to servers that the coordinator began to establish.
     Dials,
-    /// Connections that ended before they were established.
+    /// Connections to servers that ended before they were established.
     DialFailures,
     /// Attempts that ended with a value.
     Ok,
@@ -49,45 +48,47 @@
     ServerRejections,
     /// Attempts that timed out or were cancelled.
     Timeouts,
-    /// Attempts for which there was no connection.
+    /// Attempts for which no connection was available.
     ConnectFailures,
     /// Attempts whose connection was lost.
     Resets,
-    /// Complete endpoint lists with entries.
+    /// Snapshots of the endpoint list that have entries.
     EndpointSnapshots,
-    /// Changes of the endpoint list with entries.
+    /// Deltas of the endpoint list that have entries.
     EndpointDeltas,
 }
 
+/// Number of counters.
 const COUNTERS: usize = Counter::EndpointDeltas as usize + 1;
 
-/// The counters since the last log line.
+/// The counters since the last metrics line.
 pub struct Metrics {
     counts: [u32; COUNTERS],
-    /// Seconds between two lines; 0: none are logged.
+    /// Interval between two metrics lines; 0 disables them.
     interval: Seconds,
-    last_line: Time,
+    /// End of the last interval.
+    last_taken_at: Time,
 }
 
-/// The counters of one interval, and what holds at its end.
+/// The counters of one interval, and the state of connections and servers at its end.
 pub struct MetricsSnapshot {
     counts: [u32; COUNTERS],
-    /// Connections, established or being dialled.
+    /// Number of server connections, established or being established.
     connections: usize,
     health: HealthSummary,
 }
 
 impl Metrics {
-    /// Counters that are logged every `interval` seconds; 0: never.
+    /// Creates counters that are logged every `interval` seconds; 0 disables the metrics line.
     pub fn new(interval: Seconds, now: Time) -> Self {
         Metrics {
             counts: [0; COUNTERS],
             interval,
-            last_line: now,
+            last_taken_at: now,
         }
     }
 
-    /// Whether the counters are logged. If not, callers skip counts that cost a lookup.
+    /// Returns whether the counters are logged. If not, callers skip counts that need a lookup.
     pub fn is_enabled(&self) -> bool {
         self.interval > 0.0
     }
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Counts how an attempt ended.
+    /// Counts the outcome of an attempt.
     pub fn record_outcome(&mut self, outcome: Outcome) {
         self.increment(match outcome {
             Outcome::Ok => Counter::Ok,
@@ -128,17 +129,19 @@
         });
     }
 
-    /// Takes the counters at the end of an interval; `None` before it, and where nothing was counted.
+    /// Takes and resets the counters if the interval has passed. Returns `None` before, and if nothing was counted.
+    ///
+    /// `connections` is the number of server connections; `health` is called only for a line that is due.
     pub fn take_due(
         &mut self,
         now: Time,
         connections: usize,
         health: impl FnOnce() -> HealthSummary,
     ) -> Option<MetricsSnapshot> {
-        if !self.is_enabled() || now - self.last_line < self.interval {
+        if !self.is_enabled() || now - self.last_taken_at < self.interval {
             return None;
         }
-        self.last_line = now;
+        self.last_taken_at = now;
         let counts = std::mem::replace(&mut self.counts, [0; COUNTERS]);
         let any_counted = counts.iter().any(|&count| count > 0);
         any_counted.then(|| MetricsSnapshot {
@@ -150,7 +153,7 @@
 }
 
 impl MetricsSnapshot {
-    /// Writes the log line: the counters that are not 0, then the state of connections and servers.
+    /// Writes the metrics line: the counters that are not 0, then the state of connections and servers.
     pub fn log(&self) {
         tracing::info!(
             requests = self.nonzero(Counter::Requests),
@@ -188,7 +191,7 @@
         );
     }
 
-    /// The counter as a log field: a field without a value is left out of the line.
+    /// Returns the counter's value as a log field, or `None` for 0, which leaves the field out of the line.
     fn nonzero(&self, counter: Counter) -> Option<u32> {
         let count = self.counts[counter as usize];
         (count > 0).then_some(count)
--- a/crates/coordinator/src/observability/mod.rs
+++ b/crates/coordinator/src/observability/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see of a running coordinator: the log and the metrics.
+//! Logging and metrics of a running coordinator.
 
 pub mod log;
 pub mod metrics;
--- a/crates/coordinator/src/parser_tests.rs
+++ b/crates/coordinator/src/parser_tests.rs
@@ -1,4 +1,4 @@
-//! Every parser of the program against valid, cut, damaged and random messages, from fixed seeds.
+//! Tests of all parsers of the program with valid, truncated, corrupted and random messages, from fixed seeds.
 
 use crate::backends::{frames, opensearch};
 use crate::discovery::endpoint_list::EndpointListPayload;
@@ -20,12 +20,12 @@
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 const ANSWER: &[u8] = b"\0\0\0\x19Aq.3 ok 17 queue=1,l=2\n\0v";
 
-/// A message is incomplete wherever it is cut, and bytes behind it are left alone.
-fn assert_incomplete_when_cut(message: &[u8], parse: impl Fn(&[u8]) -> Option<usize>) {
+/// Asserts that a message is incomplete wherever it is truncated, and that bytes after it are not consumed.
+fn assert_incomplete_when_truncated(message: &[u8], parse: impl Fn(&[u8]) -> Option<usize>) {
     for at in 0..message.len() {
         assert!(
             parse(&message[..at]).is_none(),
-            "complete at {at} of {}",
+            "parsed as complete after {at} of {} bytes",
             message.len()
         );
     }
@@ -33,24 +33,24 @@
     assert_eq!(
         parse(&two),
         Some(message.len()),
-        "what follows is left alone"
+        "bytes after the message are not consumed"
     );
 }
 
 #[test]
 fn incomplete_messages_wait_and_complete_ones_are_consumed() {
-    assert_incomplete_when_cut(REQUEST, |bytes| {
+    assert_incomplete_when_truncated(REQUEST, |bytes| {
         http::parse_request(bytes).unwrap().map(|(_, used)| used)
     });
-    assert_incomplete_when_cut(CHUNKED, |bytes| {
+    assert_incomplete_when_truncated(CHUNKED, |bytes| {
         http::parse_request(bytes).unwrap().map(|(_, used)| used)
     });
-    assert_incomplete_when_cut(RESPONSE, |bytes| {
+    assert_incomplete_when_truncated(RESPONSE, |bytes| {
         http::parse_response(bytes, false, 99)
             .unwrap()
             .map(|(_, used)| used)
     });
-    assert_incomplete_when_cut(ANSWER, |bytes| {
+    assert_incomplete_when_truncated(ANSWER, |bytes| {
         frames::parse_frame(bytes).unwrap().map(|(_, used)| used)
     });
     for message in [REQUEST, CHUNKED] {
@@ -116,7 +116,7 @@
         status(&format!("{head}Transfer-Encoding: gzip, chunked\r\n\r\n")),
         400
     );
-    // The framing of small chunks counts too: the buffer is bounded, not only the body.
+    // The framing of small chunks counts too, because not only the body but the whole buffer is bounded.
     let small = "1;extension=of some length\r\nx\r\n".repeat(10_000);
     assert_eq!(
         status(&format!("{head}Transfer-Encoding: chunked\r\n\r\n{small}")),
@@ -142,26 +142,26 @@
     true
 }
 
-fn damaged_input(flips: Vec<(usize, u8)>, cut: usize) -> bool {
+fn corrupted_input(flips: Vec<(usize, u8)>, cut: usize) -> bool {
     for message in [REQUEST, CHUNKED, RESPONSE, ANSWER] {
-        let mut damaged = message.to_vec();
+        let mut corrupted = message.to_vec();
         for (at, byte) in &flips {
-            damaged[at % message.len()] = *byte;
+            corrupted[at % message.len()] = *byte;
         }
-        parse_all(&damaged);
-        parse_all(&damaged[..cut % damaged.len()]);
+        parse_all(&corrupted);
+        parse_all(&corrupted[..cut % corrupted.len()]);
     }
     true
 }
 
 #[test]
-fn random_and_damaged_input_panics_no_parser() {
+fn no_parser_panics_on_random_or_corrupted_input() {
     check(1, random_input as fn(Vec<u8>) -> bool);
-    check(2, damaged_input as fn(Vec<(usize, u8)>, usize) -> bool);
+    check(2, corrupted_input as fn(Vec<(usize, u8)>, usize) -> bool);
 }
 
 #[test]
-fn only_a_429_proves_that_a_search_never_began() {
+fn only_status_429_proves_that_a_search_never_ran() {
     use cairnroad_types::Outcome;
     let outcome = |status: u16, body: &str| {
         let text = format!(
--- a/crates/coordinator/src/published_descriptions.rs
+++ b/crates/coordinator/src/published_descriptions.rs
@@ -1,6 +1,4 @@
-//! Builds this instance's own descriptions from its configuration.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Builds the coordinator's own interface descriptions from its configuration.
 
 use crate::configuration::{BackendKind, Config};
 use crate::contract::PublishedDescriptions;
@@ -10,7 +8,7 @@
 use cairnroad_settings::OfferedClass;
 use cairnroad_types::Idempotency;
 
-/// Returns what an instance with this configuration offers and uses.
+/// Returns the interfaces that a coordinator with this configuration offers and uses.
 pub fn interface_spec(config: &Config) -> InterfaceSpec {
     let deployment = &config.served.deployment;
     InterfaceSpec {
@@ -63,7 +61,7 @@
     }
 }
 
-/// Returns the descriptions of an instance with this configuration, as they are served.
+/// Returns the descriptions that a coordinator with this configuration serves.
 pub fn publish(config: &Config) -> PublishedDescriptions {
     let spec = interface_spec(config);
     PublishedDescriptions {
--- a/crates/coordinator/src/socket_activation.rs
+++ b/crates/coordinator/src/socket_activation.rs
@@ -1,37 +1,35 @@
-//! The clients' listening socket where the platform holds it open and every process inherits it.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Inheriting the listening socket for clients, which the platform keeps open across successive processes.
 
 use std::io;
 use std::net::TcpListener;
 
-/// Why the inherited descriptor can't be used.
+/// The reason why the inherited descriptor can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedSocketError {
-    /// It is no TCP socket, or can't be put into non-blocking mode.
-    #[error("NODE_INHERITED_FD: {descriptor}: {source}")]
+    /// The descriptor is not a TCP listening socket, or can't be put into non-blocking mode.
+    #[error("NODE_INHERITED_FD: descriptor {descriptor}: {source}")]
     Unusable {
-        /// The descriptor.
+        /// The inherited descriptor.
         descriptor: i32,
         /// The system's error.
         source: io::Error,
     },
-    /// Nothing was inherited under this number.
-    #[error("NODE_INHERITED_FD: {descriptor}: there is no socket")]
+    /// No socket was inherited under this descriptor.
+    #[error("NODE_INHERITED_FD: descriptor {descriptor}: no inherited socket found")]
     Missing {
-        /// The descriptor.
+        /// The inherited descriptor.
         descriptor: i32,
     },
 }
 
-/// Takes over the listening socket at a descriptor.
+/// Returns the inherited listening socket with this descriptor, in non-blocking mode.
 ///
-/// To be called once, before other threads run: the crate that makes a socket of a descriptor reads it from the
-/// environment in the form of systemd's socket activation, and the environment is changed for it.
+/// Must be called once, before other threads run: the `listenfd` crate reads descriptors from the environment variables
+/// of systemd's socket activation, so this function modifies the environment.
 ///
 /// # Errors
 ///
-/// The descriptor is not open or not a TCP listener.
+/// Returns an error if the descriptor is not open or not a TCP listening socket.
 pub fn inherited_listener(descriptor: i32) -> Result<TcpListener, InheritedSocketError> {
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
