--- a/crates/coordinator/src/commands/check_config.rs
+++ b/crates/coordinator/src/commands/check_config.rs
@@ -18,7 +18,7 @@
     Descriptions(Vec<String>),
 }
 
-/// Runs the command.
+/// Runs the command: prints the settings in effect, or the faults of the configuration.
 pub fn run(output: OutputOptions) -> CommandStatus {
     match (check(), output.json) {
         (Ok(config), true) => {
--- a/crates/coordinator/src/commands/contract/diff.rs
+++ b/crates/coordinator/src/commands/contract/diff.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use std::path::Path;
 
-/// Runs the command.
+/// Runs the command. The status is `FaultsFound` if any change is breaking.
 pub fn diff(old: &Path, new: &Path, output: OutputOptions) -> Result<CommandStatus, CommandError> {
     let (old, new) = open_both(old, new)?;
     let changes =
--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -15,7 +15,8 @@
 /// Command-line argument that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Runs the command.
+/// Runs the command. The status is `InputError` if a line can't be parsed, or else `FaultsFound` if there is any
+/// violation.
 pub fn replay(
     description: &Path,
     traffic: &Path,
--- a/crates/coordinator/src/commands/contract/show.rs
+++ b/crates/coordinator/src/commands/contract/show.rs
@@ -9,7 +9,7 @@
 use cairnroad_contract::publish;
 use serde_json::Value;
 
-/// Runs the command.
+/// Runs the command: prints the description as JSON or, with `yaml`, as YAML.
 pub fn show(kind: DescriptionKind, yaml: bool) -> Result<CommandStatus, CommandError> {
     let config = configuration::load()?;
     let spec = published_descriptions::interface_spec(&config);
--- a/crates/coordinator/src/commands/roster/apply.rs
+++ b/crates/coordinator/src/commands/roster/apply.rs
@@ -17,7 +17,7 @@
 /// Name of the file that the list is written to if the configured path is a folder.
 const ENDPOINT_LIST_FILE: &str = "roster.toml";
 
-/// Runs the command.
+/// Runs the command: writes the list, then prints its generation and the changes that take effect.
 pub fn apply(new: &Path, allow_shrink: bool) -> Result<CommandStatus, CommandError> {
     let configured = configured_files()?;
     let mut new_set = read_endpoint_set(new)?;
--- a/crates/coordinator/src/fronts/client_connections.rs
+++ b/crates/coordinator/src/fronts/client_connections.rs
@@ -65,11 +65,14 @@
     in_flight: Gauge,
     /// Connections that were half-closed and whose incoming bytes are discarded.
     lingering: Gauge,
+    /// Time at which the last complete request was received.
     last_request_at: Cell<Time>,
+    /// Time at which the last answer was written.
     last_answer_at: Cell<Time>,
     /// Time by which every request must be answered; `None` unless a graceful shutdown has begun.
     answer_deadline: Cell<Option<Time>>,
     next_id: Cell<u64>,
+    /// Connections that may be evicted, by idle time.
     idle: RefCell<BTreeMap<IdleKey, IdleConnection>>,
 }
 
@@ -112,8 +115,8 @@
     }
 
     /// Limits the deadlines of all later requests to this time.
-    pub fn set_answer_deadline(&self, moment: Time) {
-        self.answer_deadline.set(Some(moment));
+    pub fn set_answer_deadline(&self, deadline: Time) {
+        self.answer_deadline.set(Some(deadline));
     }
 
     /// Returns a request's deadline, limited to the answer deadline if a graceful shutdown has begun.
--- a/crates/coordinator/src/fronts/front.rs
+++ b/crates/coordinator/src/fronts/front.rs
@@ -35,7 +35,7 @@
     pub served: watch::Receiver<Arc<ServedConfiguration>>,
     /// The queue of requests to the core.
     pub request_queue: mpsc::Sender<ClientRequest>,
-    /// The program's clock.
+    /// The program's clock, for arrival times and deadlines.
     pub clock: Clock,
     /// The serving phase of the process.
     pub phase: watch::Receiver<ServingPhase>,
--- a/crates/coordinator/src/fronts/session/next_request.rs
+++ b/crates/coordinator/src/fronts/session/next_request.rs
@@ -64,6 +64,7 @@
                 true => idle_deadline,
                 false => *first_byte_at.get_or_insert_with(Instant::now) + REQUEST_READ_TIMEOUT,
             });
+            // `None` ends the wait of an idle connection, an error the wait for the rest of a request.
             let error = tokio::select! {
                 biased;
                 read = self.stream.read_buf(&mut self.buffer) => match read {
--- a/crates/coordinator/src/observability/metrics.rs
+++ b/crates/coordinator/src/observability/metrics.rs
@@ -20,7 +20,7 @@
     RejectedUnsent,
     /// Rejections by the router.
     Rejected,
-    /// Requests that failed.
+    /// Requests that the router failed.
     Failed,
     /// Attempts that the router sent.
     Attempts,
@@ -30,7 +30,7 @@
     Hedges,
     /// Attempts sent to servers in slow start.
     SlowStartAttempts,
-    /// Cancelled attempts.
+    /// Attempts that the router cancelled.
     Cancels,
     /// Health checks that the router sent.
     HealthChecks,
