--- a/crates/coordinator/tests/admin_operations.rs
+++ b/crates/coordinator/tests/admin_operations.rs
@@ -1,4 +1,4 @@
-//! Operation of a running coordinator: admin requests, suspended data nodes, drains, live reloads, and replacement of
+//! Operation of a running coordinator: admin requests, suspension of data nodes, drains, live reloads, and replacement of
 //! the process under load.
 
 mod common;
@@ -28,10 +28,11 @@
     )
 }
 
-/// Requests shards of data nodes 0 and 2 eight times; returns how many parts have reached data node 0 in all.
-fn parts_at_first(coordinator: &TestCoordinator, names: &str) -> usize {
+/// Sends eight requests for shards that data nodes 0 and 2 hold. Returns the number of parts that data node 0 has received
+/// since its start. `id_prefix` makes the request ids unique.
+fn parts_at_first_node(coordinator: &TestCoordinator, id_prefix: &str) -> usize {
     for number in 0..8 {
-        let id = format!("{names}{number}");
+        let id = format!("{id_prefix}{number}");
         assert_eq!(
             coordinator
                 .post_api(&id, "pick-confirm", "2.0", &[0, 2], "~1~")
@@ -72,7 +73,7 @@
     ] {
         assert_eq!(coordinator.admin_status(line), status, "{line}");
     }
-    // Clients can't use the admin API, and the admin API serves no client requests.
+    // The clients' listener does not serve admin requests, and the admin API does not serve client requests.
     assert_eq!(
         coordinator
             .call(coordinator.platform, "PUT /v1/coordinator/drain", &[], "")
@@ -87,7 +88,7 @@
     );
 }
 
-/// Guards against clients of the admin API that send nothing, or half a request, and so keep others out.
+/// Guards against clients of the admin API that send nothing, or only a part of a request, and so block other clients.
 #[test]
 fn stalled_admin_clients_time_out_and_block_nobody() {
     let coordinator = TestCoordinator::with_environment(
@@ -95,7 +96,7 @@
         WITH_ADMIN_API,
     );
     let admin = coordinator.admin.unwrap();
-    let caller = |text: &str| {
+    let send_partial = |text: &str| {
         let mut stream = TcpStream::connect(admin).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
         stream
@@ -106,34 +107,38 @@
             .count()
     };
     let before = descriptors();
-    let mut held: Vec<_> = (0..60)
-        .map(|n| caller(if n % 2 == 0 { "" } else { "PUT /v1/coord" }))
+    let mut stalled: Vec<_> = (0..60)
+        .map(|n| send_partial(if n % 2 == 0 { "" } else { "PUT /v1/coord" }))
         .collect();
     assert_eq!(coordinator.admin_status("GET /v1/readyz"), 200);
     assert!(
         descriptors() <= before + 24,
-        "callers take up {} descriptors",
+        "expected stalled clients to hold at most 24 descriptors, found {}",
         descriptors() - before
     );
-    let last = held.split_off(58);
-    for stream in last {
+    let newest = stalled.split_off(58);
+    for stream in newest {
         assert_eq!(read_response(&mut BufReader::new(stream)).status, 408);
     }
-    // The others were evicted early or timed out too.
-    for mut stream in held {
+    // The older connections were evicted for newer ones, or timed out too.
+    for mut stream in stalled {
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
         assert!(rest.is_empty() || rest.starts_with(b"HTTP/1.1 408"));
     }
-    for odd in [
+    for malformed in [
         "nonsense\r\n\r\n",
         "GET /v1/readyz HTTP/1.1\r\nContent-Length: x\r\n\r\n",
     ] {
-        assert_eq!(read_response(&mut BufReader::new(caller(odd))).status, 400);
+        assert_eq!(
+            read_response(&mut BufReader::new(send_partial(malformed))).status,
+            400
+        );
     }
 }
 
-/// Guards against an endpoint list update that lifts a suspension, and a suspension that outlives its resume.
+/// Guards against an endpoint list update that lifts a suspension, and against a suspension that stays in force after its
+/// resumption.
 #[test]
 fn a_suspended_data_node_gets_no_parts_until_it_is_resumed() {
     let coordinator = TestCoordinator::with_environment(
@@ -141,14 +146,14 @@
         WITH_ADMIN_API,
     );
     assert!(
-        parts_at_first(&coordinator, "a") > 0,
-        "both replicas take turns"
+        parts_at_first_node(&coordinator, "a") > 0,
+        "both replicas of the cell must get parts before the suspension"
     );
     assert_eq!(
         coordinator.admin_status("PUT /v1/data-nodes/s-0/suspend"),
         200
     );
-    let before = parts_at_first(&coordinator, "b");
+    let before = parts_at_first_node(&coordinator, "b");
     for phase in ["leaving", "active"] {
         let watches = || coordinator.discovery.calls.lock().unwrap().len();
         let before = watches();
@@ -156,15 +161,15 @@
         wait_for("the next watch", || watches() > before);
     }
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(parts_at_first(&coordinator, "c"), before);
+    assert_eq!(parts_at_first_node(&coordinator, "c"), before);
     assert_eq!(
         coordinator.admin_status("PUT /v1/data-nodes/s-0/resume"),
         200
     );
     let mut names = 0..;
-    // It is in slow start now, and gets little at first.
-    wait_for("a part", || {
-        parts_at_first(&coordinator, &format!("d{}-", names.next().unwrap())) > before
+    // The resumed data node is in slow start and gets few parts at first.
+    wait_for("a part at the resumed data node", || {
+        parts_at_first_node(&coordinator, &format!("d{}-", names.next().unwrap())) > before
     });
 }
 
@@ -179,7 +184,7 @@
             .call(coordinator.platform, "GET /_health", &[], "")
             .status
     };
-    // It has sent one request, and may idle for 5 s by itself.
+    // This client has sent one request. Without a drain, its connection may stay idle for 5 s.
     let mut idle = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
     idle.get_mut()
         .write_all(api_request("idle", "stock-search").as_bytes())
@@ -189,7 +194,7 @@
     busy.get_mut()
         .write_all(api_request("busy", "stock-search").as_bytes())
         .unwrap();
-    wait_for("the part", || {
+    wait_for("the part at the data node", || {
         coordinator.data_nodes.received.lock().unwrap().len() == 2
     });
     let drained_at = Instant::now();
@@ -204,19 +209,19 @@
     assert_eq!(
         (answer.status, answer.fields["connection"].as_str()),
         (200, "close"),
-        "the in-flight request is answered"
+        "the request in flight must be answered"
     );
     assert_eq!(
         idle.read(&mut [0]).unwrap(),
         0,
-        "idle connections are closed"
+        "idle connections must be closed"
     );
-    // 0.6 s after the call; the platform wants it closed after 4 s.
+    // Idle connections are closed 0.6 s after the drain request. The platform requires it within 4 s.
     assert!(
         drained_at.elapsed() < Duration::from_secs(4),
-        "the idle connection stays too long"
+        "the idle connection must be closed within 4 s of the drain"
     );
-    // A client that connects all the same is served, and its connection closed.
+    // A client that connects during the drain is served, and its connection is closed after the answer.
     let mut late = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
     late.get_mut()
         .write_all(api_request("late", "stock-search").as_bytes())
@@ -230,13 +235,13 @@
         coordinator.admin_status("PUT /v1/coordinator/activate"),
         200
     );
-    wait_for("health", || health() == 200);
+    wait_for("a successful health check", || health() == 200);
     let answer = coordinator.post_api("back", "stock-search", "2.0", &[1], "~1~");
     assert!(answer.status == 200 && !answer.closes_connection());
 }
 
-/// Sends requests until `stop`, each of which has to be answered. Keeps its connection for as long as the other side
-/// does, as clients do. `sent` counts the requests of all clients.
+/// Sends requests until `stop` is set and asserts that each is answered with status 200. Reuses its connection until the
+/// server announces its close. `sent` counts the requests of all clients.
 fn send_until_stopped(address: SocketAddr, client: usize, stop: &AtomicBool, sent: &AtomicUsize) {
     let mut idle_connection: Option<BufReader<TcpStream>> = None;
     while !stop.load(Ordering::Relaxed) {
@@ -256,8 +261,8 @@
     }
 }
 
-/// Guards against a new process that can't start beside the old one, clients that are refused meanwhile, and a
-/// suspension that only the old process knew of.
+/// Guards against a new process that can't start while the old one runs, clients that are refused during the replacement,
+/// and a suspension that the new process does not take over.
 #[test]
 fn a_process_replacement_under_load_keeps_suspensions() {
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -275,7 +280,7 @@
         coordinator.admin_status("PUT /v1/data-nodes/s-0/suspend"),
         200
     );
-    let before = parts_at_first(&coordinator, "before");
+    let before = parts_at_first_node(&coordinator, "before");
     let stop = AtomicBool::new(false);
     let sent = AtomicUsize::new(0);
     thread::scope(|scope| {
@@ -296,16 +301,18 @@
                     .unwrap()
                     .is_some_and(|status| status.success())
             });
-            wait_for("clients", || sent.load(Ordering::Relaxed) > before + 40);
+            wait_for("40 more requests", || {
+                sent.load(Ordering::Relaxed) > before + 40
+            });
         }
         stop.store(true, Ordering::Relaxed);
     });
     assert_eq!(
-        parts_at_first(&coordinator, "after"),
+        parts_at_first_node(&coordinator, "after"),
         before,
-        "the suspension holds in processes that did not receive it"
+        "the suspension must hold in processes that did not receive the request"
     );
-    // A suspension that another process lifts is lifted here.
+    // A suspension that the new process lifts is lifted in the old process too.
     let old = coordinator.replace(environment);
     wait_for("the new process", || {
         coordinator.admin_status("GET /v1/readyz") == 200
@@ -318,12 +325,12 @@
     new_process.kill().unwrap();
     new_process.wait().unwrap();
     let mut names = 0..;
-    wait_for("a part", || {
-        parts_at_first(&coordinator, &format!("d{}-", names.next().unwrap())) > before
+    wait_for("a part at the resumed data node", || {
+        parts_at_first_node(&coordinator, &format!("d{}-", names.next().unwrap())) > before
     });
 }
 
-/// Guards against clients who are answered by a process that has no list yet, or by one that is shutting down.
+/// Guards against clients that are accepted by a process that has no endpoint list yet, or by one that is shutting down.
 #[test]
 fn of_two_processes_only_a_ready_one_accepts_clients() {
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -341,14 +348,14 @@
     });
     let mut coordinator = TestCoordinator::with_environment(data_nodes, environment);
     let path = coordinator.folder.join("config.json");
-    let sound = std::fs::read_to_string(&path).unwrap();
+    let valid_config = std::fs::read_to_string(&path).unwrap();
     let discovery = coordinator.discovery.address.to_string();
-    std::fs::write(&path, sound.replace(&discovery, "127.0.0.1:1")).unwrap();
+    std::fs::write(&path, valid_config.replace(&discovery, "127.0.0.1:1")).unwrap();
     let old = coordinator.replace(environment);
     assert_eq!(
         coordinator.admin_status("GET /v1/readyz"),
         503,
-        "it has no list"
+        "a process without an endpoint list must not be ready"
     );
     for number in 0..30 {
         assert_eq!(
@@ -361,7 +368,7 @@
     let mut new_process = std::mem::replace(&mut coordinator.child, old);
     new_process.kill().unwrap();
     new_process.wait().unwrap();
-    std::fs::write(&path, sound).unwrap();
+    std::fs::write(&path, valid_config).unwrap();
     let mut open = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
     open.get_mut()
         .write_all(
@@ -370,7 +377,7 @@
                 .as_bytes(),
         )
         .unwrap();
-    wait_for("the part", || {
+    wait_for("the part at the data node", || {
         coordinator
             .data_nodes
             .received
@@ -384,22 +391,26 @@
         coordinator.admin_status("GET /v1/readyz") == 200
     });
     signal(&old, "TERM");
-    // Its health may be asked of either process: once no answer closes its connection, the old process accepts nobody.
-    let sent_away = |id: String| {
+    // A process that shuts down closes each connection after its answer. If no answer does so, the old process accepts no
+    // clients any more.
+    let connection_is_closed = |id: String| {
         let answer = coordinator.post_api(&id, "stock-search", "2.0", &[1], "~1~");
         assert_eq!(answer.status, 200);
         answer.closes_connection()
     };
     thread::sleep(Duration::from_millis(200));
-    assert!(old.try_wait().unwrap().is_none(), "it has a request open");
     assert!(
-        !(0..30).any(|number| sent_away(format!("b{number}"))),
-        "the old process accepts clients"
+        old.try_wait().unwrap().is_none(),
+        "the old process must run until its request in flight is answered"
+    );
+    assert!(
+        !(0..30).any(|number| connection_is_closed(format!("b{number}"))),
+        "the old process must not accept clients during its shutdown"
     );
     assert_eq!(
         read_response(&mut open).status,
         200,
-        "its in-flight request is answered"
+        "the old process must answer its request in flight"
     );
     wait_for("the end of the old process", || {
         old.try_wait()
@@ -412,7 +423,7 @@
     config["settings"]["classes"].as_array_mut().unwrap()
 }
 
-/// Adds a class with terms of another, under a further name.
+/// Adds a class with the settings of the class at index `like` under a new name.
 fn add(config: &mut Value, name: &str, like: usize) {
     let mut class = classes(config)[like].clone();
     class["name"] = json!(name);
@@ -423,28 +434,29 @@
     }
 }
 
-fn remove(config: &mut Value, at: usize) {
-    classes(config).remove(at);
+/// Removes the class at this index.
+fn remove(config: &mut Value, index: usize) {
+    classes(config).remove(index);
     for key in ["needByClass", "minShare", "partialEarns", "fetchParts"] {
         config["settings"]["extra"][key]
             .as_array_mut()
             .unwrap()
-            .remove(at);
+            .remove(index);
     }
 }
 
-/// Guards against requests that change their class under way, new classes that take a restart, and attempts beyond
-/// what is allowed now.
+/// Guards against a reload that changes the class of a request in flight, that does not add new classes, or after which the
+/// old limit of attempts still applies.
 #[test]
 fn a_reload_applies_live_and_in_flight_requests_keep_their_class() {
-    // Marker 1 fails at every attempt; 2 is slow.
+    // Marker 1 is rejected as busy at every attempt, and marker 2 takes 800 ms.
     let data_nodes = DataNodes::new(|marker, _, _| match marker {
         1 => Behavior::Busy,
         2 => Behavior::Delay(800),
         _ => Behavior::Serve,
     });
     let coordinator = TestCoordinator::with_environment(data_nodes, WITH_ADMIN_API);
-    let seen = |text: &str| {
+    let received_parts = |text: &str| {
         coordinator
             .data_nodes
             .received
@@ -454,7 +466,7 @@
             .filter(|seen| seen.query == text)
             .count()
     };
-    // Failing parts go to other data nodes than the rest: they become outliers for it.
+    // Failing parts go to another cell than the others, since they make its data nodes outliers.
     let status = |id: &str, class: &str, q: &str| {
         coordinator
             .post_api(id, class, "2.0", &[if q == "~1~" { 0 } else { 1 }], q)
@@ -462,10 +474,10 @@
     };
     assert_eq!(status("a", "stock-v2", "~3~"), 400);
     assert_ne!(status("b", "stock-search", "~1~"), 200);
-    assert_eq!(seen("~1~"), 3);
+    assert_eq!(received_parts("~1~"), 3);
     thread::scope(|scope| {
         let open = scope.spawn(|| status("open", "stock-search", "~2~"));
-        wait_for("the part", || seen("~2~") > 0);
+        wait_for("the part at the data node", || received_parts("~2~") > 0);
         coordinator.reconfigure(|config| {
             config["settings"]["caps"]["attemptsCap"] = json!(2);
             add(config, "stock-v2", 0);
@@ -475,10 +487,14 @@
         assert_eq!(
             open.join().unwrap(),
             200,
-            "what is under way keeps its class"
+            "a request in flight must keep its class"
         );
     });
-    assert_eq!(status("c", "stock-search", "~3~"), 400, "a removed class");
+    assert_eq!(
+        status("c", "stock-search", "~3~"),
+        400,
+        "a removed class must be rejected"
+    );
     assert_eq!(
         (
             status("d", "stock-v2", "~3~"),
@@ -486,10 +502,14 @@
         ),
         (200, 200)
     );
-    let before = seen("~1~");
+    let before = received_parts("~1~");
     assert_ne!(status("f", "stock-v2", "~1~"), 200);
-    assert_eq!(seen("~1~") - before, 2, "fewer attempts are allowed now");
-    // The query front goes by the same settings.
+    assert_eq!(
+        received_parts("~1~") - before,
+        2,
+        "the new limit of two attempts must apply"
+    );
+    // The reload applies to the query front too.
     let search = |index: &str| {
         coordinator
             .search(
@@ -504,11 +524,11 @@
         .to_string();
     assert!(
         page.contains("stock-v2") && !page.contains("stock-search"),
-        "its description tells so too"
+        "the published description must contain the new classes only"
     );
 }
 
-/// Guards against a file of which a part counts though the rest is broken.
+/// Guards against an invalid file of which the valid parts are applied.
 #[test]
 fn an_invalid_file_leaves_the_previous_settings_in_force() {
     let coordinator = TestCoordinator::with_environment(
@@ -516,10 +536,10 @@
         WITH_ADMIN_API,
     );
     let path = coordinator.folder.join("config.json");
-    let sound = std::fs::read(&path).unwrap();
+    let valid_config = std::fs::read(&path).unwrap();
     let calls = || coordinator.discovery.calls.lock().unwrap().len();
     type Edit = fn(&mut Value);
-    let broken: [(&str, Edit); 6] = [
+    let invalid_edits: [(&str, Edit); 6] = [
         ("deadlineS is -5", |config| {
             config["settings"]["classes"][0]["deadlineS"] = json!(-5)
         }),
@@ -540,25 +560,27 @@
         }),
         ("is there twice", |config| add(config, "pick-confirm", 0)),
     ];
-    for (words, spoil) in broken {
-        std::fs::write(&path, &sound).unwrap();
+    for (expected_error, invalidate) in invalid_edits {
+        std::fs::write(&path, &valid_config).unwrap();
         coordinator.reconfigure(|config| {
             config["discovery"] = json!("127.0.0.1:1");
-            if words != "classes is empty" {
+            if expected_error != "classes is empty" {
                 add(config, "stock-v2", 0);
             }
-            spoil(config);
+            invalidate(config);
         });
-        coordinator.wait_for_log_line(words);
+        coordinator.wait_for_log_line(expected_error);
     }
-    for cut in [0, 1, sound.len() / 2, sound.len() - 1] {
-        std::fs::write(&path, &sound[..cut]).unwrap();
+    for length in [0, 1, valid_config.len() / 2, valid_config.len() - 1] {
+        std::fs::write(&path, &valid_config[..length]).unwrap();
         coordinator.signal("HUP");
         coordinator.wait_for_log_line("reload rejected");
     }
     let before = calls();
     coordinator.discovery.set_phase(0, "leaving");
-    wait_for("the watch at the old address", || calls() > before);
+    wait_for("a watch at the previous discovery address", || {
+        calls() > before
+    });
     assert_eq!(
         coordinator
             .post_api("a", "stock-search", "2.0", &[1], "~1~")
--- a/crates/coordinator/tests/common/behavior.rs
+++ b/crates/coordinator/tests/common/behavior.rs
@@ -1,46 +1,48 @@
-//! What a stand-in data node does with a part.
+//! The ways in which a stand-in data node handles a part.
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
     Serve,
-    /// Serves after so many milliseconds.
+    /// Serves the part after this many milliseconds.
     Delay(u64),
     /// Rejects the part without running it.
     Busy,
     Fail,
-    /// Runs it, begins to answer and breaks the connection.
+    /// Runs the part, sends the beginning of an answer and closes the connection.
     CloseMidAnswer,
-    /// Runs it, begins to answer as if all were well, and ends in an error (a frame `err` on frames).
+    /// Runs the part and begins a successful answer that ends with an error. On the frame protocol, the answer's outcome is
+    /// `err`.
     MidStreamError,
-    /// Runs it and never answers.
+    /// Runs the part and never answers.
     NoAnswer,
-    /// Runs it and sends an answer that can't be parsed or matched.
+    /// Runs the part and sends an answer that can't be parsed or matched to its call.
     Malformed(Malformation),
-    /// Serves, with bytes that don't belong to the answer.
+    /// Serves the part, with an irregularity that leaves the answer itself valid.
     Irregular(Irregularity),
-    /// Runs it and answers with this status, media type and body; on frames with the body as the value.
+    /// Runs the part and answers with this status line, media type and body. On the frame protocol, the body is the value and
+    /// the other two are ignored.
     Respond(&'static str, &'static str, &'static str),
 }
 
 impl Behavior {
-    /// Whether the part runs. A busy data node never begins it.
+    /// Returns whether the data node runs the part. A busy data node never starts it.
     pub fn executes(self) -> bool {
         self != Behavior::Busy
     }
 }
 
-/// What is wrong with a malformed answer.
+/// The defect of a malformed answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Malformation {
     WrongId,
     UnknownOutcome,
     FrameType,
     HeaderLine,
-    /// A header line that doesn't end though the frame goes on.
+    /// A header line without an end, in a frame whose length promises more bytes.
     UnterminatedLine,
-    /// A length of 3 GB, and a value that keeps coming.
+    /// A declared length of 3 GB.
     HugeLength,
-    /// A length that is longer than what comes.
+    /// A declared length that is one byte longer than the body.
     TruncatedBody,
 }
 
@@ -54,10 +56,10 @@
     Malformation::TruncatedBody,
 ];
 
-/// What comes beside a good answer.
+/// An irregularity in or after an otherwise valid answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Irregularity {
-    /// The same answer again.
+    /// The same answer is sent twice.
     RepeatedAnswer,
     TrailingBytes,
     /// A load report that can't be parsed.
--- a/crates/coordinator/tests/common/client.rs
+++ b/crates/coordinator/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! Clients of either front.
+//! HTTP client helpers for both fronts and the admin API.
 
 use super::http_message::read_message;
 use serde_json::{json, Value};
@@ -6,7 +6,7 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A response, its body parsed; null where the body is no JSON.
+/// A response with its body parsed as JSON; `json` is null if the body isn't valid JSON.
 pub struct Response {
     pub status: u16,
     pub fields: BTreeMap<String, String>,
@@ -14,14 +14,14 @@
 }
 
 impl Response {
-    /// Whether the connection ends with this response.
+    /// Returns whether the response announces that the server closes the connection.
     pub fn closes_connection(&self) -> bool {
         let connection = self.fields.get("connection");
         connection.is_some_and(|value| value == "close")
     }
 }
 
-/// Sends one request on a connection of its own. `line` is the method and target.
+/// Sends one request on a new connection and reads the response. `line` is the method and target.
 pub fn send_request(to: SocketAddr, line: &str, fields: &[(&str, &str)], body: &str) -> Response {
     let mut stream = TcpStream::connect(to).unwrap();
     let mut text = format!(
@@ -36,7 +36,7 @@
     read_response(&mut BufReader::new(stream))
 }
 
-/// Reads one response. A connection that ends without one gives status 0.
+/// Reads one response. Returns status 0 if the connection ends before a complete response.
 pub fn read_response(reader: &mut impl BufRead) -> Response {
     let Some(message) = read_message(reader) else {
         return Response {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The bytes of a request of one part, at shard 1.
+/// Builds the text of a request with a single part, for shard 1. `deadline` is in seconds.
 pub fn one_part_request(id: &str, class: &str, deadline: f64, query: &str) -> String {
     let body = json!({"shards": [{"shard": 1, "weight": 1.0}], "q": query}).to_string();
     let head =
--- a/crates/coordinator/tests/common/configuration.rs
+++ b/crates/coordinator/tests/common/configuration.rs
@@ -1,10 +1,10 @@
-//! The configuration that tests start the coordinator with.
+//! The configuration files with which tests start the coordinator.
 
 use super::data_nodes::{WireFormat, CELLS, SHARDS};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// The platform's configuration file.
+/// Builds the content of the platform's configuration file.
 pub fn platform_configuration(
     discovery: SocketAddr,
     max_in_flight: usize,
@@ -34,13 +34,13 @@
             "fallS": 1.0}})
 }
 
-/// The project's own file: the query front, the backend's kind, and `further` sections.
-pub fn own_configuration(wire: WireFormat, further: &str) -> String {
+/// Builds the content of the project's own configuration file: the query front, the backend's kind, and `extra_sections`.
+pub fn own_configuration(wire: WireFormat, extra_sections: &str) -> String {
     let kind = match wire {
         WireFormat::Platform => "frames",
         WireFormat::OpenSearch => "opensearch",
     };
     format!(
-        "[opensearch]\nenabled = true\nlisten = \"127.0.0.1:0\"\n[backend]\nkind = \"{kind}\"\n{further}"
+        "[opensearch]\nenabled = true\nlisten = \"127.0.0.1:0\"\n[backend]\nkind = \"{kind}\"\n{extra_sections}"
     )
 }
--- a/crates/coordinator/tests/common/coordinator.rs
+++ b/crates/coordinator/tests/common/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator's process, started as an operator would, with its stand-ins around it.
+//! The coordinator's process, started as in production, together with stand-ins for discovery and data nodes.
 
 use super::client::{send_request, Response};
 use super::configuration::{own_configuration, platform_configuration};
@@ -20,41 +20,41 @@
 const DEFAULT_MAX_IN_FLIGHT: usize = 1000;
 const DEFAULT_SOCKETS: usize = 1024;
 
-/// A running coordinator with all that is around it. Dropping it kills the process and removes its folder.
+/// A running coordinator with its stand-ins. Dropping it kills the process and removes its folder.
 pub struct TestCoordinator {
     pub child: Child,
     pub platform: SocketAddr,
     pub opensearch: SocketAddr,
-    /// Where the admin API listens, if the environment has one.
+    /// The address of the admin API, if the environment enables it.
     pub admin: Option<SocketAddr>,
     pub discovery: FakeDiscovery,
     pub data_nodes: Arc<DataNodes>,
     pub folder: PathBuf,
-    /// What the program wrote to its log after its start.
+    /// The log lines that the program wrote after startup and that no test has read yet.
     pub log: Mutex<Receiver<String>>,
 }
 
-/// What the platform gives to the process beside its configuration.
+/// The part of the process's environment that does not come from its configuration.
 #[derive(Clone, Copy, Default)]
 pub struct Environment<'a> {
-    /// An admin API, and a folder that all processes share.
+    /// Whether to enable the admin API and the folder for suspensions that all processes share.
     pub admin_api: bool,
-    /// The clients' listening socket, inherited as descriptor 5.
+    /// The listening socket for clients, inherited as descriptor 5.
     pub inherited_socket: Option<&'a TcpListener>,
-    /// How many descriptors the process may hold.
+    /// The process's limit of open descriptors.
     pub descriptor_limit: Option<usize>,
 }
 
-/// All that a test may set before the start.
+/// The settings with which a test starts the coordinator.
 struct Setup<'a> {
     wire: WireFormat,
     data_nodes: Arc<DataNodes>,
     members: Vec<Value>,
     max_in_flight: usize,
     sockets: usize,
-    /// Further sections of the project's own file.
+    /// Additional sections of the project's own configuration file.
     own_sections: &'a str,
-    /// Further files in the process's folder, by their relative path.
+    /// Additional files in the process's folder: relative path and content.
     files: &'a [(&'a str, &'a str)],
     environment: Environment<'a>,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// A process that has begun to listen.
+/// A process that listens on all its addresses.
 struct StartedProcess {
     child: Child,
     platform: SocketAddr,
@@ -86,7 +86,7 @@
 static STARTED_COORDINATORS: AtomicU64 = AtomicU64::new(0);
 
 impl TestCoordinator {
-    /// Starts the program before data nodes that speak `wire`.
+    /// Starts the program with data nodes that speak `wire`.
     pub fn start(
         wire: WireFormat,
         data_nodes: Arc<DataNodes>,
@@ -96,7 +96,7 @@
         Self::start_with_members(wire, data_nodes, max_in_flight, DEFAULT_SOCKETS, members)
     }
 
-    /// The same with this endpoint list, and within so many sockets.
+    /// Starts the program with this endpoint list and this limit of sockets.
     pub fn start_with_members(
         wire: WireFormat,
         data_nodes: Arc<DataNodes>,
@@ -108,7 +108,7 @@
         Self::start_with_files(wire, data_nodes, limits, members, "", &[])
     }
 
-    /// With further sections in the project's own file, and further files beside it.
+    /// Starts the program with additional sections in the project's own configuration file and additional files next to it.
     pub fn start_with_files(
         wire: WireFormat,
         data_nodes: Arc<DataNodes>,
@@ -127,7 +127,7 @@
         Self::start_setup(setup, |_| ())
     }
 
-    /// With what the platform gives to operated processes.
+    /// Starts the program with the default configuration in this environment.
     pub fn with_environment(
         data_nodes: Arc<DataNodes>,
         environment: Environment,
@@ -140,7 +140,7 @@
         Self::start_setup(setup, |_| ())
     }
 
-    /// With a changed configuration, as another deployment has it.
+    /// Starts the program with the default platform configuration after `change` was applied to it.
     pub fn with_config(
         data_nodes: Arc<DataNodes>,
         members: Vec<Value>,
@@ -152,7 +152,7 @@
         )
     }
 
-    /// Within so many descriptors.
+    /// Starts the program with this limit of open descriptors.
     pub fn with_descriptor_limit(
         data_nodes: Arc<DataNodes>,
         members: Vec<Value>,
@@ -207,13 +207,13 @@
         }
     }
 
-    /// Starts the program again, after its end.
+    /// Starts the program again after its process has ended.
     pub fn restart(&mut self) {
         self.child = self.start_another(Environment::default());
         self.wait_until_ready();
     }
 
-    /// Starts the program again beside the running one, and turns to the new process. Returns the old one.
+    /// Starts a second process next to the running one and directs further calls to the new process. Returns the old one.
     pub fn replace(&mut self, environment: Environment) -> Child {
         let new = self.start_another(environment);
         std::mem::replace(&mut self.child, new)
@@ -228,12 +228,12 @@
         process.child
     }
 
-    /// Sends an admin request; its status.
+    /// Sends an admin request and returns the response's status.
     pub fn admin_status(&self, line: &str) -> u16 {
         self.call(self.admin.unwrap(), line, &[], "").status
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection.
     pub fn call(
         &self,
         to: SocketAddr,
@@ -244,7 +244,7 @@
         send_request(to, line, fields, body)
     }
 
-    /// Sends a request of the platform's protocol, all parts of the same weight.
+    /// Sends a request of the platform's protocol with parts of equal weight. `deadline` is in seconds.
     pub fn post_api(
         &self,
         id: &str,
@@ -267,7 +267,7 @@
         self.call(self.platform, "POST /api", &fields, &body)
     }
 
-    /// Sends a request of the query API.
+    /// Sends a request of the OpenSearch query API.
     pub fn search(&self, target: &str, body: Value) -> Response {
         let body = match body.is_null() {
             true => String::new(),
@@ -280,7 +280,7 @@
         signal(&self.child, name);
     }
 
-    /// Replaces the configuration's file and has the program reread it.
+    /// Changes the configuration file and makes the program reload it with SIGHUP.
     pub fn reconfigure(&self, change: impl FnOnce(&mut Value)) {
         let path = self.folder.join("config.json");
         let mut config = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
@@ -289,11 +289,11 @@
         self.signal("HUP");
     }
 
-    /// Waits for a line of the log that holds this text.
+    /// Waits up to 20 s for a log line that contains this text, and discards the lines before it.
     pub fn wait_for_log_line(&self, text: &str) {
         let log = self.log.lock().unwrap();
         let end = Instant::now() + Duration::from_secs(20);
-        // Other lines that keep coming must not put the end off.
+        // One deadline for all lines: a stream of other lines must not extend the wait.
         let left = || end.saturating_duration_since(Instant::now());
         while !log.recv_timeout(left()).expect(text).contains(text) {}
     }
@@ -323,10 +323,12 @@
                 let _ = lines.send(line);
             }
         });
-        // The program says where it listens; with port 0 nobody else knows.
+        // With port 0 the operating system picks the ports, and the program logs them.
         let mut bound = BTreeMap::new();
         while bound.len() < 2 + usize::from(environment.admin_api) {
-            let line = log.recv().expect("the program ended at its start");
+            let line = log
+                .recv()
+                .expect("the program ended before it listened on all addresses");
             bound.extend(bound_address(&line));
         }
         StartedProcess {
@@ -350,9 +352,9 @@
             .env("NODE_INHERITED_FD", "5");
         command.stdin(Stdio::from(OwnedFd::from(socket.try_clone().unwrap())));
     }
-    if let Some(most) = environment.descriptor_limit {
+    if let Some(limit) = environment.descriptor_limit {
         command = Command::new("sh");
-        command.args(["-c", &format!("ulimit -n {most}; exec \"$0\""), program]);
+        command.args(["-c", &format!("ulimit -n {limit}; exec \"$0\""), program]);
     }
     if environment.admin_api {
         command
@@ -362,7 +364,7 @@
     command
 }
 
-/// The listener's name and address, where a log line tells of one.
+/// Parses the listener's name and address from a log line that announces one.
 fn bound_address(line: &str) -> Option<(String, SocketAddr)> {
     let field = |name: &str| {
         let word = line.split(' ').find_map(|word| word.strip_prefix(name));
--- a/crates/coordinator/tests/common/data_nodes.rs
+++ b/crates/coordinator/tests/common/data_nodes.rs
@@ -1,4 +1,4 @@
-//! The stand-in data nodes of one test: what they do, and what they received.
+//! The stand-in data nodes of one test: their planned behavior and a record of the parts that they received.
 
 use super::behavior::Behavior;
 use super::frame_node::start_frame_node;
@@ -10,8 +10,9 @@
 use std::time::Instant;
 
 pub const SHARDS: u32 = 8;
-/// Number of cells, and of data nodes in each.
+/// The number of cells. A shard belongs to the cell `shard % CELLS`.
 pub const CELLS: u32 = 2;
+/// The number of data nodes in each cell.
 pub const REPLICAS: usize = 2;
 
 /// The protocol of a front or of data nodes.
@@ -19,13 +20,14 @@
 pub enum WireFormat {
     /// HTTP with the platform's headers for clients, frames for data nodes.
     Platform,
-    /// The query API.
+    /// The OpenSearch query API, for clients and data nodes.
     OpenSearch,
 }
 
-/// One part as it reached a data node.
+/// A part as a data node received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedPart {
+    /// The data node's number.
     pub server: usize,
     pub query: String,
     pub shard: u32,
@@ -34,16 +36,16 @@
     pub received_at: Instant,
 }
 
-/// What a data node does, by the query's marker, the shard, and how many attempts of that part came before.
+/// Chooses a data node's behavior from the query's marker, the shard, and the number of earlier attempts of that part.
 type Plan = Box<dyn Fn(u64, u32, usize) -> Behavior + Send + Sync>;
 
-/// What all data nodes of a test share.
+/// The state that all data nodes of a test share.
 pub struct DataNodes {
     plan: Plan,
-    /// What single data nodes do instead of the plan.
+    /// The behavior of single data nodes, by number, which takes precedence over the plan.
     pub overrides: Mutex<BTreeMap<usize, Behavior>>,
     pub received: Mutex<Vec<ReceivedPart>>,
-    /// The text of every frame or request line that came, for tests of the published descriptions.
+    /// The text of every received frame or request line, for tests of the published descriptions.
     pub raw_messages: Mutex<Vec<String>>,
 }
 
@@ -57,7 +59,7 @@
         })
     }
 
-    /// Records a part and says what its data node does with it.
+    /// Records a received part and chooses the data node's behavior for it.
     pub fn receive(&self, server: usize, query: &str, shard: u32) -> ReceivedPart {
         let mut received = self.received.lock().unwrap();
         let marker = marker(query);
@@ -79,7 +81,7 @@
         part
     }
 
-    /// How often each part of each query ran, by marker and shard.
+    /// Returns how often each part of each query ran, by marker and shard.
     pub fn execution_counts(&self) -> BTreeMap<(u64, u32), usize> {
         let mut counts = BTreeMap::new();
         let received = self.received.lock().unwrap();
@@ -90,7 +92,7 @@
     }
 }
 
-/// The number that a query carries between two tildes, whatever is around it.
+/// Returns the number that a query's text holds between two tildes, or 0 if there is none.
 pub fn marker(query: &str) -> u64 {
     query
         .split('~')
@@ -99,12 +101,12 @@
         .unwrap_or(0)
 }
 
-/// The value that a data node gives for a part, on either wire.
+/// Returns the value with which data nodes of either protocol answer a part.
 pub fn part_value(marker: u64, shard: u32) -> String {
     format!("value {marker}/{shard} \"quoted\" \u{96ea}")
 }
 
-/// Starts all data nodes; the endpoint list's entries for them.
+/// Starts all data nodes and returns their entries for the endpoint list.
 pub fn start_data_nodes(wire: WireFormat, data_nodes: &Arc<DataNodes>) -> Vec<Value> {
     let member = |number: usize| {
         let address = match wire {
--- a/crates/coordinator/tests/common/discovery.rs
+++ b/crates/coordinator/tests/common/discovery.rs
@@ -17,15 +17,18 @@
 struct State {
     list: Mutex<EndpointList>,
     changed: Condvar,
-    /// The request lines that came.
+    /// The request lines received so far, in order.
     calls: Arc<Mutex<Vec<String>>>,
-    /// Connections with a number below this are never answered any more.
+    /// Connections with a number below this one get no more answers.
     silent_below: AtomicU64,
+    /// The number of connections accepted so far.
     accepted: AtomicU64,
 }
 
+/// A discovery service with an endpoint list that the test can change.
 pub struct FakeDiscovery {
     pub address: SocketAddr,
+    /// The request lines received so far, in order.
     pub calls: Arc<Mutex<Vec<String>>>,
     state: Arc<State>,
 }
@@ -60,20 +63,20 @@
         }
     }
 
-    /// The entries of the list.
+    /// Returns the entries of the endpoint list.
     pub fn members(&self) -> Vec<Value> {
         self.state.list.lock().unwrap().members.clone()
     }
 
-    /// From now on neither the present connections nor so many further ones are answered. All stay open.
-    pub fn silence(&self, further: u64) {
+    /// Stops answering on all connections accepted so far and on the next `further_connections`. They all stay open.
+    pub fn silence(&self, further_connections: u64) {
         let accepted = self.state.accepted.load(Ordering::SeqCst);
         self.state
             .silent_below
-            .store(accepted + further, Ordering::SeqCst);
+            .store(accepted + further_connections, Ordering::SeqCst);
     }
 
-    /// Replaces the list.
+    /// Replaces the entries of the endpoint list.
     pub fn set_members(&self, members: Vec<Value>) {
         self.change(|list| *list = members);
     }
@@ -99,7 +102,7 @@
             self.calls.lock().unwrap().push(line.clone());
             let body = self.wait_for_list(&line);
             if number < self.silent_below.load(Ordering::SeqCst) {
-                // It stays open and says nothing, whatever else comes on it.
+                // The connection stays open, and further requests on it are ignored.
                 while read_message(&mut reader).is_some() {}
                 return None;
             }
@@ -108,7 +111,7 @@
         }
     }
 
-    /// The list's body, once it is newer than what a watch already has or its hold time has passed.
+    /// Returns the list's body. A watch waits until the list is newer than its revision or its hold time has passed.
     fn wait_for_list(&self, line: &str) -> String {
         let mut list = self.list.lock().unwrap();
         let from = query_number(line, "from=");
@@ -121,7 +124,7 @@
                 .unwrap()
                 .0;
         }
-        // Indented, as lists may come.
+        // Indented, since the coordinator must accept lists with any whitespace.
         let body = json!({"revision": list.revision, "complete": true, "members": list.members});
         serde_json::to_string_pretty(&body).unwrap()
     }
--- a/crates/coordinator/tests/common/frame_node.rs
+++ b/crates/coordinator/tests/common/frame_node.rs
@@ -1,4 +1,4 @@
-//! A stand-in data node that speaks frames.
+//! A stand-in data node that speaks the frame protocol.
 
 use super::behavior::{Behavior, Irregularity, Malformation};
 use super::data_nodes::{marker, part_value, DataNodes, ReceivedPart};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Starts the data node with this number.
+/// Starts the data node with this number and returns its address.
 pub fn start_frame_node(number: usize, data_nodes: Arc<DataNodes>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -63,7 +63,7 @@
     }
 }
 
-/// The calls in a `Q` frame: id, shard and query of each.
+/// Parses the calls of a `Q` frame into the id, shard and query of each.
 fn calls(mut text: &str) -> Vec<(String, u32, &str)> {
     let mut calls = Vec::new();
     while !text.is_empty() {
@@ -106,7 +106,7 @@
     let _ = writer.lock().unwrap().write_all(&bytes);
 }
 
-/// An answer's bytes, with whatever is wrong with them.
+/// Encodes an answer frame, with the defect that the behavior asks for.
 fn answer_frame(behavior: Behavior, id: &str, outcome: &str, value: &str) -> Vec<u8> {
     let line = match behavior {
         Behavior::Malformed(Malformation::WrongId) => "other.1 ok 1 -\n".into(),
@@ -121,7 +121,8 @@
         Behavior::Malformed(Malformation::HugeLength) => {
             bytes[..4].copy_from_slice(&3_000_000_000_u32.to_be_bytes())
         }
-        // Nothing more comes, so only the length and a time-out show it.
+        // The frame's declared length is 256 bytes more than is sent, so a reader detects the defect by the missing line
+        // end or by a time-out.
         Behavior::Malformed(Malformation::UnterminatedLine) => bytes[2] += 1,
         Behavior::Malformed(Malformation::TruncatedBody) => bytes[3] += 1,
         Behavior::Irregular(Irregularity::RepeatedAnswer) => bytes.extend_from_within(..),
--- a/crates/coordinator/tests/common/http_message.rs
+++ b/crates/coordinator/tests/common/http_message.rs
@@ -1,24 +1,24 @@
-//! Reading of bytes and HTTP messages, as the stand-ins and clients do it.
+//! Reads bytes and HTTP messages for the stand-ins and clients.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Read};
 use std::net::TcpStream;
 
-/// Reads so many bytes; `None` where the stream ends or fails first.
+/// Reads exactly `length` bytes. Returns `None` if the stream ends or fails first.
 pub fn read_exact(stream: &mut TcpStream, length: usize) -> Option<Vec<u8>> {
     let mut bytes = vec![0; length];
     stream.read_exact(&mut bytes).ok()?;
     Some(bytes)
 }
 
-/// An HTTP message: its first line, its header fields by lower-case name, its body.
+/// An HTTP message: its start line, its header fields by lower-case name, and its body.
 pub struct HttpMessage {
     pub line: String,
     pub fields: BTreeMap<String, String>,
     pub body: Vec<u8>,
 }
 
-/// Reads one message; `None` where the stream ends or fails first.
+/// Reads one message. Returns `None` if the stream ends or fails first.
 pub fn read_message(reader: &mut impl BufRead) -> Option<HttpMessage> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|&n| n > 0)?;
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! Test support: the coordinator's process, clients, and loopback stand-ins for data nodes and discovery. The stand-ins
-//! are written from the public pages of each wire and share no code with the program.
+//! are written from the public specification of each protocol and share no code with the program, so that an error in the
+//! program's encoding can't hide.
 #![allow(
     dead_code,
     unused_imports,
--- a/crates/coordinator/tests/common/scripted_discovery.rs
+++ b/crates/coordinator/tests/common/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery that answers as the test says, at the moment the test says.
+//! A stand-in for discovery whose answers and their timing are chosen by the test.
 
 use super::http_message::read_message;
 use serde_json::{json, Value};
@@ -9,19 +9,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What the stand-in does with a call.
+/// The stand-in's reaction to a call.
 pub enum ScriptedReply {
-    /// These bytes, and the connection goes on.
+    /// Sends these bytes and keeps the connection open for further calls.
     Send(Vec<u8>),
-    /// These bytes, then the connection's end.
+    /// Sends these bytes and closes the connection.
     Close(Vec<u8>),
-    /// These bytes, then a reset.
+    /// Sends these bytes and resets the connection.
     Reset(Vec<u8>),
-    /// These bytes and nothing more, on a connection that stays open.
+    /// Sends these bytes and nothing more, and keeps the connection open.
     Stall(Vec<u8>),
 }
 
-/// A call as it came.
+/// A received call.
 #[derive(Clone, Debug)]
 pub struct DiscoveryCall {
     pub at: Instant,
@@ -30,7 +30,7 @@
 }
 
 impl DiscoveryCall {
-    /// The revision after which changes are asked for; `None` where the full list is.
+    /// Returns the revision after which the call requests changes, or `None` if it requests the full list.
     pub fn from(&self) -> Option<u64> {
         self.target
             .split("from=")
@@ -42,7 +42,7 @@
     }
 }
 
-/// Answers each call as a script says. The script may wait, and so hold an answer back.
+/// A discovery service that answers each call as its script decides. The script may block to delay an answer.
 pub struct ScriptedDiscovery {
     pub address: SocketAddr,
     pub calls: Arc<Mutex<Vec<DiscoveryCall>>>,
@@ -90,7 +90,7 @@
                 ScriptedReply::Close(bytes) => return stream.write_all(&bytes).ok(),
                 ScriptedReply::Reset(bytes) => {
                     stream.write_all(&bytes).ok()?;
-                    // What was sent is there before the reset is.
+                    // A reset discards data that the peer hasn't read yet, so leave it time to read.
                     thread::sleep(Duration::from_millis(20));
                     return SockRef::from(&stream).set_linger(Some(Duration::ZERO)).ok();
                 }
@@ -105,12 +105,12 @@
     }
 }
 
-/// The body of an endpoint list.
+/// Builds the JSON body of an endpoint list.
 pub fn member_list(revision: u64, complete: bool, members: &[Value]) -> String {
     json!({"revision": revision, "complete": complete, "members": members}).to_string()
 }
 
-/// A complete answer with this body.
+/// Builds a complete HTTP response with this body.
 pub fn http_ok(body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -119,7 +119,7 @@
     .into_bytes()
 }
 
-/// The same without a length: the body ends with the connection.
+/// Builds an HTTP response without a length, whose body ends when the connection is closed.
 pub fn http_ok_until_close(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{body}").into_bytes()
 }
--- a/crates/coordinator/tests/common/search_node.rs
+++ b/crates/coordinator/tests/common/search_node.rs
@@ -1,4 +1,4 @@
-//! A stand-in data node that speaks the query API.
+//! A stand-in data node that speaks the OpenSearch query API.
 
 use super::behavior::{Behavior, Irregularity, Malformation};
 use super::data_nodes::{marker, part_value, DataNodes};
@@ -14,7 +14,7 @@
 const CHUNKED_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Starts the data node with this number.
+/// Starts the data node with this number and returns its address.
 pub fn start_search_node(number: usize, data_nodes: Arc<DataNodes>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -80,7 +80,7 @@
     json!({"took": 3, "timed_out": false, "_shards": shards, "hits": hits}).to_string()
 }
 
-/// The text of an answer. A delayed one waits here.
+/// Builds the text of an answer. Blocks for the delay of `Behavior::Delay`.
 fn answer(behavior: Behavior, hits: &Value) -> String {
     let body = search_body(hits);
     match behavior {
@@ -106,14 +106,14 @@
             "500 Internal Server Error",
             r#"{"error":{"type":"x"},"status":500}"#,
         ),
-        // The head said 200 and hits had begun when the shard failed.
+        // As when a shard fails after the status 200 and the first hits were sent.
         Behavior::MidStreamError => {
             let begun = format!("{{\"took\":3,\"timed_out\":false,\"hits\":{hits},");
             let end = r#""error":{"type":"search_phase_execution_exception"},"status":500}"#;
             format!("{CHUNKED_HEAD}{}{}0\r\n\r\n", chunk(&begun), chunk(end))
         }
         Behavior::CloseMidAnswer | Behavior::NoAnswer => {
-            unreachable!("handled by the connection")
+            unreachable!("handled by serve_connection")
         }
     }
 }
--- a/crates/coordinator/tests/common/unaccepting_node.rs
+++ b/crates/coordinator/tests/common/unaccepting_node.rs
@@ -1,11 +1,11 @@
-//! A data node whose connections don't come up until the test says so.
+//! A data node on which connections can't be established until the test accepts them.
 
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A data node whose backlog is full, so that no connection comes up. The system repeats a connection attempt a second
-/// later.
+/// A data node whose backlog is full, so that connection attempts stay pending. The operating system repeats an attempt
+/// after one second.
 pub struct UnacceptingNode {
     listener: Socket,
     backlog: Vec<TcpStream>,
@@ -34,7 +34,7 @@
         self.listener.local_addr().unwrap().as_socket().unwrap()
     }
 
-    /// Empties the backlog; the first connection that the test didn't make itself.
+    /// Accepts connections until it finds one that the node didn't open itself to fill its backlog, and returns that one.
     pub fn accept(self) -> TcpStream {
         self.listener
             .set_read_timeout(Some(Duration::from_secs(20)))
--- a/crates/coordinator/tests/common/waiting.rs
+++ b/crates/coordinator/tests/common/waiting.rs
@@ -1,15 +1,18 @@
-//! Waiting for conditions.
+//! Polls a condition until it holds, with a time limit.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Waits for something that has to come, for as long as any machine may need.
-pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
+/// The limit is generous, so that slow machines do not fail tests.
+const TIME_LIMIT: Duration = Duration::from_secs(20);
+
+/// Waits until `is_met` returns true. Panics after 20 s with the condition's name.
+pub fn wait_for(condition: &str, mut is_met: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !done() {
+    while !is_met() {
         assert!(
-            start.elapsed() < Duration::from_secs(20),
-            "{what} did not come"
+            start.elapsed() < TIME_LIMIT,
+            "timed out after {TIME_LIMIT:?} waiting for: {condition}"
         );
         thread::sleep(Duration::from_millis(2));
     }
--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -1,5 +1,5 @@
-//! Contract checks: data nodes and clients that violate the descriptions in force, in every way and on both wires, while
-//! the program serves.
+//! Contract checks of a running coordinator: data nodes and clients that violate the descriptions in force, with every kind
+//! of violation and on both protocols.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-/// The description of stand-in data nodes of the query API, stricter than what the program requires.
-const SERVERS: &str = r##"
+/// An OpenAPI description of the stand-in data nodes of the query API. It is stricter than what the program requires.
+const SEARCH_NODE_DESCRIPTION: &str = r##"
 openapi: 3.1.0
 info: {title: stand-in servers, version: "1"}
 paths:
@@ -45,8 +45,8 @@
         _source: {type: object, required: [doc], properties: {doc: {type: string}, pin: {type: string, format: password}}}
 "##;
 
-/// The same for data nodes that speak frames.
-const FRAMES: &str = r#"
+/// An AsyncAPI description of the stand-in data nodes that speak the frame protocol.
+const FRAME_NODE_DESCRIPTION: &str = r#"
 asyncapi: 3.0.0
 info: {title: stand-in servers, version: "1"}
 channels:
@@ -65,16 +65,16 @@
         payload: {type: string, pattern: "^(value .*)?$"}
 "#;
 
-fn coordinator(
+fn start_coordinator(
     wire: WireFormat,
     mode: &str,
     data_nodes: std::sync::Arc<DataNodes>,
 ) -> TestCoordinator {
     let members = start_data_nodes(wire, &data_nodes);
-    with_members(wire, mode, data_nodes, members)
+    start_with_members(wire, mode, data_nodes, members)
 }
 
-fn with_members(
+fn start_with_members(
     wire: WireFormat,
     mode: &str,
     data_nodes: std::sync::Arc<DataNodes>,
@@ -82,9 +82,9 @@
 ) -> TestCoordinator {
     let own = format!("[contract.servers]\nmode = \"{mode}\"\ndescription = \"servers.yaml\"\n");
     let text = if wire == WireFormat::OpenSearch {
-        SERVERS
+        SEARCH_NODE_DESCRIPTION
     } else {
-        FRAMES
+        FRAME_NODE_DESCRIPTION
     };
     TestCoordinator::start_with_files(
         wire,
@@ -96,33 +96,37 @@
     )
 }
 
-/// The drift report, once it shows what is waited for.
-fn drift(coordinator: &TestCoordinator, shows: impl Fn(&Value) -> bool) -> Value {
+/// Polls the drift report until `is_expected` returns true for it, and returns it. Panics after 20 s with the last report.
+fn wait_for_drift(coordinator: &TestCoordinator, is_expected: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(20);
     loop {
         let drift = coordinator
             .call(coordinator.opensearch, "GET /_contract", &[], "")
             .json;
-        if shows(&drift) {
+        if is_expected(&drift) {
             return drift;
         }
-        assert!(Instant::now() < end, "{drift:#}");
+        assert!(
+            Instant::now() < end,
+            "the drift report did not show the expected entries within 20 s: {drift:#}"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-fn entries(drift: &Value) -> BTreeSet<(String, String)> {
-    let word = |entry: &Value, key: &str| entry[key].as_str().unwrap().to_string();
+/// Returns the place and kind of each entry of a drift report.
+fn drift_entries(drift: &Value) -> BTreeSet<(String, String)> {
+    let text = |entry: &Value, key: &str| entry[key].as_str().unwrap().to_string();
     drift["entries"]
         .as_array()
         .unwrap()
         .iter()
-        .map(|e| (word(e, "place"), word(e, "kind")))
+        .map(|e| (text(e, "place"), text(e, "kind")))
         .collect()
 }
 
-/// A hits object whose one hit is given.
-macro_rules! found {
+/// A search answer with this single hit.
+macro_rules! search_answer {
     ($hit:literal) => {
         Behavior::Respond(
             "200 OK",
@@ -136,26 +140,26 @@
     };
 }
 
-/// Each kind of violation: what the data node answers, and where and how it is reported.
+/// For each kind of violation: the data node's behavior, and the place and kind under which it is reported.
 fn violating_answers() -> Vec<(Behavior, &'static str, &'static str)> {
     vec![
         (
-            found!(r#"{"_id":"1","_score":1,"_source":{"doc":7}}"#),
+            search_answer!(r#"{"_id":"1","_score":1,"_source":{"doc":7}}"#),
             "body /hits/hits/*/_source/doc",
             "type",
         ),
         (
-            found!(r#"{"_score":1,"_source":{"doc":"d"}}"#),
+            search_answer!(r#"{"_score":1,"_source":{"doc":"d"}}"#),
             "body /hits/hits/*/_id",
             "missing",
         ),
         (
-            found!(r#"{"_id":"1","_score":1,"_source":{"doc":"d"},"rank":1}"#),
+            search_answer!(r#"{"_id":"1","_score":1,"_source":{"doc":"d"},"rank":1}"#),
             "body /hits/hits/*/rank",
             "additional",
         ),
         (
-            found!(r#"{"_index":"other","_id":"1","_score":1,"_source":{"doc":"d"}}"#),
+            search_answer!(r#"{"_index":"other","_id":"1","_score":1,"_source":{"doc":"d"}}"#),
             "body /hits/hits/*/_index",
             "enum",
         ),
@@ -192,7 +196,7 @@
     ]
 }
 
-/// Guards against a departure that crashes the program, goes unreported, or (under `observe`) changes anything.
+/// Guards against a violation that crashes the program, is not reported, or changes the served answer in the mode `observe`.
 #[test]
 fn every_contract_violation_is_reported_with_its_path() {
     let plan = |marker: u64, _, _| {
@@ -200,28 +204,31 @@
             .get(marker as usize)
             .map_or(Behavior::Serve, |(behavior, ..)| *behavior)
     };
-    let coordinator = coordinator(WireFormat::OpenSearch, "observe", DataNodes::new(plan));
+    let coordinator = start_coordinator(WireFormat::OpenSearch, "observe", DataNodes::new(plan));
     for (marker, (behavior, place, kind)) in violating_answers().into_iter().enumerate() {
         let body = json!({"query": {"match": {"text": format!("~{marker}~")}}});
         let answer = coordinator.search("/pick-confirm/_search?preference=_shards:2", body);
-        // Observed only: what could be served before still is.
-        let serves = matches!(behavior, Behavior::Respond("200 OK", ..)) && kind != "not-json";
+        // In the mode `observe`, a violating answer is still served if it can be parsed.
+        let is_served = matches!(behavior, Behavior::Respond("200 OK", ..)) && kind != "not-json";
         assert_eq!(
             answer.status == 200,
-            serves,
+            is_served,
             "{behavior:?}: {}",
             answer.json
         );
-        let shown = |drift: &Value| entries(drift).contains(&(place.into(), kind.into()));
-        drift(&coordinator, shown);
+        let reported = |drift: &Value| drift_entries(drift).contains(&(place.into(), kind.into()));
+        wait_for_drift(&coordinator, reported);
     }
     let answer = coordinator.search(
         "/pick-confirm/_search?preference=_shards:2",
         json!({"query": {"match": {"text": "~99~"}}}),
     );
-    assert_eq!(answer.status, 200, "the program keeps serving");
-    let all = drift(&coordinator, |_| true);
-    let entry = all["entries"]
+    assert_eq!(
+        answer.status, 200,
+        "an answer without violations must be served"
+    );
+    let report = wait_for_drift(&coordinator, |_| true);
+    let entry = report["entries"]
         .as_array()
         .unwrap()
         .iter()
@@ -239,17 +246,18 @@
     );
 }
 
-/// Guards against a violating value that reaches a client, and against a part that may not run twice and does because
-/// its answer was not believed.
+/// Guards against a violating value that reaches a client, and against a retry of a part that may run at most once because
+/// its first answer violated the description.
 #[test]
 fn enforcement_serves_no_violating_value_and_runs_no_unsafe_part_twice() {
-    // Odd markers depart at the first attempt of each part only; a safe part then gets a good answer.
+    // Only the first attempt of each part gets a violating answer, so that an idempotent part succeeds with its retry. Even
+    // markers are for the idempotent class, odd ones for the class that may run at most once.
     let plan = |marker: u64, _, before| match violating_answers().get(marker as usize / 2) {
         Some((behavior, ..)) if before == 0 => *behavior,
         _ => Behavior::Serve,
     };
     let data_nodes = DataNodes::new(plan);
-    let coordinator = coordinator(WireFormat::OpenSearch, "enforce", data_nodes.clone());
+    let coordinator = start_coordinator(WireFormat::OpenSearch, "enforce", data_nodes.clone());
     for marker in 0..2 * violating_answers().len() as u64 {
         let class = if marker % 2 == 0 {
             "stock-search"
@@ -257,10 +265,10 @@
             "pick-confirm"
         };
         let body = json!({"query": {"match": {"text": format!("~{marker}~")}}});
-        // Good answers between: data nodes that only fail get no more parts.
-        for good in 0..8 {
+        // Valid answers between the violations, since data nodes that only fail become outliers and get no more parts.
+        for valid in 0..8 {
             let body =
-                json!({"query": {"match": {"text": format!("~{}~", 1000 + 10 * marker + good)}}});
+                json!({"query": {"match": {"text": format!("~{}~", 1000 + 10 * marker + valid)}}});
             assert_eq!(
                 coordinator
                     .search("/stock-search/_search?preference=_shards:2", body)
@@ -283,12 +291,12 @@
     for ((marker, shard), runs) in data_nodes.execution_counts() {
         assert!(
             marker >= 1000 || marker % 2 == 0 || runs == 1,
-            "part {shard} of the pick-confirm {marker} ran {runs} times"
+            "shard {shard} of pick-confirm request {marker}: expected 1 execution, found {runs}"
         );
     }
 }
 
-/// The same on frames, where a value is text and a report may depart.
+/// Enforcement on the frame protocol, where the value is text and the load report can violate the description too.
 #[test]
 fn frames_are_checked_against_their_description() {
     let plan = |marker: u64, _, before| match marker {
@@ -297,7 +305,7 @@
         _ => Behavior::Serve,
     };
     let data_nodes = DataNodes::new(plan);
-    let coordinator = coordinator(WireFormat::Platform, "enforce", data_nodes.clone());
+    let coordinator = start_coordinator(WireFormat::Platform, "enforce", data_nodes.clone());
     assert_eq!(
         coordinator
             .post_api("f-1", "stock-search", "2.0", &[2], "~1~")
@@ -316,12 +324,12 @@
             .status,
         200
     );
-    let found = drift(&coordinator, |drift| entries(drift).len() >= 2);
-    let wanted = [
+    let found = wait_for_drift(&coordinator, |drift| drift_entries(drift).len() >= 2);
+    let expected = [
         ("body".to_string(), "pattern".to_string()),
         ("head /report/queue".into(), "missing".into()),
     ];
-    assert_eq!(entries(&found), wanted.into());
+    assert_eq!(drift_entries(&found), expected.into());
     assert!(
         data_nodes
             .execution_counts()
@@ -331,7 +339,7 @@
     );
 }
 
-/// Guards against a request that departs and is sent on all the same, on both fronts.
+/// Guards against a request that violates the description but is still sent to data nodes, on both fronts.
 #[test]
 fn enforcement_rejects_a_violating_request_before_sending_parts() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -388,11 +396,11 @@
             .search("/stock-search/_search", json!({}))
             .status,
         400,
-        "a required parameter is missing"
+        "a request without a required parameter must be rejected"
     );
     assert!(
         data_nodes.received.lock().unwrap().is_empty(),
-        "nothing was sent for any of them"
+        "no part of a rejected request may reach a data node"
     );
     assert_eq!(
         coordinator
@@ -411,7 +419,7 @@
             .call(coordinator.platform, "GET /_health", &[], "")
             .status,
         200,
-        "what is not described is served"
+        "a request to an operation without a description must be served"
     );
     let secret = r#"{"shards":[{"shard":1,"weight":1}],"q":"~1~","secret":"hunter2"}"#;
     let fields = [
@@ -426,7 +434,8 @@
     );
 }
 
-/// 12 data nodes, of which 3 newer ones change the form of their answers under load.
+/// Three of twelve data nodes, all started later than the others, change the form of their answers under load. The drift
+/// report must name these servers, the field and the time.
 #[test]
 fn contract_drift_names_servers_field_and_time() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -434,24 +443,24 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
         .as_millis() as i64;
-    // The three started last; all long enough ago to be warm.
+    // Data nodes 9 to 11 started last. All of them started long enough ago to be past their slow start.
     let member = |number: usize| {
         let address = start_search_node(number, data_nodes.clone());
-        let up = start - if number >= 9 { 60_000 } else { 3_600_000 };
+        let started = start - if number >= 9 { 60_000 } else { 3_600_000 };
         json!({"id": format!("s-{number:02}"), "host_port": address.to_string(), "locality": "a", "flavor": "m",
-            "cell": number as u32 % CELLS, "phase": "active", "size": 1.0, "up_since_ms": up})
+            "cell": number as u32 % CELLS, "phase": "active", "size": 1.0, "up_since_ms": started})
     };
     let members: Vec<Value> = (0..12).map(member).collect();
-    let coordinator = with_members(
+    let coordinator = start_with_members(
         WireFormat::OpenSearch,
         "enforce",
         data_nodes.clone(),
         members,
     );
-    let wrong = found!(r#"{"_id":"1","_score":1,"_source":{"doc":17}}"#);
+    let violating_answer = search_answer!(r#"{"_id":"1","_score":1,"_source":{"doc":17}}"#);
     let mut answered = 0;
     let mut marker = 0;
-    let mut ask = |class: &str, shards: &str| {
+    let mut send_query = |class: &str, shards: &str| {
         marker += 1;
         let body = json!({"query": {"match": {"text": format!("~{marker}~")}}});
         let answer = coordinator.search(
@@ -463,42 +472,50 @@
             assert_ne!(
                 hit["_source"]["doc"],
                 json!(17),
-                "a departing value reached a client"
+                "a violating value reached a client"
             );
         }
         answer.status
     };
     for _ in 0..10 {
-        assert_eq!(ask("stock-search", "0,1,2,3,4,5,6,7"), 200);
+        assert_eq!(send_query("stock-search", "0,1,2,3,4,5,6,7"), 200);
     }
     for number in 9..12 {
-        data_nodes.overrides.lock().unwrap().insert(number, wrong);
+        data_nodes
+            .overrides
+            .lock()
+            .unwrap()
+            .insert(number, violating_answer);
     }
     let mut failed = 0;
     for round in 0..40 {
-        let status = ask("stock-search", "0,1,2,3,4,5,6,7");
-        assert!(status == 200 || status >= 500, "{status}");
-        failed += usize::from(ask("pick-confirm", if round % 2 == 0 { "2" } else { "3" }) == 500);
+        let status = send_query("stock-search", "0,1,2,3,4,5,6,7");
+        assert!(
+            status == 200 || status >= 500,
+            "expected status 200 or at least 500, found {status}"
+        );
+        failed +=
+            usize::from(send_query("pick-confirm", if round % 2 == 0 { "2" } else { "3" }) == 500);
     }
     assert!(
         failed > 0,
-        "no pick-confirm met a changed server: nothing was shown"
+        "no pick-confirm request reached a changed server, so the test checked nothing"
     );
-    assert_eq!(answered, 90, "every query got its one answer");
-    // Queries of one part at a time, by marker: those of the second class may run once only.
+    assert_eq!(answered, 90, "every query must get exactly one answer");
+    // After the first 10 queries the classes alternate, so even markers are pick-confirm requests, which run at most once.
     let seen = data_nodes.received.lock().unwrap();
-    let confirms = seen
+    let confirm_parts = seen
         .iter()
         .filter(|seen| marker_of(&seen.query) > 10 && marker_of(&seen.query).is_multiple_of(2));
-    let mut once = BTreeSet::new();
-    for part in confirms {
+    let mut executed = BTreeSet::new();
+    for part in confirm_parts {
         assert!(
-            once.insert((marker_of(&part.query), part.shard)),
-            "a pick-confirm's part ran twice: {part:?}"
+            executed.insert((marker_of(&part.query), part.shard)),
+            "a part of a pick-confirm request was sent twice: {part:?}"
         );
     }
     drop(seen);
-    let found = drift(&coordinator, |drift| drift["entries"][0]["of"][0] == 3);
+    let found = wait_for_drift(&coordinator, |drift| drift["entries"][0]["of"][0] == 3);
     let entry = &found["entries"][0];
     let parties: BTreeSet<&str> = entry["parties"]
         .as_array()
@@ -515,37 +532,41 @@
     let start = start as f64 / 1000.0;
     assert!(
         first >= start && first < start + 60.0,
-        "the moment: {first} after {start}"
+        "the first violation must be at most 60 s after {start}, found {first}"
     );
-    let words = entry["summary"].as_str().unwrap();
+    let summary = entry["summary"].as_str().unwrap();
     assert!(
-        words.starts_with("3 of 12 servers (")
-            && words.contains(", all of them newer than the rest: "),
-        "{words}"
+        summary.starts_with("3 of 12 servers (")
+            && summary.contains(", all of them newer than the rest: "),
+        "{summary}"
     );
-    assert!(words.contains(") began to depart at "), "{words}");
-    // A data node that is replaced is forgotten.
+    assert!(summary.contains(") began to depart at "), "{summary}");
+    // The entries of a data node that leaves the endpoint list are dropped.
     coordinator.discovery.set_phase(9, "left");
-    drift(&coordinator, |drift| drift["entries"][0]["of"][0] == 2);
+    wait_for_drift(&coordinator, |drift| drift["entries"][0]["of"][0] == 2);
 }
 
 fn marker_of(text: &str) -> u64 {
     common::marker(text)
 }
 
-/// Guards against a faulty description that takes the good one's place, at a start and at SIGHUP.
+/// Guards against an invalid description that is accepted at startup, or that replaces the valid one on SIGHUP.
 #[test]
 fn an_invalid_description_fails_startup_and_is_ignored_on_reload() {
-    let coordinator = coordinator(
+    let coordinator = start_coordinator(
         WireFormat::OpenSearch,
         "observe",
         DataNodes::new(|_, _, _| Behavior::Serve),
     );
     let path = coordinator.folder.join("servers.yaml");
-    std::fs::write(&path, SERVERS.replace("maximum: 60000", "maximum: sixty")).unwrap();
+    std::fs::write(
+        &path,
+        SEARCH_NODE_DESCRIPTION.replace("maximum: 60000", "maximum: sixty"),
+    )
+    .unwrap();
     coordinator.signal("HUP");
     coordinator.wait_for_log_line("descriptions rejected");
-    let before = drift(&coordinator, |_| true);
+    let before = wait_for_drift(&coordinator, |_| true);
     assert_eq!(
         (
             &before["generation"],
@@ -558,32 +579,37 @@
         .env("CAIRNROAD_FILE", coordinator.folder.join("own.toml"))
         .output()
         .unwrap();
-    let words = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{words}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
     assert!(
-        words.contains("servers.yaml:23:")
-            && words.contains("/components/schemas/Found/properties/took/maximum"),
-        "{words}"
+        stderr.contains("servers.yaml:23:")
+            && stderr.contains("/components/schemas/Found/properties/took/maximum"),
+        "{stderr}"
     );
-    std::fs::write(&path, SERVERS.replace("maximum: 60000", "maximum: 1")).unwrap();
+    std::fs::write(
+        &path,
+        SEARCH_NODE_DESCRIPTION.replace("maximum: 60000", "maximum: 1"),
+    )
+    .unwrap();
     coordinator.signal("HUP");
-    drift(&coordinator, |drift| drift["generation"] == 2);
+    wait_for_drift(&coordinator, |drift| drift["generation"] == 2);
     coordinator.search(
         "/stock-search/_search?preference=_shards:1",
         json!({"query": {"match": {"text": "~1~"}}}),
     );
-    drift(&coordinator, |drift| {
-        entries(drift).contains(&("body /took".into(), "bounds".into()))
+    wait_for_drift(&coordinator, |drift| {
+        drift_entries(drift).contains(&("body /took".into(), "bounds".into()))
     });
-    // The drift of the old description is no longer reported once another is in force.
-    std::fs::write(&path, SERVERS).unwrap();
+    // Violations of a replaced description are no longer reported.
+    std::fs::write(&path, SEARCH_NODE_DESCRIPTION).unwrap();
     coordinator.signal("HUP");
-    drift(&coordinator, |drift| {
+    wait_for_drift(&coordinator, |drift| {
         drift["generation"] == 3 && drift["entries"] == json!([])
     });
 }
 
-fn cairnroad(args: &[&str]) -> Output {
+/// Runs the program with these arguments in the workspace's root folder.
+fn run_cairnroad(args: &[&str]) -> Output {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     Command::new(env!("CARGO_BIN_EXE_cairnroad"))
         .args(args)
@@ -592,7 +618,7 @@
         .unwrap()
 }
 
-/// The commands' exit codes and outputs, as a user meets them.
+/// Checks the exit codes and texts of the `contract` commands and of the other subcommands.
 #[test]
 fn contract_commands_report_errors_with_exit_codes() {
     let folder = std::env::temp_dir().join(format!("cairnroad-cli-{}", std::process::id()));
@@ -601,14 +627,14 @@
         std::fs::write(folder.join(name), text).unwrap();
         folder.join(name).to_str().unwrap().to_string()
     };
-    let good = file("good.yaml", SERVERS);
+    let good = file("good.yaml", SEARCH_NODE_DESCRIPTION);
     let newer = file(
         "newer.yaml",
-        &SERVERS.replace("required: [took, hits]", "required: [took]"),
+        &SEARCH_NODE_DESCRIPTION.replace("required: [took, hits]", "required: [took]"),
     );
     let bad = file(
         "bad.yaml",
-        &SERVERS.replace(
+        &SEARCH_NODE_DESCRIPTION.replace(
             "$ref: \"#/components/schemas/Found\"",
             "$ref: \"#/nowhere\"",
         ),
@@ -620,13 +646,16 @@
          \"application/json\"},\"body\":{\"query\":{}},\"answer\":{\"status\":200,\"fields\":{\"Content-Type\":\
          \"application/json\"},\"body\":{\"took\":1}}}\n",
     );
-    let check = |args: &[&str], code: i32, words: &[&str]| {
-        let output = cairnroad(args);
+    let check = |args: &[&str], code: i32, expected_texts: &[&str]| {
+        let output = run_cairnroad(args);
         let text =
             String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(code), "{args:?}: {text}");
-        for word in words {
-            assert!(text.contains(word), "{args:?}: {word} is not in {text}");
+        for expected in expected_texts {
+            assert!(
+                text.contains(expected),
+                "{args:?}: expected the output to contain {expected:?}, found {text}"
+            );
         }
     };
     check(
--- a/crates/coordinator/tests/discovery_failures.rs
+++ b/crates/coordinator/tests/discovery_failures.rs
@@ -1,5 +1,5 @@
-//! Discovery failures: answers that are cut off, doubled or never end, outages of each kind, a move with an answer half
-//! read, repeated changes. A change counts as published 6 s after discovery could be reached again.
+//! Discovery failures: truncated, duplicated and endless answers, outages of each kind, a move to another address in the
+//! middle of an answer, and repeated changes. A change must be applied within 6 s after discovery is reachable again.
 
 mod common;
 
@@ -13,20 +13,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An endpoint list that can be changed, with a notification of changes.
+/// An endpoint list that tests change, and whose watches are notified of changes.
 #[derive(Clone, Default)]
 struct MemberList(Arc<Shared>);
 
-/// The revision and entries, and the notification.
+/// The revision and entries, and the condition variable that signals their changes.
 type Shared = (Mutex<(u64, Vec<Value>)>, Condvar);
 
 impl MemberList {
     fn new(members: Vec<Value>) -> MemberList {
-        let known = MemberList::default();
-        *known.0 .0.lock().unwrap() = (1, members);
-        known
+        let list = MemberList::default();
+        *list.0 .0.lock().unwrap() = (1, members);
+        list
     }
 
+    /// Changes the entries and returns the new revision.
     fn change(&self, change: impl FnOnce(&mut Vec<Value>)) -> u64 {
         let mut list = self.0 .0.lock().unwrap();
         list.0 += 1;
@@ -39,7 +40,8 @@
         self.change(|members| members[server]["phase"] = json!("leaving"))
     }
 
-    /// The answer of a working discovery to this call, once it is due.
+    /// Returns the body with which a working discovery answers this call. A watch blocks until the list is newer than its
+    /// revision or its hold time has passed.
     fn body(&self, call: &scripted_discovery::DiscoveryCall) -> String {
         let mut list = self.0 .0.lock().unwrap();
         let hold = call
@@ -61,8 +63,8 @@
     }
 }
 
-/// Starts the program with this discovery.
-fn coordinator(
+/// Starts the program with this discovery service.
+fn start_coordinator(
     discovery: &ScriptedDiscovery,
     members: Vec<Value>,
     data_nodes: Arc<DataNodes>,
@@ -72,8 +74,8 @@
     })
 }
 
-/// Sends requests for shards of the first cell until data node 0 has received nothing for half a second. Returns how long
-/// after `since` it received its last part, if it did.
+/// Sends requests for shards of the first cell until data node 0 has received no part for half a second. Returns the time
+/// from `since` to its last part, or `None` if it received no part after `since`.
 fn last_part_sent_to_first_node(coordinator: &TestCoordinator, since: Instant) -> Option<Duration> {
     let last = || {
         let seen = coordinator.data_nodes.received.lock().unwrap();
@@ -87,22 +89,24 @@
         number += 1;
         let name = format!("n{}-{number}", since.elapsed().as_micros());
         coordinator.post_api(&name, "pick-confirm", "2.0", &[0, 2], "~1~");
-        let quiet = last().unwrap_or(since).elapsed();
-        if quiet > Duration::from_millis(500) && since.elapsed() > Duration::from_millis(700) {
+        let without_parts = last().unwrap_or(since).elapsed();
+        if without_parts > Duration::from_millis(500)
+            && since.elapsed() > Duration::from_millis(700)
+        {
             return last().map(|at| at - since);
         }
         assert!(
             since.elapsed() < Duration::from_secs(20),
-            "the change was never applied"
+            "data node 0 still received parts 20 s after the change"
         );
         thread::sleep(Duration::from_millis(4));
     }
 }
 
-/// How a failing discovery replies.
+/// Builds the reply of a failing discovery.
 type Failure = Box<dyn Fn() -> ScriptedReply + Send + Sync>;
 
-/// Every kind of failed poll, by its name.
+/// Returns every kind of failed poll with its name.
 fn failures() -> Vec<(&'static str, Failure)> {
     let refusal = || b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_vec();
     vec![
@@ -148,7 +152,8 @@
     ]
 }
 
-/// However discovery fails, once it can be reached again its changes are applied within 6 s.
+/// Guards against a failed poll that delays later changes: they must be applied within 6 s after discovery is reachable
+/// again, whatever the kind of failure.
 #[test]
 fn a_change_is_applied_in_time_after_every_kind_of_failed_poll() {
     let checks: Vec<_> = failures()
@@ -163,37 +168,37 @@
 fn check_recovery_from(kind: &str, fail: Failure) {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let members = start_data_nodes(WireFormat::Platform, &data_nodes);
-    let known = MemberList::new(members.clone());
-    let down = Arc::new(AtomicBool::new(false));
-    let knows = known.clone();
-    let fails = down.clone();
+    let list = MemberList::new(members.clone());
+    let is_down = Arc::new(AtomicBool::new(false));
+    let served_list = list.clone();
+    let fails = is_down.clone();
     let discovery = ScriptedDiscovery::new(move |call| {
         if fails.load(Ordering::SeqCst) {
             return fail();
         }
-        let body = knows.body(call);
+        let body = served_list.body(call);
         match fails.load(Ordering::SeqCst) {
             true => fail(),
             false => ScriptedReply::Send(http_ok(&body)),
         }
     });
-    let coordinator = coordinator(&discovery, members, data_nodes);
-    down.store(true, Ordering::SeqCst);
-    known.drain(0);
+    let coordinator = start_coordinator(&discovery, members, data_nodes);
+    is_down.store(true, Ordering::SeqCst);
+    list.drain(0);
     thread::sleep(Duration::from_millis(4_000));
     assert_eq!(
         coordinator
             .post_api("during", "pick-confirm", "2.0", &[0], "~1~")
             .status,
         200,
-        "{kind}"
+        "{kind}: requests must be served during the outage"
     );
-    let back = Instant::now();
-    down.store(false, Ordering::SeqCst);
-    let last = last_part_sent_to_first_node(&coordinator, back);
+    let returned_at = Instant::now();
+    is_down.store(false, Ordering::SeqCst);
+    let last = last_part_sent_to_first_node(&coordinator, returned_at);
     assert!(
         last.is_none_or(|last| last < Duration::from_millis(5_900)),
-        "{kind}: {last:?}"
+        "{kind}: expected the last part less than 5.9 s after the outage, found {last:?}"
     );
 }
 
@@ -215,7 +220,7 @@
                 1 => ScriptedReply::Close(http_ok_until_close(&member_list(2, true, &without))),
                 _ => ScriptedReply::Stall(Vec::new()),
             });
-        let coordinator = coordinator(&discovery, members, data_nodes);
+        let coordinator = start_coordinator(&discovery, members, data_nodes);
         wait_for("the next call", || {
             discovery.calls.lock().unwrap().len() > 2
         });
@@ -223,7 +228,7 @@
         assert_eq!(
             next,
             Some(if reset { 1 } else { 2 }),
-            "what was cut off is not applied"
+            "a list cut off by a reset must not be applied"
         );
         for number in 0..20 {
             assert_eq!(
@@ -233,51 +238,54 @@
                 200
             );
         }
-        let to_first = coordinator
+        let first_node_received = coordinator
             .data_nodes
             .received
             .lock()
             .unwrap()
             .iter()
             .any(|seen| seen.server == 0);
-        assert_eq!(to_first, reset, "reset: {reset}");
+        assert_eq!(
+            first_node_received, reset,
+            "parts at data node 0 with reset: {reset}"
+        );
     }
 }
 
-/// Guards against a second answer in the same read that is taken for the answer to the next call, and from then on delays
-/// each change: the revision in the call has to bring it at once all the same.
+/// Guards against a duplicated answer in the same read that is taken for the answer to the next call and so delays every
+/// later change. The revision in each call must make discovery send a change at once.
 #[test]
 fn a_duplicated_watch_answer_does_not_delay_later_changes() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let members = start_data_nodes(WireFormat::Platform, &data_nodes);
-    let known = MemberList::new(members.clone());
-    let doubled = AtomicBool::new(false);
-    let knows = known.clone();
+    let list = MemberList::new(members.clone());
+    let duplicated = AtomicBool::new(false);
+    let served_list = list.clone();
     let discovery = ScriptedDiscovery::new(move |call| {
-        let bytes = http_ok(&knows.body(call));
-        match call.from().is_some() && !doubled.swap(true, Ordering::SeqCst) {
+        let bytes = http_ok(&served_list.body(call));
+        match call.from().is_some() && !duplicated.swap(true, Ordering::SeqCst) {
             true => ScriptedReply::Send(bytes.repeat(2)),
             false => ScriptedReply::Send(bytes),
         }
     });
-    let coordinator = coordinator(&discovery, members, data_nodes);
+    let coordinator = start_coordinator(&discovery, members, data_nodes);
     let calls = || discovery.calls.lock().unwrap().len();
-    // The first change is sent twice in one write; the second has to be applied when it comes.
-    known.change(|members| members[3]["size"] = json!(1.5));
+    // The answer with the first change is sent twice in one write. The second change must be applied without delay.
+    list.change(|members| members[3]["size"] = json!(1.5));
     let before = calls();
     wait_for("the next call", || calls() > before);
     thread::sleep(Duration::from_millis(300));
     let since = Instant::now();
-    known.drain(0);
+    list.drain(0);
     let last = last_part_sent_to_first_node(&coordinator, since);
     assert!(
         last.is_none_or(|last| last < Duration::from_millis(1_000)),
-        "{last:?} after the change"
+        "expected the last part less than 1 s after the change, found {last:?}"
     );
 }
 
-/// Guards against an answer of the old discovery being taken for the new one's, where SIGHUP comes with an answer half
-/// read, and against a full list whose missing entries are not removed.
+/// Guards against a partly read answer of the old discovery that is taken for an answer of the new one after SIGHUP, and
+/// against data nodes that stay in use though the new full list does not contain them.
 #[test]
 fn moving_discovery_mid_answer_starts_with_the_new_full_list() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -293,24 +301,26 @@
             ScriptedReply::Stall(bytes[..bytes.len() - 20].to_vec())
         }
     });
-    let known = MemberList::new(without);
-    let knows = known.clone();
-    let new = ScriptedDiscovery::new(move |call| ScriptedReply::Send(http_ok(&knows.body(call))));
-    let coordinator = coordinator(&old, members, data_nodes);
+    let list = MemberList::new(without);
+    let served_list = list.clone();
+    let new =
+        ScriptedDiscovery::new(move |call| ScriptedReply::Send(http_ok(&served_list.body(call))));
+    let coordinator = start_coordinator(&old, members, data_nodes);
     wait_for("the second call", || old.calls.lock().unwrap().len() > 1);
     let since = Instant::now();
     coordinator.reconfigure(|config| config["discovery"] = json!(new.address.to_string()));
     let last = last_part_sent_to_first_node(&coordinator, since);
     assert!(
         last.is_none_or(|last| last < Duration::from_millis(1_000)),
-        "{last:?} after the move"
+        "expected the last part less than 1 s after the move, found {last:?}"
     );
     assert_eq!(
         new.calls.lock().unwrap()[0].from(),
         None,
-        "its revisions are its own"
+        "the first call to the new discovery must request the full list, since revisions differ between services"
     );
-    // Shards of the other cell are still served: the half answer named one data node alone.
+    // Shards of the other cell are still served, so the old discovery's partial answer, a list of one data node, was not
+    // applied.
     assert_eq!(
         coordinator
             .post_api("other", "pick-confirm", "2.0", &[1, 3], "~1~")
@@ -319,34 +329,38 @@
     );
 }
 
-/// Guards against a repeated change, a data node that is removed and returns under its id at another address, and a full
-/// list after a gap in revisions.
+/// Guards against errors in applying a repeated change, a data node that is removed and returns under its id at another
+/// address, and a full list after a gap in the revisions.
 #[test]
 fn repeated_changes_and_returning_ids_are_applied_correctly() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let members = start_data_nodes(WireFormat::Platform, &data_nodes);
-    let moved = start_frame_node(9, data_nodes.clone());
+    let new_address = start_frame_node(9, data_nodes.clone());
     let phase = |phase: &str| {
         let mut member = members[0].clone();
         member["phase"] = json!(phase);
         member
     };
-    let mut back = phase("active");
-    back["host_port"] = json!(moved.to_string());
-    let twice = vec![phase("leaving"), phase("leaving")];
+    let mut returned = phase("active");
+    returned["host_port"] = json!(new_address.to_string());
+    let repeated = vec![phase("leaving"), phase("leaving")];
     let steps: Vec<(u64, bool, Vec<Value>)> = vec![
         (1, true, members.clone()),
-        (2, false, twice.clone()),
-        (2, false, twice),
+        (2, false, repeated.clone()),
+        (2, false, repeated),
         (3, false, vec![phase("left")]),
         (3, false, vec![phase("left")]),
-        (4, false, vec![back.clone()]),
-        // A gap: the full list, with one data node fewer.
-        (90, true, vec![back, members[1].clone(), members[3].clone()]),
+        (4, false, vec![returned.clone()]),
+        // A gap in the revisions, so the full list is sent. It has one data node fewer.
+        (
+            90,
+            true,
+            vec![returned, members[1].clone(), members[3].clone()],
+        ),
     ];
-    let at = Arc::new(AtomicUsize::new(0));
+    let current_step = Arc::new(AtomicUsize::new(0));
     let steps = Arc::new(steps);
-    let step = at.clone();
+    let step = current_step.clone();
     let script = steps.clone();
     let next_step = AtomicUsize::new(0);
     let discovery = ScriptedDiscovery::new(move |call| {
@@ -370,10 +384,11 @@
             _ => ScriptedReply::Send(http_ok(&member_list(*revision, *complete, members))),
         }
     });
-    let coordinator = coordinator(&discovery, members.clone(), data_nodes);
+    let coordinator = start_coordinator(&discovery, members.clone(), data_nodes);
     let mut name = 0;
-    let mut reached = |step: usize| {
-        at.store(step, Ordering::SeqCst);
+    // Moves discovery to this step and returns the data nodes that receive parts afterwards.
+    let mut servers_after_step = |step: usize| {
+        current_step.store(step, Ordering::SeqCst);
         let before = discovery.calls.lock().unwrap().len();
         wait_for("the next call", || {
             discovery.calls.lock().unwrap().len() > before
@@ -403,19 +418,27 @@
         servers.dedup();
         servers
     };
-    assert_eq!(reached(1), [2], "it leaves");
-    assert_eq!(reached(2), [2], "repeated");
-    assert_eq!(reached(3), [2], "it is gone");
-    assert_eq!(reached(4), [2], "repeated");
+    assert_eq!(servers_after_step(1), [2], "data node 0 is leaving");
     assert_eq!(
-        reached(5),
+        servers_after_step(2),
+        [2],
+        "the change to leaving is repeated"
+    );
+    assert_eq!(servers_after_step(3), [2], "data node 0 has left");
+    assert_eq!(servers_after_step(4), [2], "the change to left is repeated");
+    assert_eq!(
+        servers_after_step(5),
         [2, 9],
-        "back, at its new address and nowhere else"
+        "data node 0 has returned and gets parts at its new address only"
+    );
+    assert_eq!(
+        servers_after_step(6),
+        [9],
+        "a data node that the full list does not contain gets no parts"
     );
-    assert_eq!(reached(6), [9], "what the full list leaves out is gone");
 }
 
-/// Guards against a malformed list that empties the one in force.
+/// Guards against a malformed list that replaces or empties the list in force.
 #[test]
 fn a_malformed_list_leaves_the_current_one_in_force() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -431,7 +454,7 @@
         3 => ScriptedReply::Send(http_ok(&member_list(5, true, &[]))),
         _ => ScriptedReply::Stall(Vec::new()),
     });
-    let coordinator = coordinator(&discovery, members, data_nodes);
+    let coordinator = start_coordinator(&discovery, members, data_nodes);
     coordinator.wait_for_log_line("not an endpoint list");
     wait_for("the later calls", || {
         discovery.calls.lock().unwrap().len() > 4
@@ -446,7 +469,7 @@
     }
 }
 
-/// Guards against a process that waits for discovery before it is ready: it starts with the list it is given.
+/// Guards against a process that waits for discovery before it is ready although its configuration contains a list.
 #[test]
 fn startup_becomes_ready_while_discovery_is_down() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -459,7 +482,7 @@
     });
     assert!(
         since.elapsed() < Duration::from_secs(5),
-        "ready after {:?}",
+        "expected the process to be ready within 5 s, took {:?}",
         since.elapsed()
     );
     assert_eq!(
@@ -470,8 +493,8 @@
     );
 }
 
-/// Guards against idle clients that use up every descriptor while discovery is down: the watch and a connection to a
-/// new data node must be possible at its return, and settings must be readable at SIGHUP.
+/// Guards against idle clients that use up all descriptors while discovery is down. The watch and connections to new data
+/// nodes must be possible when discovery returns, and the configuration file must be readable on SIGHUP.
 #[test]
 fn idle_clients_do_not_exhaust_descriptors_for_discovery_and_data_nodes() {
     for descriptors in [64, 256] {
@@ -489,7 +512,7 @@
             200
         );
         coordinator.discovery.silence(1_000);
-        let fresh: Vec<Value> = start_data_nodes(WireFormat::Platform, &data_nodes)
+        let new_members: Vec<Value> = start_data_nodes(WireFormat::Platform, &data_nodes)
             .into_iter()
             .enumerate()
             .map(|(number, mut member)| {
@@ -497,8 +520,8 @@
                 member
             })
             .collect();
-        coordinator.discovery.set_members(fresh);
-        // They connect faster than idle ones may be evicted, and most stay in the middle of a request.
+        coordinator.discovery.set_members(new_members);
+        // The clients connect faster than idle connections may be evicted, and two of three stop in the middle of a request.
         let mut clients = Vec::new();
         for number in 0..descriptors * 2 {
             let Ok(mut client) = std::net::TcpStream::connect(coordinator.platform) else {
@@ -512,7 +535,7 @@
         coordinator.reconfigure(|config| config["settings"]["classes"][0]["aimS"] = json!(0.9));
         coordinator.wait_for_log_line("class");
         coordinator.discovery.silence(0);
-        let back = Instant::now();
+        let returned_at = Instant::now();
         let mut name = 0;
         let mut status = || {
             name += 1;
@@ -526,11 +549,11 @@
                 )
                 .status
         };
-        wait_for("service", || status() == 200);
+        wait_for("a served request", || status() == 200);
         assert!(
-            back.elapsed() < Duration::from_secs(6),
-            "{descriptors}: {:?}",
-            back.elapsed()
+            returned_at.elapsed() < Duration::from_secs(6),
+            "{descriptors} descriptors: expected service within 6 s after discovery returned, took {:?}",
+            returned_at.elapsed()
         );
         drop(clients);
     }
--- a/crates/coordinator/tests/endpoint_files.rs
+++ b/crates/coordinator/tests/endpoint_files.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists from files: rewritten in every way while the program serves, and restored after a kill.
+//! Endpoint lists from files: rewritten in various ways while the program serves requests, and restored from snapshots
+//! after the process was killed.
 
 mod common;
 
@@ -16,9 +17,9 @@
 const FILE_SOURCE: &str =
     "[membership]\nsource = \"files\"\npath = \"servers.d\"\nstate = \"state\"\n";
 
-/// A roster file with these data nodes, past their slow start.
+/// Builds an endpoint file with these data nodes, all of which started long enough ago to be past their slow start.
 fn roster(generation: u64, servers: &[(usize, SocketAddr)]) -> String {
-    let one = |(number, address): &(usize, SocketAddr)| {
+    let entry = |(number, address): &(usize, SocketAddr)| {
         format!(
             "[[server]]\nid = \"s-{number}\"\naddress = \"{address}\"\ncell = {}\nstarted = 2026-01-01T00:00:00Z\n",
             number % CELLS as usize
@@ -26,16 +27,16 @@
     };
     format!(
         "generation = {generation}\n{}# end\n",
-        servers.iter().map(one).collect::<String>()
+        servers.iter().map(entry).collect::<String>()
     )
 }
 
-/// A repetition count: lower in CI than in a long run, which a variable asks for.
-fn times(variable: &str, usual: usize) -> usize {
+/// Returns a number of repetitions: `default`, unless an environment variable sets another one for a long run.
+fn repetitions(variable: &str, default: usize) -> usize {
     std::env::var(variable)
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(usual)
+        .unwrap_or(default)
 }
 
 fn start(data_nodes: &Arc<DataNodes>, files: &[(&str, &str)]) -> TestCoordinator {
@@ -50,13 +51,13 @@
     )
 }
 
-/// Ways in which a file comes to hold a new text.
-fn write(way: usize, path: &Path, text: &str) {
-    let beside = path.with_extension("tmp");
-    match way % 5 {
+/// Replaces a file's content in one of five ways, as operators and their tools do.
+fn write(method: usize, path: &Path, text: &str) {
+    let temporary = path.with_extension("tmp");
+    match method % 5 {
         0 => {
-            std::fs::write(&beside, text).unwrap();
-            std::fs::rename(&beside, path).unwrap();
+            std::fs::write(&temporary, text).unwrap();
+            std::fs::rename(&temporary, path).unwrap();
         }
         1 => std::fs::write(path, text).unwrap(),
         2 => {
@@ -64,26 +65,26 @@
             std::fs::write(path, text).unwrap();
         }
         3 => {
-            // In two halves, as over a slow link.
+            // The first half first, as when a file is copied over a slow network.
             let (first, second) = text.split_at(text.len() / 2);
             std::fs::write(path, first).unwrap();
             thread::sleep(Duration::from_millis(20));
             std::fs::write(path, [first, second].concat()).unwrap();
         }
         _ => {
-            // An editor's copy first, then the file by its link.
+            // An editor's swap file, then a symbolic link that replaces the file.
             std::fs::write(path.with_file_name(".servers.toml.swp"), "garbage").unwrap();
             let target = path.with_file_name(format!("target-{}", text.len() % 7));
             std::fs::write(&target, text).unwrap();
-            let _ = std::fs::remove_file(&beside);
-            std::os::unix::fs::symlink(&target, &beside).unwrap();
-            std::fs::rename(&beside, path).unwrap();
+            let _ = std::fs::remove_file(&temporary);
+            std::os::unix::fs::symlink(&target, &temporary).unwrap();
+            std::fs::rename(&temporary, path).unwrap();
         }
     }
 }
 
-/// Invalid texts, which must leave the list in force.
-fn broken(kind: usize, text: &str) -> String {
+/// Makes an endpoint file's text invalid in one of six ways.
+fn invalid_text(kind: usize, text: &str) -> String {
     match kind % 6 {
         0 => text[..text.len() - 8].to_string(),
         1 => text.replace("s-1\"", "s-0\""),
@@ -96,7 +97,7 @@
     }
 }
 
-/// Sends requests of both classes one after another; counts the statuses of the answers.
+/// Sends requests of both classes one after another until `stop` is set, and counts the answers by status.
 fn send_until_stopped(
     coordinator: &TestCoordinator,
     client: u64,
@@ -125,16 +126,16 @@
     statuses
 }
 
-/// Guards against a query that is routed by two lists, a removed data node that still gets parts, an invalid file that
-/// removes anything, and a change that fails a query.
+/// Guards against a query that is routed by two different lists, a removed data node that still gets parts, an invalid file
+/// that changes the list, and requests that fail because of a change.
 #[test]
 fn files_rewritten_under_load_never_yield_a_mixed_list() {
-    let rewrites = times("CAIRNROAD_REWRITES", 36);
+    let rewrites = repetitions("CAIRNROAD_REWRITES", 36);
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Delay(15));
     let all: Vec<(usize, SocketAddr)> = (0..8)
         .map(|number| (number, start_frame_node(number, data_nodes.clone())))
         .collect();
-    // Lists take turns between two fleets that have no data node in common.
+    // The lists alternate between two fleets that have no data node in common.
     let fleet = |turn: usize| {
         if turn.is_multiple_of(2) {
             &all[..4]
@@ -156,7 +157,7 @@
     let path = coordinator.folder.join("servers.d/servers.toml");
     let mut generation = 1;
     let mut turn = 0;
-    // When each fleet was written out of the list, and in again.
+    // The time of each change of the file, and the turn whose fleet it wrote.
     let mut switches: Vec<(Instant, usize)> = vec![(Instant::now(), 0)];
     let mut slowest = Duration::ZERO;
     for step in 0..rewrites {
@@ -165,7 +166,7 @@
             write(
                 step / 3,
                 &path,
-                &broken(step / 3, &roster(generation + 1, fleet(turn + 1))),
+                &invalid_text(step / 3, &roster(generation + 1, fleet(turn + 1))),
             );
             continue;
         }
@@ -173,7 +174,7 @@
         let begun = Instant::now();
         write(step, &path, &roster(generation, fleet(turn)));
         switches.push((Instant::now(), turn));
-        // A long run writes faster than the log tells.
+        // A long run rewrites the file faster than it waits for each log line.
         match rewrites <= 36 {
             true => coordinator
                 .wait_for_log_line(&format!("endpoint list in force generation={generation} ")),
@@ -191,27 +192,31 @@
             .into_iter()
             .for_each(|(status, count)| *statuses.entry(status).or_default() += count);
     }
-    // Every request got one answer; a confirm whose data node was removed while it ran may have failed.
+    // Every request got one answer. A pick-confirm request may fail if its data node was removed while it ran.
     assert!(
         statuses
             .keys()
             .all(|status| [200, 429, 500, 503].contains(status)),
-        "{statuses:?}"
+        "expected only the statuses 200, 429, 500 and 503, found {statuses:?}"
     );
     let served = statuses[&200] as f64 / statuses.values().sum::<usize>() as f64;
-    assert!(served > 0.9, "{statuses:?}");
-    assert_one_list_a_query(&data_nodes, &switches, slowest);
-    // No part of a class that may not run twice did.
-    let confirms = data_nodes
+    assert!(
+        served > 0.9,
+        "expected over 90 % of the answers to have status 200, found {statuses:?}"
+    );
+    assert_one_list_per_query(&data_nodes, &switches, slowest);
+    // No part of the class that may run at most once ran twice.
+    let confirm_executions = data_nodes
         .execution_counts()
         .into_iter()
         .filter(|((marker, _), _)| ((marker - 1) % 1_000_000).is_multiple_of(3));
-    assert!(confirms.into_iter().all(|(_, runs)| runs == 1));
+    assert!(confirm_executions.into_iter().all(|(_, runs)| runs == 1));
 }
 
-/// Checks that each query was routed by one list, and that no part reached a data node long after its removal.
-/// `switches` says when which fleet was written to the list, `slowest` how long a change took at most.
-fn assert_one_list_a_query(
+/// Asserts that each query was routed by a single list, and that no part reached a data node more than 250 ms after the list
+/// without it was written. `switches` holds the time and turn of each change; `slowest` is the longest time until a
+/// change was in force, and is only printed.
+fn assert_one_list_per_query(
     data_nodes: &DataNodes,
     switches: &[(Instant, usize)],
     slowest: Duration,
@@ -224,7 +229,8 @@
             .entry(marker(&part.query))
             .or_default()
             .insert(part.server / 4);
-        // The list in force a quarter of a second before this part came, and those since.
+        // The list that was written last by 250 ms before this part was received, and all lists written since then. A
+        // tolerance of 100 ms is added because a change is recorded after its write.
         let allowed: BTreeSet<usize> = {
             let since = switches
                 .iter()
@@ -238,19 +244,19 @@
         };
         assert!(
             allowed.contains(&(part.server / 4)),
-            "a part reached a server {part:?} that left the list long before"
+            "a part reached a server that the list had not contained for 250 ms: {part:?}"
         );
-        if let Some((gone, _)) = switches
+        if let Some((removed_at, _)) = switches
             .iter()
             .rev()
             .find(|(at, turn)| *at <= part.received_at && turn % 2 != part.server / 4)
         {
-            let back = switches
+            let added_at = switches
                 .iter()
                 .rev()
                 .find(|(at, turn)| *at <= part.received_at && turn % 2 == part.server / 4);
-            if back.is_none_or(|(back, _)| back < gone) {
-                latest = latest.max(part.received_at - *gone);
+            if added_at.is_none_or(|(added_at, _)| added_at < removed_at) {
+                latest = latest.max(part.received_at - *removed_at);
             }
         }
     }
@@ -258,28 +264,37 @@
         .iter()
         .filter(|(_, fleets)| fleets.len() > 1)
         .collect();
-    assert!(mixed.is_empty(), "queries that saw two lists: {mixed:?}");
-    assert!(fleets.len() > 100, "{}", fleets.len());
+    assert!(
+        mixed.is_empty(),
+        "queries that were routed by two lists, with the fleets of each: {mixed:?}"
+    );
+    assert!(
+        fleets.len() > 100,
+        "expected more than 100 queries, found {}",
+        fleets.len()
+    );
     println!(
         "{} queries, slowest change in force {slowest:?}, latest part to a removed server {latest:?}",
         fleets.len()
     );
 }
 
-fn cairnroad(coordinator: &Path, args: &[&str]) -> Output {
+/// Runs a command with the configuration files in a coordinator's folder.
+fn run_cairnroad(folder: &Path, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_cairnroad"))
         .args(args)
-        .env("NODE_CONFIG", coordinator.join("config.json"))
-        .env("CAIRNROAD_FILE", coordinator.join("own.toml"))
+        .env("NODE_CONFIG", folder.join("config.json"))
+        .env("CAIRNROAD_FILE", folder.join("own.toml"))
         .output()
         .unwrap()
 }
 
-fn printed(output: &Output) -> String {
+/// Returns the standard output followed by the standard error.
+fn combined_output(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// Guards against a start without a list, or with an unintended one, after a kill at any moment.
+/// Guards against a start without a list, or with a wrong one, after the process was killed at any moment of a change.
 #[test]
 fn after_a_kill_the_newest_or_previous_snapshot_is_restored() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -289,8 +304,8 @@
     let mut coordinator = start(&data_nodes, &[("servers.d/servers.toml", &roster(1, &all))]);
     let path = coordinator.folder.join("servers.d/servers.toml");
     let mut newest = 1;
-    for round in 0..times("CAIRNROAD_KILLS", 12) as u64 {
-        // Lists change faster than they are stored; the kill comes at some moment of that.
+    for round in 0..repetitions("CAIRNROAD_KILLS", 12) as u64 {
+        // The list changes faster than snapshots are stored, and the kill comes at a different moment in each round.
         let kill_at = Instant::now() + Duration::from_millis(40 + (round * 7919) % 160);
         let mut written = newest;
         while Instant::now() < kill_at {
@@ -302,15 +317,15 @@
         coordinator.child.kill().unwrap();
         coordinator.child.wait().unwrap();
         let stored: Value = serde_json::from_slice(
-            &cairnroad(&coordinator.folder, &["roster", "show", "--json"]).stdout,
+            &run_cairnroad(&coordinator.folder, &["roster", "show", "--json"]).stdout,
         )
         .unwrap();
         let stored = stored["roster"]["generation"].as_u64().unwrap();
         assert!(
             stored <= newest && stored + 4 >= written,
-            "round {round}: generation {stored} of {newest}"
+            "round {round}: expected a stored generation from {written} - 4 to {newest}, found {stored}"
         );
-        // With invalid files the program starts on what was stored, and logs it.
+        // With an invalid file, the program starts with the stored list and logs its generation.
         std::fs::write(&path, "generation = ").unwrap();
         coordinator.restart();
         coordinator.wait_for_log_line(&format!("stored list in force generation={stored} "));
@@ -323,7 +338,7 @@
     }
 }
 
-/// Guards against a start on a torn or corrupt snapshot instead of the one before it.
+/// Guards against a start with a corrupt snapshot instead of the previous one.
 #[test]
 fn a_corrupt_snapshot_is_skipped() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -353,7 +368,7 @@
     );
 }
 
-/// The roster commands as operators use them before a planned change.
+/// Checks the `roster` commands in the order in which operators use them for a planned change.
 #[test]
 fn roster_commands_check_compare_and_apply() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -368,18 +383,18 @@
         ],
     );
     coordinator.wait_for_log_line("endpoint list in force generation=1 ");
-    let run = |args: &[&str], code: i32, words: &str| {
-        let output = cairnroad(&coordinator.folder, args);
+    let run = |args: &[&str], code: i32, expected_text: &str| {
+        let output = run_cairnroad(&coordinator.folder, args);
         assert_eq!(
             output.status.code(),
             Some(code),
             "{args:?}: {}",
-            printed(&output)
+            combined_output(&output)
         );
         assert!(
-            printed(&output).contains(words),
-            "{args:?}: {}",
-            printed(&output)
+            combined_output(&output).contains(expected_text),
+            "{args:?}: expected the output to contain {expected_text:?}, found {}",
+            combined_output(&output)
         );
     };
     let file = |name: &str, text: &str| {
@@ -391,9 +406,9 @@
         0,
         "sound: generation 1, 4 servers, 4 of them active",
     );
-    let storm = file("storm.toml", &roster(1, &all));
+    let grown = file("storm.toml", &roster(1, &all));
     run(
-        &["roster", "diff", &storm],
+        &["roster", "diff", &grown],
         0,
         "add: s-4, s-5\ncell 0: 33 % of its turns go to other servers\n",
     );
@@ -417,7 +432,7 @@
         2,
         "nowhere.toml: No such file",
     );
-    run(&["roster", "apply", &storm], 0, "generation 2 written to");
+    run(&["roster", "apply", &grown], 0, "generation 2 written to");
     coordinator.wait_for_log_line("endpoint list in force generation=2 added=2 removed=0");
     run(&["roster", "show"], 0, "generation = 2");
     run(
@@ -432,10 +447,10 @@
             .status,
         200
     );
-    let effective = cairnroad(&coordinator.folder, &["check-config", "--json"]);
+    let effective = run_cairnroad(&coordinator.folder, &["check-config", "--json"]);
     let effective: Value = serde_json::from_slice(&effective.stdout).unwrap();
     assert_eq!(effective["effective"]["discovery"], json!(null));
-    // A removed folder leaves the list in force.
+    // Without the folder of endpoint files, the list stays in force.
     std::fs::rename(
         coordinator.folder.join("servers.d"),
         coordinator.folder.join("elsewhere"),
--- a/crates/coordinator/tests/serving.rs
+++ b/crates/coordinator/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Requests and answers on both fronts, with data nodes that fail in every way, and a reload under load.
+//! Requests and answers on both fronts, with data nodes that fail in various ways, and a reload under load.
 
 mod common;
 
@@ -19,7 +19,7 @@
 
 fn check_platform_request_errors(coordinator: &TestCoordinator) {
     let good = json!({"shards": [{"shard": 1, "weight": 1.0}], "q": "~1~"}).to_string();
-    let with = |class: &str, deadline: &str, body: &str| {
+    let status_for = |class: &str, deadline: &str, body: &str| {
         let fields = [
             ("X-Request-Id", "a1"),
             ("X-Class", class),
@@ -29,22 +29,22 @@
             .call(coordinator.platform, "POST /api", &fields, body)
             .status
     };
-    assert_eq!(with("stock-search", "1.5", &good), 200);
-    assert_eq!(with("no-such", "1.5", &good), 400);
-    assert_eq!(with("stock-search", "soon", &good), 400);
-    assert_eq!(with("stock-search", "1.5", "{"), 400);
-    for (find, put) in [
+    assert_eq!(status_for("stock-search", "1.5", &good), 200);
+    assert_eq!(status_for("no-such", "1.5", &good), 400);
+    assert_eq!(status_for("stock-search", "soon", &good), 400);
+    assert_eq!(status_for("stock-search", "1.5", "{"), 400);
+    for (from, to) in [
         ("\"shard\":1", "\"shard\":99"),
         ("1.0", "0.4"),
         ("\"q\":", "\"r\":"),
     ] {
         assert_eq!(
-            with("stock-search", "1.5", &good.replace(find, put)),
+            status_for("stock-search", "1.5", &good.replace(from, to)),
             400,
-            "{put}"
+            "{to}"
         );
     }
-    assert_eq!(with("stock-search", "1.5", &"x".repeat(70_000)), 413);
+    assert_eq!(status_for("stock-search", "1.5", &"x".repeat(70_000)), 413);
     assert_eq!(
         coordinator
             .call(coordinator.platform, "GET /api", &[], "")
@@ -144,7 +144,7 @@
     );
     assert!(
         rejected.fields["retry-after"].parse::<u64>().unwrap() >= 1,
-        "whole seconds on this front"
+        "the query front gives Retry-After in whole seconds, at least 1"
     );
     assert_eq!(
         coordinator
@@ -158,13 +158,13 @@
             .execution_counts()
             .keys()
             .all(|(marker, _)| *marker == 3),
-        "a rejected query reached a data node"
+        "a part of a rejected request reached a data node"
     );
 }
 
 #[test]
 fn an_unanswered_part_times_out_and_partial_results_must_be_allowed() {
-    // Shard 7 never answers; four of five parts are the class's minimum share.
+    // Shard 7 never answers. Four of five parts reach the minimum share of the class, 0.8.
     let plan = |_, shard, _| {
         if shard == 7 {
             Behavior::NoAnswer
@@ -172,8 +172,8 @@
             Behavior::Serve
         }
     };
-    for servers in [WireFormat::Platform, WireFormat::OpenSearch] {
-        let coordinator = TestCoordinator::start(servers, DataNodes::new(plan), 1000);
+    for node_wire in [WireFormat::Platform, WireFormat::OpenSearch] {
+        let coordinator = TestCoordinator::start(node_wire, DataNodes::new(plan), 1000);
         let partial = coordinator.post_api("p", "stock-search", "1.2", &[3, 4, 5, 6, 7], "~1~");
         assert_eq!(
             (partial.status, &partial.json["complete"]),
@@ -197,33 +197,36 @@
     }
 }
 
-/// Guards against malformed answers that are waited for until the time-out, served, or taken as proof that the part
-/// never ran. A failure that isn't a time-out (500, not 504) shows that nobody waited.
+/// Guards against a malformed answer that is served, that is taken as proof that the part never ran, or after which the
+/// coordinator waits until the deadline. The status 500 instead of 504 shows that it did not wait.
 #[test]
 fn a_malformed_answer_counts_as_possibly_executed_and_is_never_served() {
-    for servers in [WireFormat::Platform, WireFormat::OpenSearch] {
+    for node_wire in [WireFormat::Platform, WireFormat::OpenSearch] {
         let plan = |marker: u64, _, before| match marker as usize % 10 {
             kind if before == 0 => Behavior::Malformed(MALFORMATIONS[kind]),
             _ => Behavior::Serve,
         };
         for kind in 0..MALFORMATIONS.len() as u64 {
-            let coordinator = TestCoordinator::start(servers, DataNodes::new(plan), 1000);
-            let safe = 10 + kind;
-            let once = 20 + kind;
+            let coordinator = TestCoordinator::start(node_wire, DataNodes::new(plan), 1000);
+            let idempotent_marker = 10 + kind;
+            let at_most_once_marker = 20 + kind;
             let served = coordinator.post_api(
                 &format!("s{kind}"),
                 "stock-search",
                 "2.0",
                 &[1],
-                &format!("~{safe}~"),
+                &format!("~{idempotent_marker}~"),
             );
             assert_eq!(
                 served.status, 200,
-                "{servers:?} {:?}",
+                "{node_wire:?} {:?}",
                 MALFORMATIONS[kind as usize]
             );
             assert!(
-                served.json.to_string().contains(&format!("value {safe}/1")),
+                served
+                    .json
+                    .to_string()
+                    .contains(&format!("value {idempotent_marker}/1")),
                 "{}",
                 served.json
             );
@@ -232,35 +235,35 @@
                 "pick-confirm",
                 "2.5",
                 &[1],
-                &format!("~{once}~"),
+                &format!("~{at_most_once_marker}~"),
             );
             assert_eq!(
                 failed.status, 500,
-                "{servers:?} {:?}",
+                "{node_wire:?} {:?}",
                 MALFORMATIONS[kind as usize]
             );
             assert_eq!(
-                coordinator.data_nodes.execution_counts()[&(once, 1)],
+                coordinator.data_nodes.execution_counts()[&(at_most_once_marker, 1)],
                 1,
-                "{servers:?} {:?}",
+                "{node_wire:?} {:?}",
                 MALFORMATIONS[kind as usize]
             );
         }
     }
 }
 
-/// Guards against reuse of a connection that carried bytes beyond its answer: the next call would be given these, or
-/// be lost with them.
+/// Guards against reuse of a connection that carried bytes after its answer: these bytes would be taken for the answer to
+/// the next call, or make that call fail.
 #[test]
 fn bytes_after_an_answer_close_only_that_connection() {
-    for servers in [WireFormat::Platform, WireFormat::OpenSearch] {
+    for node_wire in [WireFormat::Platform, WireFormat::OpenSearch] {
         let plan = |marker: u64, _, _| match marker % 4 {
             0 => Behavior::Irregular(Irregularity::RepeatedAnswer),
             1 => Behavior::Irregular(Irregularity::TrailingBytes),
             2 => Behavior::Irregular(Irregularity::UnreadableReport),
             _ => Behavior::Serve,
         };
-        let coordinator = TestCoordinator::start(servers, DataNodes::new(plan), 1000);
+        let coordinator = TestCoordinator::start(node_wire, DataNodes::new(plan), 1000);
         for marker in 0..40 {
             let answer = coordinator.post_api(
                 &format!("m{marker}"),
@@ -269,7 +272,11 @@
                 &[1, 2],
                 &format!("~{marker}~"),
             );
-            assert_eq!(answer.status, 200, "{servers:?} {marker}: {}", answer.json);
+            assert_eq!(
+                answer.status, 200,
+                "{node_wire:?} {marker}: {}",
+                answer.json
+            );
             assert!(
                 answer
                     .json
@@ -291,19 +298,19 @@
             Behavior::Serve
         }
     };
-    for servers in [WireFormat::Platform, WireFormat::OpenSearch] {
-        let fresh = || TestCoordinator::start(servers, DataNodes::new(plan), 1000);
+    for node_wire in [WireFormat::Platform, WireFormat::OpenSearch] {
+        let start_coordinator = || TestCoordinator::start(node_wire, DataNodes::new(plan), 1000);
         let body = json!({"query": {"match": {"text": "~1~"}}});
-        let late = fresh().search(
+        let timed_out = start_coordinator().search(
             "/pick-confirm/_search?preference=_shards:6,7&timeout=600ms",
             body,
         );
         assert_eq!(
-            (late.status, late.json["error"]["type"].as_str()),
+            (timed_out.status, timed_out.json["error"]["type"].as_str()),
             (504, Some("timeout_exception"))
         );
         assert_eq!(
-            fresh()
+            start_coordinator()
                 .post_api("l", "pick-confirm", "0.6", &[6, 7], "~2~")
                 .status,
             504
@@ -336,7 +343,7 @@
         .collect();
     assert_eq!(statuses, [200, 404, 200], "{}", answer.json);
     let hits = &answer.json["responses"][2]["hits"];
-    // The best of all shards, best first, cut to the size asked for; all are counted.
+    // The three best hits of all shards, by descending score. The total counts the hits of all 8 shards.
     assert_eq!(
         (
             hits["total"]["value"].as_u64(),
@@ -359,12 +366,12 @@
             .status,
         400
     );
-    let odd = body.replacen("{\"index\"", "{\"scroll\":\"1m\",\"index\"", 1);
-    let answer = coordinator.call(coordinator.opensearch, "POST /_msearch", &[], &odd);
+    let unsupported = body.replacen("{\"index\"", "{\"scroll\":\"1m\",\"index\"", 1);
+    let answer = coordinator.call(coordinator.opensearch, "POST /_msearch", &[], &unsupported);
     assert_eq!(
         answer.json["responses"][0]["status"],
         json!(400),
-        "an unsupported term is an error of its own search"
+        "an unsupported parameter must fail only its own search"
     );
 }
 
@@ -383,7 +390,7 @@
             200
         );
     }
-    let to_first = || {
+    let parts_at_first_node = || {
         coordinator
             .data_nodes
             .received
@@ -393,14 +400,17 @@
             .filter(|seen| seen.server == 0)
             .count()
     };
-    assert!(to_first() > 0, "both replicas take turns");
+    assert!(
+        parts_at_first_node() > 0,
+        "both replicas of the cell must get parts before the drain"
+    );
     let watches = || coordinator.discovery.calls.lock().unwrap().len();
     let before = watches();
     coordinator.discovery.set_phase(0, "leaving");
-    // The next watch comes once the answer before it was read and understood.
+    // The coordinator sends the next watch only after it has applied the answer to the previous one.
     wait_for("the next watch", || watches() > before);
     thread::sleep(Duration::from_millis(250));
-    let before = to_first();
+    let before = parts_at_first_node();
     for number in 0..8 {
         assert_eq!(
             coordinator
@@ -409,23 +419,24 @@
             200
         );
     }
-    assert_eq!(to_first(), before);
+    assert_eq!(parts_at_first_node(), before);
 }
 
 #[test]
 fn a_data_node_that_refuses_connections_fails_no_request() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
-    // Bound, so that nobody else gets the port, but not listening: the system refuses connections.
+    // The socket is bound, so that no other process gets the port, but doesn't listen: the operating system refuses
+    // connections.
     let refusing = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     refusing.bind(&any_port.into()).unwrap();
-    let dead = refusing.local_addr().unwrap().as_socket().unwrap();
+    let refused_address = refusing.local_addr().unwrap().as_socket().unwrap();
     let mut members = start_data_nodes(WireFormat::Platform, &data_nodes);
-    members[0]["host_port"] = json!(dead.to_string());
+    members[0]["host_port"] = json!(refused_address.to_string());
     let coordinator =
         TestCoordinator::start_with_members(WireFormat::Platform, data_nodes, 1000, 1024, members);
     for number in 0..6 {
-        // No connection proves that the part never ran, so even this class goes elsewhere.
+        // A refused connection proves that the part never ran, so even a class that may run at most once is retried.
         assert_eq!(
             coordinator
                 .post_api(&format!("d{number}"), "pick-confirm", "2.0", &[0, 1], "~1~")
@@ -448,7 +459,7 @@
                 .post_api("same", "pick-confirm", "2.5", &[1], "~1~")
                 .status
         });
-        wait_for("the part", || {
+        wait_for("the parts at the data nodes", || {
             !coordinator.data_nodes.received.lock().unwrap().is_empty()
         });
         assert_eq!(
@@ -459,7 +470,8 @@
         );
         assert_eq!(first.join().unwrap(), 504);
     });
-    // Nor once it has ended: its abandoned part may still be answered, which would be taken for the new one's answer.
+    // The id stays reserved after the request has ended: the answer to its abandoned part may still arrive and would be
+    // taken for an answer to the new request.
     assert_eq!(
         coordinator
             .post_api("same", "pick-confirm", "2.5", &[1], "~2~")
@@ -469,11 +481,12 @@
     assert_eq!(
         coordinator.data_nodes.received.lock().unwrap().len(),
         1,
-        "the rejected request reached no data node"
+        "a part of the rejected request reached a data node"
     );
 }
 
-/// Guards against SIGHUP's default action, which ends the program, and a watch that stays with the old discovery.
+/// Guards against the default action of SIGHUP, which ends the program, and against a watch that stays with the old discovery
+/// address after a reload.
 #[test]
 fn a_reload_moves_the_discovery_watch_without_failing_requests() {
     let mut coordinator = TestCoordinator::start(
@@ -489,7 +502,7 @@
                 .post_api("open", "pick-confirm", "2.5", &[1, 2], "~1~")
                 .status
         });
-        wait_for("the parts", || {
+        wait_for("the parts at the data nodes", || {
             coordinator.data_nodes.received.lock().unwrap().len() == 2
         });
         coordinator.reconfigure(|config| config["discovery"] = json!(second.address.to_string()));
@@ -497,7 +510,7 @@
         assert_eq!(
             open.join().unwrap(),
             200,
-            "the in-flight request is answered"
+            "the request in flight must be answered during the reload"
         );
     });
     assert_eq!(
@@ -506,7 +519,7 @@
     );
     coordinator.reconfigure(|config| config["discovery"] = json!("nowhere"));
     coordinator.wait_for_log_line("'discovery': 'nowhere'");
-    // The old settings stay in force: the second discovery is still followed, and the first is not called any more.
+    // The rejected reload leaves the settings in force: the second discovery is still watched, and the first gets no calls.
     let before = coordinator.discovery.calls.lock().unwrap().len();
     let watches = second.calls.lock().unwrap().len();
     for server in 0..second.members().len() {
@@ -527,11 +540,11 @@
             )
             .status
     };
-    wait_for("the drains", || status() == 429);
-    // And again, with a SIGTERM right behind.
+    wait_for("all data nodes to drain", || status() == 429);
+    // A second reload, followed by SIGTERM and a SIGHUP during the shutdown.
     coordinator.reconfigure(|config| config["discovery"] = json!(third.address.to_string()));
     wait_for("the full list", || !third.calls.lock().unwrap().is_empty());
-    wait_for("the servers", || status() == 200);
+    wait_for("the third discovery's data nodes", || status() == 200);
     assert_eq!(coordinator.discovery.calls.lock().unwrap().len(), before);
     coordinator.signal("TERM");
     coordinator.signal("HUP");
