--- a/crates/coordinator/tests/client_connections.rs
+++ b/crates/coordinator/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: limits, time-outs, eviction of idle ones, pipelining and disconnects.
+//! Client connections: limits, time-outs, eviction of idle connections, pipelining and disconnects.
 
 mod common;
 
@@ -19,7 +19,7 @@
         }
     });
     let members = start_data_nodes(WireFormat::Platform, &data_nodes);
-    // Half of 64 descriptors are for clients with a request open.
+    // Of 64 descriptors, half are available to clients with a request in flight.
     let coordinator =
         TestCoordinator::start_with_members(WireFormat::Platform, data_nodes, 1000, 64, members);
     let held: Vec<_> = (0..32)
@@ -31,7 +31,7 @@
             stream
         })
         .collect();
-    wait_for("the parts", || {
+    wait_for("the parts at the data nodes", || {
         coordinator.data_nodes.received.lock().unwrap().len() == 32
     });
     let rejected = coordinator.post_api("a", "stock-search", "2.0", &[1], "~2~");
@@ -53,23 +53,23 @@
             )
             .status
     };
-    wait_for("a free slot", || status() == 200);
+    wait_for("a free connection slot", || status() == 200);
 }
 
-/// Guards against idle clients that occupy all connection slots: neither those that send nothing nor those that sent
-/// one request may keep others out, and an evicted idle connection is closed without an answer.
+/// Guards against idle clients that occupy all connection slots. Neither clients that send nothing nor clients that sent one
+/// request may block others, and an evicted idle connection is closed without an answer.
 #[test]
 fn idle_connections_are_evicted_for_active_clients() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
     let members = start_data_nodes(WireFormat::Platform, &data_nodes);
     let coordinator =
         TestCoordinator::start_with_members(WireFormat::Platform, data_nodes, 1000, 64, members);
-    let mut stayed = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
-    stayed
+    let mut longest_idle = BufReader::new(TcpStream::connect(coordinator.platform).unwrap());
+    longest_idle
         .get_mut()
         .write_all(api_request("once", "~1~").as_bytes())
         .unwrap();
-    assert_eq!(read_response(&mut stayed).status, 200);
+    assert_eq!(read_response(&mut longest_idle).status, 200);
     let _silent: Vec<_> = (0..200)
         .map(|_| TcpStream::connect(coordinator.platform).unwrap())
         .collect();
@@ -84,18 +84,18 @@
     }
     assert!(
         start.elapsed() < Duration::from_secs(15),
-        "idle connections are waited for: {:?}",
+        "expected idle connections to delay 20 requests by less than 15 s, took {:?}",
         start.elapsed()
     );
     assert_eq!(
-        stayed.read(&mut [0]).unwrap(),
+        longest_idle.read(&mut [0]).unwrap(),
         0,
-        "the longest idle was evicted first"
+        "the connection that was idle for the longest time must be evicted first"
     );
 }
 
-/// Guards against waiting forever for a client that stops in the middle of a request, and against an error response
-/// that a reset cuts off while the client still sends.
+/// Guards against an unlimited wait for a client that stops in the middle of a request, and against an error response that is
+/// truncated by a reset while the client still sends.
 #[test]
 fn slow_or_oversized_requests_end_in_time() {
     let coordinator = TestCoordinator::start(
@@ -112,21 +112,21 @@
             stream.write_all(text.as_bytes()).unwrap();
             BufReader::new(stream)
         };
-        let mut silent = begin("");
-        let mut half =
+        let mut idle = begin("");
+        let mut incomplete =
             begin("POST /api HTTP/1.1\r\nX-Request-Id: h\r\nContent-Length: 9\r\n\r\nhalf");
-        let mut large = begin("POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let mut long = begin("POST /api HTTP/1.1\r\nContent-Length: 20000000\r\n\r\n");
+        let mut chunked = begin("POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
+        let mut with_length = begin("POST /api HTTP/1.1\r\nContent-Length: 20000000\r\n\r\n");
         let chunk = format!("4000\r\n{}\r\n", "x".repeat(0x4000));
         for _ in 0..1000 {
-            large.get_mut().write_all(chunk.as_bytes()).unwrap();
-            long.get_mut().write_all(chunk.as_bytes()).unwrap();
+            chunked.get_mut().write_all(chunk.as_bytes()).unwrap();
+            with_length.get_mut().write_all(chunk.as_bytes()).unwrap();
         }
         for (stream, status) in [
-            (&mut large, 413),
-            (&mut long, 413),
-            (&mut half, 408),
-            (&mut silent, 0),
+            (&mut chunked, 413),
+            (&mut with_length, 413),
+            (&mut incomplete, 408),
+            (&mut idle, 0),
         ] {
             let answer = read_response(stream);
             assert_eq!((answer.status, stream.read(&mut [0]).unwrap()), (status, 0));
@@ -149,11 +149,11 @@
     stream
         .write_all(api_request("gone", "~1~").as_bytes())
         .unwrap();
-    wait_for("the part", || {
+    wait_for("the parts at the data nodes", || {
         !coordinator.data_nodes.received.lock().unwrap().is_empty()
     });
     drop(stream);
-    wait_for("the cancel", || {
+    wait_for("the cancel at the data node", || {
         coordinator
             .data_nodes
             .received
@@ -180,14 +180,14 @@
         body.len()
     );
     stream.write_all(head.as_bytes()).unwrap();
-    let mut leave = [0; 25];
-    stream.read_exact(&mut leave).unwrap();
-    assert_eq!(&leave, b"HTTP/1.1 100 Continue\r\n\r\n");
+    let mut interim_response = [0; 25];
+    stream.read_exact(&mut interim_response).unwrap();
+    assert_eq!(&interim_response, b"HTTP/1.1 100 Continue\r\n\r\n");
     stream.write_all(body.as_bytes()).unwrap();
     assert_eq!(read_response(&mut BufReader::new(stream)).status, 200);
 }
 
-/// Guards against a client that pipelines hundreds of requests and occupies a slot until all are served.
+/// Guards against a client that pipelines many requests and occupies a connection slot until all are served.
 #[test]
 fn pipelining_beyond_its_time_limit_is_rejected() {
     let coordinator = TestCoordinator::start(
@@ -218,8 +218,8 @@
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
 }
 
-/// The program's deployment allows no Unix socket, and the fleet's test hosts take TCP and UDP only: none of the
-/// program's descriptors may be one, also after the signals that it answers have come.
+/// Guards against a Unix socket among the process's descriptors, also after it has handled signals. The deployment does not
+/// permit Unix sockets, and the test hosts of the fleet allow TCP and UDP only.
 #[test]
 fn the_process_holds_no_unix_socket() {
     let coordinator = TestCoordinator::start(
@@ -246,7 +246,10 @@
                 .map(String::from)
         })
         .collect();
-    assert!(!sockets.is_empty(), "the program listens");
+    assert!(
+        !sockets.is_empty(),
+        "expected the listening sockets among the descriptors, found no socket"
+    );
     let found: Vec<&String> = sockets
         .iter()
         .filter(|inode| unix.contains(&inode.as_str()))
@@ -256,6 +259,7 @@
         "Unix sockets among the descriptors: {found:?}"
     );
 }
+
 fn api_request(id: &str, query: &str) -> String {
     one_part_request(id, "stock-search", 2.0, query)
 }
--- a/crates/coordinator/tests/deployment_settings.rs
+++ b/crates/coordinator/tests/deployment_settings.rs
@@ -1,5 +1,5 @@
-//! Deployments with other settings: what a graceful shutdown derives from them, and signals at any moment of a process's
-//! life.
+//! Deployments with unusual settings: the phases of a graceful shutdown that depend on them, and signals during startup
+//! and shutdown.
 
 mod common;
 
@@ -19,19 +19,20 @@
     }
 }
 
-fn assert_ended_within(coordinator: &mut TestCoordinator, since: Instant, most: f64) {
-    wait_for("the end", || {
+/// Waits for the end of the process and asserts that it succeeded less than `limit` seconds after `since`.
+fn assert_ended_within(coordinator: &mut TestCoordinator, since: Instant, limit: f64) {
+    wait_for("the end of the process", || {
         coordinator.child.try_wait().unwrap().is_some()
     });
     let took = since.elapsed().as_secs_f64();
     assert!(coordinator.child.wait().unwrap().success());
     assert!(
-        took < most,
-        "it ended after {took:.2} s, and the kill may come after {most:.2} s"
+        took < limit,
+        "the process must end within {limit:.2} s, before the platform kills it, but took {took:.2} s"
     );
 }
 
-/// What one client saw.
+/// The results of one client's requests.
 #[derive(Debug, Default)]
 struct ClientRecord {
     answered: usize,
@@ -39,7 +40,7 @@
     unanswered: usize,
 }
 
-/// Sends requests until `ended`, on the connection that it has or on a new one.
+/// Sends requests until `ended` is set, and opens a new connection when the server closes the current one.
 fn send_until_ended(address: SocketAddr, client: usize, ended: &AtomicBool) -> ClientRecord {
     let mut record = ClientRecord::default();
     let mut number = 0;
@@ -72,8 +73,8 @@
     record
 }
 
-/// Guards against a shutdown whose phases are fitted to deadlines of seconds: with short ones the kill comes 0.7 s and one
-/// deadline after SIGTERM, and whatever is unanswered then is lost.
+/// Guards against a shutdown whose phases only suit deadlines of several seconds. The platform kills the process 0.7 s plus
+/// one deadline after SIGTERM, and requests that are unanswered then are lost.
 #[test]
 fn with_short_deadlines_shutdown_finishes_before_the_kill() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Delay(20));
@@ -91,7 +92,7 @@
         thread::sleep(Duration::from_millis(200));
         let since = Instant::now();
         coordinator.signal("TERM");
-        wait_for("the end", || {
+        wait_for("the end of the process", || {
             coordinator.child.try_wait().unwrap().is_some()
         });
         let took = since.elapsed().as_secs_f64();
@@ -105,7 +106,7 @@
     assert!(coordinator.child.wait().unwrap().success());
     assert!(
         took < 1.1,
-        "it ended after {took:.2} s, and the kill may come after 1.10 s"
+        "the process must end within 1.10 s, before the platform kills it, but took {took:.2} s"
     );
     assert!(
         records
@@ -115,8 +116,8 @@
     );
 }
 
-/// Guards against requests that were in flight before SIGTERM and have longer than the kill leaves: a deadline counts for
-/// 3 s at most there.
+/// Guards against requests in flight at SIGTERM whose deadline lies after the kill: a deadline counts for at most 3 s in the
+/// platform's time until the kill.
 #[test]
 fn with_long_deadlines_in_flight_requests_are_answered_before_the_kill() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::NoAnswer);
@@ -137,7 +138,7 @@
             BufReader::new(stream)
         })
         .collect();
-    wait_for("the parts", || {
+    wait_for("the parts at the data nodes", || {
         coordinator.data_nodes.received.lock().unwrap().len() >= 2
     });
     let since = Instant::now();
@@ -148,17 +149,18 @@
         .collect();
     assert!(
         since.elapsed() < Duration::from_millis(3_700),
-        "{statuses:?} after {:?}",
+        "expected all answers within 3.7 s, got {statuses:?} after {:?}",
         since.elapsed()
     );
     assert!(
         [429, 503].contains(&statuses[0]) && [500, 504].contains(&statuses[1]),
-        "a possibly executed request isn't rejected: {statuses:?}"
+        "expected 429 or 503 for stock-search, and 500 or 504 for the possibly executed pick-confirm, found {statuses:?}"
     );
     assert_ended_within(&mut coordinator, since, 3.7);
 }
 
-/// Guards against a signal's default action, which ends the program, during startup; and against repeated SIGTERM.
+/// Guards against the default action of SIGHUP and SIGTERM during startup, which ends the program with a failure, and
+/// against an effect of repeated SIGTERM.
 #[test]
 fn signals_during_startup_are_handled() {
     let folder = std::env::temp_dir().join(format!("cairnroad-signals-{}", std::process::id()));
@@ -176,7 +178,7 @@
     let config = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "ff", "settings": settings,
         "discovery": silent.local_addr().unwrap().to_string()})
     .to_string();
-    for orders in [1, 3] {
+    for sigterm_count in [1, 3] {
         let _ = std::fs::remove_file(&pipe);
         assert!(Command::new("mkfifo")
             .arg(&pipe)
@@ -189,27 +191,32 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        // Opening the pipe waits until the program reads its configuration there, and so it waits for what we write. What
-        // it reads again at SIGHUP is a file.
+        // Opening the pipe blocks until the program opens it to read its configuration. The program then waits in startup
+        // for the text written below. The path is replaced by a regular file, which the program can read at SIGHUP.
         let mut writer = std::fs::OpenOptions::new().write(true).open(&pipe).unwrap();
         std::fs::write(folder.join("again.json"), &config).unwrap();
         std::fs::rename(folder.join("again.json"), &pipe).unwrap();
         signal(&child, "HUP");
-        for _ in 0..orders {
+        for _ in 0..sigterm_count {
             signal(&child, "TERM");
         }
         thread::sleep(Duration::from_millis(50));
         writer.write_all(config.as_bytes()).unwrap();
         drop(writer);
         let since = Instant::now();
-        wait_for("the end", || child.try_wait().unwrap().is_some());
-        assert!(child.wait().unwrap().success(), "{orders} orders");
+        wait_for("the end of the process", || {
+            child.try_wait().unwrap().is_some()
+        });
+        assert!(
+            child.wait().unwrap().success(),
+            "expected success after {sigterm_count} SIGTERM"
+        );
         assert!(since.elapsed() < Duration::from_secs(10));
     }
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Guards against a SIGTERM that comes before there is any data node, and against a reload during a shutdown.
+/// Guards against a shutdown that a reload or a further SIGTERM interrupts or prolongs.
 #[test]
 fn shutdown_continues_through_further_signals() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Delay(600));
@@ -220,7 +227,7 @@
         .get_mut()
         .write_all(one_part_request("open", "pick-confirm", 2.5, "~1~").as_bytes())
         .unwrap();
-    wait_for("the part", || {
+    wait_for("the parts at the data nodes", || {
         !coordinator.data_nodes.received.lock().unwrap().is_empty()
     });
     let since = Instant::now();
@@ -234,15 +241,15 @@
     assert_ended_within(&mut coordinator, since, 3.2);
 }
 
-/// Guards against code that takes one deployment's settings for granted: a list of classes of another length, other
-/// names and idempotency, deadlines under half a second and over three, deduplication windows, ticks.
+/// Guards against code that assumes the settings of one deployment. The cases differ in the number of classes, their names
+/// and idempotency, deadlines under 0.5 s and over 3 s, deduplication windows, and the tick.
 #[test]
 fn unusual_but_valid_settings_work() {
-    let class = |name: &str, aim: f64, deadline: f64, effect: &str| {
-        json!({"name": name, "aimS": aim, "deadlineS": deadline, "effect": effect, "value": 2.0, "lateShare": 0.2,
+    let class = |name: &str, objective: f64, deadline: f64, effect: &str| {
+        json!({"name": name, "aimS": objective, "deadlineS": deadline, "effect": effect, "value": 2.0, "lateShare": 0.2,
             "dedupWindowS": 0.5})
     };
-    let many = [
+    let five_classes = [
         class("a", 0.1, 0.3, "idempotent"),
         class("b", 0.15, 0.45, "deduplicated"),
         class("c", 0.2, 0.4, "at_most_once"),
@@ -250,8 +257,8 @@
         class("e", 0.1, 0.35, "at_most_once"),
     ];
     for (classes, tick) in [
-        (&many[..], 0.01),
-        (&many[2..3], 0.002),
+        (&five_classes[..], 0.01),
+        (&five_classes[2..3], 0.002),
         (&[class("f", 4.0, 12.0, "deduplicated")], 0.005),
     ] {
         let data_nodes = DataNodes::new(|_, _, _| Behavior::Serve);
@@ -281,7 +288,7 @@
     }
 }
 
-/// Guards against a Retry-After that is longer than the client would wait.
+/// Guards against a Retry-After that is longer than the latency objective, which is as long as a client waits.
 #[test]
 fn retry_after_does_not_exceed_the_latency_objective() {
     let data_nodes = DataNodes::new(|_, _, _| Behavior::Delay(10));
@@ -305,8 +312,8 @@
     );
 }
 
-/// Guards against a query of many parts that is never complete: its weights are rounded by whoever wrote them, and add up to
-/// less than 1 the more parts there are.
+/// Guards against a query of many parts whose answer is never complete, since its rounded weights add up to less than 1. The
+/// difference grows with the number of parts.
 #[test]
 fn rounded_weights_of_many_parts_make_a_complete_answer() {
     for parts in [7, 94, 150] {
@@ -315,7 +322,7 @@
         let coordinator = TestCoordinator::with_config(data_nodes, members, |config| {
             config["settings"]["extra"]["shards"] = json!(parts)
         });
-        // As many digits as the platform's clients write, and the last of them cut off.
+        // The platform's clients write six decimal places and round down.
         let weight = (1e6 / f64::from(parts)).floor() / 1e6;
         let shards: Vec<Value> = (0..parts)
             .map(|shard| json!({"shard": shard, "weight": weight}))
--- a/crates/coordinator/tests/discovery_watch_recovery.rs
+++ b/crates/coordinator/tests/discovery_watch_recovery.rs
@@ -1,4 +1,5 @@
-//! Changes of the endpoint list that a broken watch misses are applied in time, from a process's start on.
+//! Changes of the endpoint list must be applied in time though the watch on discovery fails, or the process starts with an
+//! older list.
 
 mod common;
 
@@ -7,7 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Requests both shards of the first cell until a time has passed; returns when the last part reached server 0.
+/// Sends requests for shards 0 and 2, of the first cell, until `until` has passed since `since`. Returns the time from
+/// `since` to the last part at data node 0, or `None` if it received no part.
 fn last_part_sent_to_first_node(
     coordinator: &TestCoordinator,
     since: Instant,
@@ -29,8 +31,8 @@
     at.map(|at| at.saturating_duration_since(since))
 }
 
-/// Guards against a full silence time-out on one connection after another: a change counts as published 6 s after the
-/// watch fell silent, whether or not it arrived.
+/// Guards against a watch that waits for its full time-out on one unresponsive connection after another. A change must be
+/// applied within 6 s after the watch stopped getting answers.
 #[test]
 fn a_silent_watch_is_restarted_in_time() {
     let coordinator = TestCoordinator::start(
@@ -38,23 +40,23 @@
         DataNodes::new(|_, _, _| Behavior::Serve),
         1000,
     );
-    // The watch that is open, and the next two connections, are silent for good.
+    // The open watch and the next two connections get no more answers.
     coordinator.discovery.silence(2);
     let since = Instant::now();
     coordinator.discovery.set_phase(0, "leaving");
     let last = last_part_sent_to_first_node(&coordinator, since, Duration::from_millis(7_000))
-        .expect("server 0 had its turns before");
+        .expect("data node 0 received no part before the change");
     assert!(
         last > Duration::from_millis(100),
-        "the watch was silent: {last:?}"
+        "data node 0 must get parts while the watch gets no answers, but the last part came after {last:?}"
     );
     assert!(
         last < Duration::from_millis(6_250),
-        "sent to {last:?} after the watch fell silent"
+        "expected the last part within 6.25 s after the watch stopped getting answers, found {last:?}"
     );
 }
 
-/// Guards against a long backoff after an outage: once discovery answers again, its changes are applied at once.
+/// Guards against a long poll backoff after an outage: once discovery answers again, its changes must be applied within 2 s.
 #[test]
 fn polling_resumes_soon_after_a_discovery_outage() {
     let coordinator = TestCoordinator::start(
@@ -66,16 +68,16 @@
     coordinator.discovery.set_phase(0, "leaving");
     thread::sleep(Duration::from_secs(5));
     let since = Instant::now();
-    // What is open stays silent; what is opened from now on is answered.
+    // Connections that are open now stay without answers, and new ones are answered.
     coordinator.discovery.silence(0);
     let last = last_part_sent_to_first_node(&coordinator, since, Duration::from_millis(2_500));
     assert!(
         last.is_none_or(|last| last < Duration::from_millis(2_000)),
-        "sent to {last:?} after the outage"
+        "expected the last part less than 2 s after the outage, found {last:?}"
     );
 }
 
-/// Guards against a new process that serves by an older list though discovery has a newer one.
+/// Guards against a new process that serves with the older list of its configuration though discovery has a newer one.
 #[test]
 fn a_new_process_applies_the_current_list_before_serving() {
     let mut coordinator = TestCoordinator::start(
--- a/crates/coordinator/tests/front_backend_matrix.rs
+++ b/crates/coordinator/tests/front_backend_matrix.rs
@@ -1,5 +1,5 @@
-//! A mixed load over every pair of front and backend, with faults of all kinds among the data nodes: no rule may break
-//! on any of them.
+//! A mixed load on every combination of front and backend, with faults of all kinds at the data nodes. Each combination must
+//! give one valid final answer per request and run no part twice that may run at most once.
 
 mod common;
 
@@ -12,14 +12,15 @@
 const CLIENTS: u64 = 6;
 const REQUESTS_EACH: u64 = 14;
 
-/// A fixed hash of small numbers.
+/// A deterministic hash of a request number and a shard or purpose, so that each run has the same load.
 fn hash(number: u64, shard: u64) -> u64 {
     let x = (number * 0x9e37_79b9 + shard * 0x85eb_ca6b + 7).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     (x ^ (x >> 29)) >> 8
 }
 
-/// Most parts are served; one in six meets a fault, of each kind in turn. Retries are served.
-fn plan(marker: u64, shard: u32, before: usize) -> Behavior {
+/// Plans a fault for the first attempt of one part in six, a short delay for some others, and otherwise serves the part.
+/// Retries never meet a fault.
+fn plan(marker: u64, shard: u32, earlier_attempts: usize) -> Behavior {
     let faults = [
         Behavior::Busy,
         Behavior::Fail,
@@ -29,7 +30,7 @@
         Behavior::Delay(700),
     ];
     match hash(marker, u64::from(shard)) % 60 {
-        n if n < 10 && before == 0 => faults[(n % 6) as usize],
+        n if n < 10 && earlier_attempts == 0 => faults[(n % 6) as usize],
         n if n < 30 => Behavior::Delay(10),
         _ => Behavior::Serve,
     }
@@ -41,7 +42,11 @@
     response: Response,
 }
 
-fn ask(coordinator: &TestCoordinator, front: WireFormat, number: u64) -> ReceivedAnswer {
+fn send_request_by_number(
+    coordinator: &TestCoordinator,
+    front: WireFormat,
+    number: u64,
+) -> ReceivedAnswer {
     let search = hash(number, 99).is_multiple_of(2);
     let class = if search {
         "stock-search"
@@ -75,8 +80,12 @@
     }
 }
 
-/// The values in an answer by shard, and whether it is marked complete.
-fn values(front: WireFormat, servers: WireFormat, body: &Value) -> (BTreeMap<u32, String>, bool) {
+/// Parses an answer's values by shard, and whether it is marked complete.
+fn parse_answer(
+    front: WireFormat,
+    servers: WireFormat,
+    body: &Value,
+) -> (BTreeMap<u32, String>, bool) {
     let mut found = BTreeMap::new();
     let complete = match front {
         WireFormat::Platform => {
@@ -96,7 +105,7 @@
                     found
                         .insert(hit["shard"].as_u64().unwrap() as u32, doc)
                         .is_none(),
-                    "a part twice"
+                    "two values for the same shard"
                 );
             }
             body["complete"].as_bool().unwrap()
@@ -105,7 +114,10 @@
             for hit in body["hits"]["hits"].as_array().unwrap() {
                 let shard = hit["_id"].as_str().unwrap().parse().unwrap();
                 let doc = hit["_source"]["doc"].as_str().unwrap().to_string();
-                assert!(found.insert(shard, doc).is_none(), "a part twice");
+                assert!(
+                    found.insert(shard, doc).is_none(),
+                    "two values for the same shard"
+                );
             }
             assert_eq!(
                 body["_shards"]["successful"].as_u64().unwrap() as usize,
@@ -122,7 +134,7 @@
     (found, complete)
 }
 
-/// Sends all requests from several clients at once; their answers by number.
+/// Sends all requests from several concurrent clients and returns the answers by request number.
 fn send_all(
     coordinator: &Arc<TestCoordinator>,
     front: WireFormat,
@@ -133,7 +145,7 @@
             thread::spawn(move || {
                 let numbers = (0..REQUESTS_EACH).map(|n| 1 + client * REQUESTS_EACH + n);
                 numbers
-                    .map(|number| (number, ask(&coordinator, front, number)))
+                    .map(|number| (number, send_request_by_number(&coordinator, front, number)))
                     .collect::<Vec<_>>()
             })
         })
@@ -165,29 +177,35 @@
             .any(|&shard| runs.contains_key(&(*number, shard)));
         match status {
             200 => {
-                let (values, complete) = values(front, servers, &answer.response.json);
+                let (values, complete) = parse_answer(front, servers, &answer.response.json);
                 for (shard, value) in &values {
                     assert_eq!(
                         *value,
                         common::part_value(*number, *shard),
-                        "{at}: a value changed on its way"
+                        "{at}: shard {shard} has a wrong value"
+                    );
+                    assert!(
+                        answer.shards.contains(shard),
+                        "{at}: shard {shard} was not requested"
                     );
-                    assert!(answer.shards.contains(shard), "{at}: an unsolicited part");
                 }
                 assert_eq!(
                     complete,
                     values.len() == answer.shards.len(),
-                    "{at}: marked complete only if complete"
+                    "{at}: an answer must be marked complete exactly if all parts are present"
                 );
-                let floor = if unsafe_class { 1.0 } else { 0.8 };
+                let minimum_share = if unsafe_class { 1.0 } else { 0.8 };
                 let share = values.len() as f64 / answer.shards.len() as f64;
-                assert!(share >= floor - 1e-9, "{at}: {share} is under the floor");
+                assert!(
+                    share >= minimum_share - 1e-9,
+                    "{at}: expected a share of at least {minimum_share}, found {share}"
+                );
                 complete_answers += usize::from(complete);
             }
             429 | 503 => {
                 assert!(
                     answer.response.fields.contains_key("retry-after"),
-                    "{at}: no Retry-After"
+                    "{at}: a rejection must have the header Retry-After"
                 );
                 assert!(
                     !(unsafe_class && ran),
@@ -195,22 +213,25 @@
                 );
             }
             500 | 504 => {}
-            other => panic!("{at}: {other} is no final answer: {}", answer.response.json),
+            other => panic!(
+                "{at}: expected status 200, 429, 500, 503 or 504, found {other}: {}",
+                answer.response.json
+            ),
         }
     }
     assert_executions(front, servers, &answers, &data_nodes);
     assert_eq!(
         answers.len() as u64,
         CLIENTS * REQUESTS_EACH,
-        "one final answer each"
+        "every request must get one final answer"
     );
     assert!(
         complete_answers > 20 && statuses.len() > 1,
-        "{complete_answers} complete, statuses {statuses:?}"
+        "expected more than 20 complete answers and several statuses, found {complete_answers} and {statuses:?}"
     );
 }
 
-/// Checks that data nodes ran only what was asked for, and no unsafe part twice.
+/// Asserts that data nodes ran only requested parts, and no part twice that may run at most once.
 fn assert_executions(
     front: WireFormat,
     servers: WireFormat,
@@ -221,12 +242,12 @@
         let answer = &answers[number];
         assert!(
             answer.shards.contains(shard),
-            "request {number}: shard {shard} was never asked for"
+            "request {number}: shard {shard} ran but was not requested"
         );
         if answer.class == "pick-confirm" {
             assert_eq!(
                 *count, 1,
-                "{front:?} over {servers:?}: part {number}.{shard} ran {count} times"
+                "{front:?} over {servers:?}: expected part {number}.{shard} to run once, found {count} times"
             );
         }
     }
@@ -234,7 +255,7 @@
         assert_eq!(
             seen.server as u32 % CELLS,
             seen.shard % CELLS,
-            "a data node that does not hold the shard"
+            "a part was sent to a data node that does not hold its shard: {seen:?}"
         );
     }
 }
--- a/crates/coordinator/tests/graceful_shutdown.rs
+++ b/crates/coordinator/tests/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown with open connections: clients send on every connection that stays open, up to the kill.
+//! Graceful shutdown with open connections: clients send requests on every connection that stays open until the process
+//! ends.
 
 mod common;
 
@@ -21,17 +22,20 @@
     BufReader::new(stream)
 }
 
-/// Waits until no connection is accepted any more.
+/// Waits until the process refuses new connections. Panics after 10 s.
 fn wait_until_listener_closes(coordinator: &TestCoordinator) {
     let since = Instant::now();
     while TcpStream::connect(coordinator.platform).is_ok() {
-        assert!(since.elapsed() < Duration::from_secs(10));
+        assert!(
+            since.elapsed() < Duration::from_secs(10),
+            "the listener was still open after 10 s"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Guards against a shutdown that cuts off a partly received request: it was begun on a connection that stayed open, so
-/// it is answered, or rejected where the rest doesn't come.
+/// Guards against a shutdown that drops a partly received request. Its connection stays open, so the request must be
+/// answered, or rejected if the rest does not arrive.
 #[test]
 fn partly_received_requests_are_answered_or_rejected_at_shutdown() {
     let mut coordinator = TestCoordinator::start(
@@ -41,39 +45,40 @@
     );
     let text = api_request("half", 1);
     let (first, rest) = text.split_at(text.len() - 9);
-    let mut finished = connect(&coordinator);
-    let mut never = connect(&coordinator);
-    finished.get_mut().write_all(first.as_bytes()).unwrap();
-    let silent = connect(&coordinator);
+    let mut completing = connect(&coordinator);
+    let mut incomplete = connect(&coordinator);
+    completing.get_mut().write_all(first.as_bytes()).unwrap();
+    let idle = connect(&coordinator);
     coordinator.signal("TERM");
     thread::sleep(Duration::from_millis(300));
-    never
+    incomplete
         .get_mut()
         .write_all(&api_request("never", 2).as_bytes()[..40])
         .unwrap();
     wait_until_listener_closes(&coordinator);
-    finished.get_mut().write_all(rest.as_bytes()).unwrap();
-    let answer = read_response(&mut finished);
+    completing.get_mut().write_all(rest.as_bytes()).unwrap();
+    let answer = read_response(&mut completing);
     assert_eq!(
         (answer.status, answer.fields["connection"].as_str()),
         (200, "close")
     );
-    let answer = read_response(&mut never);
+    let answer = read_response(&mut incomplete);
     assert_eq!(
         (answer.status, answer.fields["connection"].as_str()),
         (503, "close")
     );
     assert!(answer.fields.contains_key("retry-after"));
     assert!(coordinator.child.wait().unwrap().success());
-    drop(silent);
+    drop(idle);
     assert_eq!(
         coordinator.data_nodes.execution_counts().len(),
         1,
-        "the rejected request reached no data node"
+        "only the completed request may reach a data node"
     );
 }
 
-/// Guards against an answer that a reset cuts off since its client had pipelined further requests.
+/// Guards against an answer that is truncated by a reset because its client pipelined further requests, which the server did
+/// not read before it closed the connection.
 #[test]
 fn a_pipelining_client_gets_its_complete_answer_at_shutdown() {
     let mut coordinator = TestCoordinator::start(
@@ -101,13 +106,13 @@
     assert_eq!(
         client.read(&mut [0]).unwrap(),
         0,
-        "the connection ends, and the rest was never read"
+        "the connection must end without answers to the pipelined requests"
     );
     assert!(coordinator.child.wait().unwrap().success());
     assert_eq!(coordinator.data_nodes.execution_counts().len(), 1);
 }
 
-/// What one client saw until its connection ended.
+/// The results of one client's requests until its connection ended.
 #[derive(Debug, Default)]
 struct ClientRecord {
     answered: usize,
@@ -135,22 +140,23 @@
         let answer = read_response(&mut stream);
         match answer.status {
             200 => record.answered += 1,
-            // Closed between two requests: what was not read is sent again on a new connection.
+            // The connection was closed before the server read the request, so a client may send it again.
             0 => record.unanswered += 1,
-            other => panic!("{other}"),
+            other => panic!("expected status 200 or the end of the connection, found {other}"),
         }
         if answer.status == 0 || answer.closes_connection() {
             break;
         }
     }
-    // The connection is at its end: nothing more comes on it.
+    // After the last answer, nothing but the end of the connection may follow.
     let end = stream.read(&mut [0]).map_err(|e| e.kind());
     record.ended_cleanly = matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset));
     record
 }
 
-/// Clients that keep their connections and send on them as long as these stay open: each request that was written gets
-/// its answer, or its connection was closed before the request could be read, and it may go again.
+/// Guards against accepted requests that get no answer at a shutdown. Clients send on their connections as long as these
+/// stay open. Each request must be answered, or its connection closed before the request was read, so that the client
+/// may send it again.
 #[test]
 fn no_accepted_request_is_lost_at_shutdown_under_load() {
     let mut coordinator = TestCoordinator::start(
@@ -175,7 +181,7 @@
             .all(|client| client.answered > 2 && client.unanswered == 0 && client.ended_cleanly),
         "{records:?}"
     );
-    // The data nodes ran each request exactly as often as its client got an answer.
+    // The data nodes ran each answered request exactly once, and no other request.
     let answered: usize = records.iter().map(|client| client.answered).sum();
     assert_eq!(
         (
@@ -186,7 +192,7 @@
     );
 }
 
-/// Guards against new clients that delay the shutdown until the program is killed with requests in flight.
+/// Guards against new clients that prolong the shutdown until the platform kills the process with requests in flight.
 #[test]
 fn shutdown_finishes_while_new_clients_keep_connecting() {
     let mut coordinator = TestCoordinator::start(
@@ -199,13 +205,13 @@
     open.get_mut()
         .write_all(stock_search_request("open", "~1~").as_bytes())
         .unwrap();
-    wait_for("the part", || {
+    wait_for("the part at the data node", || {
         !coordinator.data_nodes.received.lock().unwrap().is_empty()
     });
     let ended = AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| {
-            let mut held = Vec::new();
+            let mut connections = Vec::new();
             while !ended.load(Ordering::Relaxed) {
                 for text in [
                     "",
@@ -216,9 +222,9 @@
                         continue;
                     };
                     let _ = stream.write_all(text.as_bytes());
-                    held.push(stream);
+                    connections.push(stream);
                 }
-                held.drain(..held.len().saturating_sub(60));
+                connections.drain(..connections.len().saturating_sub(60));
                 thread::sleep(Duration::from_millis(10));
             }
         });
@@ -237,12 +243,12 @@
             .try_wait()
             .unwrap()
             .is_some_and(|status| status.success()),
-        "it did not end"
+        "the process must end with success within 20 s of SIGTERM"
     );
     assert_eq!(
         read_response(&mut open).status,
         200,
-        "the in-flight request is answered first"
+        "the request in flight must be answered before the process ends"
     );
 }
 
@@ -253,25 +259,25 @@
         DataNodes::new(|_, _, _| Behavior::Delay(1000)),
         1000,
     );
-    let ask = |stream: &mut TcpStream, id: &str| {
+    let send_request = |stream: &mut TcpStream, id: &str| {
         stream
             .write_all(stock_search_request(id, "~1~").as_bytes())
             .unwrap()
     };
     let mut early = TcpStream::connect(coordinator.platform).unwrap();
-    ask(&mut early, "early");
-    wait_for("the part", || {
+    send_request(&mut early, "early");
+    wait_for("the part at the data node", || {
         !coordinator.data_nodes.received.lock().unwrap().is_empty()
     });
     coordinator.signal("TERM");
-    wait_for("the shutdown", || {
+    wait_for("the start of the shutdown", || {
         coordinator
             .call(coordinator.platform, "GET /_health", &[], "")
             .status
             == 503
     });
     let mut late = TcpStream::connect(coordinator.platform).unwrap();
-    ask(&mut late, "late");
+    send_request(&mut late, "late");
     for stream in [early, late] {
         let mut reader = BufReader::new(stream);
         let answer = read_response(&mut reader);
@@ -282,10 +288,10 @@
         assert_eq!(
             reader.read(&mut [0]).unwrap(),
             0,
-            "the connection ends after its answer"
+            "the connection must be closed after its answer"
         );
     }
-    wait_for("the end", || {
+    wait_for("the end of the process", || {
         coordinator.child.try_wait().unwrap().is_some()
     });
     assert!(coordinator.child.wait().unwrap().success());
--- a/crates/coordinator/tests/published_descriptions.rs
+++ b/crates/coordinator/tests/published_descriptions.rs
@@ -1,4 +1,4 @@
-//! The program's own descriptions against what it serves and sends.
+//! Checks the program's published descriptions against the messages that it serves and sends.
 
 mod common;
 
@@ -9,20 +9,24 @@
 use std::collections::BTreeSet;
 use std::process::Command;
 
-fn root(path: &str) -> std::path::PathBuf {
+/// Returns the path of a file in the workspace's root folder.
+fn workspace_path(path: &str) -> std::path::PathBuf {
     std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .join(path)
 }
 
-/// The files under `api/` are what the program prints for the configuration beside them.
+/// Guards against files under `api/` that differ from the program's output for the configuration in `api/sample`.
 #[test]
 fn description_files_match_the_programs_output() {
     for kind in ["openapi", "asyncapi"] {
         let output = Command::new(env!("CARGO_BIN_EXE_cairnroad"))
             .args(["contract", "show", "--kind", kind])
-            .env("NODE_CONFIG", root("api/sample/config.json"))
-            .env("CAIRNROAD_FILE", root("api/sample/cairnroad.toml"))
+            .env("NODE_CONFIG", workspace_path("api/sample/config.json"))
+            .env(
+                "CAIRNROAD_FILE",
+                workspace_path("api/sample/cairnroad.toml"),
+            )
             .output()
             .unwrap();
         assert!(
@@ -30,7 +34,8 @@
             "{}",
             String::from_utf8_lossy(&output.stderr)
         );
-        let committed = std::fs::read_to_string(root(&format!("api/{kind}.json"))).unwrap();
+        let committed =
+            std::fs::read_to_string(workspace_path(&format!("api/{kind}.json"))).unwrap();
         assert_eq!(
             String::from_utf8(output.stdout).unwrap(),
             committed,
@@ -39,8 +44,9 @@
     }
 }
 
-/// One call, and the status that it gets.
+/// A request and the status that is expected for it.
 struct Case {
+    /// Whether the request is for the platform's front instead of the query front.
     platform: bool,
     method: &'static str,
     target: &'static str,
@@ -57,17 +63,17 @@
         status,
     };
     let query = r#"{"query":{"match":{"text":"~1~"}}}"#;
-    let many = "{\"index\":\"stock-search\"}\n{}\n{\"index\":\"none\"}\n{}\n";
+    let two_searches = "{\"index\":\"stock-search\"}\n{}\n{\"index\":\"none\"}\n{}\n";
     let api = r#"{"shards":[{"shard":1,"weight":1.0}],"q":"~2~"}"#;
-    let silent = r#"{"shards":[{"shard":7,"weight":1.0}],"q":"~3~"}"#;
-    let full = r#"{"shards":[{"shard":6,"weight":1.0}],"q":"~4~"}"#;
+    let unanswered = r#"{"shards":[{"shard":7,"weight":1.0}],"q":"~3~"}"#;
+    let busy = r#"{"shards":[{"shard":6,"weight":1.0}],"q":"~4~"}"#;
     vec![
         case("GET", "/_health", "", 200),
         case("POST", "/api", api, 200),
         case("POST", "/api", "{}", 400),
         case("POST", "/api", &"x".repeat(70_000), 413),
-        case("POST", "/api", silent, 504),
-        case("POST", "/api", full, 503),
+        case("POST", "/api", unanswered, 504),
+        case("POST", "/api", busy, 503),
         case(
             "POST",
             "/stock-search/_search?preference=_shards:1,2&size=1",
@@ -94,7 +100,7 @@
             query,
             503,
         ),
-        case("POST", "/_msearch", many, 200),
+        case("POST", "/_msearch", two_searches, 200),
         case("GET", "/_msearch", "{}", 400),
         case(
             "POST",
@@ -114,7 +120,7 @@
     ]
 }
 
-/// What an instance serves is held against the description that the same instance publishes.
+/// Checks the responses of a running coordinator against the OpenAPI description that it publishes itself.
 #[test]
 fn served_answers_match_openapi() {
     let plan = |_, shard, _| match shard {
@@ -123,25 +129,25 @@
         _ => Behavior::Serve,
     };
     let coordinator = TestCoordinator::start(WireFormat::Platform, DataNodes::new(plan), 1000);
-    let own = coordinator
+    let published = coordinator
         .call(coordinator.opensearch, "GET /openapi.json", &[], "")
         .json;
-    let document = Description::from_text("openapi.json", &own.to_string()).unwrap();
+    let document = Description::from_text("openapi.json", &published.to_string()).unwrap();
     let mut called = BTreeSet::new();
     for (number, case) in cases().into_iter().enumerate() {
-        let at = format!("{} {}", case.method, case.target);
-        let to = if case.platform {
+        let request_line = format!("{} {}", case.method, case.target);
+        let address = if case.platform {
             coordinator.platform
         } else {
             coordinator.opensearch
         };
         let id = format!("d{number}");
-        let kind = if case.target.contains("_msearch") {
+        let media_type = if case.target.contains("_msearch") {
             "application/x-ndjson"
         } else {
             "application/json"
         };
-        let mut fields = vec![("Content-Type", kind)];
+        let mut fields = vec![("Content-Type", media_type)];
         if case.platform {
             let deadline = if case.status == 504 { "0.5" } else { "2.5" };
             fields.extend([
@@ -150,67 +156,72 @@
                 ("X-Deadline", deadline),
             ]);
         }
-        let answer = coordinator.call(
-            to,
-            &format!("{} {}", case.method, case.target),
-            &fields,
-            &case.body,
+        let answer = coordinator.call(address, &request_line, &fields, &case.body);
+        assert_eq!(
+            answer.status, case.status,
+            "{request_line}: {}",
+            answer.json
         );
-        assert_eq!(answer.status, case.status, "{at}: {}", answer.json);
         let owned: Vec<_> = fields
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
             .collect();
-        let asked = ObservedRequest {
+        let observed_request = ObservedRequest {
             method: case.method,
             target: case.target,
             fields: &owned,
             body: case.body.as_bytes(),
         };
-        let request = document.check_request(&asked);
+        let request = document.check_request(&observed_request);
         let number = request
             .number
-            .unwrap_or_else(|| panic!("{at} is not described"));
+            .unwrap_or_else(|| panic!("{request_line}: no operation in the description matches"));
         if answer.status == 200 {
-            assert_eq!(request.violations, [], "{at}");
+            assert_eq!(request.violations, [], "{request_line}");
         }
         let fields: Vec<_> = answer.fields.into_iter().collect();
         let body = answer.json.to_string();
-        let answered = ObservedResponse {
+        let observed_response = ObservedResponse {
             status: answer.status,
             fields: &fields,
             body: body.as_bytes(),
             complete: true,
         };
         assert_eq!(
-            document.check_response(number, &answered).violations,
+            document
+                .check_response(number, &observed_response)
+                .violations,
             [],
-            "{at}: {body}"
+            "{request_line}: {body}"
         );
         called.insert(number);
     }
     let all: BTreeSet<usize> = (0..document.operations.len()).collect();
-    let missed: Vec<_> = all
+    let uncalled: Vec<_> = all
         .difference(&called)
         .map(|&at| &document.operations[at].name)
         .collect();
-    assert!(missed.is_empty(), "described but never served: {missed:?}");
-    // The checks can fail: an answer without its mark of wholeness is none.
-    let kind = [("Content-Type".to_string(), "application/json".to_string())];
+    assert!(
+        uncalled.is_empty(),
+        "operations in the description without a test case: {uncalled:?}"
+    );
+    // Shows that the checks can fail: a response without the field `complete` violates the description.
+    let fields = [("Content-Type".to_string(), "application/json".to_string())];
     let number = document.find_operation("POST", "/api").unwrap();
-    let wrong = ObservedResponse {
+    let violating = ObservedResponse {
         status: 200,
-        fields: &kind,
+        fields: &fields,
         body: b"{\"hits\":[]}",
         complete: true,
     };
     assert_eq!(
-        document.check_response(number, &wrong).violations[0].place,
+        document.check_response(number, &violating).violations[0].place,
         "body /complete"
     );
 }
 
-/// Frames and the watch as they were on the wire, checked against the published description.
+/// Checks the frames and watch requests that the stand-ins received against the AsyncAPI description that the coordinator
+/// publishes.
 #[test]
 fn sent_frames_match_asyncapi() {
     let plan = |_, shard, _| {
@@ -221,10 +232,10 @@
         }
     };
     let coordinator = TestCoordinator::start(WireFormat::Platform, DataNodes::new(plan), 1000);
-    let own = coordinator
+    let published = coordinator
         .call(coordinator.opensearch, "GET /asyncapi.json", &[], "")
         .json;
-    let document = Description::from_text("asyncapi.json", &own.to_string()).unwrap();
+    let document = Description::from_text("asyncapi.json", &published.to_string()).unwrap();
     assert_eq!(
         coordinator
             .post_api("a-1", "stock-search", "0.5", &[1, 3], "~1~")
@@ -237,17 +248,17 @@
             .status,
         504
     );
-    // The cancel leaves together with the client's answer, but reaches the data node on its own way.
+    // The cancel is sent at the same time as the client's answer, and may arrive after it.
     let received = || coordinator.data_nodes.raw_messages.lock().unwrap().clone();
-    wait_for("the cancel", || {
+    wait_for("the cancel at the data node", || {
         received().iter().any(|frame| frame.starts_with('X'))
     });
     let frames = received();
-    let mut letters = BTreeSet::new();
-    let mut judge = |channel: &str, word: &str, head: Value, payload: &[u8]| {
-        letters.insert(word.to_string());
-        let found = document.check_message(channel, word, &head, payload);
-        assert_eq!(found.violations, [], "{word} {head}");
+    let mut message_types = BTreeSet::new();
+    let mut check_message = |channel: &str, message_type: &str, head: Value, payload: &[u8]| {
+        message_types.insert(message_type.to_string());
+        let found = document.check_message(channel, message_type, &head, payload);
+        assert_eq!(found.violations, [], "{message_type} {head}");
     };
     for text in &frames {
         match text.split_at(1) {
@@ -259,12 +270,12 @@
                     let length = number(words[3]);
                     let head = json!({"id": words[0], "shard": number(words[1]),
                         "d": number(words[2].strip_prefix("d=").unwrap()), "length": length});
-                    judge("frames", "Q", head, &after.as_bytes()[..length as usize]);
+                    check_message("frames", "Q", head, &after.as_bytes()[..length as usize]);
                     rest = &after[length as usize..];
                 }
             }
-            ("X", id) => judge("frames", "X", json!({"id": id}), b""),
-            (other, _) => panic!("a frame {other} was sent"),
+            ("X", id) => check_message("frames", "X", json!({"id": id}), b""),
+            (other, _) => panic!("expected only frames of type Q and X, found {other}"),
         }
     }
     for line in coordinator.discovery.calls.lock().unwrap().iter() {
@@ -278,7 +289,7 @@
             let (name, value) = pair.split_once('=').unwrap();
             (name.to_string(), json!(value.parse::<u64>().unwrap()))
         };
-        judge(
+        check_message(
             "watch",
             "ask",
             Value::Object(pairs.map(number).collect()),
@@ -293,11 +304,11 @@
             "",
         )
         .json;
-    judge("watch", "list", json!({}), list.to_string().as_bytes());
+    check_message("watch", "list", json!({}), list.to_string().as_bytes());
     assert_eq!(
-        letters.len(),
+        message_types.len(),
         4,
-        "a call, a cancel, an ask and a list were seen: {letters:?}"
+        "expected a call, a cancel, a watch request and a list, found {message_types:?}"
     );
     assert!(!document
         .check_message("frames", "Q", &json!({"id": "1"}), b"")
--- a/crates/coordinator/tests/race_conditions.rs
+++ b/crates/coordinator/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Race conditions: bytes against a close, a request against its client's disconnect, shutdown against new connections.
-//! The stand-ins hold and release bytes at the chosen moment.
+//! Race conditions: bytes that cross the close of a connection, requests whose client disconnects, and new connections
+//! during a shutdown. The stand-ins delay and release bytes at the chosen moment.
 
 mod common;
 
@@ -24,22 +24,25 @@
     client.get_mut().write_all(text.as_bytes()).unwrap();
 }
 
-/// What a client reads next: bytes, the end, or an error.
+/// Reads once. Returns the number of bytes, 0 at the end of the connection, or the kind of the error.
 fn read(client: &mut BufReader<TcpStream>) -> Result<usize, ErrorKind> {
     client.read(&mut [0; 16]).map_err(|e| e.kind())
 }
 
-/// The members of a list whose data node 1 (of cell 1, which holds shard 1) is the only one there, at this address.
-fn only(data_nodes: &Arc<DataNodes>, address: std::net::SocketAddr) -> Vec<Value> {
+/// Returns an endpoint list in which data node 1, at this address, is the only one of cell 1, which holds shard 1.
+fn members_with_one_node_in_cell_1(
+    data_nodes: &Arc<DataNodes>,
+    address: std::net::SocketAddr,
+) -> Vec<Value> {
     let mut members = start_data_nodes(WireFormat::Platform, data_nodes);
     members[1]["host_port"] = json!(address.to_string());
     members.retain(|member| member["id"] != "s-3");
     members
 }
 
-/// Reads frames until nothing comes for a while; their letters and text.
-fn frames(stream: &mut TcpStream, quiet: Duration) -> Vec<String> {
-    stream.set_read_timeout(Some(quiet)).unwrap();
+/// Reads frames until none arrives for `idle_timeout`. Returns each frame's type letter and text.
+fn read_frames(stream: &mut TcpStream, idle_timeout: Duration) -> Vec<String> {
+    stream.set_read_timeout(Some(idle_timeout)).unwrap();
     let mut all = Vec::new();
     while let Some(length) = read_exact(stream, 4) {
         let length = u32::from_be_bytes(length.try_into().unwrap()) as usize;
@@ -51,8 +54,8 @@
     all
 }
 
-/// Guards against a close with bytes unread, which resets the connection: a request that crosses the close of an idle
-/// connection is drained after it, and neither served nor a cause for a reset.
+/// Guards against a close with unread bytes, which resets the connection. A request that is sent while its idle connection
+/// is closed must be read and discarded, so that it is neither served nor causes a reset.
 #[test]
 fn a_request_sent_as_its_idle_connection_closes_is_neither_served_nor_reset() {
     let mut coordinator = TestCoordinator::start(
@@ -73,16 +76,20 @@
         .collect();
     coordinator.signal("TERM");
     for client in &mut idle {
-        assert_eq!(read(client), Ok(0), "the end");
+        assert_eq!(read(client), Ok(0), "the idle connection must be closed");
     }
-    // The end was received, so it was sent: this crosses it. After a reset a second write would fail.
+    // The clients have received the end of the connection, so the server has already closed it. The request is sent in two
+    // writes, because the second write fails if the first one caused a reset.
     let crossing = one_part_request("crossing", "pick-confirm", 2.0, "~2~");
     let (first, rest) = crossing.split_at(20);
     idle.iter_mut().for_each(|client| send_bytes(client, first));
     thread::sleep(Duration::from_millis(10));
     for client in &mut idle {
-        assert!(client.get_mut().write_all(rest.as_bytes()).is_ok(), "reset");
-        assert_eq!(read(client), Ok(0), "no answer");
+        assert!(
+            client.get_mut().write_all(rest.as_bytes()).is_ok(),
+            "the connection was reset"
+        );
+        assert_eq!(read(client), Ok(0), "the request must get no answer");
     }
     assert!(coordinator.child.wait().unwrap().success());
     assert!(
@@ -91,12 +98,12 @@
             .execution_counts()
             .keys()
             .all(|(marker, _)| *marker == 1),
-        "what came after the end was forwarded"
+        "a request sent after the close was forwarded to a data node"
     );
 }
 
-/// Guards against a listener that is closed with connections in its backlog: the system resets them all. The program is
-/// stopped while they connect, and continues at the moment at which it closes the listener.
+/// Guards against a listener that is closed with connections in its backlog, all of which the operating system then resets.
+/// The process is stopped while the clients connect, and continues when it is due to close the listener.
 #[test]
 fn clients_in_the_backlog_when_the_listener_closes_are_answered() {
     let mut coordinator = TestCoordinator::start(
@@ -114,7 +121,7 @@
     assert_eq!(
         read(&mut idle),
         Ok(0),
-        "idle connections are closed, and clients still accepted"
+        "the idle connection must be closed while the listener is still open"
     );
     coordinator.signal("STOP");
     let mut last: Vec<_> = (0..20)
@@ -139,8 +146,8 @@
     assert!(coordinator.child.wait().unwrap().success());
 }
 
-/// Guards against a disconnect that goes undetected since the program stopped reading: the end lies behind all that the
-/// client sent.
+/// Guards against a disconnect that is not detected because the program stopped reading: the end of the stream comes after
+/// all bytes that the client sent.
 #[test]
 fn a_disconnect_behind_many_unread_bytes_is_detected() {
     let coordinator = TestCoordinator::start(
@@ -148,29 +155,31 @@
         DataNodes::new(|_, _, _| Behavior::NoAnswer),
         1000,
     );
-    for (name, behind) in [("little", 100), ("much", 40_000), ("flood", 3_000_000)] {
+    for (name, unread_bytes) in [("little", 100), ("much", 40_000), ("flood", 3_000_000)] {
         let before = coordinator.data_nodes.received.lock().unwrap().len();
         let mut client = connect(&coordinator);
         send_bytes(
             &mut client,
             &one_part_request(name, "pick-confirm", 2.5, "~1~"),
         );
-        wait_for("the part", || {
+        wait_for("the part at the data node", || {
             coordinator.data_nodes.received.lock().unwrap().len() > before
         });
-        send_bytes(&mut client, &"x".repeat(behind));
+        send_bytes(&mut client, &"x".repeat(unread_bytes));
         let disconnected = Instant::now();
         drop(client);
         let seen = coordinator.data_nodes.received.lock().unwrap()[before].clone();
-        wait_for("the cancel", || seen.cancelled.load(Ordering::Relaxed));
+        wait_for("the cancel at the data node", || {
+            seen.cancelled.load(Ordering::Relaxed)
+        });
         assert!(
             disconnected.elapsed() < Duration::from_millis(1200),
-            "{name}: only at its deadline"
+            "{name}: the parts must be cancelled within 1.2 s of the disconnect, not at the deadline"
         );
     }
 }
 
-/// Guards against pipelined requests that are dropped without an answer once more is sent than is buffered.
+/// Guards against pipelined requests that are dropped without an answer when a client sends more than the read buffer holds.
 #[test]
 fn pipelining_beyond_the_buffer_is_rejected_after_the_earlier_answers() {
     let coordinator = TestCoordinator::start(
@@ -202,12 +211,13 @@
     assert_eq!(
         read(&mut client),
         Ok(0),
-        "the end, and no reset over the answers"
+        "the connection must end without a reset"
     );
 }
 
-/// Guards against parts that are written for clients that left while the connection was being dialed: also where more
-/// calls and cancels wait behind the dial than a connection takes in at once, and where a deployment has no cancels.
+/// Guards against parts that are sent for clients that disconnected while the connection to the data node was being
+/// established. This also holds if more calls and cancels wait for the connection than it accepts at once, and in a
+/// deployment without cancels.
 #[test]
 fn no_part_is_written_for_clients_that_left_during_the_dial() {
     for cancel in [true, false] {
@@ -215,45 +225,45 @@
         let unaccepting = UnacceptingNode::new();
         let coordinator = TestCoordinator::with_config(
             data_nodes.clone(),
-            only(&data_nodes, unaccepting.address()),
+            members_with_one_node_in_cell_1(&data_nodes, unaccepting.address()),
             |config| {
                 let caps = &mut config["settings"]["caps"];
                 (caps["dialTimeoutS"], caps["streamsPerConn"], caps["cancel"]) =
                     (json!(9.0), json!(400), json!(cancel));
-                // No hedged requests, or they are sent while all wait.
+                // Without this, hedged requests would be sent while all calls wait.
                 caps["secondCopies"] = json!(false);
             },
         );
-        let mut stays = connect(&coordinator);
+        let mut staying = connect(&coordinator);
         send_bytes(
-            &mut stays,
+            &mut staying,
             &one_part_request("stays", "pick-confirm", 2.5, "~1~"),
         );
-        let mut going = Vec::new();
+        let mut leaving = Vec::new();
         for number in 0..100 {
             let mut client = connect(&coordinator);
             send_bytes(
                 &mut client,
                 &one_part_request(&format!("goes{number}"), "pick-confirm", 2.5, "~2~"),
             );
-            going.push(client);
+            leaving.push(client);
         }
         thread::sleep(Duration::from_millis(100));
-        drop(going);
+        drop(leaving);
         thread::sleep(Duration::from_millis(100));
         let mut stream = unaccepting.accept();
-        let sent = frames(&mut stream, Duration::from_millis(300));
+        let sent = read_frames(&mut stream, Duration::from_millis(300));
         let calls: Vec<&String> = sent.iter().filter(|frame| frame.starts_with('Q')).collect();
         assert_eq!(calls.len(), 1, "cancel {cancel}: {calls:?}");
         assert!(calls[0].starts_with("Qstays.1 "));
     }
 }
 
-/// Guards against a retry that was decided within its class's deduplication window and written after it, since its
-/// connection came up late.
+/// Guards against a retry that is decided within the deduplication window of its class but sent after it, because its
+/// connection was established late.
 #[test]
 fn a_possibly_executed_idempotent_part_is_not_retried_after_its_dedup_window() {
-    for (window, written) in [(0.8, false), (9.0, true)] {
+    for (window, is_retried) in [(0.8, false), (9.0, true)] {
         let data_nodes = DataNodes::new(|_, _, _| Behavior::CloseMidAnswer);
         let unaccepting = UnacceptingNode::new();
         let mut members = start_data_nodes(WireFormat::Platform, &data_nodes);
@@ -264,22 +274,26 @@
             (class["effect"], class["dedupWindowS"]) = (json!("deduplicated"), json!(window));
         });
         let status = thread::scope(|scope| {
-            // The data node that is there runs the part and breaks off, whichever of the two is asked first.
+            // The reachable data node runs the part and closes the connection, whether it gets the first attempt or the
+            // second.
             let status = scope.spawn(|| {
                 coordinator
                     .post_api("keyed", "pick-confirm", "2.5", &[1], "~1~")
                     .status
             });
             thread::sleep(Duration::from_millis(1000));
-            let sent = frames(&mut unaccepting.accept(), Duration::from_millis(300));
+            let sent = read_frames(&mut unaccepting.accept(), Duration::from_millis(300));
             let calls = sent
                 .iter()
                 .filter(|frame| frame.starts_with("Qkeyed.1 "))
                 .count();
             assert!(coordinator.data_nodes.execution_counts()[&(1, 1)] > 0);
-            assert_eq!(calls > 0, written, "window {window}: {sent:?}");
+            assert_eq!(calls > 0, is_retried, "window {window}: {sent:?}");
             status.join().unwrap()
         });
-        assert!(status >= 500, "{status}");
+        assert!(
+            status >= 500,
+            "expected a status of at least 500, found {status}"
+        );
     }
 }
--- a/crates/coordinator/tests/serving.rs
+++ b/crates/coordinator/tests/serving.rs
@@ -519,7 +519,7 @@
     );
     coordinator.reconfigure(|config| config["discovery"] = json!("nowhere"));
     coordinator.wait_for_log_line("'discovery': 'nowhere'");
-    // The rejected reload leaves the settings in force: the second discovery is still watched, and the first gets no calls.
+    // The old settings stay in force: the second discovery is still followed, and the first is not called any more.
     let before = coordinator.discovery.calls.lock().unwrap().len();
     let watches = second.calls.lock().unwrap().len();
     for server in 0..second.members().len() {
