--- a/crates/coordinator/benches/contract.rs
+++ b/crates/coordinator/benches/contract.rs
@@ -1,8 +1,9 @@
-//! Measures what contract checks cost the running program: CPU time a query and latency, with contracts off, observed
-//! at a share of 1 and enforced: `cargo bench -p cairnroad-coordinator --bench contract [ROUNDS]`.
+//! Measures the cost of contract checks in the running program: CPU time per query and latency, with checks off, in the mode
+//! `observe` at a share of 1, and in the mode `enforce`. Run with
+//! `cargo bench -p cairnroad-coordinator --bench contract [ROUNDS]`.
 //!
-//! The modes take turns. Queries of three parts are sent at a fixed rate on eight connections. Figures are the median
-//! over the rounds with minimum and maximum.
+//! The modes alternate. Queries of three parts are sent at a fixed rate on eight connections. Each figure is the median over
+//! the rounds, with minimum and maximum.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -16,17 +17,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Queries a second over all connections.
+/// Queries per second over all connections.
 const QUERY_RATE: f64 = 400.0;
-/// Client connections.
+/// The number of client connections.
 const CONNECTIONS: usize = 8;
-/// How long a round is measured.
+/// The measured duration of a round.
 const MEASUREMENT: Duration = Duration::from_secs(3);
-/// How long a round runs before it is measured.
+/// The duration for which a round runs before the measurement.
 const WARM_UP: Duration = Duration::from_millis(700);
-/// Rounds a mode, unless the command line says otherwise.
+/// The number of rounds per mode if the command line has no other number.
 const DEFAULT_ROUNDS: usize = 5;
-/// The modes that are compared.
+/// The contract modes that are compared.
 const MODES: [&str; 3] = ["off", "observe", "enforce"];
 
 const PLATFORM: &str = r##"
@@ -69,16 +70,16 @@
       answer: {x-frame: A, contentType: text/plain, headers: {type: object, required: [id, end], properties: {end: {enum: [ok, err, busy]}}}, payload: {type: string, pattern: "^value"}}
 "##;
 
-/// Threads of the program whose CPU time is measured together.
+/// A group of the program's threads whose CPU times are added up.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Threads {
-    /// The core's thread, which is the process's first.
+    /// The core thread, which is the main thread of the process.
     Core,
-    /// All others.
+    /// All other threads.
     Background,
 }
 
-/// CPU time that the chosen threads of a process have used, in nanoseconds.
+/// Returns the CPU time that these threads of a process have used, in nanoseconds.
 fn cpu_nanoseconds(pid: u32, threads: Threads) -> u64 {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).unwrap();
     tasks
@@ -89,14 +90,14 @@
         .sum()
 }
 
-/// CPU time of one thread; `None` where it has ended.
+/// Returns the CPU time of one thread in nanoseconds, or `None` if the thread has ended.
 fn thread_nanoseconds(pid: u32, thread: &str) -> Option<u64> {
     let path = format!("/proc/{pid}/task/{thread}/schedstat");
     let text = std::fs::read_to_string(path).ok()?;
     text.split(' ').next()?.parse().ok()
 }
 
-/// CPU time of a process at one moment, in nanoseconds.
+/// The CPU time that a process has used so far, in nanoseconds.
 struct CpuTimes {
     core: u64,
     background: u64,
@@ -111,7 +112,7 @@
     }
 }
 
-/// The figures of a round. CPU times are microseconds a query, latencies are milliseconds.
+/// The figures of a round. CPU times are in microseconds per query, latencies in milliseconds.
 struct Figures {
     core_us: f64,
     background_us: f64,
@@ -176,7 +177,7 @@
         .concat()
 }
 
-/// Sends queries at this connection's part of the rate until the round ends. Returns the latencies in microseconds.
+/// Sends queries at this connection's share of the rate until the round ends. Returns the latencies in microseconds.
 fn run_client(address: SocketAddr, number: usize, start: Instant) -> Histogram<u64> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_nodelay(true).unwrap();
@@ -195,14 +196,15 @@
         let answer = read_response(&mut reader);
         assert_eq!(answer.status, 200, "{}", answer.json);
         if due > start + WARM_UP {
-            // Measured from when the query was due: a client that one answer delays still counts what it missed.
+            // Measured from the time at which the query was due, so that a delayed answer also counts for the queries that
+            // had to wait for it.
             latencies.record(due.elapsed().as_micros() as u64).unwrap();
         }
     }
     latencies
 }
 
-/// A query of three parts, as the bytes of its request.
+/// Builds the text of a request with three parts.
 fn query(connection: usize, sequence: usize) -> String {
     let shards: Vec<_> = (0..3)
         .map(|offset| json!({"shard": (sequence + offset) % 8, "weight": 1.0 / 3.0}))
@@ -248,7 +250,7 @@
     }
 }
 
-/// The median of one figure over the rounds, with minimum and maximum.
+/// Formats the median of one figure over the rounds, with minimum and maximum.
 fn summarize(rounds: &[Figures], figure: fn(&Figures) -> f64) -> String {
     let mut values: Vec<f64> = rounds.iter().map(figure).collect();
     values.sort_by(f64::total_cmp);
--- a/crates/coordinator/benches/membership.rs
+++ b/crates/coordinator/benches/membership.rs
@@ -1,5 +1,6 @@
-//! A list of 10,000 endpoints: how long a change takes from its write until it is in force, how long the core's thread is
-//! held up by it, and memory: `cargo bench -p cairnroad-coordinator --bench membership`.
+//! Measures changes of a list of 10,000 endpoints: the time from the write of the file until the list is in force, the time
+//! for which a change blocks the core thread, and peak memory. Run with
+//! `cargo bench -p cairnroad-coordinator --bench membership`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -13,17 +14,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Endpoints of each list.
+/// The number of endpoints in each list.
 const ENDPOINTS: usize = 10_000;
-/// Lists that replace the first one.
+/// The number of lists that replace the first one.
 const UPDATES: u64 = 12;
-/// Between two lists, so that one is published before the next.
+/// The pause between two lists, long enough for one to be in force before the next is written.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(700);
+/// The pause between two health checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_micros(200);
 const OWN_FILE: &str =
     "[membership]\nsource = \"files\"\npath = \"servers.toml\"\nstate = \"state\"\n";
 
-/// A list's text. A tenth of the endpoints is replaced with each list; no two share an address.
+/// Builds a list's text. Each list replaces a tenth of the endpoints and changes all weights. No two endpoints share an
+/// address.
 fn endpoint_file(generation: u64) -> String {
     let mut text = format!("generation = {generation}\n");
     for number in 0..ENDPOINTS {
@@ -41,8 +44,8 @@
     text
 }
 
-/// Asks for health until stopped; returns the answers' latencies in microseconds. Health is answered by the core's
-/// thread: what an answer is late by is what the thread was held up.
+/// Sends health checks until `stop` is set and returns their latencies in microseconds. The core thread answers them, so
+/// the latency shows for how long the thread was blocked.
 fn measure_health_latency(address: SocketAddr, stop: &AtomicBool) -> Histogram<u64> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_nodelay(true).unwrap();
@@ -62,7 +65,7 @@
     latencies
 }
 
-/// Replaces the list and returns the milliseconds until it is in force.
+/// Replaces the list and returns the time until it is in force, in milliseconds.
 fn measure_update(coordinator: &TestCoordinator, generation: u64) -> f64 {
     let path = coordinator.folder.join("servers.toml");
     let temporary = path.with_extension("tmp");
@@ -73,7 +76,7 @@
     start.elapsed().as_secs_f64() * 1000.0
 }
 
-/// The line of the process's status that says its highest resident memory.
+/// Returns the line `VmHWM` (peak resident memory) of the process's status.
 fn peak_memory(coordinator: &TestCoordinator) -> String {
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", coordinator.child.id())).unwrap();
