--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -8,7 +8,7 @@
 mod version_3;
 
 use crate::builder::DescriptionBuilder;
-use crate::model::{MediaRange, Message, SchemaSlot};
+use crate::model::{MediaRange, Message, SchemaRef};
 use crate::schema::Direction;
 use crate::sources::NodeLocation;
 use std::collections::BTreeSet;
@@ -23,40 +23,40 @@
 ];
 
 /// Reads the whole description into the builder, which collects messages and faults.
-pub(crate) fn read(build: &mut DescriptionBuilder) {
-    let root = build.sources.root();
-    build.needs(&root, &["info"]);
-    if build.object(&root.at("info")).is_some() {
-        build.needs(&root.at("info"), &["title", "version"]);
+pub(crate) fn read(builder: &mut DescriptionBuilder) {
+    let root = builder.sources.root();
+    builder.require_keys(&root, &["info"]);
+    if builder.object(&root.at("info")).is_some() {
+        builder.require_keys(&root.at("info"), &["title", "version"]);
     }
     let schemas = root.at("components").at("schemas");
-    for name in build.object(&schemas).unwrap_or_default().keys() {
-        build.slot(&schemas.at(name), Direction::Request);
+    for name in builder.object(&schemas).unwrap_or_default().keys() {
+        builder.register_schema(&schemas.at(name), Direction::Request);
     }
-    let default_content_type = build.text(&root.at("defaultContentType"));
-    match build.version.starts_with("2.") {
-        true => version_2::read(build, &root, default_content_type.as_deref()),
-        false => version_3::read(build, &root, default_content_type.as_deref()),
+    let default_content_type = builder.string(&root.at("defaultContentType"));
+    match builder.version.starts_with("2.") {
+        true => version_2::read(builder, &root, default_content_type.as_deref()),
+        false => version_3::read(builder, &root, default_content_type.as_deref()),
     }
 }
 
 /// The number of items of the list at a place; `None` where there is no list.
-fn list_length(build: &DescriptionBuilder, loc: &NodeLocation) -> Option<usize> {
-    build.sources.get(loc)?.as_array().map(Vec::len)
+fn list_length(builder: &DescriptionBuilder, node: &NodeLocation) -> Option<usize> {
+    builder.sources.get(node)?.as_array().map(Vec::len)
 }
 
 /// Checks that the variables of a channel's address and the declared parameters are the same.
-fn check_address_variables(build: &mut DescriptionBuilder, loc: &NodeLocation, address: &str) {
-    let declared = build.object(&loc.at("parameters")).unwrap_or_default();
+fn check_address_variables(builder: &mut DescriptionBuilder, node: &NodeLocation, address: &str) {
+    let declared = builder.object(&node.at("parameters")).unwrap_or_default();
     let mut rest = address;
     let mut named = BTreeSet::new();
     while let Some((_, after)) = rest.split_once('{') {
         let Some((name, after)) = after.split_once('}') else {
-            return build.fault(loc, "a '{' of the address stands without its '}'");
+            return builder.fault(node, "a '{' of the address stands without its '}'");
         };
         if !declared.contains_key(name) {
-            build.fault(
-                loc,
+            builder.fault(
+                node,
                 format!("the address's variable {{{name}}} is not declared among the parameters"),
             );
         }
@@ -67,8 +67,8 @@
         .keys()
         .filter(|name| !named.contains(name.as_str()))
     {
-        build.fault(
-            &loc.at("parameters").at(name),
+        builder.fault(
+            &node.at("parameters").at(name),
             format!("the address has no variable {{{name}}}"),
         );
     }
@@ -84,63 +84,66 @@
 
 /// Reads a message. Two messages of one channel can't have the same name.
 fn read_message(
-    build: &mut DescriptionBuilder,
+    builder: &mut DescriptionBuilder,
     entry: &MessageEntry,
     default_content_type: Option<&str>,
 ) {
-    let Some(loc) = build.sources.resolve(entry.at) else {
+    let Some(node) = builder.sources.resolve(entry.at) else {
         return;
     };
-    if build.object(&loc).is_none() {
+    if builder.object(&node).is_none() {
         return;
     }
-    if build.messages.len() >= MAX_MESSAGES {
-        return build.fault(&loc, format!("there are more than {MAX_MESSAGES} messages"));
+    if builder.messages.len() >= MAX_MESSAGES {
+        return builder.fault(
+            &node,
+            format!("there are more than {MAX_MESSAGES} messages"),
+        );
     }
     let channel = entry.channel;
-    let frame = build.text(&loc.at("x-frame"));
-    let word = frame.unwrap_or_else(|| entry.name.to_string());
-    if build
+    let frame = builder.string(&node.at("x-frame"));
+    let wire_name = frame.unwrap_or_else(|| entry.name.to_string());
+    if builder
         .messages
         .iter()
-        .any(|known| known.channel == channel && known.word == word)
+        .any(|known| known.channel == channel && known.wire_name == wire_name)
     {
-        return build.fault(
+        return builder.fault(
             entry.at,
-            format!("the channel '{channel}' has two messages '{word}'"),
+            format!("the channel '{channel}' has two messages '{wire_name}'"),
         );
     }
-    let json = read_is_json(build, &loc.at("contentType"), default_content_type);
-    let headers = read_schema(build, &loc.at("headers"), entry.direction);
-    let payload = read_schema(build, &loc.at("payload"), entry.direction);
-    build.messages.push(Message {
+    let is_json = read_is_json(builder, &node.at("contentType"), default_content_type);
+    let headers = read_schema(builder, &node.at("headers"), entry.direction);
+    let payload = read_schema(builder, &node.at("payload"), entry.direction);
+    builder.messages.push(Message {
         name: format!("{channel} {}", entry.name).into(),
         channel: channel.to_string(),
-        word,
-        loc,
+        wire_name,
+        node,
         headers,
         payload,
-        json,
+        is_json,
         direction: entry.direction,
     });
 }
 
 /// Whether a content type, or the description's default one, is JSON. Without either it is.
 fn read_is_json(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
     default_content_type: Option<&str>,
 ) -> bool {
-    let content_type = build
-        .text(loc)
+    let content_type = builder
+        .string(node)
         .or_else(|| default_content_type.map(str::to_string));
     let Some(content_type) = content_type else {
         return true;
     };
-    match MediaRange::read(&content_type) {
+    match MediaRange::parse(&content_type) {
         Some(range) => range.is_json(),
         None => {
-            build.fault(loc, "this is no media type, such as application/json");
+            builder.fault(node, "this is no media type, such as application/json");
             true
         }
     }
@@ -148,42 +151,42 @@
 
 /// Reads a schema, plain or in a multi-format object.
 fn read_schema(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
     direction: Direction,
-) -> SchemaSlot {
-    let Some(value) = build.sources.get(loc) else {
-        return SchemaSlot::default();
+) -> SchemaRef {
+    let Some(value) = builder.sources.get(node) else {
+        return SchemaRef::default();
     };
     let is_multi_format = value.get("schemaFormat").is_some();
     let format = if is_multi_format {
-        build.text(&loc.at("schemaFormat"))
+        builder.string(&node.at("schemaFormat"))
     } else {
-        sibling_schema_format(loc).and_then(|at| build.text(&at))
+        sibling_schema_format(node).and_then(|at| builder.string(&at))
     };
     if let Some(format) = format {
         if !SCHEMA_FORMATS.iter().any(|known| format.starts_with(known)) {
-            build.fault(
-                loc,
+            builder.fault(
+                node,
                 format!(
                     "schemas in the format '{format}' are not read: JSON Schema and AsyncAPI's are"
                 ),
             );
-            return SchemaSlot::default();
+            return SchemaRef::default();
         }
     }
     match is_multi_format {
-        true => build.slot(&loc.at("schema"), direction),
-        false => build.slot(loc, direction),
+        true => builder.register_schema(&node.at("schema"), direction),
+        false => builder.register_schema(node, direction),
     }
 }
 
 /// Where a message names the format of its payload (AsyncAPI 2.6): beside it.
-fn sibling_schema_format(loc: &NodeLocation) -> Option<NodeLocation> {
-    loc.pointer.ends_with("/payload").then(|| {
+fn sibling_schema_format(node: &NodeLocation) -> Option<NodeLocation> {
+    node.pointer.ends_with("/payload").then(|| {
         let message = NodeLocation {
-            file: loc.file,
-            pointer: loc.pointer.trim_end_matches("/payload").into(),
+            file: node.file,
+            pointer: node.pointer.trim_end_matches("/payload").into(),
         };
         message.at("schemaFormat")
     })
--- a/crates/contract/src/asyncapi/version_3.rs
+++ b/crates/contract/src/asyncapi/version_3.rs
@@ -27,16 +27,16 @@
 
 /// Reads the messages of all channels. A message that no operation names goes to the described side.
 pub(super) fn read(
-    build: &mut DescriptionBuilder,
+    builder: &mut DescriptionBuilder,
     root: &NodeLocation,
     default_content_type: Option<&str>,
 ) {
-    let channels = read_channels(build, &root.at("channels"));
-    let directions = read_operations(build, &root.at("operations"), &channels);
-    for (loc, channel) in channels {
+    let channels = read_channels(builder, &root.at("channels"));
+    let directions = read_operations(builder, &root.at("operations"), &channels);
+    for (node, channel) in channels {
         for message in channel.messages {
             let direction = directions
-                .get(&(loc.clone(), message.name.clone()))
+                .get(&(node.clone(), message.name.clone()))
                 .copied()
                 .unwrap_or(Direction::Request);
             let entry = MessageEntry {
@@ -45,51 +45,51 @@
                 at: &message.at,
                 direction,
             };
-            read_message(build, &entry, default_content_type);
+            read_message(builder, &entry, default_content_type);
         }
     }
 }
 
 /// Reads the channels. Two can't have the same address.
-fn read_channels(build: &mut DescriptionBuilder, all: &NodeLocation) -> Channels {
+fn read_channels(builder: &mut DescriptionBuilder, all: &NodeLocation) -> Channels {
     let mut channels = Channels::new();
     let mut addresses: BTreeMap<String, String> = BTreeMap::new();
-    for name in build.object(all).unwrap_or_default().keys() {
-        let Some(loc) = build.sources.resolve(&all.at(name)) else {
+    for name in builder.object(all).unwrap_or_default().keys() {
+        let Some(node) = builder.sources.resolve(&all.at(name)) else {
             continue;
         };
-        if build.object(&loc).is_none() {
+        if builder.object(&node).is_none() {
             continue;
         }
-        let address = match build.sources.get(&loc.at("address")) {
+        let address = match builder.sources.get(&node.at("address")) {
             Some(Value::Null) | None => None,
-            Some(_) => build.text(&loc.at("address")),
+            Some(_) => builder.string(&node.at("address")),
         };
-        check_address_variables(build, &loc, address.as_deref().unwrap_or(""));
+        check_address_variables(builder, &node, address.as_deref().unwrap_or(""));
         if let Some(address) = address {
             if let Some(other) = addresses.insert(address, name.clone()) {
-                build.fault(
-                    &loc.at("address"),
+                builder.fault(
+                    &node.at("address"),
                     format!("this is the address of the channel '{other}', too"),
                 );
             }
         }
         let channel = Channel {
             name: name.clone(),
-            messages: channel_messages(build, &loc.at("messages")),
+            messages: channel_messages(builder, &node.at("messages")),
         };
-        channels.insert(loc, channel);
+        channels.insert(node, channel);
     }
     channels
 }
 
-fn channel_messages(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<ChannelMessage> {
-    build
-        .object(loc)
+fn channel_messages(builder: &mut DescriptionBuilder, node: &NodeLocation) -> Vec<ChannelMessage> {
+    builder
+        .object(node)
         .unwrap_or_default()
         .keys()
         .map(|name| ChannelMessage {
-            at: loc.at(name),
+            at: node.at(name),
             name: name.clone(),
         })
         .collect()
@@ -97,38 +97,39 @@
 
 /// Reads the operations: the direction of each message that they name.
 fn read_operations(
-    build: &mut DescriptionBuilder,
+    builder: &mut DescriptionBuilder,
     all: &NodeLocation,
     channels: &Channels,
 ) -> Directions {
     let mut directions = Directions::new();
-    for name in build.object(all).unwrap_or_default().keys() {
-        let Some(loc) = build.sources.resolve(&all.at(name)) else {
+    for name in builder.object(all).unwrap_or_default().keys() {
+        let Some(node) = builder.sources.resolve(&all.at(name)) else {
             continue;
         };
-        if build.object(&loc).is_none() {
+        if builder.object(&node).is_none() {
             continue;
         }
-        build.needs(&loc, &["action", "channel"]);
-        let Some(direction) = read_action(build, &loc.at("action")) else {
+        builder.require_keys(&node, &["action", "channel"]);
+        let Some(direction) = read_action(builder, &node.at("action")) else {
             continue;
         };
-        let Some((target, channel)) = operation_channel(build, &loc.at("channel"), channels) else {
+        let Some((target, channel)) = operation_channel(builder, &node.at("channel"), channels)
+        else {
             continue;
         };
-        for message in operation_messages(build, &loc.at("messages"), channel) {
+        for message in operation_messages(builder, &node.at("messages"), channel) {
             directions.insert((target.clone(), message.name), direction);
         }
     }
     directions
 }
 
-fn read_action(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Option<Direction> {
-    match build.text(loc)?.as_str() {
+fn read_action(builder: &mut DescriptionBuilder, node: &NodeLocation) -> Option<Direction> {
+    match builder.string(node)?.as_str() {
         "receive" => Some(Direction::Request),
         "send" => Some(Direction::Response),
         other => {
-            build.fault(loc, format!("'{other}' is neither send nor receive"));
+            builder.fault(node, format!("'{other}' is neither send nor receive"));
             None
         }
     }
@@ -136,19 +137,19 @@
 
 /// The channel that an operation refers to, with its place.
 fn operation_channel<'c>(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
     channels: &'c Channels,
 ) -> Option<(NodeLocation, &'c Channel)> {
-    let Some(reference) = build.sources.reference(loc) else {
-        if build.sources.get(loc).is_some() {
-            build.fault(loc, "this must be a reference to a channel");
+    let Some(reference) = builder.sources.reference(node) else {
+        if builder.sources.get(node).is_some() {
+            builder.fault(node, "this must be a reference to a channel");
         }
         return None;
     };
-    let target = build.sources.follow(loc, &reference)?;
+    let target = builder.sources.follow(node, &reference)?;
     let Some(channel) = channels.get(&target) else {
-        build.fault(loc, format!("'{reference}' is no channel"));
+        builder.fault(node, format!("'{reference}' is no channel"));
         return None;
     };
     Some((target, channel))
@@ -156,26 +157,26 @@
 
 /// The messages of an operation: those that it lists, or all of its channel.
 fn operation_messages(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
     channel: &Channel,
 ) -> Vec<ChannelMessage> {
-    let Some(count) = list_length(build, loc) else {
+    let Some(count) = list_length(builder, node) else {
         return channel.messages.clone();
     };
     let mut messages = Vec::new();
     for index in 0..count {
-        let at = loc.item(index);
-        let Some(reference) = build.sources.reference(&at) else {
-            build.fault(&at, "this must be a reference to a message of the channel");
+        let at = node.item(index);
+        let Some(reference) = builder.sources.reference(&at) else {
+            builder.fault(&at, "this must be a reference to a message of the channel");
             continue;
         };
-        let Some(found) = build.sources.follow(&at, &reference) else {
+        let Some(found) = builder.sources.follow(&at, &reference) else {
             continue;
         };
         match channel.messages.iter().find(|known| known.at == found) {
             Some(message) => messages.push(message.clone()),
-            None => build.fault(
+            None => builder.fault(
                 &at,
                 format!("'{reference}' is no message of the operation's channel"),
             ),
--- a/crates/contract/src/builder.rs
+++ b/crates/contract/src/builder.rs
@@ -3,7 +3,9 @@
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use crate::fault::Faults;
-use crate::model::{Description, Kind, Media, MediaRange, Message, Operation, SchemaSlot};
+use crate::model::{
+    Description, DescriptionFormat, Media, MediaRange, Message, Operation, SchemaRef,
+};
 use crate::routing::Router;
 use crate::schema::{clip, Dialect, Direction, SchemaRegistry};
 use crate::sources::{NodeLocation, Sources};
@@ -14,7 +16,7 @@
 
 /// A description while it is read.
 pub(crate) struct DescriptionBuilder {
-    pub kind: Kind,
+    pub format: DescriptionFormat,
     pub version: String,
     pub sources: Sources,
     pub registry: SchemaRegistry,
@@ -28,10 +30,10 @@
 /// The supported versions, for the sentence that rejects all others.
 const SUPPORTED_VERSIONS: &str = "OpenAPI 3.0 and 3.1, AsyncAPI 2.6 and 3.0 are read";
 /// The keys that name a format's version, the first one found counts.
-const VERSION_KEYS: [(&str, Kind); 3] = [
-    ("openapi", Kind::OpenApi),
-    ("asyncapi", Kind::AsyncApi),
-    ("swagger", Kind::OpenApi),
+const VERSION_KEYS: [(&str, DescriptionFormat); 3] = [
+    ("openapi", DescriptionFormat::OpenApi),
+    ("asyncapi", DescriptionFormat::AsyncApi),
+    ("swagger", DescriptionFormat::OpenApi),
 ];
 
 /// Why a description's version is not supported.
@@ -85,8 +87,8 @@
         let root = sources.root();
         let found = VERSION_KEYS
             .into_iter()
-            .find_map(|(key, kind)| Some((key, kind, sources.get(&root.at(key)).cloned()?)));
-        let Some((key, kind, value)) = found else {
+            .find_map(|(key, format)| Some((key, format, sources.get(&root.at(key)).cloned()?)));
+        let Some((key, format, value)) = found else {
             sources.fault(&root, VersionError::Missing.to_string());
             return Err(sources.faults);
         };
@@ -102,7 +104,7 @@
             }
         };
         Ok(DescriptionBuilder {
-            kind,
+            format,
             version,
             sources,
             registry: SchemaRegistry::new(dialect),
@@ -115,24 +117,24 @@
     }
 
     /// Registers the schema at a location for values of a direction.
-    pub fn slot(&mut self, loc: &NodeLocation, direction: Direction) -> SchemaSlot {
-        self.registry.visit(&mut self.sources, loc);
-        self.wanted.insert((loc.clone(), direction));
-        SchemaSlot {
-            loc: Some(loc.clone()),
+    pub fn register_schema(&mut self, node: &NodeLocation, direction: Direction) -> SchemaRef {
+        self.registry.visit(&mut self.sources, node);
+        self.wanted.insert((node.clone(), direction));
+        SchemaRef {
+            node: Some(node.clone()),
             validator: None,
-            types: self.types(loc),
+            types: self.types(node),
         }
     }
 
     /// The types that a schema names, after following references.
-    fn types(&mut self, loc: &NodeLocation) -> Vec<String> {
+    fn types(&mut self, node: &NodeLocation) -> Vec<String> {
         // The registry reports faults of the references.
         let before = self.sources.faults.clone();
-        let target = self.sources.resolve(loc);
+        let target = self.sources.resolve(node);
         self.sources.faults = before;
         let value = target
-            .and_then(|loc| self.sources.get(&loc).cloned())
+            .and_then(|node| self.sources.get(&node).cloned())
             .unwrap_or_default();
         match &value["type"] {
             Value::String(one) => vec![one.clone()],
@@ -145,16 +147,16 @@
     }
 
     /// Adds a fault at a node.
-    pub fn fault(&mut self, loc: &NodeLocation, cause: impl Into<String>) {
-        self.sources.fault(loc, cause);
+    pub fn fault(&mut self, node: &NodeLocation, cause: impl Into<String>) {
+        self.sources.fault(node, cause);
     }
 
     /// The object at a location; another value is a fault, an absent one is not.
-    pub fn object(&mut self, loc: &NodeLocation) -> Option<serde_json::Map<String, Value>> {
-        match self.sources.get(loc) {
+    pub fn object(&mut self, node: &NodeLocation) -> Option<serde_json::Map<String, Value>> {
+        match self.sources.get(node) {
             Some(Value::Object(map)) => Some(map.clone()),
             Some(_) => {
-                self.fault(loc, "this must be an object");
+                self.fault(node, "this must be an object");
                 None
             }
             None => None,
@@ -162,11 +164,11 @@
     }
 
     /// The string at a location; another value is a fault, an absent one is not.
-    pub fn text(&mut self, loc: &NodeLocation) -> Option<String> {
-        match self.sources.get(loc) {
+    pub fn string(&mut self, node: &NodeLocation) -> Option<String> {
+        match self.sources.get(node) {
             Some(Value::String(text)) => Some(text.clone()),
             Some(_) => {
-                self.fault(loc, "this must be a string");
+                self.fault(node, "this must be a string");
                 None
             }
             None => None,
@@ -179,12 +181,12 @@
         operation: &NodeLocation,
         ids: &mut BTreeMap<String, NodeLocation>,
     ) -> Option<String> {
-        let loc = operation.at("operationId");
-        let id = self.text(&loc)?;
+        let node = operation.at("operationId");
+        let id = self.string(&node)?;
         if let Some(other) = ids.insert(id.clone(), operation.clone()) {
-            let other = self.sources.name(&other);
+            let other = self.sources.display_location(&other);
             self.fault(
-                &loc,
+                &node,
                 format!("'{id}' is the operation's id at {other}, too"),
             );
         }
@@ -192,11 +194,11 @@
     }
 
     /// The boolean at a location, false if absent; another value is a fault.
-    pub fn flag(&mut self, loc: &NodeLocation) -> bool {
-        match self.sources.get(loc) {
+    pub fn boolean(&mut self, node: &NodeLocation) -> bool {
+        match self.sources.get(node) {
             Some(Value::Bool(flag)) => *flag,
             Some(_) => {
-                self.fault(loc, "this must be true or false");
+                self.fault(node, "this must be true or false");
                 false
             }
             None => false,
@@ -204,20 +206,20 @@
     }
 
     /// Adds a fault for each missing key.
-    pub fn needs(&mut self, loc: &NodeLocation, keys: &[&str]) {
+    pub fn require_keys(&mut self, node: &NodeLocation, keys: &[&str]) {
         for key in keys {
-            if self.sources.get(&loc.at(key)).is_none() {
-                self.fault(loc, format!("'{key}' is missing"));
+            if self.sources.get(&node.at(key)).is_none() {
+                self.fault(node, format!("'{key}' is missing"));
             }
         }
     }
 
     /// The media types of a `content` object with their schemas.
-    pub fn content(&mut self, loc: &NodeLocation, direction: Direction) -> Vec<Media> {
+    pub fn content(&mut self, node: &NodeLocation, direction: Direction) -> Vec<Media> {
         let mut all = Vec::new();
-        for key in self.object(loc).unwrap_or_default().keys() {
-            let at = loc.at(key);
-            let Some(range) = MediaRange::read(key) else {
+        for key in self.object(node).unwrap_or_default().keys() {
+            let at = node.at(key);
+            let Some(range) = MediaRange::parse(key) else {
                 self.fault(
                     &at,
                     "this is no media type, such as application/json, nor a range, such as text/*",
@@ -227,10 +229,13 @@
             self.object(&at);
             let schema = at.at("schema");
             let slot = match self.sources.get(&schema).is_some() {
-                true => self.slot(&schema, direction),
-                false => SchemaSlot::default(),
+                true => self.register_schema(&schema, direction),
+                false => SchemaRef::default(),
             };
-            all.push(Media { range, slot });
+            all.push(Media {
+                range,
+                schema: slot,
+            });
         }
         all
     }
@@ -254,7 +259,7 @@
             .unwrap_or_default();
         let word = |key: &str| info[key].as_str().unwrap_or("").to_string();
         Ok(Description {
-            kind: self.kind,
+            format: self.format,
             version: self.version,
             title: format!("{} {}", word("title"), word("version")),
             operations: self.operations,
@@ -271,24 +276,24 @@
         &mut self,
         compiled: &BTreeMap<(NodeLocation, Direction), Arc<Validator>>,
     ) {
-        let attach = |slot: &mut SchemaSlot, direction: Direction| {
-            if let Some(location) = &slot.loc {
+        let attach = |slot: &mut SchemaRef, direction: Direction| {
+            if let Some(location) = &slot.node {
                 slot.validator = compiled.get(&(location.clone(), direction)).cloned();
             }
         };
         for operation in &mut self.operations {
             for parameter in &mut operation.parameters {
-                attach(&mut parameter.slot, Direction::Request);
+                attach(&mut parameter.schema, Direction::Request);
             }
             for media in &mut operation.body {
-                attach(&mut media.slot, Direction::Request);
+                attach(&mut media.schema, Direction::Request);
             }
             for response in &mut operation.responses {
                 for header in &mut response.headers {
-                    attach(&mut header.slot, Direction::Response);
+                    attach(&mut header.schema, Direction::Response);
                 }
                 for media in &mut response.content {
-                    attach(&mut media.slot, Direction::Response);
+                    attach(&mut media.schema, Direction::Response);
                 }
             }
         }
--- a/crates/contract/src/conformance/channel_message.rs
+++ b/crates/contract/src/conformance/channel_message.rs
@@ -30,16 +30,16 @@
             return Conformance::undescribed(report.into_violations());
         };
         report.check_value(&message.headers, "head", headers);
-        if message.payload.loc.is_some() {
-            if message.json {
-                report.check_json(&message.payload, &message.loc, payload);
+        if message.payload.node.is_some() {
+            if message.is_json {
+                report.check_json(&message.payload, &message.node, payload);
             } else {
-                report.check_text(&message.payload, &message.loc, payload);
+                report.check_text(&message.payload, &message.node, payload);
             }
         }
         Conformance {
             operation: Some(&message.name),
-            number: None,
+            operation_index: None,
             violations: report.into_violations(),
         }
     }
@@ -54,7 +54,7 @@
         self.messages
             .iter()
             .filter(|message| message.channel == channel)
-            .map(|message| message.word.as_str())
+            .map(|message| message.wire_name.as_str())
             .collect::<Vec<_>>()
             .join(", ")
     }
--- a/crates/contract/src/conformance/parameter_values.rs
+++ b/crates/contract/src/conformance/parameter_values.rs
@@ -5,12 +5,12 @@
 
 /// The values that a parameter's texts may stand for, the likeliest first.
 pub(super) fn candidates(parameter: &Parameter, texts: &[String]) -> Vec<Value> {
-    let has_type = |name: &str| parameter.slot.types.iter().any(|known| known == name);
-    if parameter.json {
+    let has_type = |name: &str| parameter.schema.types.iter().any(|known| known == name);
+    if parameter.is_json {
         return vec![json_value(texts)];
     }
     if has_type("array") {
-        return array_candidates(parameter.parted_by, texts);
+        return array_candidates(parameter.list_separator, texts);
     }
     if has_type("object") {
         return vec![object_value(texts)];
--- a/crates/contract/src/conformance/report.rs
+++ b/crates/contract/src/conformance/report.rs
@@ -5,9 +5,9 @@
 use super::redaction::redacted;
 use super::types::{Violation, ViolationKind};
 use super::MAX_VIOLATIONS;
-use crate::document::step;
-use crate::model::{best_media, Description, Media, MediaRange, Parameter, SchemaSlot};
-use crate::schema::{clip, place_of};
+use crate::document::append_to_pointer;
+use crate::model::{best_media, Description, Media, MediaRange, Parameter, SchemaRef};
+use crate::schema::{clip, location_from_uri};
 use crate::sources::NodeLocation;
 use jsonschema::error::ValidationErrorKind;
 use jsonschema::ValidationError;
@@ -55,7 +55,7 @@
             kind,
             place: place.into(),
             described: described
-                .map(|location| self.description.place(location))
+                .map(|location| self.description.display_location(location))
                 .unwrap_or_default(),
             expected: expected.into(),
             found: found.into(),
@@ -81,18 +81,20 @@
         content_type: Option<&str>,
         body: &[u8],
     ) {
-        let range = content_type.and_then(MediaRange::read);
+        let range = content_type.and_then(MediaRange::parse);
         let media = range.as_ref().and_then(|range| best_media(content, range));
         let (Some(range), Some(media)) = (range, media) else {
             return self.add_unknown_media_type(content, described, content_type);
         };
-        if media.slot.loc.is_none() {
+        if media.schema.node.is_none() {
             return;
         }
         if range.is_json() {
-            self.check_json(&media.slot, described, body);
-        } else if range.kind == "text" || media.slot.types.iter().any(|name| name == "string") {
-            self.check_text(&media.slot, described, body);
+            self.check_json(&media.schema, described, body);
+        } else if range.type_name == "text"
+            || media.schema.types.iter().any(|name| name == "string")
+        {
+            self.check_text(&media.schema, described, body);
         }
     }
 
@@ -118,7 +120,7 @@
     }
 
     /// Checks a body that must be JSON.
-    pub(super) fn check_json(&mut self, slot: &SchemaSlot, fallback: &NodeLocation, body: &[u8]) {
+    pub(super) fn check_json(&mut self, slot: &SchemaRef, fallback: &NodeLocation, body: &[u8]) {
         let error = match serde_json::from_slice::<Value>(body) {
             Ok(value) => return self.check_value(slot, "body", &value),
             Err(error) => error,
@@ -135,17 +137,17 @@
         } else {
             ViolationKind::NotJson
         };
-        let described = slot.loc.as_ref().unwrap_or(fallback);
+        let described = slot.node.as_ref().unwrap_or(fallback);
         self.add(kind, "body", Some(described), "JSON", &found);
     }
 
     /// Checks a body that must be UTF-8 text.
-    pub(super) fn check_text(&mut self, slot: &SchemaSlot, fallback: &NodeLocation, body: &[u8]) {
+    pub(super) fn check_text(&mut self, slot: &SchemaRef, fallback: &NodeLocation, body: &[u8]) {
         match std::str::from_utf8(body) {
             Ok(text) => self.check_value(slot, "body", &Value::String(text.into())),
             Err(error) => {
                 let found = format!("a byte at {} that is none", error.valid_up_to());
-                let described = slot.loc.as_ref().unwrap_or(fallback);
+                let described = slot.node.as_ref().unwrap_or(fallback);
                 self.add(
                     ViolationKind::Encoding,
                     "body",
@@ -159,8 +161,8 @@
 
     /// Checks a parameter or header, given all texts for it; `None` stands for one with broken percent-encoding.
     pub(super) fn check_parameter(&mut self, parameter: &Parameter, texts: Vec<Option<String>>) {
-        let place = format!("{} {}", parameter.within.word(), parameter.name);
-        let described = Some(&parameter.loc);
+        let place = format!("{} {}", parameter.location.as_str(), parameter.name);
+        let described = Some(&parameter.node);
         if texts.is_empty() {
             if parameter.required {
                 let expected = "this to be given";
@@ -184,10 +186,10 @@
                 "broken codes",
             );
         };
-        if parameter.empty && texts.iter().all(String::is_empty) {
+        if parameter.allow_empty && texts.iter().all(String::is_empty) {
             return;
         }
-        let Some(validator) = &parameter.slot.validator else {
+        let Some(validator) = &parameter.schema.validator else {
             return;
         };
         let values = candidates(parameter, &texts);
@@ -196,12 +198,12 @@
             return;
         }
         if let Some(likeliest) = values.first() {
-            self.check_value(&parameter.slot, &place, likeliest);
+            self.check_value(&parameter.schema, &place, likeliest);
         }
     }
 
     /// Checks a value by its schema.
-    pub(super) fn check_value(&mut self, slot: &SchemaSlot, place: &str, value: &Value) {
+    pub(super) fn check_value(&mut self, slot: &SchemaRef, place: &str, value: &Value) {
         let Some(validator) = &slot.validator else {
             return;
         };
@@ -217,7 +219,7 @@
         let expectation = expectation(error.kind());
         let described = error
             .absolute_keyword_location()
-            .and_then(|uri| place_of(uri.as_str()));
+            .and_then(|uri| location_from_uri(uri.as_str()));
         for finding in self.findings(place, error) {
             self.add(
                 expectation.kind,
@@ -235,7 +237,7 @@
         let instance = error.instance();
         match error.kind() {
             ValidationErrorKind::Required { property } => {
-                let missing = step(pointer, property.as_str().unwrap_or(""));
+                let missing = append_to_pointer(pointer, property.as_str().unwrap_or(""));
                 vec![Finding {
                     place: place_at(place, &missing),
                     found: "nothing".into(),
@@ -246,7 +248,7 @@
                 .iter()
                 .map(|name| {
                     let value = instance.get(name).unwrap_or(&Value::Null);
-                    self.finding(place, &step(pointer, name), value)
+                    self.finding(place, &append_to_pointer(pointer, name), value)
                 })
                 .collect(),
             _ => vec![self.finding(place, pointer, instance)],
--- a/crates/contract/src/conformance/request.rs
+++ b/crates/contract/src/conformance/request.rs
@@ -56,7 +56,7 @@
         check_request_body(&mut report, operation, request);
         Conformance {
             operation: Some(&operation.name),
-            number: Some(number),
+            operation_index: Some(number),
             violations: report.into_violations(),
         }
     }
@@ -67,7 +67,7 @@
     operation: &Operation,
     request: &ObservedRequest,
 ) {
-    let described = operation.loc.at("requestBody");
+    let described = operation.node.at("requestBody");
     if request.body.is_empty() {
         if operation.body_required {
             report.add_missing_body(&described);
@@ -90,7 +90,7 @@
 impl ParameterSources<'_> {
     /// The texts given for a parameter, decoded; `None` stands for one with broken percent-encoding.
     fn texts_of(&self, parameter: &Parameter) -> Vec<Option<String>> {
-        match parameter.within {
+        match parameter.location {
             ParameterLocation::Path => self.path_texts(&parameter.name),
             ParameterLocation::Query => self.query_texts(&parameter.name),
             ParameterLocation::Header => self.header_texts(&parameter.name),
--- a/crates/contract/src/conformance/response.rs
+++ b/crates/contract/src/conformance/response.rs
@@ -23,14 +23,14 @@
             report.add(
                 ViolationKind::Truncated,
                 "body",
-                Some(&operation.loc),
+                Some(&operation.node),
                 "a whole answer",
                 &found,
             );
         }
         Conformance {
             operation: Some(&operation.name),
-            number: Some(operation_index),
+            operation_index: Some(operation_index),
             violations: report.into_violations(),
         }
     }
@@ -45,7 +45,7 @@
         return report.add(
             ViolationKind::Status,
             "status",
-            Some(&operation.loc.at("responses")),
+            Some(&operation.node.at("responses")),
             &clip(&described_statuses(operation)),
             &response.status.to_string(),
         );
@@ -68,7 +68,7 @@
             let content_type = header(response.fields, "Content-Type");
             report.check_body(
                 &described.content,
-                &described.loc,
+                &described.node,
                 content_type,
                 response.body,
             );
@@ -80,9 +80,9 @@
     let has_schema = described
         .content
         .iter()
-        .any(|media| media.slot.loc.is_some());
+        .any(|media| media.schema.node.is_some());
     if has_schema && !never_has_body {
-        report.add_missing_body(&described.loc);
+        report.add_missing_body(&described.node);
     }
 }
 
--- a/crates/contract/src/conformance/types.rs
+++ b/crates/contract/src/conformance/types.rs
@@ -60,7 +60,7 @@
     /// Name of the operation or message; `None` if it is not described.
     pub operation: Option<&'d Arc<str>>,
     /// Index of the operation, for checking the response to this request.
-    pub number: Option<usize>,
+    pub operation_index: Option<usize>,
     /// The violations, at most [`MAX_VIOLATIONS`](super::MAX_VIOLATIONS).
     pub violations: Vec<Violation>,
 }
@@ -70,7 +70,7 @@
     pub(super) fn undescribed(violations: Vec<Violation>) -> Self {
         Conformance {
             operation: None,
-            number: None,
+            operation_index: None,
             violations,
         }
     }
--- a/crates/contract/src/diff/messages.rs
+++ b/crates/contract/src/diff/messages.rs
@@ -11,13 +11,13 @@
         for message in &old.messages {
             self.operation = message.name.to_string();
             self.compared.clear();
-            match new.message(&message.channel, &message.word) {
+            match new.message(&message.channel, &message.wire_name) {
                 None => self.add(ChangeImpact::Breaking, "", "the message is gone"),
                 Some(after) => self.compare_message(message, after),
             }
         }
         let added = new.messages.iter();
-        for message in added.filter(|m| old.message(&m.channel, &m.word).is_none()) {
+        for message in added.filter(|m| old.message(&m.channel, &m.wire_name).is_none()) {
             self.operation = message.name.to_string();
             let impact = match message.direction {
                 Direction::Request => ChangeImpact::Compatible,
@@ -32,19 +32,19 @@
         if old.direction != new.direction {
             self.add(ChangeImpact::Breaking, "", "it goes the other way");
         }
-        if old.json != new.json {
+        if old.is_json != new.is_json {
             self.add(ChangeImpact::Breaking, "payload", "its media type differs");
         }
-        self.compare_annotations("", &old.loc, &new.loc);
+        self.compare_annotations("", &old.node, &new.node);
         let head = Position {
             direction: old.direction,
             place: "head",
         };
-        self.compare_slots(head, &old.headers, &new.headers);
+        self.compare_schema_refs(head, &old.headers, &new.headers);
         let payload = Position {
             place: "payload",
             ..head
         };
-        self.compare_slots(payload, &old.payload, &new.payload);
+        self.compare_schema_refs(payload, &old.payload, &new.payload);
     }
 }
--- a/crates/contract/src/diff/mod.rs
+++ b/crates/contract/src/diff/mod.rs
@@ -10,7 +10,7 @@
 mod schema_view;
 mod schemas;
 
-use crate::model::{Description, Kind, SchemaSlot};
+use crate::model::{Description, DescriptionFormat, SchemaRef};
 use crate::schema::Direction;
 use crate::sources::NodeLocation;
 use serde::Serialize;
@@ -77,7 +77,7 @@
 
 /// Returns all differences, the breaking ones first.
 pub fn diff(old: &Description, new: &Description) -> Result<Vec<Change>, DiffError> {
-    if old.kind != new.kind {
+    if old.format != new.format {
         return Err(DiffError::DifferentFormats);
     }
     let mut comparison = Comparison {
@@ -87,9 +87,9 @@
         operation: String::new(),
         compared: BTreeSet::new(),
     };
-    match old.kind {
-        Kind::OpenApi => comparison.compare_operations(),
-        Kind::AsyncApi => comparison.compare_messages(),
+    match old.format {
+        DescriptionFormat::OpenApi => comparison.compare_operations(),
+        DescriptionFormat::AsyncApi => comparison.compare_messages(),
     }
     if comparison.changes.is_empty() && contents(old) != contents(new) {
         comparison.operation = "the description".into();
@@ -173,8 +173,8 @@
         }
     }
 
-    fn compare_slots(&mut self, at: Position<'_>, old: &SchemaSlot, new: &SchemaSlot) {
-        match (&old.loc, &new.loc) {
+    fn compare_schema_refs(&mut self, at: Position<'_>, old: &SchemaRef, new: &SchemaRef) {
+        match (&old.node, &new.node) {
             (Some(old), Some(new)) => self.compare_schemas(at, old, new),
             (None, Some(_)) => self.add_narrowed(at, "it has a schema now"),
             (Some(_), None) => self.add_widened(at, "its schema is gone"),
--- a/crates/contract/src/diff/operations.rs
+++ b/crates/contract/src/diff/operations.rs
@@ -30,7 +30,7 @@
     fn compare_operation(&mut self, old: &Operation, new: &Operation) {
         self.compared.clear();
         self.compare_names(old, new);
-        self.compare_annotations("", &old.loc, &new.loc);
+        self.compare_annotations("", &old.node, &new.node);
         self.compare_parameters(Direction::Request, "", &old.parameters, &new.parameters);
         self.compare_request_bodies(old, new);
         for response in &old.responses {
@@ -86,7 +86,7 @@
 
     fn compare_response(&mut self, old: &Response, new: &Response) {
         let place = response_place(old.status);
-        self.compare_annotations(&place, &old.loc, &new.loc);
+        self.compare_annotations(&place, &old.node, &new.node);
         self.compare_parameters(Direction::Response, &place, &old.headers, &new.headers);
         match (old.content.is_empty(), new.content.is_empty()) {
             (false, true) => self.add(ChangeImpact::Breaking, &place, "its body is gone"),
@@ -133,10 +133,10 @@
     fn compare_media(&mut self, at: Position<'_>, old: &[Media], new: &[Media]) {
         for media in old {
             match new.iter().find(|now| now.range == media.range) {
-                Some(now) => self.compare_slots(at, &media.slot, &now.slot),
+                Some(now) => self.compare_schema_refs(at, &media.schema, &now.schema),
                 None if new
                     .iter()
-                    .any(|now| now.range.covers(&media.range).is_some()) =>
+                    .any(|now| now.range.match_rank(&media.range).is_some()) =>
                 {
                     let what = format!("{} is covered by a wider range now", media.range);
                     self.add_widened(at, what);
--- a/crates/contract/src/diff/parameters.rs
+++ b/crates/contract/src/diff/parameters.rs
@@ -57,22 +57,22 @@
         new: &Parameter,
     ) {
         let at = Position { direction, place };
-        self.compare_annotations(place, &old.loc, &new.loc);
+        self.compare_annotations(place, &old.node, &new.node);
         match (old.required, new.required) {
             (false, true) => self.add_narrowed(at, "it became required"),
             (true, false) => self.add_widened(at, "it became optional"),
             _ => {}
         }
-        if (old.json, old.parted_by) != (new.json, new.parted_by) {
+        if (old.is_json, old.list_separator) != (new.is_json, new.list_separator) {
             let what = "the way in which its value is written differs";
             self.add(ChangeImpact::Breaking, place, what);
         }
-        self.compare_slots(at, &old.slot, &new.slot);
+        self.compare_schema_refs(at, &old.schema, &new.schema);
     }
 }
 
 fn is_path_variable(parameter: &Parameter) -> bool {
-    parameter.within == ParameterLocation::Path
+    parameter.location == ParameterLocation::Path
 }
 
 fn path_variables(parameters: &[Parameter]) -> Vec<&Parameter> {
@@ -86,15 +86,15 @@
 
 /// Whether two parameters outside the path are the same one. Names of headers are the same in any case.
 fn is_same(a: &Parameter, b: &Parameter) -> bool {
-    let has_same_name = match a.within {
+    let has_same_name = match a.location {
         ParameterLocation::Header => a.name.eq_ignore_ascii_case(&b.name),
         _ => a.name == b.name,
     };
-    a.within == b.within && has_same_name
+    a.location == b.location && has_same_name
 }
 
 fn parameter_place(place: &str, parameter: &Parameter) -> String {
-    let location = parameter.within.word();
+    let location = parameter.location.as_str();
     if place.is_empty() {
         format!("{location} {}", parameter.name)
     } else {
--- a/crates/contract/src/document.rs
+++ b/crates/contract/src/document.rs
@@ -48,7 +48,7 @@
     }
 
     /// The position of a node, or of the nearest one around it that has a position.
-    pub fn place(&self, pointer: &str) -> Position {
+    pub fn position(&self, pointer: &str) -> Position {
         let mut pointer = pointer;
         loop {
             if let Some(position) = self.positions.get(pointer) {
@@ -62,14 +62,14 @@
     }
 
     /// Drops the value and the positions; the name stays.
-    pub(crate) fn slim(&mut self) {
+    pub(crate) fn drop_content(&mut self) {
         self.value = Value::Null;
         self.positions = HashMap::new();
     }
 
     /// A fault at a node.
     pub fn fault(&self, pointer: &str, cause: impl Into<String>) -> Fault {
-        let position = self.place(pointer);
+        let position = self.position(pointer);
         Fault {
             file: self.name.clone(),
             line: position.line,
@@ -109,7 +109,7 @@
 }
 
 /// Appends a key to a JSON pointer.
-pub fn step(pointer: &str, key: &str) -> String {
+pub fn append_to_pointer(pointer: &str, key: &str) -> String {
     let mut out = String::with_capacity(pointer.len() + 1 + key.len());
     out.push_str(pointer);
     out.push('/');
--- a/crates/contract/src/document/json.rs
+++ b/crates/contract/src/document/json.rs
@@ -1,6 +1,6 @@
 //! JSON with the position of every node. Repeated keys are faults, which `serde_json` alone would accept.
 
-use super::step;
+use super::append_to_pointer;
 use super::syntax::{NodeTable, ParseError, Position, SyntaxError};
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
@@ -87,7 +87,7 @@
     ) -> Result<Value, ParseError> {
         let mut map = Map::new();
         for (key, raw) in members {
-            let inner = step(pointer, &key);
+            let inner = append_to_pointer(pointer, &key);
             if map.contains_key(&key) {
                 let position = self.position(raw.get());
                 return Err(ParseError::new(position, &inner, SyntaxError::DuplicateKey));
--- a/crates/contract/src/document/yaml.rs
+++ b/crates/contract/src/document/yaml.rs
@@ -1,6 +1,6 @@
 //! YAML 1.2 with the position of every node, as far as its values have a form in JSON.
 
-use super::step;
+use super::append_to_pointer;
 use super::syntax::{NodeTable, ParseError, Position, SyntaxError};
 use super::yaml_scalar::{check_tag, scalar_value};
 use saphyr_parser::{Event, Marker, Parser, ScalarStyle, ScanError, Span, StrInput};
@@ -148,7 +148,7 @@
             }
             let key = mapping_key(event)
                 .map_err(|error| ParseError::new(key_position, pointer, error))?;
-            let inner = step(pointer, &key);
+            let inner = append_to_pointer(pointer, &key);
             if map.contains_key(&key) {
                 let error = SyntaxError::DuplicateKey;
                 return Err(ParseError::new(key_position, &inner, error));
--- a/crates/contract/src/drift/entry.rs
+++ b/crates/contract/src/drift/entry.rs
@@ -28,7 +28,7 @@
     pub(super) first_seen: UnixSeconds,
     pub(super) count: u64,
     /// Valid messages of the party before its first violation.
-    pub(super) good_before: u64,
+    pub(super) valid_messages_before: u64,
 }
 
 /// The violations of one key.
@@ -62,7 +62,7 @@
         now: UnixSeconds,
         party: &Arc<str>,
         violation: &Violation,
-        good_before: u64,
+        valid_messages_before: u64,
     ) -> bool {
         let is_new_entry = self.count == 0;
         self.count += 1;
@@ -79,7 +79,7 @@
         let record = PartyRecord {
             first_seen: now,
             count: 1,
-            good_before,
+            valid_messages_before,
         };
         self.parties.insert(party.clone(), record);
         true
--- a/crates/contract/src/drift/listing.rs
+++ b/crates/contract/src/drift/listing.rs
@@ -152,7 +152,9 @@
             return format!("{interface}: {violation} ({count} times since {since})");
         }
         // Valid messages before the first violation point to a change while in service.
-        let began = parties.iter().all(|(_, record)| record.good_before > 0);
+        let began = parties
+            .iter()
+            .all(|(_, record)| record.valid_messages_before > 0);
         let verb = if began { "began to depart" } else { "depart" };
         let newer = if self.are_newest_servers(parties) {
             ", all of them newer than the rest"
--- a/crates/contract/src/drift/tests.rs
+++ b/crates/contract/src/drift/tests.rs
@@ -166,7 +166,7 @@
     }
     assert!(
         tracker.len() <= MAX_ENTRIES
-            && tracker.dropped > 2_000
+            && tracker.evicted_entries > 2_000
             && tracker.operations.len() <= MAX_OPERATIONS
     );
 }
--- a/crates/contract/src/drift/tracker.rs
+++ b/crates/contract/src/drift/tracker.rs
@@ -50,9 +50,9 @@
     /// Messages checked.
     pub messages: u64,
     /// Messages with at least one violation.
-    pub departing: u64,
+    pub violating_messages: u64,
     /// Entries evicted to keep within [`MAX_ENTRIES`].
-    pub dropped: u64,
+    pub evicted_entries: u64,
 }
 
 impl OperationCounts {
@@ -74,11 +74,11 @@
     pub fn record(&mut self, now: UnixSeconds, observation: &Observation) -> bool {
         self.messages += 1;
         let operation = observed_operation(observation);
-        let good_before = self.count_message(&operation, observation.party);
+        let valid_messages_before = self.count_message(&operation, observation.party);
         if observation.violations.is_empty() {
             return false;
         }
-        self.departing += 1;
+        self.violating_messages += 1;
         let mut is_new = false;
         // A message counts once for each place, however many items of a list violate the description there.
         let mut places = BTreeSet::new();
@@ -96,7 +96,7 @@
                 .entries
                 .entry(key)
                 .or_insert_with(|| Entry::new(now, violation));
-            is_new |= entry.record(now, observation.party, violation, good_before);
+            is_new |= entry.record(now, observation.party, violation, valid_messages_before);
         }
         is_new
     }
@@ -139,7 +139,7 @@
             .map(|(key, _)| key.clone());
         if let Some(key) = oldest {
             self.entries.remove(&key);
-            self.dropped += 1;
+            self.evicted_entries += 1;
         }
     }
 
--- a/crates/contract/src/enforcement.rs
+++ b/crates/contract/src/enforcement.rs
@@ -6,7 +6,7 @@
 use crate::conformance::{Violation, ViolationKind};
 use crate::drift::Interface;
 use crate::fault::Faults;
-use crate::model::{Description, Kind};
+use crate::model::{Description, DescriptionFormat};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -168,9 +168,9 @@
         /// The description's file.
         path: String,
         /// The format of the interface.
-        expected: Kind,
+        expected: DescriptionFormat,
         /// The description's format.
-        found: Kind,
+        found: DescriptionFormat,
     },
 }
 
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -12,7 +12,7 @@
 /// The format of a description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum DescriptionFormat {
     /// HTTP interfaces.
     OpenApi,
     /// Messages on channels.
@@ -21,8 +21,8 @@
 
 /// The schema of a value: its location, and its compiled form. Without a location any value is valid.
 #[derive(Clone, Debug, Default)]
-pub struct SchemaSlot {
-    pub(crate) loc: Option<NodeLocation>,
+pub struct SchemaRef {
+    pub(crate) node: Option<NodeLocation>,
     pub(crate) validator: Option<Arc<Validator>>,
     /// The types that the schema names, by which a parameter's text is parsed; empty if it names none.
     pub(crate) types: Vec<String>,
@@ -31,33 +31,35 @@
 /// A media type or a range of them, such as `application/*`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MediaRange {
-    pub(crate) kind: String,
-    pub(crate) sub: String,
+    pub(crate) type_name: String,
+    pub(crate) subtype: String,
 }
 
 impl MediaRange {
     /// Parses a media type or range, without its parameters such as `charset`; `None` if it is malformed.
-    pub fn read(text: &str) -> Option<MediaRange> {
+    pub fn parse(text: &str) -> Option<MediaRange> {
         let essence = text.split(';').next()?.trim().to_ascii_lowercase();
-        let (kind, sub) = essence.split_once('/')?;
+        let (type_name, subtype) = essence.split_once('/')?;
         let token = |t: &str| {
             !t.is_empty()
                 && t.bytes()
                     .all(|b| b.is_ascii_alphanumeric() || b"!#$&^_.+-*".contains(&b))
         };
-        (token(kind) && token(sub) && (kind != "*" || sub == "*")).then(|| MediaRange {
-            kind: kind.into(),
-            sub: sub.into(),
+        (token(type_name) && token(subtype) && (type_name != "*" || subtype == "*")).then(|| {
+            MediaRange {
+                type_name: type_name.into(),
+                subtype: subtype.into(),
+            }
         })
     }
 
     /// How exactly it covers a type: 0 for the same type, 1 for a range of subtypes, 2 for `*/*`; `None` if it does not.
-    pub fn covers(&self, other: &MediaRange) -> Option<u8> {
+    pub fn match_rank(&self, other: &MediaRange) -> Option<u8> {
         match (
-            self.kind == other.kind,
-            self.sub == other.sub,
-            self.kind.as_str(),
-            self.sub.as_str(),
+            self.type_name == other.type_name,
+            self.subtype == other.subtype,
+            self.type_name.as_str(),
+            self.subtype.as_str(),
         ) {
             (true, true, ..) => Some(0),
             (true, _, _, "*") => Some(1),
@@ -68,13 +70,13 @@
 
     /// Whether bodies of this type are JSON.
     pub fn is_json(&self) -> bool {
-        self.sub == "json" || self.sub.ends_with("+json")
+        self.subtype == "json" || self.subtype.ends_with("+json")
     }
 }
 
 impl std::fmt::Display for MediaRange {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}/{}", self.kind, self.sub)
+        write!(f, "{}/{}", self.type_name, self.subtype)
     }
 }
 
@@ -82,7 +84,7 @@
 #[derive(Clone, Debug)]
 pub struct Media {
     pub(crate) range: MediaRange,
-    pub(crate) slot: SchemaSlot,
+    pub(crate) schema: SchemaRef,
 }
 
 /// The part of a request that holds a parameter.
@@ -99,7 +101,7 @@
 }
 
 impl ParameterLocation {
-    pub(crate) fn read(word: &str) -> Option<ParameterLocation> {
+    pub(crate) fn parse(word: &str) -> Option<ParameterLocation> {
         Some(match word {
             "path" => ParameterLocation::Path,
             "query" => ParameterLocation::Query,
@@ -110,7 +112,7 @@
     }
 
     /// The value of `in` for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             ParameterLocation::Path => "path",
             ParameterLocation::Query => "query",
@@ -124,16 +126,16 @@
 #[derive(Clone, Debug)]
 pub struct Parameter {
     pub(crate) name: String,
-    pub(crate) within: ParameterLocation,
+    pub(crate) location: ParameterLocation,
     pub(crate) required: bool,
-    pub(crate) loc: NodeLocation,
-    pub(crate) slot: SchemaSlot,
+    pub(crate) node: NodeLocation,
+    pub(crate) schema: SchemaRef,
     /// Whether its value is JSON text.
-    pub(crate) json: bool,
+    pub(crate) is_json: bool,
     /// Whether its value may be empty (`allowEmptyValue`).
-    pub(crate) empty: bool,
+    pub(crate) allow_empty: bool,
     /// The separator of a list's items; `None`: each item is a pair of its own.
-    pub(crate) parted_by: Option<char>,
+    pub(crate) list_separator: Option<char>,
 }
 
 /// The statuses that a described response is for.
@@ -148,7 +150,7 @@
 }
 
 impl Status {
-    pub(crate) fn read(word: &str) -> Option<Status> {
+    pub(crate) fn parse(word: &str) -> Option<Status> {
         if word == "default" {
             return Some(Status::Default);
         }
@@ -167,7 +169,7 @@
 #[derive(Clone, Debug)]
 pub struct Response {
     pub(crate) status: Status,
-    pub(crate) loc: NodeLocation,
+    pub(crate) node: NodeLocation,
     pub(crate) headers: Vec<Parameter>,
     pub(crate) content: Vec<Media>,
 }
@@ -179,7 +181,7 @@
     pub name: Arc<str>,
     /// The description's `operationId`.
     pub id: Option<String>,
-    pub(crate) loc: NodeLocation,
+    pub(crate) node: NodeLocation,
     pub(crate) parameters: Vec<Parameter>,
     pub(crate) body_required: bool,
     pub(crate) body: Vec<Media>,
@@ -193,11 +195,11 @@
     pub name: Arc<str>,
     pub(crate) channel: String,
     /// The name that it goes by on the wire: its own, or `x-frame`.
-    pub(crate) word: String,
-    pub(crate) loc: NodeLocation,
-    pub(crate) headers: SchemaSlot,
-    pub(crate) payload: SchemaSlot,
-    pub(crate) json: bool,
+    pub(crate) wire_name: String,
+    pub(crate) node: NodeLocation,
+    pub(crate) headers: SchemaRef,
+    pub(crate) payload: SchemaRef,
+    pub(crate) is_json: bool,
     /// Who sends it; to the described side where no operation says so.
     pub(crate) direction: Direction,
 }
@@ -206,7 +208,7 @@
 #[derive(Clone, Debug)]
 pub struct Description {
     /// The format.
-    pub kind: Kind,
+    pub format: DescriptionFormat,
     /// The format's version.
     pub version: String,
     /// `info.title` and `info.version`.
@@ -224,8 +226,8 @@
 
 impl Description {
     /// Drops the documents, which checking traffic does not need. Such a description can't be compared.
-    pub fn slim(mut self) -> Description {
-        self.sources.slim();
+    pub fn without_documents(mut self) -> Description {
+        self.sources.drop_documents();
         self
     }
 
@@ -246,15 +248,15 @@
     }
 
     /// A location as reports show it.
-    pub fn place(&self, loc: &NodeLocation) -> String {
-        self.sources.name(loc)
+    pub fn display_location(&self, location: &NodeLocation) -> String {
+        self.sources.display_location(location)
     }
 
     /// The message of a channel by its name on the wire.
     pub fn message(&self, channel: &str, word: &str) -> Option<&Message> {
         self.messages
             .iter()
-            .find(|message| message.channel == channel && message.word == word)
+            .find(|message| message.channel == channel && message.wire_name == word)
     }
 }
 
@@ -262,7 +264,7 @@
 pub(crate) fn best_media<'m>(content: &'m [Media], range: &MediaRange) -> Option<&'m Media> {
     let covering = content
         .iter()
-        .filter_map(|media| Some((media.range.covers(range)?, media)));
+        .filter_map(|media| Some((media.range.match_rank(range)?, media)));
     covering
         .min_by_key(|(rank, _)| *rank)
         .map(|(_, media)| media)
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -29,91 +29,95 @@
 }
 
 /// Reads the whole description into the builder, which collects operations and faults.
-pub(crate) fn read(build: &mut DescriptionBuilder) {
-    let root = build.sources.root();
-    build.needs(&root, &["info"]);
-    if build.object(&root.at("info")).is_some() {
-        build.needs(&root.at("info"), &["title", "version"]);
+pub(crate) fn read(builder: &mut DescriptionBuilder) {
+    let root = builder.sources.root();
+    builder.require_keys(&root, &["info"]);
+    if builder.object(&root.at("info")).is_some() {
+        builder.require_keys(&root.at("info"), &["title", "version"]);
     }
-    if build.dialect == Dialect::OpenApi30 {
-        build.needs(&root, &["paths"]);
+    if builder.dialect == Dialect::OpenApi30 {
+        builder.require_keys(&root, &["paths"]);
     } else if ["paths", "webhooks", "components"]
         .iter()
-        .all(|key| build.sources.get(&root.at(key)).is_none())
+        .all(|key| builder.sources.get(&root.at(key)).is_none())
     {
-        build.fault(
+        builder.fault(
             &root,
             "one of 'paths', 'webhooks' and 'components' must be there",
         );
     }
-    read_component_schemas(build, &root.at("components"));
-    let server_paths = read_server_paths(build, &root.at("servers"));
-    read_paths(build, &root.at("paths"), &server_paths);
+    read_component_schemas(builder, &root.at("components"));
+    let server_paths = read_server_paths(builder, &root.at("servers"));
+    read_paths(builder, &root.at("paths"), &server_paths);
 }
 
 /// Reads all path items. Two templates that match the same paths are a fault.
-fn read_paths(build: &mut DescriptionBuilder, paths: &NodeLocation, server_paths: &[String]) {
+fn read_paths(builder: &mut DescriptionBuilder, paths: &NodeLocation, server_paths: &[String]) {
     let mut shapes: BTreeMap<String, String> = BTreeMap::new();
     let mut ids: BTreeMap<String, NodeLocation> = BTreeMap::new();
-    for text in build.object(paths).unwrap_or_default().keys() {
+    for text in builder.object(paths).unwrap_or_default().keys() {
         if text.starts_with("x-") {
             continue;
         }
-        let loc = paths.at(text);
+        let node = paths.at(text);
         let template = match Template::parse(text) {
             Ok(template) => template,
             Err(cause) => {
-                build.fault(&loc, cause.to_string());
+                builder.fault(&node, cause.to_string());
                 continue;
             }
         };
         if let Some(other) = shapes.insert(template.shape(), text.clone()) {
-            build.fault(&loc, format!("no path tells this template from {other}"));
+            builder.fault(&node, format!("no path tells this template from {other}"));
             continue;
         }
         let path = TemplatedPath { text, template };
-        path_item(build, &loc, &path, server_paths, &mut ids);
+        path_item(builder, &node, &path, server_paths, &mut ids);
     }
 }
 
 /// Reads the schemas among the components, also those without a reference to them: a client's author may copy them.
-fn read_component_schemas(build: &mut DescriptionBuilder, loc: &NodeLocation) {
-    if build.object(loc).is_none() {
+fn read_component_schemas(builder: &mut DescriptionBuilder, node: &NodeLocation) {
+    if builder.object(node).is_none() {
         return;
     }
-    for name in build.object(&loc.at("schemas")).unwrap_or_default().keys() {
-        let at = loc.at("schemas").at(name);
+    for name in builder
+        .object(&node.at("schemas"))
+        .unwrap_or_default()
+        .keys()
+    {
+        let at = node.at("schemas").at(name);
         if !name
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b))
             || name.is_empty()
         {
-            build.fault(
+            builder.fault(
                 &at,
                 "a component's name has letters, digits, '.', '_' and '-' only",
             );
         }
-        build.slot(&at, Direction::Request);
+        builder.register_schema(&at, Direction::Request);
     }
 }
 
 /// Reads the paths of the servers' addresses, which precede every template.
-fn read_server_paths(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<String> {
-    let Some(value) = build.sources.get(loc).cloned() else {
+fn read_server_paths(builder: &mut DescriptionBuilder, node: &NodeLocation) -> Vec<String> {
+    let Some(value) = builder.sources.get(node).cloned() else {
         return vec![String::new()];
     };
     let Some(servers) = value.as_array() else {
-        build.fault(loc, "this must be a list of servers");
+        builder.fault(node, "this must be a list of servers");
         return vec![String::new()];
     };
     let mut server_paths = Vec::new();
     for (index, server) in servers.iter().enumerate() {
-        let at = loc.item(index);
-        build.needs(&at, &["url"]);
-        let Some(url) = build.text(&at.at("url")) else {
+        let at = node.item(index);
+        builder.require_keys(&at, &["url"]);
+        let Some(url) = builder.string(&at.at("url")) else {
             continue;
         };
-        let url = expand_server_variables(build, &at, url, server);
+        let url = expand_server_variables(builder, &at, url, server);
         server_paths.push(server_path(&url));
     }
     server_paths.sort();
@@ -126,7 +130,7 @@
 
 /// Puts the defaults of a server's variables into its address.
 fn expand_server_variables(
-    build: &mut DescriptionBuilder,
+    builder: &mut DescriptionBuilder,
     at: &NodeLocation,
     mut url: String,
     server: &Value,
@@ -134,13 +138,13 @@
     for (name, variable) in server["variables"].as_object().into_iter().flatten() {
         let default = variable["default"].as_str();
         if default.is_none() {
-            build.fault(&at.at("variables").at(name), "'default' is missing");
+            builder.fault(&at.at("variables").at(name), "'default' is missing");
         }
         url = url.replace(&format!("{{{name}}}"), default.unwrap_or(""));
     }
     if let Some((_, rest)) = url.split_once('{') {
         let name = rest.split('}').next().unwrap_or("");
-        build.fault(
+        builder.fault(
             &at.at("url"),
             format!("the variable {{{name}}} is not declared in 'variables'"),
         );
@@ -162,72 +166,72 @@
 
 /// Reads a path item: its shared parameters, and an operation for each method.
 fn path_item(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
     path: &TemplatedPath,
     server_paths: &[String],
     ids: &mut BTreeMap<String, NodeLocation>,
 ) {
-    let Some(loc) = build.sources.resolve(loc) else {
+    let Some(node) = builder.sources.resolve(node) else {
         return;
     };
-    let Some(map) = build.object(&loc) else {
+    let Some(map) = builder.object(&node) else {
         return;
     };
     let server_paths = match map.contains_key("servers") {
-        true => read_server_paths(build, &loc.at("servers")),
+        true => read_server_paths(builder, &node.at("servers")),
         false => server_paths.to_vec(),
     };
-    let shared = read_parameters(build, &loc.at("parameters"));
+    let shared = read_parameters(builder, &node.at("parameters"));
     for key in map.keys() {
         if key.starts_with("x-") || PATH_ITEM_KEYS.contains(&key.as_str()) {
             continue;
         }
-        let at = loc.at(key);
+        let at = node.at(key);
         if !METHODS.contains(&key.as_str()) {
-            build.fault(
+            builder.fault(
                 &at,
                 format!("'{key}' is no method: {} are", METHODS.join(", ")),
             );
             continue;
         }
-        if build.operations.len() >= MAX_OPERATIONS {
-            return build.fault(
+        if builder.operations.len() >= MAX_OPERATIONS {
+            return builder.fault(
                 &at,
                 format!("there are more than {MAX_OPERATIONS} operations"),
             );
         }
-        let Some(operation) = read_operation(build, at, key, path, &shared, ids) else {
+        let Some(operation) = read_operation(builder, at, key, path, &shared, ids) else {
             continue;
         };
-        add_routes(build, &server_paths, path.text, key);
-        build.operations.push(operation);
+        add_routes(builder, &server_paths, path.text, key);
+        builder.operations.push(operation);
     }
 }
 
 /// Reads the operation of one method.
 fn read_operation(
-    build: &mut DescriptionBuilder,
+    builder: &mut DescriptionBuilder,
     at: NodeLocation,
     method: &str,
     path: &TemplatedPath,
     shared: &[Parameter],
     ids: &mut BTreeMap<String, NodeLocation>,
 ) -> Option<Operation> {
-    let operation = build.object(&at)?;
-    let id = build.operation_id(&at, ids);
-    let own = read_parameters(build, &at.at("parameters"));
+    let operation = builder.object(&at)?;
+    let id = builder.operation_id(&at, ids);
+    let own = read_parameters(builder, &at.at("parameters"));
     let parameters = with_inherited(own, shared);
-    check_path_parameters(build, &at, path, &parameters);
-    let (body_required, body) = read_request_body(build, &at.at("requestBody"));
-    if !operation.contains_key("responses") && build.dialect == Dialect::OpenApi30 {
-        build.fault(&at, "'responses' is missing");
+    check_path_parameters(builder, &at, path, &parameters);
+    let (body_required, body) = read_request_body(builder, &at.at("requestBody"));
+    if !operation.contains_key("responses") && builder.dialect == Dialect::OpenApi30 {
+        builder.fault(&at, "'responses' is missing");
     }
-    let responses = read_responses(build, &at.at("responses"));
+    let responses = read_responses(builder, &at.at("responses"));
     Some(Operation {
         name: format!("{} {}", method.to_ascii_uppercase(), path.text).into(),
         id,
-        loc: at,
+        node: at,
         parameters,
         body_required,
         body,
@@ -239,7 +243,7 @@
 fn with_inherited(mut own: Vec<Parameter>, shared: &[Parameter]) -> Vec<Parameter> {
     let replaced = |inherited: &Parameter| {
         own.iter()
-            .any(|p| p.name == inherited.name && p.within == inherited.within)
+            .any(|p| p.name == inherited.name && p.location == inherited.location)
     };
     let inherited: Vec<Parameter> = shared.iter().filter(|p| !replaced(p)).cloned().collect();
     own.extend(inherited);
@@ -248,7 +252,7 @@
 
 /// Checks that the template's variables and the path parameters are the same.
 fn check_path_parameters(
-    build: &mut DescriptionBuilder,
+    builder: &mut DescriptionBuilder,
     at: &NodeLocation,
     path: &TemplatedPath,
     parameters: &[Parameter],
@@ -256,11 +260,11 @@
     let in_path = || {
         parameters
             .iter()
-            .filter(|p| p.within == ParameterLocation::Path)
+            .filter(|p| p.location == ParameterLocation::Path)
     };
     for name in path.template.variables() {
         if !in_path().any(|p| p.name == name) {
-            build.fault(
+            builder.fault(
                 at,
                 format!("the path's variable {{{name}}} is not declared among the parameters"),
             );
@@ -268,8 +272,8 @@
     }
     for parameter in in_path() {
         if !path.template.variables().any(|name| name == parameter.name) {
-            build.fault(
-                &parameter.loc,
+            builder.fault(
+                &parameter.node,
                 format!(
                     "the path {} has no variable {{{}}}",
                     path.text, parameter.name
@@ -280,58 +284,58 @@
 }
 
 /// Reads a request body: whether it is required, and its media types.
-fn read_request_body(build: &mut DescriptionBuilder, loc: &NodeLocation) -> (bool, Vec<Media>) {
-    if build.sources.get(loc).is_none() {
+fn read_request_body(builder: &mut DescriptionBuilder, node: &NodeLocation) -> (bool, Vec<Media>) {
+    if builder.sources.get(node).is_none() {
         return (false, Vec::new());
     }
-    let Some(body) = build.sources.resolve(loc) else {
+    let Some(body) = builder.sources.resolve(node) else {
         return (false, Vec::new());
     };
-    build.needs(&body, &["content"]);
-    let required = build.flag(&body.at("required"));
-    let content = build.content(&body.at("content"), Direction::Request);
+    builder.require_keys(&body, &["content"]);
+    let required = builder.boolean(&body.at("required"));
+    let content = builder.content(&body.at("content"), Direction::Request);
     (required, content)
 }
 
 /// Routes the path below each server path to the operation that is pushed next.
-fn add_routes(build: &mut DescriptionBuilder, server_paths: &[String], path: &str, method: &str) {
-    let number = build.operations.len();
+fn add_routes(builder: &mut DescriptionBuilder, server_paths: &[String], path: &str, method: &str) {
+    let number = builder.operations.len();
     for server_path in server_paths {
         if let Ok(template) = Template::parse(&format!("{server_path}{path}")) {
-            build.router.add(&template, method, number);
+            builder.router.add(&template, method, number);
         }
     }
 }
 
 /// Reads an operation's responses by status.
-fn read_responses(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<Response> {
-    let Some(map) = build.object(loc) else {
+fn read_responses(builder: &mut DescriptionBuilder, node: &NodeLocation) -> Vec<Response> {
+    let Some(map) = builder.object(node) else {
         return Vec::new();
     };
     if !map.keys().any(|key| !key.starts_with("x-")) {
-        build.fault(loc, "at least one answer must be described");
+        builder.fault(node, "at least one answer must be described");
     }
     let mut responses = Vec::new();
     for key in map.keys().filter(|key| !key.starts_with("x-")) {
-        let Some(status) = Status::read(key) else {
-            build.fault(
-                &loc.at(key),
+        let Some(status) = Status::parse(key) else {
+            builder.fault(
+                &node.at(key),
                 "a status is three digits, a range such as 2XX, or 'default'",
             );
             continue;
         };
-        let Some(at) = build.sources.resolve(&loc.at(key)) else {
+        let Some(at) = builder.sources.resolve(&node.at(key)) else {
             continue;
         };
-        if build.object(&at).is_none() {
+        if builder.object(&at).is_none() {
             continue;
         }
-        build.needs(&at, &["description"]);
-        let headers = read_response_headers(build, &at.at("headers"));
-        let content = build.content(&at.at("content"), Direction::Response);
+        builder.require_keys(&at, &["description"]);
+        let headers = read_response_headers(builder, &at.at("headers"));
+        let content = builder.content(&at.at("content"), Direction::Response);
         responses.push(Response {
             status,
-            loc: at,
+            node: at,
             headers,
             content,
         });
@@ -340,20 +344,20 @@
 }
 
 /// Reads the headers of a response.
-fn read_response_headers(build: &mut DescriptionBuilder, loc: &NodeLocation) -> Vec<Parameter> {
+fn read_response_headers(builder: &mut DescriptionBuilder, node: &NodeLocation) -> Vec<Parameter> {
     let mut headers = Vec::new();
-    for name in build.object(loc).unwrap_or_default().keys() {
+    for name in builder.object(node).unwrap_or_default().keys() {
         // The format reserves `Content-Type` for `content`.
         if name.eq_ignore_ascii_case("content-type") {
             continue;
         }
-        let Some(at) = build.sources.resolve(&loc.at(name)) else {
+        let Some(at) = builder.sources.resolve(&node.at(name)) else {
             continue;
         };
-        if build.object(&at).is_none() {
+        if builder.object(&at).is_none() {
             continue;
         }
-        headers.push(read_header(build, &at, name));
+        headers.push(read_header(builder, &at, name));
     }
     headers
 }
--- a/crates/contract/src/openapi/parameters.rs
+++ b/crates/contract/src/openapi/parameters.rs
@@ -1,26 +1,26 @@
 //! Parameters of requests and headers of responses in OpenAPI.
 
 use crate::builder::DescriptionBuilder;
-use crate::model::{Media, Parameter, ParameterLocation, SchemaSlot};
+use crate::model::{Media, Parameter, ParameterLocation, SchemaRef};
 use crate::schema::Direction;
 use crate::sources::NodeLocation;
 
 /// Reads a list of parameters. Each pair of name and location may stand once.
 pub(super) fn read_parameters(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
 ) -> Vec<Parameter> {
-    let Some(value) = build.sources.get(loc) else {
+    let Some(value) = builder.sources.get(node) else {
         return Vec::new();
     };
     let Some(count) = value.as_array().map(Vec::len) else {
-        build.fault(loc, "this must be a list of parameters");
+        builder.fault(node, "this must be a list of parameters");
         return Vec::new();
     };
     let mut parameters: Vec<Parameter> = Vec::new();
     for index in 0..count {
-        let item = loc.item(index);
-        if let Some(parameter) = read_parameter(build, &item, &parameters) {
+        let item = node.item(index);
+        if let Some(parameter) = read_parameter(builder, &item, &parameters) {
             parameters.push(parameter);
         }
     }
@@ -29,18 +29,18 @@
 
 /// Reads one parameter of a list, given those before it.
 fn read_parameter(
-    build: &mut DescriptionBuilder,
+    builder: &mut DescriptionBuilder,
     item: &NodeLocation,
     known: &[Parameter],
 ) -> Option<Parameter> {
-    let at = build.sources.resolve(item)?;
-    build.object(&at)?;
-    build.needs(&at, &["name", "in"]);
-    let name = build.text(&at.at("name"));
-    let location_name = build.text(&at.at("in"));
+    let at = builder.sources.resolve(item)?;
+    builder.object(&at)?;
+    builder.require_keys(&at, &["name", "in"]);
+    let name = builder.string(&at.at("name"));
+    let location_name = builder.string(&at.at("in"));
     let (name, location_name) = (name?, location_name?);
-    let Some(location) = ParameterLocation::read(&location_name) else {
-        build.fault(
+    let Some(location) = ParameterLocation::parse(&location_name) else {
+        builder.fault(
             &at.at("in"),
             format!("'{location_name}' is none of path, query, header and cookie"),
         );
@@ -48,47 +48,47 @@
     };
     if known
         .iter()
-        .any(|known| known.name == name && known.within == location)
+        .any(|known| known.name == name && known.location == location)
     {
-        build.fault(
+        builder.fault(
             item,
             format!("the {location_name} parameter '{name}' is there twice"),
         );
         return None;
     }
-    let required = build.flag(&at.at("required"));
+    let required = builder.boolean(&at.at("required"));
     if location == ParameterLocation::Path && !required {
-        build.fault(
+        builder.fault(
             &at,
             format!("the path parameter '{name}' must have 'required': true"),
         );
     }
     let direction = Direction::Request;
-    let definition = read_definition(build, &at, location, direction);
+    let definition = read_definition(builder, &at, location, direction);
     Some(definition.into_parameter(name, location, required, at))
 }
 
 /// Reads a header of a response.
 pub(super) fn read_header(
-    build: &mut DescriptionBuilder,
+    builder: &mut DescriptionBuilder,
     at: &NodeLocation,
     name: &str,
 ) -> Parameter {
     let location = ParameterLocation::Header;
-    let required = build.flag(&at.at("required"));
-    let definition = read_definition(build, at, location, Direction::Response);
+    let required = builder.boolean(&at.at("required"));
+    let definition = read_definition(builder, at, location, Direction::Response);
     definition.into_parameter(name.to_string(), location, required, at.clone())
 }
 
 /// What parameters and headers have in common: how the value is written and its schema.
 struct ValueDefinition {
-    slot: SchemaSlot,
+    schema: SchemaRef,
     /// Whether the value is JSON text.
-    json: bool,
+    is_json: bool,
     /// Whether the value may be absent (`allowEmptyValue`).
-    empty: bool,
+    allow_empty: bool,
     /// The separator of a list's items; `None`: each item is a pair of its own.
-    separator: Option<char>,
+    list_separator: Option<char>,
 }
 
 impl ValueDefinition {
@@ -97,92 +97,93 @@
         name: String,
         location: ParameterLocation,
         required: bool,
-        loc: NodeLocation,
+        node: NodeLocation,
     ) -> Parameter {
         Parameter {
             name,
-            within: location,
+            location,
             required,
-            loc,
-            slot: self.slot,
-            json: self.json,
-            empty: self.empty,
-            parted_by: self.separator,
+            node,
+            schema: self.schema,
+            is_json: self.is_json,
+            allow_empty: self.allow_empty,
+            list_separator: self.list_separator,
         }
     }
 }
 
 fn read_definition(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
     location: ParameterLocation,
     direction: Direction,
 ) -> ValueDefinition {
-    let has_schema = build.sources.get(&loc.at("schema")).is_some();
-    let has_content = build.sources.get(&loc.at("content")).is_some();
+    let has_schema = builder.sources.get(&node.at("schema")).is_some();
+    let has_content = builder.sources.get(&node.at("content")).is_some();
     if has_schema == has_content {
         let cause = if has_schema {
             "'schema' and 'content' exclude each other"
         } else {
             "'schema' or 'content' is missing"
         };
-        build.fault(loc, cause);
+        builder.fault(node, cause);
     }
-    let (style, separator) = read_style(build, loc, location);
-    let mut slot = SchemaSlot::default();
-    let mut json = false;
+    let (style, list_separator) = read_style(builder, node, location);
+    let mut schema = SchemaRef::default();
+    let mut is_json = false;
     if has_schema {
-        slot = build.slot(&loc.at("schema"), direction);
+        schema = builder.register_schema(&node.at("schema"), direction);
     } else if has_content {
-        if let Some(media) = read_single_media(build, &loc.at("content"), direction) {
-            json = media.range.is_json();
-            slot = media.slot;
+        if let Some(media) = read_single_media(builder, &node.at("content"), direction) {
+            is_json = media.range.is_json();
+            schema = media.schema;
         }
     }
     // Values of these styles are not taken apart, so only their presence is checked.
     if matches!(style.as_str(), "label" | "matrix" | "deepObject") {
-        slot = SchemaSlot::default();
+        schema = SchemaRef::default();
     }
-    let empty = location == ParameterLocation::Query && build.flag(&loc.at("allowEmptyValue"));
+    let allow_empty =
+        location == ParameterLocation::Query && builder.boolean(&node.at("allowEmptyValue"));
     ValueDefinition {
-        slot,
-        json,
-        empty,
-        separator,
+        schema,
+        is_json,
+        allow_empty,
+        list_separator,
     }
 }
 
 /// Reads `content` of a parameter, which must have exactly one media type.
 fn read_single_media(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
     direction: Direction,
 ) -> Option<Media> {
-    let media = build.content(loc, direction);
+    let media = builder.content(node, direction);
     if media.len() != 1 {
-        build.fault(loc, "a parameter has exactly one media type");
+        builder.fault(node, "a parameter has exactly one media type");
     }
     media.into_iter().next()
 }
 
 /// Reads `style` and `explode`: the style's name, and the separator of a list's items.
 fn read_style(
-    build: &mut DescriptionBuilder,
-    loc: &NodeLocation,
+    builder: &mut DescriptionBuilder,
+    node: &NodeLocation,
     location: ParameterLocation,
 ) -> (String, Option<char>) {
-    let style = build.text(&loc.at("style"));
-    let has_explode = build.sources.get(&loc.at("explode")).is_some();
-    let explode = !has_explode || build.flag(&loc.at("explode"));
+    let style = builder.string(&node.at("style"));
+    let has_explode = builder.sources.get(&node.at("explode")).is_some();
+    let explode = !has_explode || builder.boolean(&node.at("explode"));
     let style = style.unwrap_or_else(|| default_style(location).into());
     let styles = styles(location);
     if !styles.contains(&style.as_str()) {
         let cause = format!(
             "'{style}' is no style of a {} parameter: {}",
-            location.word(),
+            location.as_str(),
             styles.join(", ")
         );
-        build.fault(&loc.at("style"), cause);
+        builder.fault(&node.at("style"), cause);
     }
     let separator = match style.as_str() {
         "form" if explode => None,
--- a/crates/contract/src/reader.rs
+++ b/crates/contract/src/reader.rs
@@ -4,7 +4,7 @@
 
 use crate::builder::DescriptionBuilder;
 use crate::fault::{Fault, Faults};
-use crate::model::{Description, Kind};
+use crate::model::{Description, DescriptionFormat};
 use crate::sources::Sources;
 use crate::{asyncapi, openapi};
 use std::path::Path;
@@ -17,7 +17,7 @@
 
     /// Reads a description from text.
     pub fn from_text(name: &str, text: &str) -> Result<Description, Faults> {
-        Self::read(Sources::text(name, text))
+        Self::read(Sources::from_text(name, text))
     }
 
     fn read(sources: Result<Sources, Fault>) -> Result<Description, Faults> {
@@ -25,11 +25,11 @@
             list: vec![fault],
             more: 0,
         })?;
-        let mut build = DescriptionBuilder::new(sources)?;
-        match build.kind {
-            Kind::OpenApi => openapi::read(&mut build),
-            Kind::AsyncApi => asyncapi::read(&mut build),
+        let mut builder = DescriptionBuilder::new(sources)?;
+        match builder.format {
+            DescriptionFormat::OpenApi => openapi::read(&mut builder),
+            DescriptionFormat::AsyncApi => asyncapi::read(&mut builder),
         }
-        build.finish()
+        builder.finish()
     }
 }
--- a/crates/contract/src/replay.rs
+++ b/crates/contract/src/replay.rs
@@ -8,7 +8,7 @@
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 use crate::conformance::{ObservedRequest, ObservedResponse, Violation, ViolationKind};
-use crate::model::{Description, Kind};
+use crate::model::{Description, DescriptionFormat};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
@@ -117,7 +117,7 @@
 
 /// The result of checking a recording.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Outcome {
+pub struct ReplayReport {
     /// Messages checked; a request and its response are two.
     pub messages: usize,
     /// The violations, by line.
@@ -127,7 +127,7 @@
     pub unreadable: Vec<UnreadableLine>,
 }
 
-impl Outcome {
+impl ReplayReport {
     /// Adds one checked message.
     fn add(&mut self, line: usize, operation: &str, side: MessageSide, violations: Vec<Violation>) {
         self.messages += 1;
@@ -142,7 +142,7 @@
     }
 
     /// How many violations there are of each operation, place and kind.
-    pub fn table(&self) -> BTreeMap<ViolationGroup, usize> {
+    pub fn violation_counts(&self) -> BTreeMap<ViolationGroup, usize> {
         let mut counts = BTreeMap::new();
         for found in &self.violations {
             let group = ViolationGroup {
@@ -170,37 +170,37 @@
 }
 
 /// Checks a recording against a description, line by line.
-pub fn replay(description: &Description, lines: impl Iterator<Item = Vec<u8>>) -> Outcome {
-    let mut outcome = Outcome::default();
+pub fn replay(description: &Description, lines: impl Iterator<Item = Vec<u8>>) -> ReplayReport {
+    let mut report = ReplayReport::default();
     for (index, line) in lines.enumerate() {
         let line = line.trim_ascii();
         if line.is_empty() {
             continue;
         }
         let number = index + 1;
-        if let Err(error) = replay_line(description, number, line, &mut outcome) {
-            outcome.unreadable.push(UnreadableLine {
+        if let Err(error) = replay_line(description, number, line, &mut report) {
+            report.unreadable.push(UnreadableLine {
                 line: number,
                 cause: error.to_string(),
             });
         }
     }
-    outcome
+    report
 }
 
 fn replay_line(
     description: &Description,
     number: usize,
     line: &[u8],
-    outcome: &mut Outcome,
+    report: &mut ReplayReport,
 ) -> Result<(), LineError> {
     if line.len() > MAX_LINE {
         return Err(LineError::TooLong { bytes: line.len() });
     }
     let line = serde_json::from_slice::<RecordedLine>(line)?;
-    match description.kind {
-        Kind::OpenApi => replay_exchange(description, number, line, outcome),
-        Kind::AsyncApi => replay_message(description, number, line, outcome),
+    match description.format {
+        DescriptionFormat::OpenApi => replay_exchange(description, number, line, report),
+        DescriptionFormat::AsyncApi => replay_message(description, number, line, report),
     }
 }
 
@@ -208,7 +208,7 @@
     description: &Description,
     number: usize,
     line: RecordedLine,
-    outcome: &mut Outcome,
+    report: &mut ReplayReport,
 ) -> Result<(), LineError> {
     let (Some(method), Some(target)) = (line.method, line.target) else {
         return Err(LineError::NoExchange);
@@ -226,8 +226,8 @@
         Some(name) => name.to_string(),
         None => format!("{method} {target}"),
     };
-    outcome.add(number, &operation, MessageSide::Request, checked.violations);
-    if let (Some(operation_number), Some(answer)) = (checked.number, line.answer) {
+    report.add(number, &operation, MessageSide::Request, checked.violations);
+    if let (Some(operation_number), Some(answer)) = (checked.operation_index, line.answer) {
         let fields: Vec<_> = answer.fields.into_iter().collect();
         let response = ObservedResponse {
             status: answer.status,
@@ -236,7 +236,7 @@
             complete: answer.complete,
         };
         let checked = description.check_response(operation_number, &response);
-        outcome.add(
+        report.add(
             number,
             &operation,
             MessageSide::Response,
@@ -250,7 +250,7 @@
     description: &Description,
     number: usize,
     line: RecordedLine,
-    outcome: &mut Outcome,
+    report: &mut ReplayReport,
 ) -> Result<(), LineError> {
     let (Some(channel), Some(word)) = (line.channel, line.message) else {
         return Err(LineError::NoMessage);
@@ -262,7 +262,7 @@
         Some(name) => name.to_string(),
         None => format!("{channel} {word}"),
     };
-    outcome.add(number, &operation, MessageSide::Message, checked.violations);
+    report.add(number, &operation, MessageSide::Message, checked.violations);
     Ok(())
 }
 
--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use subschemas::{subschemas, Applicator, Subschema};
 
-pub use bundle::place_of;
+pub use bundle::location_from_uri;
 pub use visits::MAX_VISITS;
 
 /// The most schemas of a description, subschemas included.
@@ -95,39 +95,39 @@
         }
         self.roots.insert(root.clone());
         let mut pending = vec![root.clone()];
-        while let Some(loc) = pending.pop() {
-            if self.schemas.contains_key(&loc) || self.is_full {
+        while let Some(node) = pending.pop() {
+            if self.schemas.contains_key(&node) || self.is_full {
                 continue;
             }
             if self.schemas.len() >= MAX_SCHEMAS {
                 self.is_full = true;
-                sources.fault(&loc, format!("there are more than {MAX_SCHEMAS} schemas"));
+                sources.fault(&node, format!("there are more than {MAX_SCHEMAS} schemas"));
                 return;
             }
-            let Some(schema) = sources.get(&loc).cloned() else {
+            let Some(schema) = sources.get(&node).cloned() else {
                 continue;
             };
-            if !self.is_schema(&loc, &schema) {
-                sources.fault(&loc, "a schema must be an object");
+            if !self.is_schema(&node, &schema) {
+                sources.fault(&node, "a schema must be an object");
                 continue;
             }
-            let found = self.follow(sources, &loc, &schema);
+            let found = self.follow(sources, &node, &schema);
             check_keywords(
                 sources,
-                &loc,
+                &node,
                 &schema,
                 self.dialect,
                 &mut self.pattern_count,
             );
             self.note_members(&schema);
-            pending.extend(found.iter().map(|subschema| subschema.loc.clone()));
-            self.schemas.insert(loc, found);
+            pending.extend(found.iter().map(|subschema| subschema.node.clone()));
+            self.schemas.insert(node, found);
         }
     }
 
-    fn is_schema(&self, loc: &NodeLocation, value: &Value) -> bool {
-        let may_be_boolean =
-            self.dialect.allows_boolean_schemas() || loc.pointer.ends_with("/additionalProperties");
+    fn is_schema(&self, node: &NodeLocation, value: &Value) -> bool {
+        let may_be_boolean = self.dialect.allows_boolean_schemas()
+            || node.pointer.ends_with("/additionalProperties");
         value.is_object() || value.is_boolean() && may_be_boolean
     }
 
@@ -135,29 +135,29 @@
     fn follow(
         &mut self,
         sources: &mut Sources,
-        loc: &NodeLocation,
+        node: &NodeLocation,
         schema: &Value,
     ) -> Vec<Subschema> {
         let reference = match schema.get("$ref") {
             Some(Value::String(reference)) => reference,
             Some(_) => {
-                sources.fault(&loc.at("$ref"), "$ref must be a string");
+                sources.fault(&node.at("$ref"), "$ref must be a string");
                 return Vec::new();
             }
-            None => return subschemas(schema, loc),
+            None => return subschemas(schema, node),
         };
         let mut found = Vec::new();
-        if let Some(target) = sources.follow(loc, reference) {
+        if let Some(target) = sources.follow(node, reference) {
             if !self.schemas.contains_key(&target) {
                 self.roots.insert(target.clone());
             }
             found.push(Subschema {
-                loc: target,
+                node: target,
                 applicator: Applicator::InPlace,
             });
         }
         if self.dialect.allows_ref_siblings() {
-            found.extend(subschemas(schema, loc));
+            found.extend(subschemas(schema, node));
         }
         found
     }
--- a/crates/contract/src/schema/bundle.rs
+++ b/crates/contract/src/schema/bundle.rs
@@ -15,9 +15,9 @@
             .iter()
             .map(|file| file.value.clone())
             .collect();
-        for (loc, subschemas) in &self.schemas {
-            let Some(schema) = files[loc.file]
-                .pointer_mut(&loc.pointer)
+        for (node, subschemas) in &self.schemas {
+            let Some(schema) = files[node.file]
+                .pointer_mut(&node.pointer)
                 .and_then(Value::as_object_mut)
             else {
                 continue;
@@ -31,14 +31,14 @@
                 }
                 // The target of a reference is the first of a schema's subschemas.
                 if let Some(target) = subschemas.first() {
-                    schema.insert("$ref".into(), json!(address(&target.loc)));
+                    schema.insert("$ref".into(), json!(address(&target.node)));
                 }
             }
             if self.dialect == Dialect::OpenApi30 {
                 translate_openapi_30(schema);
             }
             if self.has_one_way_members {
-                self.drop_one_way_required(sources, loc, schema, direction);
+                self.drop_one_way_required(sources, node, schema, direction);
             }
         }
         files
@@ -48,7 +48,7 @@
     fn drop_one_way_required(
         &self,
         sources: &Sources,
-        loc: &NodeLocation,
+        node: &NodeLocation,
         schema: &mut Map<String, Value>,
         direction: Direction,
     ) {
@@ -60,7 +60,7 @@
             Direction::Response => "writeOnly",
         };
         let is_not_sent = |value: &Value| value[not_sent] == json!(true);
-        let properties = loc.at("properties");
+        let properties = node.at("properties");
         let members = sources.get(&properties);
         required.retain(|name| {
             let name = name.as_str().unwrap_or("");
@@ -69,7 +69,7 @@
             };
             let target = || {
                 let subschemas = self.schemas.get(&properties.at(name))?;
-                sources.get(&subschemas.first()?.loc)
+                sources.get(&subschemas.first()?.node)
             };
             let is_reference = member.get("$ref").is_some();
             !(is_not_sent(member) || is_reference && target().is_some_and(is_not_sent))
@@ -101,9 +101,9 @@
 }
 
 /// The address by which the compiler knows a schema.
-pub(super) fn address(loc: &NodeLocation) -> String {
-    let mut out = format!("{BASE}{}#", loc.file);
-    for byte in loc.pointer.bytes() {
+pub(super) fn address(node: &NodeLocation) -> String {
+    let mut out = format!("{BASE}{}#", node.file);
+    for byte in node.pointer.bytes() {
         match byte {
             b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'/' | b'-' | b'.' | b'_' | b'~' => {
                 out.push(byte as char)
@@ -115,7 +115,7 @@
 }
 
 /// The place of the schema that the compiler knows by an address; `None` for an address of another form.
-pub fn place_of(address: &str) -> Option<NodeLocation> {
+pub fn location_from_uri(address: &str) -> Option<NodeLocation> {
     let (file, pointer) = address.strip_prefix(BASE)?.split_once('#')?;
     Some(NodeLocation {
         file: file.parse().ok()?,
--- a/crates/contract/src/schema/compilation.rs
+++ b/crates/contract/src/schema/compilation.rs
@@ -36,12 +36,12 @@
             let Some(registry) = prepare_registry(sources, draft, files) else {
                 return compiled;
             };
-            for (loc, _) in wanted.iter().filter(|(_, wanted)| wanted == direction) {
-                match build_validator(draft, &registry, loc) {
+            for (node, _) in wanted.iter().filter(|(_, wanted)| wanted == direction) {
+                match build_validator(draft, &registry, node) {
                     Ok(validator) => {
-                        compiled.insert((loc.clone(), *direction), Arc::new(validator));
+                        compiled.insert((node.clone(), *direction), Arc::new(validator));
                     }
-                    Err(error) => self.report_compile_error(sources, loc, &error),
+                    Err(error) => self.report_compile_error(sources, node, &error),
                 }
             }
         }
@@ -89,7 +89,7 @@
     fn report_compile_error(
         &self,
         sources: &mut Sources,
-        loc: &NodeLocation,
+        node: &NodeLocation,
         error: &ValidationError,
     ) {
         let is_pattern =
@@ -108,7 +108,7 @@
                 ),
             ),
             None => sources.fault(
-                loc,
+                node,
                 format!(
                     "this schema can't be compiled: {}",
                     clip(&error.to_string())
@@ -145,9 +145,9 @@
 fn build_validator(
     draft: Draft,
     registry: &Registry<'static>,
-    loc: &NodeLocation,
+    node: &NodeLocation,
 ) -> Result<Validator, ValidationError<'static>> {
-    let schema = json!({"$ref": address(loc)});
+    let schema = json!({"$ref": address(node)});
     let patterns = PatternOptions::regex()
         .size_limit(MAX_PATTERN_MEMORY)
         .dfa_size_limit(MAX_PATTERN_MEMORY);
--- a/crates/contract/src/schema/keyword_checks.rs
+++ b/crates/contract/src/schema/keyword_checks.rs
@@ -16,50 +16,53 @@
 /// Checks the keywords of one schema. `pattern_count` counts the expressions of the whole description.
 pub(super) fn check_keywords(
     sources: &mut Sources,
-    loc: &NodeLocation,
+    node: &NodeLocation,
     schema: &Value,
     dialect: Dialect,
     pattern_count: &mut usize,
 ) {
     for keyword in ["$dynamicRef", "$recursiveRef"] {
         if schema.get(keyword).is_some() {
-            sources.fault(&loc.at(keyword), format!("{keyword} is not read: use $ref"));
+            sources.fault(
+                &node.at(keyword),
+                format!("{keyword} is not read: use $ref"),
+            );
         }
     }
     if let Some(pattern) = schema.get("pattern").and_then(Value::as_str) {
-        check_pattern(sources, &loc.at("pattern"), pattern);
+        check_pattern(sources, &node.at("pattern"), pattern);
         *pattern_count += 1;
         // Reported once, where the bound is passed.
         if *pattern_count == MAX_PATTERNS + 1 {
             sources.fault(
-                &loc.at("pattern"),
+                &node.at("pattern"),
                 format!("there are more than {MAX_PATTERNS} expressions"),
             );
         }
     }
-    check_types(sources, &loc.at("type"), schema.get("type"));
+    check_types(sources, &node.at("type"), schema.get("type"));
     if dialect == Dialect::OpenApi30 {
-        check_openapi_30(sources, loc, schema);
+        check_openapi_30(sources, node, schema);
     }
 }
 
-fn check_pattern(sources: &mut Sources, loc: &NodeLocation, pattern: &str) {
+fn check_pattern(sources: &mut Sources, node: &NodeLocation, pattern: &str) {
     if pattern.len() > MAX_PATTERN_BYTES {
         let cause = format!(
             "the expression has {} bytes: {MAX_PATTERN_BYTES} at most",
             pattern.len()
         );
-        sources.fault(loc, cause);
+        sources.fault(node, cause);
     } else if let Err(error) = regex_syntax::Parser::new().parse(pattern) {
         // The last line says what is wrong; those before it draw where.
         let text = error.to_string();
         let last_line = text.lines().last().unwrap_or("");
         let cause = last_line.trim_start_matches("error: ");
-        sources.fault(loc, format!("this expression can't be used: {cause}"));
+        sources.fault(node, format!("this expression can't be used: {cause}"));
     }
 }
 
-fn check_types(sources: &mut Sources, loc: &NodeLocation, types: Option<&Value>) {
+fn check_types(sources: &mut Sources, node: &NodeLocation, types: Option<&Value>) {
     let types: Vec<&Value> = match types {
         Some(Value::Array(many)) => many.iter().collect(),
         one => one.into_iter().collect(),
@@ -73,22 +76,22 @@
             clip(&name.to_string()),
             TYPES.join(", ")
         );
-        sources.fault(loc, cause);
+        sources.fault(node, cause);
     }
 }
 
 /// Checks for forms that OpenAPI 3.1 has and 3.0 has not.
-fn check_openapi_30(sources: &mut Sources, loc: &NodeLocation, schema: &Value) {
+fn check_openapi_30(sources: &mut Sources, node: &NodeLocation, schema: &Value) {
     if schema.get("type").is_some_and(Value::is_array) {
         sources.fault(
-            &loc.at("type"),
+            &node.at("type"),
             "OpenAPI 3.0 has one type, or 'nullable': true beside it",
         );
     }
     for keyword in ["exclusiveMinimum", "exclusiveMaximum"] {
         if schema.get(keyword).is_some_and(Value::is_number) {
             sources.fault(
-                &loc.at(keyword),
+                &node.at(keyword),
                 format!("in OpenAPI 3.0 {keyword} is true or false"),
             );
         }
--- a/crates/contract/src/schema/subschemas.rs
+++ b/crates/contract/src/schema/subschemas.rs
@@ -14,7 +14,7 @@
 
 /// A subschema, or the target of a reference.
 pub(super) struct Subschema {
-    pub(super) loc: NodeLocation,
+    pub(super) node: NodeLocation,
     pub(super) applicator: Applicator,
 }
 
@@ -59,23 +59,23 @@
 ];
 
 /// The direct subschemas of a schema; references are not followed.
-pub(super) fn subschemas(schema: &Value, loc: &NodeLocation) -> Vec<Subschema> {
+pub(super) fn subschemas(schema: &Value, node: &NodeLocation) -> Vec<Subschema> {
     let Some(map) = schema.as_object() else {
         return Vec::new();
     };
     let mut found = Vec::new();
     for (key, applicator) in SINGLE {
         if map.get(key).is_some_and(is_schema) {
-            let loc = loc.at(key);
-            found.push(Subschema { loc, applicator });
+            let node = node.at(key);
+            found.push(Subschema { node, applicator });
         }
     }
     for (key, applicator) in LISTS {
         let items = map.get(key).and_then(Value::as_array);
         for (index, item) in items.into_iter().flatten().enumerate() {
             if is_schema(item) {
-                let loc = loc.at(key).item(index);
-                found.push(Subschema { loc, applicator });
+                let node = node.at(key).item(index);
+                found.push(Subschema { node, applicator });
             }
         }
     }
@@ -83,8 +83,8 @@
         let members = map.get(key).and_then(Value::as_object);
         for (name, member) in members.into_iter().flatten() {
             if is_schema(member) {
-                let loc = loc.at(key).at(name);
-                found.push(Subschema { loc, applicator });
+                let node = node.at(key).at(name);
+                found.push(Subschema { node, applicator });
             }
         }
     }
--- a/crates/contract/src/schema/visits.rs
+++ b/crates/contract/src/schema/visits.rs
@@ -19,15 +19,15 @@
 
 /// A schema on the current path of the depth-first search.
 struct Frame<'s> {
-    loc: &'s NodeLocation,
+    node: &'s NodeLocation,
     remaining: std::slice::Iter<'s, Subschema>,
     visits: u64,
 }
 
 impl<'s> Frame<'s> {
-    fn new(loc: &'s NodeLocation, subschemas: &'s [Subschema]) -> Frame<'s> {
+    fn new(node: &'s NodeLocation, subschemas: &'s [Subschema]) -> Frame<'s> {
         Frame {
-            loc,
+            node,
             remaining: subschemas.iter(),
             visits: 1,
         }
@@ -42,24 +42,24 @@
         for start in self.schemas.keys() {
             self.count_visits(sources, start, &mut counts);
         }
-        let visits = |loc: &NodeLocation| match counts.get(loc) {
+        let visits = |node: &NodeLocation| match counts.get(node) {
             Some(Count::Done(visits)) => *visits,
             _ => 0,
         };
-        for (loc, subschemas) in &self.schemas {
+        for (node, subschemas) in &self.schemas {
             let most_within = subschemas
                 .iter()
                 .filter(|subschema| subschema.is_in_place())
-                .map(|subschema| visits(&subschema.loc))
+                .map(|subschema| visits(&subschema.node))
                 .max()
                 .unwrap_or(0);
             // Reported at the innermost schema only, not at all that contain it.
-            if visits(loc) > MAX_VISITS && most_within <= MAX_VISITS {
+            if visits(node) > MAX_VISITS && most_within <= MAX_VISITS {
                 let cause = format!(
                     "one value would be looked at {} times: {MAX_VISITS} at most",
-                    visits(loc)
+                    visits(node)
                 );
-                sources.fault(loc, cause);
+                sources.fault(node, cause);
             }
         }
     }
@@ -79,7 +79,7 @@
         let mut path = vec![Frame::new(start, &self.schemas[start])];
         while let Some(frame) = path.last_mut() {
             let Some(subschema) = frame.remaining.find(|next| next.is_in_place()) else {
-                counts.insert(frame.loc, Count::Done(frame.visits));
+                counts.insert(frame.node, Count::Done(frame.visits));
                 let visits = frame.visits;
                 path.pop();
                 if let Some(parent) = path.last_mut() {
@@ -87,21 +87,23 @@
                 }
                 continue;
             };
-            let Some((loc, subschemas)) = self.schemas.get_key_value(&subschema.loc) else {
+            let Some((node, subschemas)) = self.schemas.get_key_value(&subschema.node) else {
                 continue;
             };
-            match counts.get(loc) {
+            match counts.get(node) {
                 Some(Count::Done(visits)) => {
                     frame.visits = frame.visits.saturating_add(*visits);
                 }
                 Some(Count::InProgress) => {
-                    let cause =
-                        format!("this schema only leads to itself, by {}", sources.name(loc));
-                    sources.fault(frame.loc, cause);
+                    let cause = format!(
+                        "this schema only leads to itself, by {}",
+                        sources.display_location(node)
+                    );
+                    sources.fault(frame.node, cause);
                 }
                 None => {
-                    counts.insert(loc, Count::InProgress);
-                    path.push(Frame::new(loc, subschemas));
+                    counts.insert(node, Count::InProgress);
+                    path.push(Frame::new(node, subschemas));
                 }
             }
         }
--- a/crates/contract/src/sources.rs
+++ b/crates/contract/src/sources.rs
@@ -3,7 +3,7 @@
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
-use crate::document::{step, Document, MAX_BYTES};
+use crate::document::{append_to_pointer, Document, MAX_BYTES};
 use crate::fault::{Fault, Faults};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -75,7 +75,7 @@
     pub fn at(&self, key: &str) -> NodeLocation {
         NodeLocation {
             file: self.file,
-            pointer: step(&self.pointer, key),
+            pointer: append_to_pointer(&self.pointer, key),
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Reads a description from text. References to other files are faults.
-    pub fn text(name: &str, text: &str) -> Result<Sources, Fault> {
+    pub fn from_text(name: &str, text: &str) -> Result<Sources, Fault> {
         Ok(Sources::new(
             PathBuf::new(),
             Document::read(name, text.as_bytes())?,
@@ -153,8 +153,8 @@
     }
 
     /// The node at a place.
-    pub fn get(&self, loc: &NodeLocation) -> Option<&Value> {
-        self.files.get(loc.file)?.value.pointer(&loc.pointer)
+    pub fn get(&self, node: &NodeLocation) -> Option<&Value> {
+        self.files.get(node.file)?.value.pointer(&node.pointer)
     }
 
     /// A hash of the files' names and contents.
@@ -167,30 +167,30 @@
     }
 
     /// Drops the contents of the files; their names stay.
-    pub(crate) fn slim(&mut self) {
-        self.files.iter_mut().for_each(Document::slim);
+    pub(crate) fn drop_documents(&mut self) {
+        self.files.iter_mut().for_each(Document::drop_content);
     }
 
     /// A location as reports show it: the file, unless it is the first, and the pointer.
-    pub fn name(&self, loc: &NodeLocation) -> String {
-        match (loc.file, self.files.get(loc.file)) {
-            (0, _) | (_, None) => format!("#{}", loc.pointer),
-            (_, Some(file)) => format!("{}#{}", file.name, loc.pointer),
+    pub fn display_location(&self, node: &NodeLocation) -> String {
+        match (node.file, self.files.get(node.file)) {
+            (0, _) | (_, None) => format!("#{}", node.pointer),
+            (_, Some(file)) => format!("{}#{}", file.name, node.pointer),
         }
     }
 
     /// Adds a fault at a node.
-    pub fn fault(&mut self, loc: &NodeLocation, cause: impl Into<String>) {
-        if let Some(file) = self.files.get(loc.file) {
-            let fault = file.fault(&loc.pointer, cause);
+    pub fn fault(&mut self, node: &NodeLocation, cause: impl Into<String>) {
+        if let Some(file) = self.files.get(node.file) {
+            let fault = file.fault(&node.pointer, cause);
             self.faults.push(fault);
         }
     }
 
     /// The node itself or, if it is a reference, the node at the end of the chain. Broken, circular and overlong chains
     /// are added as faults.
-    pub fn resolve(&mut self, loc: &NodeLocation) -> Option<NodeLocation> {
-        let mut at = loc.clone();
+    pub fn resolve(&mut self, node: &NodeLocation) -> Option<NodeLocation> {
+        let mut at = node.clone();
         let mut visited = vec![at.clone()];
         loop {
             let Some(reference) = self.reference(&at) else {
@@ -201,10 +201,10 @@
                 let chain: Vec<_> = visited
                     .iter()
                     .chain([&next])
-                    .map(|loc| self.name(loc))
+                    .map(|node| self.display_location(node))
                     .collect();
                 self.fault(
-                    loc,
+                    node,
                     format!(
                         "this reference only leads to itself: {}",
                         chain.join(" -> ")
@@ -214,7 +214,7 @@
             }
             if visited.len() > MAX_REFERENCE_CHAIN {
                 self.fault(
-                    loc,
+                    node,
                     format!("more than {MAX_REFERENCE_CHAIN} references lead from one to the next"),
                 );
                 return None;
@@ -225,14 +225,14 @@
     }
 
     /// The `$ref` of a node, if it has one.
-    pub fn reference(&self, loc: &NodeLocation) -> Option<String> {
-        Some(self.get(loc)?.get("$ref")?.as_str()?.to_string())
+    pub fn reference(&self, node: &NodeLocation) -> Option<String> {
+        Some(self.get(node)?.get("$ref")?.as_str()?.to_string())
     }
 
     /// The node that a reference at `from` names. Without such a node a fault is added.
     pub fn follow(&mut self, from: &NodeLocation, reference: &str) -> Option<NodeLocation> {
         match self.find(from.file, reference) {
-            Ok(loc) => Some(loc),
+            Ok(node) => Some(node),
             Err(cause) => {
                 self.fault(&from.at("$ref"), format!("$ref '{reference}': {cause}"));
                 None
@@ -253,15 +253,15 @@
         }
         let location = NodeLocation { file, pointer };
         if self.get(&location).is_none() {
-            let place = self.name(&location);
+            let place = self.display_location(&location);
             return Err(ReferenceError::NothingThere { place });
         }
         Ok(location)
     }
 
     /// The node at the end of a chain of references among the files that are read, without adding faults.
-    pub fn target(&self, loc: &NodeLocation) -> Option<NodeLocation> {
-        let mut at = loc.clone();
+    pub fn target(&self, node: &NodeLocation) -> Option<NodeLocation> {
+        let mut at = node.clone();
         for _ in 0..MAX_REFERENCE_CHAIN {
             let Some(reference) = self.reference(&at) else {
                 return Some(at);
--- a/crates/contract/tests/corpus.rs
+++ b/crates/contract/tests/corpus.rs
@@ -4,7 +4,7 @@
 use cairnroad_contract::conformance::{
     ObservedRequest, ObservedResponse, Violation, ViolationKind,
 };
-use cairnroad_contract::model::{Description, Kind};
+use cairnroad_contract::model::{Description, DescriptionFormat};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -136,7 +136,7 @@
     };
     let judged = description.check_request(&request);
     let mut violations = judged.violations;
-    if let Some(number) = judged.number.filter(|_| row["answer"].is_object()) {
+    if let Some(number) = judged.operation_index.filter(|_| row["answer"].is_object()) {
         let status = first.split(' ').nth(1).unwrap().parse().unwrap();
         let answered = ObservedResponse {
             status,
@@ -186,9 +186,9 @@
         let traffic = std::fs::read_to_string(path.with_extension("traffic")).unwrap();
         for line in traffic.lines() {
             let row: Value = serde_json::from_str(line).unwrap();
-            let found = match description.kind {
-                Kind::OpenApi => exchange(&description, &row),
-                Kind::AsyncApi => message(&description, &row),
+            let found = match description.format {
+                DescriptionFormat::OpenApi => exchange(&description, &row),
+                DescriptionFormat::AsyncApi => message(&description, &row),
             };
             let words = found
                 .iter()
--- a/crates/coordinator/src/commands/contract/check.rs
+++ b/crates/coordinator/src/commands/contract/check.rs
@@ -40,7 +40,7 @@
         print_json(&json!({
             "file": path.display().to_string(),
             "sound": true,
-            "format": description.kind,
+            "format": description.format,
             "version": description.version,
             "title": description.title,
             "operations": operations,
@@ -57,7 +57,7 @@
     print(&format!(
         "{}: sound: {:?} {}, {}, {count} {unit}\n",
         path.display(),
-        description.kind,
+        description.format,
         description.version,
         description.title
     ));
--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -5,7 +5,7 @@
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json};
 use crate::commands::CommandStatus;
-use cairnroad_contract::replay::{self, Outcome, MAX_LINE};
+use cairnroad_contract::replay::{self, ReplayReport, MAX_LINE};
 use serde_json::json;
 use std::fmt::Write;
 use std::fs::File;
@@ -26,19 +26,19 @@
         reader: BufReader::new(open_traffic(traffic)?),
         error: None,
     };
-    let outcome = replay::replay(&description, &mut lines);
+    let report = replay::replay(&description, &mut lines);
     if let Some(source) = lines.error {
         return Err(CommandError::file(traffic, source));
     }
     if output.json {
-        print_json(&json!(outcome));
+        print_json(&json!(report));
     } else {
-        print(&report_of(&outcome));
+        print(&report_of(&report));
     }
-    if !outcome.unreadable.is_empty() {
+    if !report.unreadable.is_empty() {
         return Ok(CommandStatus::Unreadable);
     }
-    Ok(CommandStatus::of(!outcome.violations.is_empty()))
+    Ok(CommandStatus::of(!report.violations.is_empty()))
 }
 
 fn open_traffic(path: &Path) -> Result<Box<dyn Read>, CommandError> {
@@ -76,22 +76,22 @@
     }
 }
 
-/// The outcome as text: the counts, then each departure, then each line that can't be read.
-fn report_of(outcome: &Outcome) -> String {
+/// The report as text: the counts, then each departure, then each line that can't be read.
+fn report_of(report: &ReplayReport) -> String {
     let mut text = format!(
         "{} messages, {} departures\n",
-        outcome.messages,
-        outcome.violations.len()
+        report.messages,
+        report.violations.len()
     );
     // Writing to a string can't fail.
-    let _ = write_counts(outcome, &mut text)
-        .and_then(|()| write_departures(outcome, &mut text))
-        .and_then(|()| write_unreadable_lines(outcome, &mut text));
+    let _ = write_counts(report, &mut text)
+        .and_then(|()| write_departures(report, &mut text))
+        .and_then(|()| write_unreadable_lines(report, &mut text));
     text
 }
 
-fn write_counts(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for (group, count) in outcome.table() {
+fn write_counts(report: &ReplayReport, text: &mut String) -> std::fmt::Result {
+    for (group, count) in report.violation_counts() {
         let kind = json!(group.kind);
         let kind = kind.as_str().unwrap_or("");
         let operation = group.operation;
@@ -101,8 +101,8 @@
     Ok(())
 }
 
-fn write_departures(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for found in &outcome.violations {
+fn write_departures(report: &ReplayReport, text: &mut String) -> std::fmt::Result {
+    for found in &report.violations {
         let violation = &found.violation;
         writeln!(
             text,
@@ -119,8 +119,8 @@
     Ok(())
 }
 
-fn write_unreadable_lines(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for unreadable in &outcome.unreadable {
+fn write_unreadable_lines(report: &ReplayReport, text: &mut String) -> std::fmt::Result {
+    for unreadable in &report.unreadable {
         let line = unreadable.line;
         let cause = &unreadable.cause;
         writeln!(text, "line {line}: can't be read: {cause}")?;
--- a/crates/coordinator/src/contract/background_check.rs
+++ b/crates/coordinator/src/contract/background_check.rs
@@ -179,7 +179,7 @@
         };
         let found = description.check_request(&observed);
         recorder.record(found.operation, Direction::Request, &found.violations);
-        found.number
+        found.operation_index
     };
     let Some(operation) = operation else { return };
     let observed = ObservedResponse {
--- a/crates/coordinator/src/contract/loading.rs
+++ b/crates/coordinator/src/contract/loading.rs
@@ -5,7 +5,7 @@
 use crate::configuration::{BackendKind, ContractSettings};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::enforcement::{FaultyContracts, InterfaceContract, LoadError};
-use cairnroad_contract::model::{Description, Kind};
+use cairnroad_contract::model::{Description, DescriptionFormat};
 use std::sync::Arc;
 
 /// The result of reading one interface's description.
@@ -42,25 +42,25 @@
 ) -> Result<InterfaceContract, LoadError> {
     let description = Description::open(&settings.path).map_err(LoadError::Faulty)?;
     let expected = expected_kind(interface, backend);
-    if description.kind != expected {
+    if description.format != expected {
         return Err(LoadError::WrongFormat {
             path: settings.path.display().to_string(),
             expected,
-            found: description.kind,
+            found: description.format,
         });
     }
     Ok(InterfaceContract {
         mode: settings.mode,
         share: settings.share,
-        description: Arc::new(description.slim()),
+        description: Arc::new(description.without_documents()),
     })
 }
 
 /// The format that describes an interface: OpenAPI for HTTP requests, AsyncAPI for frames and the watch.
-fn expected_kind(interface: Interface, backend: BackendKind) -> Kind {
+fn expected_kind(interface: Interface, backend: BackendKind) -> DescriptionFormat {
     match (interface, backend) {
         (Interface::Platform | Interface::Query, _)
-        | (Interface::Servers, BackendKind::OpenSearch) => Kind::OpenApi,
-        _ => Kind::AsyncApi,
+        | (Interface::Servers, BackendKind::OpenSearch) => DescriptionFormat::OpenApi,
+        _ => DescriptionFormat::AsyncApi,
     }
 }
--- a/crates/coordinator/src/contract/pages.rs
+++ b/crates/coordinator/src/contract/pages.rs
@@ -46,9 +46,9 @@
             "generation": in_force.generation,
             "interfaces": interfaces,
             "messages": drift.messages,
-            "departing": drift.departing,
+            "departing": drift.violating_messages,
             "missed": rejected,
-            "dropped": drift.dropped,
+            "dropped": drift.evicted_entries,
             "entries": drift.rows(),
         })
     }
--- a/crates/coordinator/tests/published_descriptions.rs
+++ b/crates/coordinator/tests/published_descriptions.rs
@@ -169,7 +169,7 @@
         };
         let request = document.check_request(&asked);
         let number = request
-            .number
+            .operation_index
             .unwrap_or_else(|| panic!("{at} is not described"));
         if answer.status == 200 {
             assert_eq!(request.violations, [], "{at}");
