--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -2,8 +2,6 @@
 //!
 //! A message is known by its own name or, where `x-frame` gives one, by its type letter on a binary wire.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod version_2;
 mod version_3;
 
@@ -52,12 +50,12 @@
     let mut named = BTreeSet::new();
     while let Some((_, after)) = rest.split_once('{') {
         let Some((name, after)) = after.split_once('}') else {
-            return builder.fault(node, "a '{' of the address stands without its '}'");
+            return builder.fault(node, "unmatched '{' in the address without a closing '}'");
         };
         if !declared.contains_key(name) {
             builder.fault(
                 node,
-                format!("the address's variable {{{name}}} is not declared among the parameters"),
+                format!("undeclared address variable {{{name}}}: expected it among the channel's parameters"),
             );
         }
         named.insert(name);
@@ -97,7 +95,7 @@
     if builder.messages.len() >= MAX_MESSAGES {
         return builder.fault(
             &node,
-            format!("there are more than {MAX_MESSAGES} messages"),
+            format!("too many messages: expected at most {MAX_MESSAGES}"),
         );
     }
     let channel = entry.channel;
@@ -110,7 +108,7 @@
     {
         return builder.fault(
             entry.at,
-            format!("the channel '{channel}' has two messages '{wire_name}'"),
+            format!("duplicate message '{wire_name}' in the channel '{channel}'"),
         );
     }
     let is_json = read_is_json(builder, &node.at("contentType"), default_content_type);
@@ -143,7 +141,10 @@
     match MediaRange::parse(&content_type) {
         Some(range) => range.is_json(),
         None => {
-            builder.fault(node, "this is no media type, such as application/json");
+            builder.fault(
+                node,
+                "invalid media type: expected a type such as application/json",
+            );
             true
         }
     }
@@ -169,7 +170,7 @@
             builder.fault(
                 node,
                 format!(
-                    "schemas in the format '{format}' are not read: JSON Schema and AsyncAPI's are"
+                    "unsupported schema format '{format}': expected JSON Schema or AsyncAPI's format"
                 ),
             );
             return SchemaRef::default();
--- a/crates/contract/src/asyncapi/version_2.rs
+++ b/crates/contract/src/asyncapi/version_2.rs
@@ -60,7 +60,7 @@
         _ => {
             builder.fault(
                 at,
-                format!("'{key}' is no part of a channel: publish and subscribe are"),
+                format!("unknown channel key '{key}': expected publish or subscribe"),
             );
             None
         }
--- a/crates/contract/src/asyncapi/version_3.rs
+++ b/crates/contract/src/asyncapi/version_3.rs
@@ -70,7 +70,7 @@
             if let Some(other) = addresses.insert(address, name.clone()) {
                 builder.fault(
                     &node.at("address"),
-                    format!("this is the address of the channel '{other}', too"),
+                    format!("duplicate address: also used by the channel '{other}'"),
                 );
             }
         }
@@ -129,7 +129,10 @@
         "receive" => Some(Direction::Request),
         "send" => Some(Direction::Response),
         other => {
-            builder.fault(node, format!("'{other}' is neither send nor receive"));
+            builder.fault(
+                node,
+                format!("unknown action '{other}': expected send or receive"),
+            );
             None
         }
     }
@@ -143,13 +146,13 @@
 ) -> Option<(NodeLocation, &'c Channel)> {
     let Some(reference) = builder.sources.reference(node) else {
         if builder.sources.get(node).is_some() {
-            builder.fault(node, "this must be a reference to a channel");
+            builder.fault(node, "expected a reference to a channel");
         }
         return None;
     };
     let target = builder.sources.follow(node, &reference)?;
     let Some(channel) = channels.get(&target) else {
-        builder.fault(node, format!("'{reference}' is no channel"));
+        builder.fault(node, format!("'{reference}' is not a channel"));
         return None;
     };
     Some((target, channel))
@@ -168,7 +171,7 @@
     for index in 0..count {
         let at = node.item(index);
         let Some(reference) = builder.sources.reference(&at) else {
-            builder.fault(&at, "this must be a reference to a message of the channel");
+            builder.fault(&at, "expected a reference to a message of the channel");
             continue;
         };
         let Some(found) = builder.sources.follow(&at, &reference) else {
@@ -178,7 +181,7 @@
             Some(message) => messages.push(message.clone()),
             None => builder.fault(
                 &at,
-                format!("'{reference}' is no message of the operation's channel"),
+                format!("'{reference}' is not a message of the operation's channel"),
             ),
         }
     }
--- a/crates/contract/src/builder.rs
+++ b/crates/contract/src/builder.rs
@@ -1,6 +1,5 @@
-//! A description while its format's parser reads it: typed access to its nodes, and the faults found so far.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Builds a description while the parser of its format reads the files: typed access to nodes, and the faults found so
+//! far.
 
 use crate::fault::Faults;
 use crate::model::{
@@ -14,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A description while it is read.
+/// The state of reading a description.
 pub(crate) struct DescriptionBuilder {
     pub format: DescriptionFormat,
     pub version: String,
@@ -27,23 +26,23 @@
     wanted: BTreeSet<(NodeLocation, Direction)>,
 }
 
-/// The supported versions, for the sentence that rejects all others.
-const SUPPORTED_VERSIONS: &str = "OpenAPI 3.0 and 3.1, AsyncAPI 2.6 and 3.0 are read";
-/// The keys that name a format's version, the first one found counts.
+/// The supported versions, as error messages list them.
+const SUPPORTED_VERSIONS: &str = "supported are OpenAPI 3.0 and 3.1, AsyncAPI 2.6 and 3.0";
+/// The keys that hold the version of a format. The first key found decides the format.
 const VERSION_KEYS: [(&str, DescriptionFormat); 3] = [
     ("openapi", DescriptionFormat::OpenApi),
     ("asyncapi", DescriptionFormat::AsyncApi),
     ("swagger", DescriptionFormat::OpenApi),
 ];
 
-/// Why a description's version is not supported.
+/// The error of a description whose version is not supported.
 #[derive(Debug, thiserror::Error)]
 enum VersionError {
-    #[error("neither 'openapi' nor 'asyncapi' names a version here: {SUPPORTED_VERSIONS}")]
+    #[error("missing version: expected 'openapi' or 'asyncapi': {SUPPORTED_VERSIONS}")]
     Missing,
-    #[error("the version must be a string such as \"{major}.{minor}.0\"")]
+    #[error("expected a version string such as \"{major}.{minor}.0\"")]
     Malformed { major: String, minor: String },
-    #[error("this is {format} {version}: {SUPPORTED_VERSIONS}")]
+    #[error("unsupported version {format} {version}: {SUPPORTED_VERSIONS}")]
     Unsupported {
         format: &'static str,
         version: String,
@@ -82,7 +81,10 @@
 }
 
 impl DescriptionBuilder {
-    /// Starts with the files of a description, if its version is supported.
+    /// Creates a builder for a description whose version is supported.
+    ///
+    /// # Errors
+    /// The faults of a missing, malformed or unsupported version.
     pub(crate) fn new(mut sources: Sources) -> Result<DescriptionBuilder, Faults> {
         let root = sources.root();
         let found = VERSION_KEYS
@@ -127,9 +129,9 @@
         }
     }
 
-    /// The types that a schema names, after following references.
+    /// Returns the types listed in a schema, after following references.
     fn types(&mut self, node: &NodeLocation) -> Vec<String> {
-        // The registry reports faults of the references.
+        // Faults of references are dropped here, since the registry reports them.
         let before = self.sources.faults.clone();
         let target = self.sources.resolve(node);
         self.sources.faults = before;
@@ -151,31 +153,32 @@
         self.sources.fault(node, cause);
     }
 
-    /// The object at a location; another value is a fault, an absent one is not.
+    /// Returns the object at a node; `None` if the node is absent. Any other value is reported as a fault.
     pub fn object(&mut self, node: &NodeLocation) -> Option<serde_json::Map<String, Value>> {
         match self.sources.get(node) {
             Some(Value::Object(map)) => Some(map.clone()),
             Some(_) => {
-                self.fault(node, "this must be an object");
+                self.fault(node, "expected an object");
                 None
             }
             None => None,
         }
     }
 
-    /// The string at a location; another value is a fault, an absent one is not.
+    /// Returns the string at a node; `None` if the node is absent. Any other value is reported as a fault.
     pub fn string(&mut self, node: &NodeLocation) -> Option<String> {
         match self.sources.get(node) {
             Some(Value::String(text)) => Some(text.clone()),
             Some(_) => {
-                self.fault(node, "this must be a string");
+                self.fault(node, "expected a string");
                 None
             }
             None => None,
         }
     }
 
-    /// The `operationId` of an operation, if it has one; an id that another operation has is a fault.
+    /// Returns the `operationId` of an operation; `None` if it is absent. An id that another operation uses is reported
+    /// as a fault.
     pub(crate) fn operation_id(
         &mut self,
         operation: &NodeLocation,
@@ -187,25 +190,25 @@
             let other = self.sources.display_location(&other);
             self.fault(
                 &node,
-                format!("'{id}' is the operation's id at {other}, too"),
+                format!("duplicate operationId '{id}': also used at {other}"),
             );
         }
         Some(id)
     }
 
-    /// The boolean at a location, false if absent; another value is a fault.
+    /// Returns the boolean at a node; false if the node is absent. Any other value is reported as a fault.
     pub fn boolean(&mut self, node: &NodeLocation) -> bool {
         match self.sources.get(node) {
             Some(Value::Bool(flag)) => *flag,
             Some(_) => {
-                self.fault(node, "this must be true or false");
+                self.fault(node, "expected true or false");
                 false
             }
             None => false,
         }
     }
 
-    /// Adds a fault for each missing key.
+    /// Adds a fault for each of the keys that is missing.
     pub fn require_keys(&mut self, node: &NodeLocation, keys: &[&str]) {
         for key in keys {
             if self.sources.get(&node.at(key)).is_none() {
@@ -214,7 +217,7 @@
         }
     }
 
-    /// The media types of a `content` object with their schemas.
+    /// Returns the media types of a `content` object with their schemas.
     pub fn content(&mut self, node: &NodeLocation, direction: Direction) -> Vec<Media> {
         let mut all = Vec::new();
         for key in self.object(node).unwrap_or_default().keys() {
@@ -222,25 +225,28 @@
             let Some(range) = MediaRange::parse(key) else {
                 self.fault(
                     &at,
-                    "this is no media type, such as application/json, nor a range, such as text/*",
+                    "invalid media type: expected a type such as application/json or a range such as text/*",
                 );
                 continue;
             };
             self.object(&at);
             let schema = at.at("schema");
-            let slot = match self.sources.get(&schema).is_some() {
+            let schema_ref = match self.sources.get(&schema).is_some() {
                 true => self.register_schema(&schema, direction),
                 false => SchemaRef::default(),
             };
             all.push(Media {
                 range,
-                schema: slot,
+                schema: schema_ref,
             });
         }
         all
     }
 
-    /// Compiles the schemas and returns the description, or all faults.
+    /// Compiles the schemas and returns the description.
+    ///
+    /// # Errors
+    /// All faults found while reading and compiling.
     pub(crate) fn finish(mut self) -> Result<Description, Faults> {
         self.registry.check_visits(&mut self.sources);
         if !self.sources.faults.is_empty() {
@@ -257,11 +263,11 @@
             .get(&root.at("info"))
             .cloned()
             .unwrap_or_default();
-        let word = |key: &str| info[key].as_str().unwrap_or("").to_string();
+        let info_text = |key: &str| info[key].as_str().unwrap_or("").to_string();
         Ok(Description {
             format: self.format,
             version: self.version,
-            title: format!("{} {}", word("title"), word("version")),
+            title: format!("{} {}", info_text("title"), info_text("version")),
             operations: self.operations,
             messages: self.messages,
             fingerprint: self.sources.fingerprint(),
@@ -271,14 +277,14 @@
         })
     }
 
-    /// Stores each compiled schema in the slots that refer to it.
+    /// Stores each compiled schema in the references to it.
     fn attach_validators(
         &mut self,
         compiled: &BTreeMap<(NodeLocation, Direction), Arc<Validator>>,
     ) {
-        let attach = |slot: &mut SchemaRef, direction: Direction| {
-            if let Some(location) = &slot.node {
-                slot.validator = compiled.get(&(location.clone(), direction)).cloned();
+        let attach = |schema: &mut SchemaRef, direction: Direction| {
+            if let Some(location) = &schema.node {
+                schema.validator = compiled.get(&(location.clone(), direction)).cloned();
             }
         };
         for operation in &mut self.operations {
--- a/crates/contract/src/conformance/mod.rs
+++ b/crates/contract/src/conformance/mod.rs
@@ -3,8 +3,6 @@
 //! [`Description`](crate::model::Description) has a check for each direction: `check_request`, `check_response` and
 //! `check_message`. They do no I/O, never fail on input, and report a bounded number of violations.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod channel_message;
 mod expectation;
 mod parameter_values;
--- a/crates/contract/src/conformance/report.rs
+++ b/crates/contract/src/conformance/report.rs
@@ -120,9 +120,9 @@
     }
 
     /// Checks a body that must be JSON.
-    pub(super) fn check_json(&mut self, slot: &SchemaRef, fallback: &NodeLocation, body: &[u8]) {
+    pub(super) fn check_json(&mut self, schema: &SchemaRef, fallback: &NodeLocation, body: &[u8]) {
         let error = match serde_json::from_slice::<Value>(body) {
-            Ok(value) => return self.check_value(slot, "body", &value),
+            Ok(value) => return self.check_value(schema, "body", &value),
             Err(error) => error,
         };
         // The text around the fault may hold secrets, so only its position is shown.
@@ -137,17 +137,17 @@
         } else {
             ViolationKind::NotJson
         };
-        let described = slot.node.as_ref().unwrap_or(fallback);
+        let described = schema.node.as_ref().unwrap_or(fallback);
         self.add(kind, "body", Some(described), "JSON", &found);
     }
 
     /// Checks a body that must be UTF-8 text.
-    pub(super) fn check_text(&mut self, slot: &SchemaRef, fallback: &NodeLocation, body: &[u8]) {
+    pub(super) fn check_text(&mut self, schema: &SchemaRef, fallback: &NodeLocation, body: &[u8]) {
         match std::str::from_utf8(body) {
-            Ok(text) => self.check_value(slot, "body", &Value::String(text.into())),
+            Ok(text) => self.check_value(schema, "body", &Value::String(text.into())),
             Err(error) => {
                 let found = format!("a byte at {} that is none", error.valid_up_to());
-                let described = slot.node.as_ref().unwrap_or(fallback);
+                let described = schema.node.as_ref().unwrap_or(fallback);
                 self.add(
                     ViolationKind::Encoding,
                     "body",
@@ -203,8 +203,8 @@
     }
 
     /// Checks a value by its schema.
-    pub(super) fn check_value(&mut self, slot: &SchemaRef, place: &str, value: &Value) {
-        let Some(validator) = &slot.validator else {
+    pub(super) fn check_value(&mut self, schema: &SchemaRef, place: &str, value: &Value) {
+        let Some(validator) = &schema.validator else {
             return;
         };
         if validator.is_valid(value) {
--- a/crates/contract/src/diff/mod.rs
+++ b/crates/contract/src/diff/mod.rs
@@ -2,8 +2,6 @@
 //!
 //! Requests may be widened and responses narrowed without harm; the reverse breaks clients of the old form.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod messages;
 mod operations;
 mod parameters;
--- a/crates/contract/src/document.rs
+++ b/crates/contract/src/document.rs
@@ -1,7 +1,5 @@
-//! JSON and YAML as one tree of values with the position of every node, within bounds on size, depth and number of
-//! nodes. A description may come from anywhere: it must not cost more than these bounds allow.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Reads JSON and YAML into one tree of values with the position of every node. Size, depth and number of nodes are
+//! bounded, since a description may come from an untrusted source.
 
 mod json;
 mod syntax;
@@ -17,20 +15,23 @@
 pub use syntax::{Position, MAX_BYTES, MAX_DEPTH, MAX_NODES};
 pub use yaml_writer::to_yaml;
 
-/// A file, read.
+/// A file that was read, with the positions of its nodes.
 #[derive(Clone, Debug)]
 pub struct Document {
-    /// Its name, relative to the description's folder.
+    /// The file's name, relative to the description's folder.
     pub name: String,
-    /// What it holds.
+    /// The file's content.
     pub value: Value,
     /// The positions of the nodes by JSON pointer.
     positions: HashMap<String, Position>,
 }
 
 impl Document {
-    /// Reads a file's text. `.json` is read as JSON, `.yaml` and `.yml` as YAML; any other name as JSON if the text
-    /// begins with a brace. The error is the first fault found.
+    /// Parses a file's text. A `.json` file is read as JSON, a `.yaml` or `.yml` file as YAML, and any other file as
+    /// JSON if the text begins with a brace, else as YAML.
+    ///
+    /// # Errors
+    /// The first fault found.
     pub fn read(name: &str, bytes: &[u8]) -> Result<Document, Fault> {
         let mut nodes = NodeTable::default();
         let read = decode(bytes).and_then(|text| match is_json(name, text) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The position of a node, or of the nearest one around it that has a position.
+    /// Returns the position of a node, or of its nearest ancestor that has a position.
     pub fn position(&self, pointer: &str) -> Position {
         let mut pointer = pointer;
         loop {
@@ -61,13 +62,13 @@
         }
     }
 
-    /// Drops the value and the positions; the name stays.
+    /// Drops the value and the positions and keeps the name.
     pub(crate) fn drop_content(&mut self) {
         self.value = Value::Null;
         self.positions = HashMap::new();
     }
 
-    /// A fault at a node.
+    /// Returns a fault at the position of a node.
     pub fn fault(&self, pointer: &str, cause: impl Into<String>) -> Fault {
         let position = self.position(pointer);
         Fault {
@@ -80,7 +81,7 @@
     }
 }
 
-/// The file's text, without a byte order mark.
+/// Returns the file's text without a byte order mark.
 fn decode(bytes: &[u8]) -> Result<&str, ParseError> {
     if bytes.len() > MAX_BYTES {
         let bytes = bytes.len();
@@ -99,7 +100,7 @@
     Ok(text.strip_prefix('\u{feff}').unwrap_or(text))
 }
 
-/// Whether a file is read as JSON.
+/// Returns whether a file is read as JSON.
 fn is_json(name: &str, text: &str) -> bool {
     match name.rsplit('.').next().unwrap_or("") {
         "json" => true,
@@ -108,7 +109,7 @@
     }
 }
 
-/// Appends a key to a JSON pointer.
+/// Appends an escaped key to a JSON pointer.
 pub fn append_to_pointer(pointer: &str, key: &str) -> String {
     let mut out = String::with_capacity(pointer.len() + 1 + key.len());
     out.push_str(pointer);
--- a/crates/contract/src/document/json.rs
+++ b/crates/contract/src/document/json.rs
@@ -1,4 +1,4 @@
-//! JSON with the position of every node. Repeated keys are faults, which `serde_json` alone would accept.
+//! Reads JSON and records the position of every node. Duplicate keys, which `serde_json` alone accepts, are faults.
 
 use super::append_to_pointer;
 use super::syntax::{NodeTable, ParseError, Position, SyntaxError};
@@ -6,7 +6,7 @@
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
 
-/// Reads a text.
+/// Parses a JSON text and records its nodes.
 pub(super) fn read(text: &str, nodes: &mut NodeTable) -> Result<Value, ParseError> {
     let root: &RawValue = serde_json::from_str(text).map_err(document_error)?;
     let mut reader = Reader {
@@ -17,7 +17,7 @@
     reader.value(root, "", 0)
 }
 
-/// The error of a text that is no JSON. The position is cut from the parser's text, since faults have it as a field.
+/// Converts the parser's error. The position is cut from the parser's text, since faults have a field for it.
 fn document_error(error: serde_json::Error) -> ParseError {
     let position = Position {
         line: error.line(),
@@ -28,7 +28,7 @@
     ParseError::new(position, "", SyntaxError::InvalidJson { detail })
 }
 
-/// The offsets at which lines begin, in bytes.
+/// Returns the byte offsets at which lines begin.
 fn line_starts(text: &str) -> Vec<usize> {
     let newlines = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
     std::iter::once(0)
@@ -43,7 +43,7 @@
 }
 
 impl<'t> Reader<'t, '_> {
-    /// The position of a part of the text.
+    /// Returns the position of `part`, which must be a slice of the text.
     fn position(&self, part: &str) -> Position {
         let offset = (part.as_ptr() as usize).saturating_sub(self.text.as_ptr() as usize);
         let line = self.line_starts.partition_point(|&start| start <= offset);
@@ -113,7 +113,7 @@
     }
 }
 
-/// An object's members with their text, repeated keys included.
+/// The members of an object with the text of their values, including those with a duplicate key.
 struct ObjectMembers<'t>(Vec<(String, &'t RawValue)>);
 
 impl<'de: 't, 't> Deserialize<'de> for ObjectMembers<'t> {
@@ -139,7 +139,7 @@
     }
 }
 
-/// An array's items with their text.
+/// The text of each item of an array.
 struct ArrayItems<'t>(Vec<&'t RawValue>);
 
 impl<'de: 't, 't> Deserialize<'de> for ArrayItems<'t> {
--- a/crates/contract/src/document/syntax.rs
+++ b/crates/contract/src/document/syntax.rs
@@ -1,69 +1,70 @@
-//! Why a document can't be read, and the bounds on its nodes.
+//! The errors of documents that cannot be read, and the bounds on their nodes.
 
 use crate::fault::Fault;
 use std::collections::HashMap;
 
-/// The largest file that is read, in bytes. Descriptions of large public interfaces have a few MB.
+/// The largest file that is read, in bytes. Descriptions of large public interfaces take a few MB.
 pub const MAX_BYTES: usize = 4 * 1024 * 1024;
-/// How deep values may nest. Deeper ones would cost stack in every later walk.
+/// The deepest level at which values may nest. Every later traversal is recursive, so the depth bounds its stack.
 pub const MAX_DEPTH: usize = 64;
-/// The most nodes of a file, those that aliases repeat included: a few lines of aliases can stand for billions.
+/// The largest number of nodes in a file, including those that aliases repeat: a few lines of YAML aliases can expand
+/// to billions of nodes.
 pub const MAX_NODES: usize = 200_000;
 
-/// A position in a file.
+/// A line and column in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// The line, from 1; 0 where no position is meant.
+    /// The line, from 1; 0 for [`Position::NONE`].
     pub line: usize,
-    /// The column, from 1; 0 where no position is meant.
+    /// The column, from 1; 0 for [`Position::NONE`].
     pub column: usize,
 }
 
 impl Position {
-    /// No position in the file.
+    /// The position of a fault that concerns the file as a whole.
     pub(super) const NONE: Position = Position { line: 0, column: 0 };
     /// The beginning of the file.
     pub(super) const START: Position = Position { line: 1, column: 1 };
 }
 
-/// Why a document can't be read.
+/// The error of a document that cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SyntaxError {
-    #[error("the file has {bytes} bytes: {MAX_BYTES} at most")]
+    #[error("file too large: {bytes} bytes, expected at most {MAX_BYTES}")]
     TooLarge { bytes: usize },
-    #[error("the file is not UTF-8 text")]
+    #[error("invalid UTF-8 in the file")]
     NotUtf8,
     #[error("the file is empty")]
     Empty,
-    #[error("values nest deeper than {MAX_DEPTH} levels")]
+    #[error("values nested deeper than {MAX_DEPTH} levels")]
     TooDeep,
-    #[error("there are more than {MAX_NODES} values")]
+    #[error("too many values: expected at most {MAX_NODES}")]
     TooManyNodes,
-    #[error("this is no JSON: {detail}")]
+    #[error("invalid JSON: {detail}")]
     InvalidJson { detail: String },
-    #[error("this is no YAML: {detail}")]
+    #[error("invalid YAML: {detail}")]
     InvalidYaml { detail: String },
-    #[error("this is no YAML document")]
+    #[error("expected a YAML document")]
     NotADocument,
-    #[error("there is a second document in this file")]
+    #[error("expected one YAML document, found a second one")]
     SecondDocument,
-    #[error("this key is there twice")]
+    #[error("duplicate key")]
     DuplicateKey,
-    #[error("a key must be a plain word")]
+    #[error("expected a scalar as a key")]
     KeyNotScalar,
-    #[error("merge keys are not part of YAML 1.2: write the members out, or use $ref")]
+    #[error("merge keys are not supported in YAML 1.2: write the members out, or use $ref")]
     MergeKey,
-    #[error("a value is missing")]
+    #[error("expected a value")]
     MissingValue,
-    #[error("an alias stands inside of what it repeats")]
+    #[error("recursive alias: the alias is inside the value that it repeats")]
     RecursiveAlias,
-    #[error("the tag {handle}{suffix} is not read")]
+    #[error("unsupported tag {handle}{suffix}")]
     UnsupportedTag { handle: String, suffix: String },
-    #[error("{text} has no equal in JSON")]
+    #[error("{text} cannot be represented in JSON")]
     NotInJson { text: String },
 }
 
-/// A syntax error with its place.
+/// A syntax error with its position and node.
 #[derive(Debug)]
 pub(super) struct ParseError {
     position: Position,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The fault that is reported for the file.
+    /// Converts the error to the fault that is reported for the file.
     pub(super) fn into_fault(self, file: &str) -> Fault {
         Fault {
             file: file.into(),
@@ -93,17 +94,17 @@
     }
 }
 
-/// The nodes read so far: how many there are, and where each begins.
+/// The nodes read so far: their number and positions.
 #[derive(Default)]
 pub(super) struct NodeTable {
-    /// The number of nodes, those that aliases repeat included.
+    /// The number of nodes, including those that aliases repeat.
     pub(super) count: usize,
     /// The positions by JSON pointer.
     pub(super) positions: HashMap<String, Position>,
 }
 
 impl NodeTable {
-    /// Counts a node and records its position; an error where a bound is passed.
+    /// Counts a node and records its position; returns an error if a bound is exceeded.
     pub(super) fn enter(
         &mut self,
         pointer: &str,
--- a/crates/contract/src/document/yaml.rs
+++ b/crates/contract/src/document/yaml.rs
@@ -1,4 +1,4 @@
-//! YAML 1.2 with the position of every node, as far as its values have a form in JSON.
+//! Reads YAML 1.2 and records the position of every node. Values that JSON cannot represent are rejected.
 
 use super::append_to_pointer;
 use super::syntax::{NodeTable, ParseError, Position, SyntaxError};
@@ -7,7 +7,7 @@
 use serde_json::{Map, Value};
 use std::collections::HashMap;
 
-/// Reads a text of one document.
+/// Parses a text that holds a single YAML document.
 pub(super) fn read(text: &str, nodes: &mut NodeTable) -> Result<Value, ParseError> {
     let mut reader = Reader {
         parser: Parser::new_from_str(text),
@@ -17,7 +17,7 @@
     reader.document()
 }
 
-/// A value with an anchor, which aliases repeat.
+/// The value of an anchor, which aliases repeat.
 #[derive(Clone)]
 struct AnchoredValue {
     value: Value,
@@ -63,7 +63,7 @@
         value.ok_or_else(|| ParseError::new(Position::START, "", SyntaxError::Empty))
     }
 
-    /// Reads the value that begins with an event.
+    /// Reads the value that begins with this event.
     fn value(
         &mut self,
         event: Event<'t>,
@@ -93,7 +93,7 @@
             }
             _ => return Err(fault(SyntaxError::MissingValue)),
         };
-        // The parser numbers anchors from 1; 0 stands for none.
+        // The parser numbers anchors from 1; 0 means that the node has no anchor.
         if anchor > 0 {
             let anchored = AnchoredValue {
                 value: value.clone(),
@@ -104,7 +104,8 @@
         Ok(value)
     }
 
-    /// Repeats the value of an anchor. Its nodes and its height count again, so that aliases can't pass the bounds.
+    /// Returns the value of an anchor. The nodes and the height of the value are counted again, so that aliases cannot
+    /// bypass the bounds.
     fn alias(
         &mut self,
         anchor: usize,
@@ -155,7 +156,7 @@
             }
             let (event, span) = self.next_event()?;
             let value = self.value(event, span, &inner, depth + 1)?;
-            // A member's position is that of its key, where a reader looks for it.
+            // The position of a member is that of its key, since an editor's user looks for the key.
             self.nodes.positions.insert(inner, key_position);
             map.insert(key, value);
         }
@@ -177,7 +178,7 @@
     }
 }
 
-/// How many levels a value nests below itself.
+/// Returns the number of levels below a value; 0 for a scalar.
 fn height(value: &Value) -> usize {
     match value {
         Value::Object(map) => 1 + map.values().map(height).max().unwrap_or(0),
--- a/crates/contract/src/document/yaml_scalar.rs
+++ b/crates/contract/src/document/yaml_scalar.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// The value of a scalar.
+/// Returns the value of a scalar, taking its style and tag into account.
 pub(super) fn scalar_value(
     text: &str,
     style: ScalarStyle,
@@ -43,7 +43,8 @@
     plain_value(text)
 }
 
-/// The value of a scalar without quotes, whose type follows from its text. A number that JSON can't hold is a string.
+/// Returns the value of a scalar without quotes, whose type follows from its text. A number that JSON cannot represent
+/// becomes a string.
 fn plain_value(text: &str) -> Result<Value, SyntaxError> {
     let unsigned = text.strip_prefix(['-', '+']).unwrap_or(text);
     let value = match text {
@@ -54,7 +55,7 @@
         _ if text.starts_with("0o") => integer(&text[2..], 8),
         _ if is_decimal(unsigned) => {
             let signed = text.strip_prefix('+').unwrap_or(text);
-            // One that 64 bits can't hold is kept as the nearest float.
+            // A number that does not fit into 64 bits becomes the nearest float.
             integer(signed, 10).or_else(|| float(signed))
         }
         _ if matches!(
@@ -84,7 +85,7 @@
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// Whether a text has the characters of a float; whether it is one, parsing says.
+/// Returns whether a text consists of the characters of a float. It may still fail to parse as one.
 fn is_float(text: &str) -> bool {
     let starts_like_one = text
         .bytes()
--- a/crates/contract/src/document/yaml_writer.rs
+++ b/crates/contract/src/document/yaml_writer.rs
@@ -1,16 +1,16 @@
-//! Values as YAML text.
+//! Writes values as YAML text.
 
 use saphyr::{ScalarOwned, Yaml, YamlEmitter, YamlOwned};
 use serde_json::Value;
 
-/// A value as YAML text.
+/// Formats a value as YAML text that ends with a newline.
 pub fn to_yaml(value: &Value) -> String {
     let owned = convert(value);
     let mut out = String::new();
     let yaml: Yaml = (&owned).into();
     match YamlEmitter::new(&mut out).dump(&yaml) {
         Ok(()) => out + "\n",
-        // A string takes all that is written to it.
+        // Writing to a string cannot fail.
         Err(_) => String::new(),
     }
 }
--- a/crates/contract/src/drift/mod.rs
+++ b/crates/contract/src/drift/mod.rs
@@ -3,8 +3,6 @@
 //! [`DriftTracker`] counts the violations of checked messages by operation, place and kind. It does no I/O, reads no
 //! clock, and its memory is bounded whatever messages arrive.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod entry;
 mod interface;
 mod listing;
--- a/crates/contract/src/enforcement.rs
+++ b/crates/contract/src/enforcement.rs
@@ -1,8 +1,6 @@
 //! Decides what is done about violations: which messages are checked, which requests are rejected, which responses
 //! count as failed, and which descriptions are in force. Does no I/O and reads no clock.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 use crate::conformance::{Violation, ViolationKind};
 use crate::drift::Interface;
 use crate::fault::Faults;
--- a/crates/contract/src/fault.rs
+++ b/crates/contract/src/fault.rs
@@ -1,26 +1,24 @@
-//! The faults of a description: where each is, and what would be right.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The faults of a description: the position and cause of each, and what was expected.
 
 use serde::Serialize;
 use std::fmt;
 
-/// The most faults of one description that are reported. Nobody reads more, and a hostile description could have any
-/// number.
+/// The largest number of faults that are reported for one description. More would not be read by anyone, and a hostile
+/// description could have any number of them.
 pub const MAX_FAULTS: usize = 100;
 
-/// One fault of a description.
+/// One fault of a description, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Fault {
-    /// The file, as the operator or a reference names it.
+    /// The file's name, as the operator or a reference gives it.
     pub file: String,
     /// The line, from 1; 0 if the fault has no position in the file.
     pub line: usize,
-    /// The column, from 1.
+    /// The column, from 1; 0 if the fault has no position in the file.
     pub column: usize,
     /// The JSON pointer of the faulty node; empty for the whole document.
     pub pointer: String,
-    /// What is wrong, and what would be right.
+    /// What was found at the position, and what was expected.
     pub cause: String,
 }
 
@@ -40,14 +38,14 @@
 /// The faults of a description, in the order in which they were found.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Faults {
-    /// The first ones, at most [`MAX_FAULTS`].
+    /// The first faults, at most [`MAX_FAULTS`].
     pub list: Vec<Fault>,
-    /// How many more there are.
+    /// The number of faults beyond those in `list`.
     pub more: usize,
 }
 
 impl Faults {
-    /// Adds a fault, unless it is already listed.
+    /// Adds a fault, unless an equal one is already listed. A fault beyond [`MAX_FAULTS`] is only counted.
     pub fn push(&mut self, fault: Fault) {
         if self.list.contains(&fault) {
             return;
@@ -59,12 +57,12 @@
         }
     }
 
-    /// Whether there are no faults.
+    /// Returns whether there are no faults.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Whether a further fault would only be counted.
+    /// Returns whether the list is full, so that a further fault would only be counted.
     pub fn is_full(&self) -> bool {
         self.list.len() >= MAX_FAULTS
     }
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -1,6 +1,4 @@
-//! A description as data: what traffic is checked against.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The data model of a description, which traffic is checked against.
 
 use crate::routing::Router;
 use crate::schema::Direction;
@@ -13,18 +11,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DescriptionFormat {
-    /// HTTP interfaces.
+    /// OpenAPI, which describes HTTP interfaces.
     OpenApi,
-    /// Messages on channels.
+    /// AsyncAPI, which describes messages on channels.
     AsyncApi,
 }
 
-/// The schema of a value: its location, and its compiled form. Without a location any value is valid.
+/// A reference to the schema of a value, with its compiled form. Without a node any value is valid.
 #[derive(Clone, Debug, Default)]
 pub struct SchemaRef {
     pub(crate) node: Option<NodeLocation>,
     pub(crate) validator: Option<Arc<Validator>>,
-    /// The types that the schema names, by which a parameter's text is parsed; empty if it names none.
+    /// The types listed in the schema, which decide how a parameter's text is parsed; empty if it lists none.
     pub(crate) types: Vec<String>,
 }
 
@@ -53,7 +51,8 @@
         })
     }
 
-    /// How exactly it covers a type: 0 for the same type, 1 for a range of subtypes, 2 for `*/*`; `None` if it does not.
+    /// Returns how exactly this range covers a media type: 0 for the same type, 1 for a range of subtypes, 2 for `*/*`;
+    /// `None` if the range does not cover the type.
     pub fn match_rank(&self, other: &MediaRange) -> Option<u8> {
         match (
             self.type_name == other.type_name,
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Whether bodies of this type are JSON.
+    /// Returns whether bodies of this media type are JSON.
     pub fn is_json(&self) -> bool {
         self.subtype == "json" || self.subtype.ends_with("+json")
     }
@@ -80,7 +79,7 @@
     }
 }
 
-/// A body in one media type.
+/// A media type of a body, with the body's schema.
 #[derive(Clone, Debug)]
 pub struct Media {
     pub(crate) range: MediaRange,
@@ -90,19 +89,19 @@
 /// The part of a request that holds a parameter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ParameterLocation {
-    /// In the path.
+    /// A variable of the path template.
     Path,
-    /// In the query string.
+    /// A name-value pair of the query string.
     Query,
-    /// In a header field.
+    /// A header field.
     Header,
-    /// In the `Cookie` header.
+    /// A cookie of the `Cookie` header.
     Cookie,
 }
 
 impl ParameterLocation {
-    pub(crate) fn parse(word: &str) -> Option<ParameterLocation> {
-        Some(match word {
+    pub(crate) fn parse(text: &str) -> Option<ParameterLocation> {
+        Some(match text {
             "path" => ParameterLocation::Path,
             "query" => ParameterLocation::Query,
             "header" => ParameterLocation::Header,
@@ -111,7 +110,7 @@
         })
     }
 
-    /// The value of `in` for it.
+    /// Returns the location as OpenAPI's `in` field names it.
     pub fn as_str(self) -> &'static str {
         match self {
             ParameterLocation::Path => "path",
@@ -130,42 +129,42 @@
     pub(crate) required: bool,
     pub(crate) node: NodeLocation,
     pub(crate) schema: SchemaRef,
-    /// Whether its value is JSON text.
+    /// Whether the parameter's value is JSON text.
     pub(crate) is_json: bool,
-    /// Whether its value may be empty (`allowEmptyValue`).
+    /// Whether the parameter's value may be empty (`allowEmptyValue`).
     pub(crate) allow_empty: bool,
-    /// The separator of a list's items; `None`: each item is a pair of its own.
+    /// The separator of a list's items; `None` if each item is a name-value pair of its own.
     pub(crate) list_separator: Option<char>,
 }
 
-/// The statuses that a described response is for.
+/// The status codes that a described response applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Status {
-    /// One status.
+    /// One status code.
     Exactly(u16),
-    /// A range such as `2XX`, by its first digit.
+    /// A range of status codes such as `2XX`, given by its first digit.
     Range(u16),
-    /// All statuses that no other response names.
+    /// All status codes that no other response of the operation covers.
     Default,
 }
 
 impl Status {
-    pub(crate) fn parse(word: &str) -> Option<Status> {
-        if word == "default" {
+    pub(crate) fn parse(text: &str) -> Option<Status> {
+        if text == "default" {
             return Some(Status::Default);
         }
-        let digits = word.as_bytes();
+        let digits = text.as_bytes();
         match digits {
             [first @ b'1'..=b'5', b'X', b'X'] => Some(Status::Range(u16::from(first - b'0'))),
             [b'1'..=b'5', b, c] if b.is_ascii_digit() && c.is_ascii_digit() => {
-                word.parse().ok().map(Status::Exactly)
+                text.parse().ok().map(Status::Exactly)
             }
             _ => None,
         }
     }
 }
 
-/// A described response.
+/// A response of an operation, as the description has it.
 #[derive(Clone, Debug)]
 pub struct Response {
     pub(crate) status: Status,
@@ -177,9 +176,9 @@
 /// An operation of an OpenAPI description: a method of a path.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// The method and the path template.
+    /// The method and the path template, separated by a space.
     pub name: Arc<str>,
-    /// The description's `operationId`.
+    /// The `operationId`; `None` if the description gives none.
     pub id: Option<String>,
     pub(crate) node: NodeLocation,
     pub(crate) parameters: Vec<Parameter>,
@@ -191,33 +190,33 @@
 /// A message on a channel of an AsyncAPI description.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The channel's name and its own, as reports show it.
+    /// The names of the channel and of the message, separated by a space, as reports show them.
     pub name: Arc<str>,
     pub(crate) channel: String,
-    /// The name that it goes by on the wire: its own, or `x-frame`.
+    /// The name of the message on the wire: the value of `x-frame`, or else the message's own name.
     pub(crate) wire_name: String,
     pub(crate) node: NodeLocation,
     pub(crate) headers: SchemaRef,
     pub(crate) payload: SchemaRef,
     pub(crate) is_json: bool,
-    /// Who sends it; to the described side where no operation says so.
+    /// The direction of the message: towards the described side (`Request`) if no operation refers to the message.
     pub(crate) direction: Direction,
 }
 
-/// A description without faults, as it was read.
+/// A description that was read without faults.
 #[derive(Clone, Debug)]
 pub struct Description {
-    /// The format.
+    /// The format that the description is written in.
     pub format: DescriptionFormat,
-    /// The format's version.
+    /// The version of the format, such as `3.1.0`.
     pub version: String,
-    /// `info.title` and `info.version`.
+    /// The values of `info.title` and `info.version`, separated by a space.
     pub title: String,
-    /// The operations of an OpenAPI description.
+    /// The operations of an OpenAPI description; empty for AsyncAPI.
     pub operations: Vec<Operation>,
-    /// The messages of an AsyncAPI description.
+    /// The messages of an AsyncAPI description; empty for OpenAPI.
     pub messages: Vec<Message>,
-    /// A hash of the files' names and contents: equal for equal descriptions.
+    /// A hash of the files' names and contents, which is equal for equal descriptions.
     pub fingerprint: u64,
     pub(crate) router: Router,
     pub(crate) secrets: BTreeSet<String>,
@@ -225,42 +224,43 @@
 }
 
 impl Description {
-    /// Drops the documents, which checking traffic does not need. Such a description can't be compared.
+    /// Returns the description without its documents, which are not needed to check traffic. Such a description cannot
+    /// be compared with another one.
     pub fn without_documents(mut self) -> Description {
         self.sources.drop_documents();
         self
     }
 
-    /// The names of the files, the first one first.
+    /// Returns the names of the files, beginning with the one that was opened.
     pub fn files(&self) -> impl Iterator<Item = &str> {
         self.sources.files().iter().map(|file| file.name.as_str())
     }
 
-    /// The index of the operation that a request is for, without checking the request.
+    /// Returns the index of the operation that a request selects, without checking the request.
     pub fn find_operation(&self, method: &str, target: &str) -> Option<usize> {
         match self
             .router
             .find(method, target.split('?').next().unwrap_or(target))
         {
-            crate::routing::RouteMatch::Operation(number, _) => Some(number),
+            crate::routing::RouteMatch::Operation(index, _) => Some(index),
             _ => None,
         }
     }
 
-    /// A location as reports show it.
+    /// Formats the location of a node for reports.
     pub fn display_location(&self, location: &NodeLocation) -> String {
         self.sources.display_location(location)
     }
 
-    /// The message of a channel by its name on the wire.
-    pub fn message(&self, channel: &str, word: &str) -> Option<&Message> {
+    /// Returns the message of a channel by its name on the wire.
+    pub fn message(&self, channel: &str, wire_name: &str) -> Option<&Message> {
         self.messages
             .iter()
-            .find(|message| message.channel == channel && message.wire_name == word)
+            .find(|message| message.channel == channel && message.wire_name == wire_name)
     }
 }
 
-/// The described media type that covers a type most exactly.
+/// Returns the described media type that covers `range` most exactly.
 pub(crate) fn best_media<'m>(content: &'m [Media], range: &MediaRange) -> Option<&'m Media> {
     let covering = content
         .iter()
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -1,7 +1,5 @@
 //! OpenAPI 3.0 and 3.1: operations with their parameters, bodies and responses.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod parameters;
 
 use crate::builder::DescriptionBuilder;
@@ -43,7 +41,7 @@
     {
         builder.fault(
             &root,
-            "one of 'paths', 'webhooks' and 'components' must be there",
+            "expected at least one of 'paths', 'webhooks' and 'components'",
         );
     }
     read_component_schemas(builder, &root.at("components"));
@@ -68,7 +66,10 @@
             }
         };
         if let Some(other) = shapes.insert(template.shape(), text.clone()) {
-            builder.fault(&node, format!("no path tells this template from {other}"));
+            builder.fault(
+                &node,
+                format!("ambiguous path template: matches the same paths as {other}"),
+            );
             continue;
         }
         let path = TemplatedPath { text, template };
@@ -94,7 +95,7 @@
         {
             builder.fault(
                 &at,
-                "a component's name has letters, digits, '.', '_' and '-' only",
+                "invalid component name: expected only letters, digits, '.', '_' and '-'",
             );
         }
         builder.register_schema(&at, Direction::Request);
@@ -107,7 +108,7 @@
         return vec![String::new()];
     };
     let Some(servers) = value.as_array() else {
-        builder.fault(node, "this must be a list of servers");
+        builder.fault(node, "expected a list of servers");
         return vec![String::new()];
     };
     let mut server_paths = Vec::new();
@@ -191,14 +192,17 @@
         if !METHODS.contains(&key.as_str()) {
             builder.fault(
                 &at,
-                format!("'{key}' is no method: {} are", METHODS.join(", ")),
+                format!(
+                    "unknown method '{key}': expected one of {}",
+                    METHODS.join(", ")
+                ),
             );
             continue;
         }
         if builder.operations.len() >= MAX_OPERATIONS {
             return builder.fault(
                 &at,
-                format!("there are more than {MAX_OPERATIONS} operations"),
+                format!("too many operations: expected at most {MAX_OPERATIONS}"),
             );
         }
         let Some(operation) = read_operation(builder, at, key, path, &shared, ids) else {
@@ -266,7 +270,9 @@
         if !in_path().any(|p| p.name == name) {
             builder.fault(
                 at,
-                format!("the path's variable {{{name}}} is not declared among the parameters"),
+                format!(
+                    "undeclared path variable {{{name}}}: expected a path parameter of this name"
+                ),
             );
         }
     }
@@ -313,14 +319,14 @@
         return Vec::new();
     };
     if !map.keys().any(|key| !key.starts_with("x-")) {
-        builder.fault(node, "at least one answer must be described");
+        builder.fault(node, "expected at least one response");
     }
     let mut responses = Vec::new();
     for key in map.keys().filter(|key| !key.starts_with("x-")) {
         let Some(status) = Status::parse(key) else {
             builder.fault(
                 &node.at(key),
-                "a status is three digits, a range such as 2XX, or 'default'",
+                "invalid status: expected three digits, a range such as 2XX, or 'default'",
             );
             continue;
         };
--- a/crates/contract/src/openapi/parameters.rs
+++ b/crates/contract/src/openapi/parameters.rs
@@ -14,7 +14,7 @@
         return Vec::new();
     };
     let Some(count) = value.as_array().map(Vec::len) else {
-        builder.fault(node, "this must be a list of parameters");
+        builder.fault(node, "expected a list of parameters");
         return Vec::new();
     };
     let mut parameters: Vec<Parameter> = Vec::new();
@@ -42,7 +42,7 @@
     let Some(location) = ParameterLocation::parse(&location_name) else {
         builder.fault(
             &at.at("in"),
-            format!("'{location_name}' is none of path, query, header and cookie"),
+            format!("unknown parameter location '{location_name}': expected path, query, header or cookie"),
         );
         return None;
     };
@@ -52,7 +52,7 @@
     {
         builder.fault(
             item,
-            format!("the {location_name} parameter '{name}' is there twice"),
+            format!("duplicate {location_name} parameter '{name}'"),
         );
         return None;
     }
@@ -161,7 +161,7 @@
 ) -> Option<Media> {
     let media = builder.content(node, direction);
     if media.len() != 1 {
-        builder.fault(node, "a parameter has exactly one media type");
+        builder.fault(node, "expected exactly one media type for a parameter");
     }
     media.into_iter().next()
 }
@@ -179,7 +179,7 @@
     let styles = styles(location);
     if !styles.contains(&style.as_str()) {
         let cause = format!(
-            "'{style}' is no style of a {} parameter: {}",
+            "unknown style '{style}' of a {} parameter: expected one of {}",
             location.as_str(),
             styles.join(", ")
         );
--- a/crates/contract/src/reader.rs
+++ b/crates/contract/src/reader.rs
@@ -1,6 +1,4 @@
-//! Reading of descriptions: the files, then the parser of their format.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Reads descriptions: opens the files and runs the parser of their format.
 
 use crate::builder::DescriptionBuilder;
 use crate::fault::{Fault, Faults};
@@ -10,12 +8,12 @@
 use std::path::Path;
 
 impl Description {
-    /// Reads a description and all files beside it that it refers to.
+    /// Reads a description and all files that it refers to.
     pub fn open(path: &Path) -> Result<Description, Faults> {
         Self::read(Sources::open(path))
     }
 
-    /// Reads a description from text.
+    /// Reads a description from text. The ending of `name` selects JSON or YAML.
     pub fn from_text(name: &str, text: &str) -> Result<Description, Faults> {
         Self::read(Sources::from_text(name, text))
     }
--- a/crates/contract/src/replay.rs
+++ b/crates/contract/src/replay.rs
@@ -5,8 +5,6 @@
 //! `fields`, `body` and `whole` (false if the connection ended early). A message has `channel`, `message` (its name or
 //! letter), `headers` (an object) and `payload`.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 use crate::conformance::{ObservedRequest, ObservedResponse, Violation, ViolationKind};
 use crate::model::{Description, DescriptionFormat};
 use serde::{Deserialize, Serialize};
--- a/crates/contract/src/routing.rs
+++ b/crates/contract/src/routing.rs
@@ -1,10 +1,9 @@
-//! Finds the operation of a request by its method and path: path templates, the most concrete first.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Finds the operation of a request by its method and path. Path templates are tried from the most to the least
+//! concrete.
 
 use std::cmp::Reverse;
 
-/// A part of a path segment: literal text, or a variable by its name.
+/// A part of a path segment: literal text, or a variable with its name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SegmentPart {
     Text(String),
@@ -17,40 +16,40 @@
     segments: Vec<Vec<SegmentPart>>,
 }
 
-/// The most segments of a template, which bounds the cost of matching.
+/// The largest number of segments in a template, which bounds the cost of matching.
 const MAX_SEGMENTS: usize = 64;
 
-/// What is wrong with a path template.
+/// The error of a path template that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TemplateError {
-    /// The path doesn't begin with a slash.
-    #[error("a path must begin with '/'")]
+    /// The path does not begin with a slash.
+    #[error("expected a path that begins with '/'")]
     NoLeadingSlash,
-    /// A closing brace without an opening one.
-    #[error("a '}}' stands without its '{{'")]
+    /// The path has a closing brace without an opening one.
+    #[error("unmatched '}}' without an opening '{{'")]
     UnopenedVariable,
-    /// An opening brace without a closing one.
-    #[error("a '{{' stands without its '}}'")]
+    /// The path has an opening brace without a closing one.
+    #[error("unmatched '{{' without a closing '}}'")]
     UnclosedVariable,
-    /// A variable without a name.
-    #[error("a variable needs a name between '{{' and '}}'")]
+    /// A variable has no name.
+    #[error("expected a variable name between '{{' and '}}'")]
     UnnamedVariable,
-    /// Two variables of the same name.
-    #[error("the variable {{{name}}} is there twice")]
+    /// Two variables have the same name.
+    #[error("duplicate path variable {{{name}}}")]
     DuplicateVariable {
-        /// Name of the variable.
+        /// The name that both variables have.
         name: String,
     },
-    /// Two variables without text between them.
-    #[error("two variables stand side by side: nothing tells where one ends")]
+    /// Two variables have no text between them, so a path does not show where the first one ends.
+    #[error("adjacent path variables: expected text between them")]
     AdjacentVariables,
-    /// Too many segments.
-    #[error("a path has {MAX_SEGMENTS} segments at most")]
+    /// The path has more than [`MAX_SEGMENTS`] segments.
+    #[error("too many path segments: expected at most {MAX_SEGMENTS}")]
     TooManySegments,
 }
 
 impl Template {
-    /// Parses a template.
+    /// Parses a path template such as `/{index}/_search`.
     pub fn parse(text: &str) -> Result<Template, TemplateError> {
         let path = text
             .strip_prefix('/')
@@ -66,7 +65,7 @@
         Ok(Template { segments })
     }
 
-    /// The names of its variables, in order.
+    /// Returns the names of the template's variables, in order.
     pub fn variables(&self) -> impl Iterator<Item = &str> {
         self.segments
             .iter()
@@ -77,7 +76,7 @@
             })
     }
 
-    /// The template without the names of its variables: templates of the same shape match the same paths.
+    /// Returns the template with the names of its variables removed. Templates of the same shape match the same paths.
     pub fn shape(&self) -> String {
         let part_shape = |part: &SegmentPart| match part {
             SegmentPart::Text(text) => text.clone(),
@@ -89,7 +88,7 @@
             .collect()
     }
 
-    /// How concrete it is, segment by segment; the most concrete template sorts first.
+    /// Returns how concrete the template is, segment by segment; the most concrete template sorts first.
     fn rank(&self) -> Vec<SegmentRank> {
         self.segments
             .iter()
@@ -97,7 +96,7 @@
             .collect()
     }
 
-    /// The variables if the path matches.
+    /// Returns the values of the variables if the path matches the template.
     fn matches<'p>(&self, path: &[&'p str]) -> Option<Vec<PathVariable<'_, 'p>>> {
         if path.len() != self.segments.len() {
             return None;
@@ -113,11 +112,11 @@
 /// How concrete a segment of a template is, from the most concrete to the least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SegmentRank {
-    /// No variables.
+    /// The segment has no variables.
     Literal,
-    /// Text and variables: more text is more concrete.
+    /// The segment has text and variables; more text is more concrete.
     Mixed(Reverse<usize>),
-    /// Only a variable.
+    /// The segment is a single variable.
     Variable,
 }
 
@@ -177,7 +176,7 @@
     Ok(parts)
 }
 
-/// Matches one segment and adds its variables; `None` if it doesn't match.
+/// Matches one segment and adds the values of its variables; returns `None` if the segment does not match.
 fn match_segment<'t, 'p>(
     parts: &'t [SegmentPart],
     segment: &'p str,
@@ -208,8 +207,8 @@
     rest.is_empty().then_some(())
 }
 
-/// Where the text after a variable begins. The last text of a segment is searched from the segment's end, so that
-/// `{name}.{ending}` matches `a.b.json`.
+/// Returns the offset at which the text after a variable begins. The last text of a segment is searched from the
+/// segment's end, so that `{name}.{ending}` matches `a.b.json`.
 fn find_text(rest: &str, text: &str, following: &[SegmentPart]) -> Option<usize> {
     let has_more_text = following
         .iter()
@@ -221,7 +220,7 @@
     }
 }
 
-/// The operations of one template.
+/// A path template with the operations of its methods.
 #[derive(Clone, Debug)]
 struct Route {
     template: Template,
@@ -235,29 +234,29 @@
     operation: usize,
 }
 
-/// A table of templates, the most concrete first.
+/// A routing table: path templates with their operations, ordered from the most to the least concrete.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
     routes: Vec<Route>,
 }
 
-/// A variable of a path.
+/// The value of a path variable.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PathVariable<'r, 'p> {
-    /// Its name in the template.
+    /// The variable's name in the template.
     pub name: &'r str,
-    /// Its text in the path, still percent-encoded.
+    /// The variable's text in the path, still percent-encoded.
     pub value: &'p str,
 }
 
-/// What a path leads to.
+/// The result of looking up a method and path.
 #[derive(Debug, PartialEq)]
 pub enum RouteMatch<'r, 'p> {
-    /// The index of the operation, and the path's variables.
+    /// An operation matches; holds its index and the values of the path variables.
     Operation(usize, Vec<PathVariable<'r, 'p>>),
-    /// The path is described, but not with this method.
+    /// The path is described, but only with these other methods.
     OtherMethods(Vec<&'r str>),
-    /// No template matches.
+    /// No template matches the path.
     Nothing,
 }
 
@@ -285,8 +284,8 @@
         self.routes.insert(index, route);
     }
 
-    /// Finds the operation of a request. A less concrete template is used if the more concrete ones that match don't have
-    /// the method.
+    /// Finds the operation of a request. A less concrete template is used if the more concrete templates that match do
+    /// not have the method.
     pub fn find<'r, 'p>(&'r self, method: &str, path: &'p str) -> RouteMatch<'r, 'p> {
         let segments: Vec<&str> = path.strip_prefix('/').unwrap_or(path).split('/').collect();
         let mut other_methods = Vec::new();
--- a/crates/contract/src/routing/tests.rs
+++ b/crates/contract/src/routing/tests.rs
@@ -58,12 +58,12 @@
 #[test]
 fn an_invalid_template_says_why() {
     for (path, cause) in [
-        ("a", "begin with '/'"),
-        ("/{a", "without its '}'"),
-        ("/a}", "without its '{'"),
-        ("/{}", "needs a name"),
-        ("/{a}/{a}", "twice"),
-        ("/{a}{b}", "side by side"),
+        ("a", "expected a path that begins with '/'"),
+        ("/{a", "without a closing '}'"),
+        ("/a}", "without an opening '{'"),
+        ("/{}", "expected a variable name"),
+        ("/{a}/{a}", "duplicate path variable {a}"),
+        ("/{a}{b}", "adjacent path variables"),
     ] {
         assert!(
             Template::parse(path)
--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -2,8 +2,6 @@
 //! compiled. OpenAPI 3.1 and 3.0 are compiled as JSON Schema 2020-12 (3.0's dialect is translated), AsyncAPI's
 //! superset of JSON Schema as draft 7.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 mod bundle;
 mod compilation;
 mod keyword_checks;
@@ -101,14 +99,17 @@
             }
             if self.schemas.len() >= MAX_SCHEMAS {
                 self.is_full = true;
-                sources.fault(&node, format!("there are more than {MAX_SCHEMAS} schemas"));
+                sources.fault(
+                    &node,
+                    format!("too many schemas: expected at most {MAX_SCHEMAS}"),
+                );
                 return;
             }
             let Some(schema) = sources.get(&node).cloned() else {
                 continue;
             };
             if !self.is_schema(&node, &schema) {
-                sources.fault(&node, "a schema must be an object");
+                sources.fault(&node, "invalid schema: expected an object");
                 continue;
             }
             let found = self.follow(sources, &node, &schema);
--- a/crates/contract/src/schema/compilation.rs
+++ b/crates/contract/src/schema/compilation.rs
@@ -80,7 +80,7 @@
                 file: root.file,
                 pointer: format!("{}{}", root.pointer, error.instance_path()),
             };
-            let cause = format!("this is no schema: {}", clip(&error.to_string()));
+            let cause = format!("invalid schema: {}", clip(&error.to_string()));
             sources.fault(&at, cause);
         }
     }
@@ -104,13 +104,13 @@
             Some(at) => sources.fault(
                 &at.at("pattern"),
                 format!(
-                    "this expression takes more than {MAX_PATTERN_MEMORY} bytes, or can't be used"
+                    "invalid regular expression, or its compiled form exceeds {MAX_PATTERN_MEMORY} bytes"
                 ),
             ),
             None => sources.fault(
                 node,
                 format!(
-                    "this schema can't be compiled: {}",
+                    "cannot compile the schema: {}",
                     clip(&error.to_string())
                 ),
             ),
@@ -135,7 +135,7 @@
         Err(error) => {
             sources.fault(
                 &sources.root(),
-                format!("the schemas can't be compiled: {error}"),
+                format!("cannot compile the schemas: {error}"),
             );
             None
         }
--- a/crates/contract/src/schema/keyword_checks.rs
+++ b/crates/contract/src/schema/keyword_checks.rs
@@ -25,7 +25,7 @@
         if schema.get(keyword).is_some() {
             sources.fault(
                 &node.at(keyword),
-                format!("{keyword} is not read: use $ref"),
+                format!("{keyword} is not supported: use $ref"),
             );
         }
     }
@@ -36,7 +36,7 @@
         if *pattern_count == MAX_PATTERNS + 1 {
             sources.fault(
                 &node.at("pattern"),
-                format!("there are more than {MAX_PATTERNS} expressions"),
+                format!("too many regular expressions: expected at most {MAX_PATTERNS}"),
             );
         }
     }
@@ -49,7 +49,7 @@
 fn check_pattern(sources: &mut Sources, node: &NodeLocation, pattern: &str) {
     if pattern.len() > MAX_PATTERN_BYTES {
         let cause = format!(
-            "the expression has {} bytes: {MAX_PATTERN_BYTES} at most",
+            "regular expression too long: {} bytes, expected at most {MAX_PATTERN_BYTES}",
             pattern.len()
         );
         sources.fault(node, cause);
@@ -58,7 +58,7 @@
         let text = error.to_string();
         let last_line = text.lines().last().unwrap_or("");
         let cause = last_line.trim_start_matches("error: ");
-        sources.fault(node, format!("this expression can't be used: {cause}"));
+        sources.fault(node, format!("invalid regular expression: {cause}"));
     }
 }
 
@@ -72,7 +72,7 @@
             continue;
         }
         let cause = format!(
-            "{} is no type: {} are",
+            "unknown type {}: expected one of {}",
             clip(&name.to_string()),
             TYPES.join(", ")
         );
@@ -85,14 +85,14 @@
     if schema.get("type").is_some_and(Value::is_array) {
         sources.fault(
             &node.at("type"),
-            "OpenAPI 3.0 has one type, or 'nullable': true beside it",
+            "expected a single type in OpenAPI 3.0, with 'nullable': true for null values",
         );
     }
     for keyword in ["exclusiveMinimum", "exclusiveMaximum"] {
         if schema.get(keyword).is_some_and(Value::is_number) {
             sources.fault(
                 &node.at(keyword),
-                format!("in OpenAPI 3.0 {keyword} is true or false"),
+                format!("expected true or false for {keyword} in OpenAPI 3.0"),
             );
         }
     }
--- a/crates/contract/src/schema/visits.rs
+++ b/crates/contract/src/schema/visits.rs
@@ -56,7 +56,7 @@
             // Reported at the innermost schema only, not at all that contain it.
             if visits(node) > MAX_VISITS && most_within <= MAX_VISITS {
                 let cause = format!(
-                    "one value would be looked at {} times: {MAX_VISITS} at most",
+                    "schemas visit one value {} times, expected at most {MAX_VISITS}",
                     visits(node)
                 );
                 sources.fault(node, cause);
@@ -96,7 +96,7 @@
                 }
                 Some(Count::InProgress) => {
                     let cause = format!(
-                        "this schema only leads to itself, by {}",
+                        "circular schema: applies itself to the same value through {}",
                         sources.display_location(node)
                     );
                     sources.fault(frame.node, cause);
--- a/crates/contract/src/sources.rs
+++ b/crates/contract/src/sources.rs
@@ -1,7 +1,5 @@
-//! The files of a description and the references among them. A reference leads to a file beside the description,
-//! never to the network and never out of the description's folder.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The files of a description and the references among them. A reference may name a file in the description's folder;
+//! network addresses and paths that lead out of the folder are rejected.
 
 use crate::document::{append_to_pointer, Document, MAX_BYTES};
 use crate::fault::{Fault, Faults};
@@ -11,67 +9,67 @@
 use std::io;
 use std::path::{Component, Path, PathBuf};
 
-/// The most files of one description.
+/// The largest number of files in one description.
 pub const MAX_FILES: usize = 64;
-/// The most references that lead from one to the next.
+/// The largest number of references in a chain, in which each reference points to the next one.
 const MAX_REFERENCE_CHAIN: usize = 32;
 
-/// Why a file can't be read.
+/// The error of a file that cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// The operating system refused.
+    /// The operating system returned an error.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A folder, socket or device.
-    #[error("this is no plain file")]
+    /// The path names a folder, socket or device.
+    #[error("not a regular file")]
     NotRegular,
-    /// Longer than [`MAX_BYTES`].
-    #[error("the file has {bytes} bytes: {MAX_BYTES} at most")]
+    /// The file is longer than [`MAX_BYTES`].
+    #[error("file too large: {bytes} bytes, expected at most {MAX_BYTES}")]
     TooLarge {
-        /// The file's length.
+        /// The file's length, in bytes.
         bytes: u64,
     },
 }
 
-/// Why a reference can't be followed.
+/// The error of a reference that cannot be followed.
 #[derive(Debug, thiserror::Error)]
 enum ReferenceError {
-    #[error("the fragment's percent-encoding is broken")]
+    #[error("invalid percent-encoding in the fragment")]
     BrokenFragment,
-    #[error("only JSON pointers (#/...) are followed, no anchors")]
+    #[error("unsupported anchor: expected a JSON pointer (#/...)")]
     Anchor,
-    #[error("there is nothing at {place}")]
+    #[error("no node at {place}")]
     NothingThere { place: String },
-    #[error("network addresses are not followed: put the file beside the description")]
+    #[error("network addresses are not supported: put the file beside the description")]
     NetworkAddress,
-    #[error("the path's percent-encoding is broken")]
+    #[error("invalid percent-encoding in the path")]
     BrokenPath,
-    #[error("absolute paths are not followed: put the file beside the description")]
+    #[error("absolute paths are not supported: put the file beside the description")]
     AbsolutePath,
-    #[error("this leads out of the description's folder")]
+    #[error("the path leads out of the description's folder")]
     OutsideFolder,
-    #[error("a description has {MAX_FILES} files at most")]
+    #[error("too many files: expected at most {MAX_FILES} for a description")]
     TooManyFiles,
-    #[error("there is no file {name}")]
+    #[error("file {name} does not exist")]
     NoSuchFile { name: String },
-    #[error("the file {name}: {source}")]
+    #[error("cannot read file {name}: {source}")]
     Unreadable { name: String, source: FileError },
-    /// The file has faults of its own, which are reported with it.
-    #[error("the file {name} can't be used")]
+    /// The file has faults of its own, which are reported for that file.
+    #[error("file {name} has errors of its own")]
     Unusable { name: String },
 }
 
-/// A node of one of the files.
+/// The location of a node: a file of the description and a JSON pointer into it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodeLocation {
-    /// The file's number.
+    /// The index of the file in [`Sources::files`].
     pub file: usize,
-    /// The node's JSON pointer.
+    /// The JSON pointer of the node; empty for the whole document.
     pub pointer: String,
 }
 
 impl NodeLocation {
-    /// The member of that name.
+    /// Returns the location of the member with this key.
     pub fn at(&self, key: &str) -> NodeLocation {
         NodeLocation {
             file: self.file,
@@ -79,28 +77,28 @@
         }
     }
 
-    /// The item of that number.
-    pub fn item(&self, number: usize) -> NodeLocation {
+    /// Returns the location of the list item with this index.
+    pub fn item(&self, index: usize) -> NodeLocation {
         NodeLocation {
             file: self.file,
-            pointer: format!("{}/{number}", self.pointer),
+            pointer: format!("{}/{index}", self.pointer),
         }
     }
 }
 
-/// The files of a description, read as references lead to them.
+/// The files of a description. A file is read when the first reference to it is followed.
 #[derive(Clone, Debug)]
 pub struct Sources {
     folder: PathBuf,
     files: Vec<Document>,
-    /// Files that could not be read, whose faults are reported once.
+    /// The names of files that could not be read, so that their faults are reported once.
     unreadable: BTreeSet<String>,
     /// The faults found so far.
     pub faults: Faults,
 }
 
 impl Sources {
-    /// Reads the description's first file; others are read as references lead to them.
+    /// Reads the description's first file. The others are read when references to them are followed.
     pub fn open(path: &Path) -> Result<Sources, Fault> {
         let name = path
             .file_name()
@@ -122,7 +120,7 @@
         Ok(Sources::new(folder, Document::read(&name, &bytes)?))
     }
 
-    /// Reads a description from text. References to other files are faults.
+    /// Reads a description from text. References to other files are reported as faults.
     pub fn from_text(name: &str, text: &str) -> Result<Sources, Fault> {
         Ok(Sources::new(
             PathBuf::new(),
@@ -139,7 +137,7 @@
         }
     }
 
-    /// The root of the description's first file.
+    /// Returns the location of the root of the description's first file.
     pub fn root(&self) -> NodeLocation {
         NodeLocation {
             file: 0,
@@ -147,17 +145,17 @@
         }
     }
 
-    /// The files read so far, the description's first one first.
+    /// Returns the files read so far, beginning with the description's first file.
     pub fn files(&self) -> &[Document] {
         &self.files
     }
 
-    /// The node at a place.
+    /// Returns the value of a node; `None` if the node does not exist.
     pub fn get(&self, node: &NodeLocation) -> Option<&Value> {
         self.files.get(node.file)?.value.pointer(&node.pointer)
     }
 
-    /// A hash of the files' names and contents.
+    /// Returns a hash of the files' names and contents.
     pub(crate) fn fingerprint(&self) -> u64 {
         let mut hasher = std::hash::DefaultHasher::new();
         for file in &self.files {
@@ -166,12 +164,12 @@
         hasher.finish()
     }
 
-    /// Drops the contents of the files; their names stay.
+    /// Drops the contents of the files and keeps their names.
     pub(crate) fn drop_documents(&mut self) {
         self.files.iter_mut().for_each(Document::drop_content);
     }
 
-    /// A location as reports show it: the file, unless it is the first, and the pointer.
+    /// Formats a location for reports: the pointer, preceded by the file's name unless it is the first file.
     pub fn display_location(&self, node: &NodeLocation) -> String {
         match (node.file, self.files.get(node.file)) {
             (0, _) | (_, None) => format!("#{}", node.pointer),
@@ -187,8 +185,8 @@
         }
     }
 
-    /// The node itself or, if it is a reference, the node at the end of the chain. Broken, circular and overlong chains
-    /// are added as faults.
+    /// Returns the node itself or, if the node is a reference, the node at the end of the chain of references. Broken,
+    /// circular and overlong chains are added as faults.
     pub fn resolve(&mut self, node: &NodeLocation) -> Option<NodeLocation> {
         let mut at = node.clone();
         let mut visited = vec![at.clone()];
@@ -203,19 +201,13 @@
                     .chain([&next])
                     .map(|node| self.display_location(node))
                     .collect();
-                self.fault(
-                    node,
-                    format!(
-                        "this reference only leads to itself: {}",
-                        chain.join(" -> ")
-                    ),
-                );
+                self.fault(node, format!("circular reference: {}", chain.join(" -> ")));
                 return None;
             }
             if visited.len() > MAX_REFERENCE_CHAIN {
                 self.fault(
                     node,
-                    format!("more than {MAX_REFERENCE_CHAIN} references lead from one to the next"),
+                    format!("reference chain too long: expected at most {MAX_REFERENCE_CHAIN} references"),
                 );
                 return None;
             }
@@ -224,12 +216,12 @@
         }
     }
 
-    /// The `$ref` of a node, if it has one.
+    /// Returns the `$ref` of a node; `None` if the node is not a reference.
     pub fn reference(&self, node: &NodeLocation) -> Option<String> {
         Some(self.get(node)?.get("$ref")?.as_str()?.to_string())
     }
 
-    /// The node that a reference at `from` names. Without such a node a fault is added.
+    /// Returns the node that the reference at `from` points to. Adds a fault if there is no such node.
     pub fn follow(&mut self, from: &NodeLocation, reference: &str) -> Option<NodeLocation> {
         match self.find(from.file, reference) {
             Ok(node) => Some(node),
@@ -259,7 +251,7 @@
         Ok(location)
     }
 
-    /// The node at the end of a chain of references among the files that are read, without adding faults.
+    /// Returns the node at the end of a chain of references. Uses only files that were already read and adds no faults.
     pub fn target(&self, node: &NodeLocation) -> Option<NodeLocation> {
         let mut at = node.clone();
         for _ in 0..MAX_REFERENCE_CHAIN {
@@ -282,7 +274,7 @@
         None
     }
 
-    /// The name of the file that a path in the file `from` refers to.
+    /// Returns the name of the file that a path in the file `from` refers to.
     fn resolve_path(&self, from: usize, path: &str) -> Result<String, ReferenceError> {
         if path.contains(':') || path.starts_with("//") {
             return Err(ReferenceError::NetworkAddress);
@@ -294,7 +286,7 @@
         let folder = Path::new(&self.files[from].name)
             .parent()
             .unwrap_or(Path::new(""));
-        // Resolved by name first, so that a path that leads out of the folder and back is rejected too.
+        // Resolving the path by name first also rejects a path that leads out of the folder and back.
         let mut parts: Vec<String> = Vec::new();
         for component in folder.join(&path).components() {
             match component {
@@ -307,7 +299,7 @@
         Ok(parts.join("/"))
     }
 
-    /// The index of the file that a path in the file `from` refers to. It is read unless it was before.
+    /// Returns the index of the file that a path in the file `from` refers to, and reads the file on first use.
     fn load(&mut self, from: usize, path: &str) -> Result<usize, ReferenceError> {
         let name = self.resolve_path(from, path)?;
         if let Some(known) = self.files.iter().position(|file| file.name == name) {
@@ -336,7 +328,7 @@
             source,
         };
         let path = self.folder.join(name);
-        // A link may lead out of the folder although its name doesn't.
+        // A symbolic link may lead out of the folder although its name does not.
         let real_path = path
             .canonicalize()
             .map_err(|error| unreadable(error.into()))?;
@@ -351,7 +343,7 @@
     }
 }
 
-/// Reads a file, unless it is too large or not a regular file.
+/// Reads a regular file of at most [`MAX_BYTES`] bytes.
 fn read(path: &Path) -> Result<Vec<u8>, FileError> {
     let metadata = std::fs::metadata(path)?;
     if !metadata.is_file() {
@@ -364,7 +356,7 @@
     Ok(std::fs::read(path)?)
 }
 
-/// Decodes percent-encoding; `None` if it is malformed.
+/// Decodes percent-encoded UTF-8 text; returns `None` if the text is malformed.
 pub fn decode(text: &str) -> Option<String> {
     if !text.contains('%') {
         return Some(text.into());
--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -637,7 +637,7 @@
     check(
         &["contract", "check", &good, &bad],
         1,
-        &["bad.yaml:14:", "there is nothing at #/nowhere"],
+        &["bad.yaml:14:", "no node at #/nowhere"],
     );
     check(
         &["contract", "check", "--json", &bad],
@@ -647,7 +647,7 @@
     check(
         &["contract", "check", &old],
         1,
-        &["this is Swagger 2.0: OpenAPI 3.0 and 3.1, AsyncAPI 2.6 and 3.0 are read"],
+        &["unsupported version Swagger 2.0: supported are OpenAPI 3.0 and 3.1, AsyncAPI 2.6 and 3.0"],
     );
     check(
         &["contract", "check", "nowhere.yaml"],
