--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -1,6 +1,6 @@
-//! AsyncAPI 2.6 and 3.0: messages on channels, and who sends them.
+//! Reads AsyncAPI 2.6 and 3.0: the messages of channels and their directions.
 //!
-//! A message is known by its own name or, where `x-frame` gives one, by its type letter on a binary wire.
+//! A message is identified on the wire by the type letter that `x-frame` gives, or else by its own name.
 
 mod version_2;
 mod version_3;
@@ -11,9 +11,9 @@
 use crate::sources::NodeLocation;
 use std::collections::BTreeSet;
 
-/// The most messages of a description.
+/// The largest number of messages in a description.
 const MAX_MESSAGES: usize = 5_000;
-/// The beginnings of the schema formats that are read: JSON Schema's and AsyncAPI's own.
+/// The prefixes of the supported schema formats: AsyncAPI's own and JSON Schema's.
 const SCHEMA_FORMATS: [&str; 3] = [
     "application/vnd.aai.asyncapi",
     "application/schema+json",
@@ -38,12 +38,12 @@
     }
 }
 
-/// The number of items of the list at a place; `None` where there is no list.
+/// Returns the length of the list at a node; `None` if the node is not a list.
 fn list_length(builder: &DescriptionBuilder, node: &NodeLocation) -> Option<usize> {
     builder.sources.get(node)?.as_array().map(Vec::len)
 }
 
-/// Checks that the variables of a channel's address and the declared parameters are the same.
+/// Checks that each variable of a channel's address is a declared parameter, and each parameter a variable.
 fn check_address_variables(builder: &mut DescriptionBuilder, node: &NodeLocation, address: &str) {
     let declared = builder.object(&node.at("parameters")).unwrap_or_default();
     let mut rest = address;
@@ -72,7 +72,7 @@
     }
 }
 
-/// A message where its channel names it.
+/// A message as its channel lists it.
 struct MessageEntry<'c> {
     channel: &'c str,
     name: &'c str,
@@ -80,7 +80,7 @@
     direction: Direction,
 }
 
-/// Reads a message. Two messages of one channel can't have the same name.
+/// Reads a message. A second message with the same wire name in a channel is a fault.
 fn read_message(
     builder: &mut DescriptionBuilder,
     entry: &MessageEntry,
@@ -126,7 +126,8 @@
     });
 }
 
-/// Whether a content type, or the description's default one, is JSON. Without either it is.
+/// Returns whether a content type, or else the description's default content type, is JSON. Without either, JSON is
+/// assumed.
 fn read_is_json(
     builder: &mut DescriptionBuilder,
     node: &NodeLocation,
@@ -150,7 +151,7 @@
     }
 }
 
-/// Reads a schema, plain or in a multi-format object.
+/// Reads a schema, which is given directly or in a multi-format schema object.
 fn read_schema(
     builder: &mut DescriptionBuilder,
     node: &NodeLocation,
@@ -182,7 +183,8 @@
     }
 }
 
-/// Where a message names the format of its payload (AsyncAPI 2.6): beside it.
+/// Returns the node of a message's `schemaFormat`, which AsyncAPI 2.6 puts beside the payload; `None` if `node` is not a
+/// payload.
 fn sibling_schema_format(node: &NodeLocation) -> Option<NodeLocation> {
     node.pointer.ends_with("/payload").then(|| {
         let message = NodeLocation {
--- a/crates/contract/src/asyncapi/version_2.rs
+++ b/crates/contract/src/asyncapi/version_2.rs
@@ -1,4 +1,5 @@
-//! AsyncAPI 2.6: a channel's `subscribe` is what the described side sends, `publish` what it receives.
+//! Reads AsyncAPI 2.6, in which the described side sends the messages of a channel's `subscribe` operation and receives
+//! those of `publish`.
 
 use super::{check_address_variables, list_length, read_message, MessageEntry};
 use crate::builder::DescriptionBuilder;
@@ -47,7 +48,7 @@
     }
 }
 
-/// The direction of the operation under a channel's key; `None` where the key is no operation.
+/// Returns the direction of the operation under a channel's key; `None` if the key is not an operation.
 fn operation_direction(
     builder: &mut DescriptionBuilder,
     at: &NodeLocation,
@@ -67,7 +68,7 @@
     }
 }
 
-/// The places of an operation's messages: one, or those of `oneOf`.
+/// Returns the nodes of an operation's messages: those listed under `oneOf`, or the single message.
 fn message_locations(builder: &DescriptionBuilder, message: &NodeLocation) -> Vec<NodeLocation> {
     let alternatives = message.at("oneOf");
     match list_length(builder, &alternatives) {
@@ -77,7 +78,7 @@
     }
 }
 
-/// The name of a message: its `name`, or the last step of its place.
+/// Returns the `name` of a message, or else the last key of its JSON pointer.
 fn message_name(builder: &mut DescriptionBuilder, at: &NodeLocation) -> String {
     let Some(target) = builder.sources.resolve(at) else {
         return String::new();
--- a/crates/contract/src/asyncapi/version_3.rs
+++ b/crates/contract/src/asyncapi/version_3.rs
@@ -1,4 +1,4 @@
-//! AsyncAPI 3.0: channels hold messages; operations say who sends which.
+//! Reads AsyncAPI 3.0, in which channels list messages and operations give their directions.
 
 use super::{check_address_variables, list_length, read_message, MessageEntry};
 use crate::builder::DescriptionBuilder;
@@ -20,12 +20,12 @@
     messages: Vec<ChannelMessage>,
 }
 
-/// The channels by place.
+/// The channels by node.
 type Channels = BTreeMap<NodeLocation, Channel>;
-/// The direction of each message that an operation names, by its channel's place and its name.
+/// The direction of each message that an operation refers to, by the channel's node and the message's name.
 type Directions = BTreeMap<(NodeLocation, String), Direction>;
 
-/// Reads the messages of all channels. A message that no operation names goes to the described side.
+/// Reads the messages of all channels. A message that no operation refers to is sent to the described side.
 pub(super) fn read(
     builder: &mut DescriptionBuilder,
     root: &NodeLocation,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Reads the channels. Two can't have the same address.
+/// Reads the channels. A second channel with the same address is a fault.
 fn read_channels(builder: &mut DescriptionBuilder, all: &NodeLocation) -> Channels {
     let mut channels = Channels::new();
     let mut addresses: BTreeMap<String, String> = BTreeMap::new();
@@ -95,7 +95,7 @@
         .collect()
 }
 
-/// Reads the operations: the direction of each message that they name.
+/// Reads the operations and returns the direction of each message that they refer to.
 fn read_operations(
     builder: &mut DescriptionBuilder,
     all: &NodeLocation,
@@ -138,7 +138,7 @@
     }
 }
 
-/// The channel that an operation refers to, with its place.
+/// Returns the channel that an operation refers to, with its node.
 fn operation_channel<'c>(
     builder: &mut DescriptionBuilder,
     node: &NodeLocation,
@@ -158,7 +158,7 @@
     Some((target, channel))
 }
 
-/// The messages of an operation: those that it lists, or all of its channel.
+/// Returns the messages that an operation lists, or all messages of its channel if the operation has no list.
 fn operation_messages(
     builder: &mut DescriptionBuilder,
     node: &NodeLocation,
--- a/crates/contract/src/conformance/channel_message.rs
+++ b/crates/contract/src/conformance/channel_message.rs
@@ -9,23 +9,23 @@
 impl Description {
     /// Checks a message of a channel: its header fields as a JSON object, and the bytes of its payload.
     ///
-    /// `word` is the message's name or letter on the wire.
+    /// `wire_name` is the name or type letter of the message on the wire.
     pub fn check_message(
         &self,
         channel: &str,
-        word: &str,
+        wire_name: &str,
         headers: &Value,
         payload: &[u8],
     ) -> Conformance<'_> {
         let mut report = ViolationReport::new(self);
-        let Some(message) = self.message(channel, word) else {
+        let Some(message) = self.message(channel, wire_name) else {
             let expected = format!("one of: {}", clip(&self.described_messages(channel)));
             report.add(
                 ViolationKind::Unknown,
                 "message",
                 None,
                 &expected,
-                &clip(word),
+                &clip(wire_name),
             );
             return Conformance::undescribed(report.into_violations());
         };
@@ -44,9 +44,9 @@
         }
     }
 
-    /// Which way a message of a channel goes; towards the server if it is not described.
-    pub fn direction(&self, channel: &str, word: &str) -> Direction {
-        self.message(channel, word)
+    /// Returns the direction of a message of a channel; `Request` if the message is not described.
+    pub fn direction(&self, channel: &str, wire_name: &str) -> Direction {
+        self.message(channel, wire_name)
             .map_or(Direction::Request, |message| message.direction)
     }
 
--- a/crates/contract/src/conformance/expectation.rs
+++ b/crates/contract/src/conformance/expectation.rs
@@ -1,4 +1,4 @@
-//! What the description required where a schema check failed, in words.
+//! Describes in words what the schema required where a check failed.
 
 use super::types::ViolationKind;
 use crate::schema::clip;
@@ -6,15 +6,15 @@
 use jsonschema::ValidationError;
 use serde_json::Value;
 
-/// The rule that a value violates.
+/// The schema rule that a value violates.
 pub(super) struct Expectation {
     /// The kind of the rule.
     pub(super) kind: ViolationKind,
-    /// What would have been valid.
+    /// The values that are valid, in words.
     pub(super) text: String,
 }
 
-/// The rule behind a schema error.
+/// Returns the rule that caused a schema error.
 pub(super) fn expectation(error: &SchemaError) -> Expectation {
     let kind = violation_kind(error);
     let text = bounds_text(error)
@@ -59,7 +59,7 @@
     }
 }
 
-/// Limits of values, lengths and counts.
+/// Describes limits of values, lengths and counts.
 fn bounds_text(error: &SchemaError) -> Option<String> {
     Some(match error {
         SchemaError::Minimum { limit } => format!("{limit} or more"),
@@ -77,7 +77,7 @@
     })
 }
 
-/// Which members, items and alternatives a value may have.
+/// Describes the members, items and alternatives that a value may have.
 fn structure_text(error: &SchemaError) -> Option<String> {
     Some(match error {
         SchemaError::Required { .. } => "this to be given".into(),
@@ -101,7 +101,7 @@
     })
 }
 
-/// The type and text of a single value.
+/// Describes the type and text of a single value.
 fn value_text(error: &SchemaError) -> Option<String> {
     let shown = |value: &Value| clip(&value.to_string());
     Some(match error {
@@ -129,7 +129,7 @@
     }
 }
 
-/// How many alternatives there are, and what is wrong with the one that has the fewest errors.
+/// Describes the number of alternatives, and the first error of the alternative with the fewest errors.
 fn alternatives_text(context: &[Vec<ValidationError>]) -> String {
     let nearest = context
         .iter()
--- a/crates/contract/src/conformance/parameter_values.rs
+++ b/crates/contract/src/conformance/parameter_values.rs
@@ -1,9 +1,9 @@
-//! The values that the text of a parameter may stand for.
+//! Parses the texts of a parameter into the JSON values that they may represent.
 
 use crate::model::Parameter;
 use serde_json::Value;
 
-/// The values that a parameter's texts may stand for, the likeliest first.
+/// Returns the values that a parameter's texts may represent, the most likely one first.
 pub(super) fn candidates(parameter: &Parameter, texts: &[String]) -> Vec<Value> {
     let has_type = |name: &str| parameter.schema.types.iter().any(|known| known == name);
     if parameter.is_json {
@@ -21,7 +21,7 @@
     }
 }
 
-/// The first text as JSON, or all of them as a string if it is none.
+/// Parses the first text as JSON; if that fails, returns all texts as one string.
 fn json_value(texts: &[String]) -> Value {
     texts
         .first()
@@ -42,7 +42,7 @@
     vec![Value::Array(typed), Value::Array(plain)]
 }
 
-/// An object whose keys and values are alternating items: `a,1,b,2`.
+/// Parses an object whose keys and values are alternating items, such as `a,1,b,2`.
 fn object_value(texts: &[String]) -> Value {
     let items: Vec<&str> = texts.iter().flat_map(|text| text.split(',')).collect();
     let members = items.chunks(2).map(|pair| {
@@ -62,7 +62,7 @@
     }
 }
 
-/// A number or boolean if the text is one, else a string.
+/// Parses a number or boolean; returns any other text as a string.
 fn typed_value(text: &str) -> Value {
     match serde_json::from_str::<Value>(text) {
         Ok(value @ (Value::Number(_) | Value::Bool(_))) => value,
--- a/crates/contract/src/conformance/redaction.rs
+++ b/crates/contract/src/conformance/redaction.rs
@@ -1,16 +1,17 @@
-//! How values of messages are shown in reports: short, and without secrets.
+//! Formats values of messages for reports: truncated, and without secrets.
 
 use crate::schema::clip;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What is shown in place of a secret value.
+/// The text that replaces a secret value.
 const REDACTED: &str = "(left out)";
-/// A longer list is shown by its length: only the beginning would be shown, so it need not be written out.
+/// The longest list that is formatted item by item. Of a longer list only the beginning would fit into a report, so only
+/// its length is shown.
 const MAX_LIST_ITEMS_SHOWN: usize = 40;
 
-/// A value as truncated text. Nothing is shown if a step of its JSON pointer names a secret, and secret members within
-/// it are blanked.
+/// Formats a value as truncated text. The value is replaced if a key of its JSON pointer is secret, and so are secret
+/// members in it.
 pub(super) fn redacted(pointer: &str, value: &Value, secrets: &BTreeSet<String>) -> String {
     let is_secret = pointer
         .split('/')
@@ -22,7 +23,7 @@
     }
 }
 
-/// The key that an escaped step of a JSON pointer stands for.
+/// Unescapes a key of a JSON pointer.
 fn pointer_key(step: &str) -> String {
     step.replace("~1", "/").replace("~0", "~")
 }
--- a/crates/contract/src/conformance/report.rs
+++ b/crates/contract/src/conformance/report.rs
@@ -19,14 +19,14 @@
     violations: Vec<Violation>,
 }
 
-/// A faulty value of a message, as it is reported.
+/// An invalid value of a message, as it is reported.
 struct Finding {
     place: String,
     found: String,
 }
 
 impl<'d> ViolationReport<'d> {
-    /// An empty report on a message that is checked against `description`.
+    /// Creates an empty report for a message that is checked against `description`.
     pub(super) fn new(description: &'d Description) -> Self {
         ViolationReport {
             description,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The violations found.
+    /// Returns the violations found.
     pub(super) fn into_violations(self) -> Vec<Violation> {
         self.violations
     }
@@ -62,7 +62,7 @@
         });
     }
 
-    /// Adds that a required body is missing.
+    /// Adds the violation of a missing required body.
     pub(super) fn add_missing_body(&mut self, described: &NodeLocation) {
         self.add(
             ViolationKind::Missing,
@@ -73,7 +73,7 @@
         );
     }
 
-    /// Checks a body by the schema of its media type.
+    /// Checks a body against the schema of its media type.
     pub(super) fn check_body(
         &mut self,
         content: &[Media],
@@ -125,7 +125,7 @@
             Ok(value) => return self.check_value(schema, "body", &value),
             Err(error) => error,
         };
-        // The text around the fault may hold secrets, so only its position is shown.
+        // The text around the syntax error may hold secrets, so only the position is shown.
         let found = format!(
             "{} bytes with a fault at line {}, column {}",
             body.len(),
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Checks a parameter or header, given all texts for it; `None` stands for one with broken percent-encoding.
+    /// Checks a parameter or header, given all texts that the message has for it. A text is `None` if its
+    /// percent-encoding is invalid.
     pub(super) fn check_parameter(&mut self, parameter: &Parameter, texts: Vec<Option<String>>) {
         let place = format!("{} {}", parameter.location.as_str(), parameter.name);
         let described = Some(&parameter.node);
@@ -231,7 +232,7 @@
         }
     }
 
-    /// The faulty values that a schema error is about: each unexpected member, or the value itself.
+    /// Returns the invalid values that a schema error concerns: each unexpected member, or the value itself.
     fn findings(&self, place: &str, error: &ValidationError) -> Vec<Finding> {
         let pointer = error.instance_path().as_str();
         let instance = error.instance();
@@ -263,7 +264,7 @@
     }
 }
 
-/// A place within a part of the message, such as `body /hits/0`.
+/// Formats a place in a part of the message, such as `body /hits/0`.
 fn place_at(part: &str, pointer: &str) -> String {
     if pointer.is_empty() {
         part.into()
--- a/crates/contract/src/conformance/request.rs
+++ b/crates/contract/src/conformance/request.rs
@@ -7,10 +7,10 @@
 use crate::schema::clip;
 use crate::sources::decode;
 
-/// The most query parameters that are read; more of them are ignored, which bounds the cost of a request.
+/// The largest number of query parameters that are read. Further ones are ignored, which bounds the cost of a request.
 const MAX_QUERY_PARAMETERS: usize = 256;
 
-/// The parts of a request that parameters are read from.
+/// The parts of a request that hold parameters.
 struct ParameterSources<'m> {
     path_variables: Vec<PathVariable<'m, 'm>>,
     query: &'m str,
@@ -78,7 +78,7 @@
         return;
     }
     let content_type = header(request.fields, "Content-Type");
-    // Many clients omit the type where only one is described.
+    // Many clients omit the content type if only one is described.
     let only_type = match (content_type, operation.body.as_slice()) {
         (None, [only]) => Some(only.range.to_string()),
         _ => None,
@@ -88,7 +88,7 @@
 }
 
 impl ParameterSources<'_> {
-    /// The texts given for a parameter, decoded; `None` stands for one with broken percent-encoding.
+    /// Returns the decoded texts of a parameter. A text is `None` if its percent-encoding is invalid.
     fn texts_of(&self, parameter: &Parameter) -> Vec<Option<String>> {
         match parameter.location {
             ParameterLocation::Path => self.path_texts(&parameter.name),
@@ -131,7 +131,7 @@
     }
 }
 
-/// The names and values of a query string; `None` stands for one with broken percent-encoding.
+/// Returns the names and values of a query string. A text is `None` if its percent-encoding is invalid.
 fn query_parameters(query: &str) -> impl Iterator<Item = (Option<String>, Option<String>)> + '_ {
     let decode_form = |text: &str| decode(&text.replace('+', " "));
     query
--- a/crates/contract/src/conformance/response.rs
+++ b/crates/contract/src/conformance/response.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// The response that describes a status most exactly.
+/// Returns the described response that covers a status most exactly.
 fn described_response(operation: &Operation, status: u16) -> Option<&Response> {
     let covers = |response: &&Response| match response.status {
         Status::Exactly(exactly) => exactly == status,
@@ -100,7 +100,7 @@
         .min_by_key(|response| response.status)
 }
 
-/// All statuses that an operation describes, as the description writes them.
+/// Lists the statuses that an operation describes, in the description's notation.
 fn described_statuses(operation: &Operation) -> String {
     operation
         .responses
--- a/crates/contract/src/conformance/types.rs
+++ b/crates/contract/src/conformance/types.rs
@@ -1,4 +1,4 @@
-//! What is checked and what a check finds: requests, responses, violations.
+//! The inputs and results of checks: observed requests and responses, and violations.
 
 use serde::Serialize;
 use std::sync::Arc;
@@ -44,22 +44,22 @@
 pub struct Violation {
     /// The rule that is violated.
     pub kind: ViolationKind,
-    /// Where in the message: `body /hits/0/doc`, `header X-Class`, `query size`, `status`.
+    /// The place in the message: `body /hits/0/doc`, `header X-Class`, `query size`, `status`.
     pub place: String,
-    /// Where in the description; empty if it names no such thing.
+    /// The location in the description; empty if the description has no entry for the place.
     pub described: String,
     /// What the description requires.
     pub expected: String,
-    /// What was found, truncated; never the value of a member that is marked as secret.
+    /// What was found, truncated. Values of members that are marked as secret are left out.
     pub found: String,
 }
 
 /// The result of checking one message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conformance<'d> {
-    /// Name of the operation or message; `None` if it is not described.
+    /// The name of the operation or message; `None` if it is not described.
     pub operation: Option<&'d Arc<str>>,
-    /// Index of the operation, for checking the response to this request.
+    /// The index of the operation, for checking the response to this request; `None` for other messages.
     pub operation_index: Option<usize>,
     /// The violations, at most [`MAX_VIOLATIONS`](super::MAX_VIOLATIONS).
     pub violations: Vec<Violation>,
@@ -81,11 +81,11 @@
 pub struct ObservedRequest<'m> {
     /// The method, in capitals.
     pub method: &'m str,
-    /// Path and query string as received.
+    /// The path and query string, as received.
     pub target: &'m str,
-    /// Header names and values.
+    /// The header names and values.
     pub fields: &'m [(String, String)],
-    /// The body.
+    /// The body; empty if there is none.
     pub body: &'m [u8],
 }
 
@@ -94,15 +94,15 @@
 pub struct ObservedResponse<'m> {
     /// The status code.
     pub status: u16,
-    /// Header names and values.
+    /// The header names and values.
     pub fields: &'m [(String, String)],
-    /// The body.
+    /// The body, as far as it was received.
     pub body: &'m [u8],
-    /// Whether all of the body was received.
+    /// Whether the whole body was received.
     pub complete: bool,
 }
 
-/// The value of a header, whose name is compared without regard to case.
+/// Returns the value of a header. Names are compared without regard to case.
 pub(super) fn header<'m>(fields: &'m [(String, String)], name: &str) -> Option<&'m str> {
     fields
         .iter()
--- a/crates/contract/src/openapi.rs
+++ b/crates/contract/src/openapi.rs
@@ -1,4 +1,4 @@
-//! OpenAPI 3.0 and 3.1: operations with their parameters, bodies and responses.
+//! Reads OpenAPI 3.0 and 3.1: operations with their parameters, bodies and responses.
 
 mod parameters;
 
@@ -15,12 +15,12 @@
 const METHODS: [&str; 8] = [
     "get", "put", "post", "delete", "options", "head", "patch", "trace",
 ];
-/// The members of a path item that are no methods.
+/// The keys of a path item that are not methods.
 const PATH_ITEM_KEYS: [&str; 5] = ["$ref", "summary", "description", "servers", "parameters"];
-/// The most operations of a description.
+/// The largest number of operations in a description.
 const MAX_OPERATIONS: usize = 5_000;
 
-/// A path as it is written, with its template.
+/// A path as the description writes it, with its parsed template.
 struct TemplatedPath<'t> {
     text: &'t str,
     template: Template,
@@ -49,7 +49,7 @@
     read_paths(builder, &root.at("paths"), &server_paths);
 }
 
-/// Reads all path items. Two templates that match the same paths are a fault.
+/// Reads all path items. Reports a template that matches the same paths as another one as a fault.
 fn read_paths(builder: &mut DescriptionBuilder, paths: &NodeLocation, server_paths: &[String]) {
     let mut shapes: BTreeMap<String, String> = BTreeMap::new();
     let mut ids: BTreeMap<String, NodeLocation> = BTreeMap::new();
@@ -77,7 +77,8 @@
     }
 }
 
-/// Reads the schemas among the components, also those without a reference to them: a client's author may copy them.
+/// Reads the schemas among the components, including those that nothing refers to, since an author of a client may copy
+/// them.
 fn read_component_schemas(builder: &mut DescriptionBuilder, node: &NodeLocation) {
     if builder.object(node).is_none() {
         return;
@@ -102,7 +103,7 @@
     }
 }
 
-/// Reads the paths of the servers' addresses, which precede every template.
+/// Returns the paths of the server URLs, which prefix every path template.
 fn read_server_paths(builder: &mut DescriptionBuilder, node: &NodeLocation) -> Vec<String> {
     let Some(value) = builder.sources.get(node).cloned() else {
         return vec![String::new()];
@@ -129,7 +130,7 @@
     server_paths
 }
 
-/// Puts the defaults of a server's variables into its address.
+/// Replaces the variables of a server URL by their defaults.
 fn expand_server_variables(
     builder: &mut DescriptionBuilder,
     at: &NodeLocation,
@@ -153,7 +154,7 @@
     url
 }
 
-/// The path of a server's address, without a slash at its end: empty or beginning with a slash.
+/// Returns the path of a server URL without its trailing slash: empty, or beginning with a slash.
 fn server_path(url: &str) -> String {
     let path = match url.split_once("://") {
         Some((_, rest)) => rest.split_once('/').map_or("", |(_, path)| path),
@@ -213,7 +214,7 @@
     }
 }
 
-/// Reads the operation of one method.
+/// Reads the operation of one method of a path item.
 fn read_operation(
     builder: &mut DescriptionBuilder,
     at: NodeLocation,
@@ -243,7 +244,7 @@
     })
 }
 
-/// Adds the path item's parameters that the operation does not replace by its own.
+/// Adds the parameters of the path item that the operation does not override.
 fn with_inherited(mut own: Vec<Parameter>, shared: &[Parameter]) -> Vec<Parameter> {
     let replaced = |inherited: &Parameter| {
         own.iter()
@@ -254,7 +255,7 @@
     own
 }
 
-/// Checks that the template's variables and the path parameters are the same.
+/// Checks that each template variable has a path parameter, and each path parameter a variable.
 fn check_path_parameters(
     builder: &mut DescriptionBuilder,
     at: &NodeLocation,
@@ -289,7 +290,7 @@
     }
 }
 
-/// Reads a request body: whether it is required, and its media types.
+/// Reads a request body. Returns whether the body is required, and its media types.
 fn read_request_body(builder: &mut DescriptionBuilder, node: &NodeLocation) -> (bool, Vec<Media>) {
     if builder.sources.get(node).is_none() {
         return (false, Vec::new());
@@ -303,17 +304,17 @@
     (required, content)
 }
 
-/// Routes the path below each server path to the operation that is pushed next.
+/// Adds a route for the path below each server path, to the operation that the caller appends next.
 fn add_routes(builder: &mut DescriptionBuilder, server_paths: &[String], path: &str, method: &str) {
-    let number = builder.operations.len();
+    let index = builder.operations.len();
     for server_path in server_paths {
         if let Ok(template) = Template::parse(&format!("{server_path}{path}")) {
-            builder.router.add(&template, method, number);
+            builder.router.add(&template, method, index);
         }
     }
 }
 
-/// Reads an operation's responses by status.
+/// Reads the responses of an operation.
 fn read_responses(builder: &mut DescriptionBuilder, node: &NodeLocation) -> Vec<Response> {
     let Some(map) = builder.object(node) else {
         return Vec::new();
@@ -353,7 +354,7 @@
 fn read_response_headers(builder: &mut DescriptionBuilder, node: &NodeLocation) -> Vec<Parameter> {
     let mut headers = Vec::new();
     for name in builder.object(node).unwrap_or_default().keys() {
-        // The format reserves `Content-Type` for `content`.
+        // OpenAPI ignores a `Content-Type` header here, since `content` describes the media types.
         if name.eq_ignore_ascii_case("content-type") {
             continue;
         }
--- a/crates/contract/src/openapi/parameters.rs
+++ b/crates/contract/src/openapi/parameters.rs
@@ -1,11 +1,11 @@
-//! Parameters of requests and headers of responses in OpenAPI.
+//! Reads the parameters of requests and the headers of responses in OpenAPI.
 
 use crate::builder::DescriptionBuilder;
 use crate::model::{Media, Parameter, ParameterLocation, SchemaRef};
 use crate::schema::Direction;
 use crate::sources::NodeLocation;
 
-/// Reads a list of parameters. Each pair of name and location may stand once.
+/// Reads a list of parameters. Two parameters with the same name and location are a fault.
 pub(super) fn read_parameters(
     builder: &mut DescriptionBuilder,
     node: &NodeLocation,
@@ -27,7 +27,7 @@
     parameters
 }
 
-/// Reads one parameter of a list, given those before it.
+/// Reads one parameter of a list; `known` holds the parameters before it.
 fn read_parameter(
     builder: &mut DescriptionBuilder,
     item: &NodeLocation,
@@ -80,14 +80,14 @@
     definition.into_parameter(name.to_string(), location, required, at.clone())
 }
 
-/// What parameters and headers have in common: how the value is written and its schema.
+/// The definition that parameters and headers have in common: the serialization of the value, and its schema.
 struct ValueDefinition {
     schema: SchemaRef,
     /// Whether the value is JSON text.
     is_json: bool,
-    /// Whether the value may be absent (`allowEmptyValue`).
+    /// Whether the value may be empty (`allowEmptyValue`).
     allow_empty: bool,
-    /// The separator of a list's items; `None`: each item is a pair of its own.
+    /// The separator of a list's items; `None` if each item is a name-value pair of its own.
     list_separator: Option<char>,
 }
 
@@ -139,7 +139,7 @@
             schema = media.schema;
         }
     }
-    // Values of these styles are not taken apart, so only their presence is checked.
+    // Values of these styles are not parsed, so only their presence is checked.
     if matches!(style.as_str(), "label" | "matrix" | "deepObject") {
         schema = SchemaRef::default();
     }
@@ -153,7 +153,7 @@
     }
 }
 
-/// Reads `content` of a parameter, which must have exactly one media type.
+/// Reads the `content` of a parameter, which must have exactly one media type.
 fn read_single_media(
     builder: &mut DescriptionBuilder,
     node: &NodeLocation,
@@ -166,7 +166,7 @@
     media.into_iter().next()
 }
 
-/// Reads `style` and `explode`: the style's name, and the separator of a list's items.
+/// Reads `style` and `explode`. Returns the style's name and the separator of a list's items.
 fn read_style(
     builder: &mut DescriptionBuilder,
     node: &NodeLocation,
--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -1,6 +1,6 @@
-//! Schemas: found in a description, checked for what would make them useless or costly, brought to one dialect and
-//! compiled. OpenAPI 3.1 and 3.0 are compiled as JSON Schema 2020-12 (3.0's dialect is translated), AsyncAPI's
-//! superset of JSON Schema as draft 7.
+//! Collects the schemas of a description, checks them for faults and excessive cost, translates them to one dialect and
+//! compiles them. OpenAPI 3.1 and 3.0 are compiled as JSON Schema 2020-12 (the dialect of 3.0 is translated),
+//! AsyncAPI's superset of JSON Schema as draft 7.
 
 mod bundle;
 mod compilation;
@@ -17,35 +17,35 @@
 pub use bundle::location_from_uri;
 pub use visits::MAX_VISITS;
 
-/// The most schemas of a description, subschemas included.
+/// The largest number of schemas in a description, subschemas included.
 pub const MAX_SCHEMAS: usize = 50_000;
-/// The most characters that [`clip`] keeps.
+/// The number of characters that [`clip`] keeps.
 const MAX_CLIPPED: usize = 80;
 
 /// The dialect that a schema is written in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dialect {
-    /// OpenAPI 3.0's own: `nullable`, boolean `exclusiveMinimum`, references without siblings.
+    /// The dialect of OpenAPI 3.0, with `nullable`, a boolean `exclusiveMinimum`, and references without siblings.
     OpenApi30,
-    /// JSON Schema 2020-12, as OpenAPI 3.1 has it.
+    /// JSON Schema 2020-12, which OpenAPI 3.1 uses.
     Json2020,
-    /// JSON Schema draft 7, as AsyncAPI has it.
+    /// JSON Schema draft 7, which AsyncAPI uses.
     Json7,
 }
 
 impl Dialect {
-    /// Whether keywords beside a `$ref` count.
+    /// Returns whether keywords beside a `$ref` take effect.
     fn allows_ref_siblings(self) -> bool {
         self == Dialect::Json2020
     }
 
-    /// Whether a schema may be `true` or `false` everywhere. OpenAPI 3.0 has that in `additionalProperties` only.
+    /// Returns whether `true` and `false` are schemas everywhere. OpenAPI 3.0 allows them only in `additionalProperties`.
     fn allows_boolean_schemas(self) -> bool {
         self != Dialect::OpenApi30
     }
 }
 
-/// The direction of a value: `readOnly` members are not required in a request, `writeOnly` ones not in a response.
+/// The direction of a message. `readOnly` members are not required in a request, `writeOnly` members not in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Direction {
@@ -56,24 +56,24 @@
     Response,
 }
 
-/// All schemas of a description while it is read.
+/// The schemas of a description that is being read.
 pub struct SchemaRegistry {
     dialect: Dialect,
-    /// Every registered schema, with its subschemas. A reference's target comes first among them.
+    /// Every registered schema with its subschemas. For a reference, the target is the first of them.
     schemas: BTreeMap<NodeLocation, Vec<Subschema>>,
-    /// Where schemas begin that are no subschema of another.
+    /// The nodes of the schemas that are not subschemas of another schema.
     roots: BTreeSet<NodeLocation>,
-    /// Names of members whose values must not be shown.
+    /// The names of members whose values must not appear in reports.
     pub secrets: BTreeSet<String>,
     /// Whether any member is `readOnly` or `writeOnly`.
     has_one_way_members: bool,
     pattern_count: usize,
-    /// Whether [`MAX_SCHEMAS`] was passed.
+    /// Whether [`MAX_SCHEMAS`] was exceeded.
     is_full: bool,
 }
 
 impl SchemaRegistry {
-    /// A registry without schemas.
+    /// Creates an empty registry.
     pub fn new(dialect: Dialect) -> SchemaRegistry {
         SchemaRegistry {
             dialect,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Registers the schema at a place with all that it refers to. Faults are added to the sources.
+    /// Registers the schema at a node with all schemas that it contains or refers to. Faults are added to the sources.
     pub fn visit(&mut self, sources: &mut Sources, root: &NodeLocation) {
         if self.schemas.contains_key(root) {
             return;
@@ -132,7 +132,7 @@
         value.is_object() || value.is_boolean() && may_be_boolean
     }
 
-    /// The subschemas of a schema, the target of its reference first.
+    /// Returns the subschemas of a schema, preceded by the target of its reference.
     fn follow(
         &mut self,
         sources: &mut Sources,
@@ -163,7 +163,7 @@
         found
     }
 
-    /// Records whether members are sent in one direction only, and which are secret.
+    /// Records whether any member is sent in one direction only, and the names of secret members.
     fn note_members(&mut self, schema: &Value) {
         self.has_one_way_members |=
             schema["readOnly"] == json!(true) || schema["writeOnly"] == json!(true);
@@ -176,7 +176,7 @@
     }
 }
 
-/// Cuts a text to the length that a line of a report can hold.
+/// Truncates a text to a length that fits on a line of a report.
 pub fn clip(text: &str) -> String {
     match text.char_indices().nth(MAX_CLIPPED) {
         Some((at, _)) => format!("{}...", &text[..at]),
--- a/crates/contract/src/schema/bundle.rs
+++ b/crates/contract/src/schema/bundle.rs
@@ -1,14 +1,15 @@
-//! The description's files as the compiler reads them: schemas in its dialect, references as addresses.
+//! Prepares the description's files for the schema compiler: translates schemas to the compiler's dialect and references
+//! to URIs.
 
 use super::{Dialect, Direction, SchemaRegistry};
 use crate::sources::{NodeLocation, Sources};
 use serde_json::{json, Map, Value};
 
-/// Files are known to the compiler by their numbers below this address, from which nothing is ever fetched.
+/// The base URI of the files, which the compiler knows by their index. Nothing is ever fetched from this URI.
 pub(super) const BASE: &str = "cairnroad:///";
 
 impl SchemaRegistry {
-    /// The files with their schemas in the compiler's dialect, for values of one direction.
+    /// Returns the files with their schemas in the compiler's dialect, for messages of one direction.
     pub(super) fn bundle(&self, sources: &Sources, direction: Direction) -> Vec<Value> {
         let mut files: Vec<Value> = sources
             .files()
@@ -44,7 +45,7 @@
         files
     }
 
-    /// Takes from `required` the members that are not sent in this direction.
+    /// Removes the members that are not sent in this direction from `required`.
     fn drop_one_way_required(
         &self,
         sources: &Sources,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Rewrites the keywords of OpenAPI 3.0 to those of JSON Schema 2020-12, in place.
+/// Translates the keywords of OpenAPI 3.0 to JSON Schema 2020-12, in place.
 fn translate_openapi_30(schema: &mut Map<String, Value>) {
     if schema.remove("nullable") == Some(json!(true)) {
         if let Some(Value::String(kind)) = schema.get("type") {
@@ -100,7 +101,7 @@
     }
 }
 
-/// The address by which the compiler knows a schema.
+/// Returns the URI by which the compiler knows a schema.
 pub(super) fn address(node: &NodeLocation) -> String {
     let mut out = format!("{BASE}{}#", node.file);
     for byte in node.pointer.bytes() {
@@ -114,7 +115,7 @@
     out
 }
 
-/// The place of the schema that the compiler knows by an address; `None` for an address of another form.
+/// Returns the node of the schema that the compiler knows by a URI; `None` for a URI of another form.
 pub fn location_from_uri(address: &str) -> Option<NodeLocation> {
     let (file, pointer) = address.strip_prefix(BASE)?.split_once('#')?;
     Some(NodeLocation {
--- a/crates/contract/src/schema/compilation.rs
+++ b/crates/contract/src/schema/compilation.rs
@@ -1,4 +1,4 @@
-//! Compilation of the registered schemas: checked against their metaschema and compiled for each direction.
+//! Compiles the registered schemas: checks them against their metaschema and compiles them for each direction.
 
 use super::bundle::{address, BASE};
 use super::{clip, Dialect, Direction, SchemaRegistry};
@@ -9,12 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The most memory of a compiled regular expression, in bytes.
+/// The largest size of a compiled regular expression in memory, in bytes.
 const MAX_PATTERN_MEMORY: usize = 256 * 1024;
 
 impl SchemaRegistry {
-    /// Compiles the wanted schemas, each for its direction. Faults are added to the sources; after one, the result
-    /// is not complete.
+    /// Compiles the wanted schemas, each for its direction. Faults are added to the sources; after a fault the result is
+    /// incomplete.
     pub fn compile(
         &self,
         sources: &mut Sources,
@@ -94,7 +94,7 @@
     ) {
         let is_pattern =
             matches!(error.kind(), ValidationErrorKind::Format { format } if format == "regex");
-        // The compiler names a faulty expression, but not its place.
+        // The compiler reports the text of a faulty regular expression, but not its node.
         let pattern = error.instance().as_ref();
         let place = self
             .schemas
@@ -118,7 +118,7 @@
     }
 }
 
-/// Makes the files known to the compiler by their addresses.
+/// Registers the files with the compiler under their URIs.
 fn prepare_registry(
     sources: &mut Sources,
     draft: Draft,
@@ -127,7 +127,7 @@
     let mut registry = Registry::new().draft(draft);
     for (number, file) in files.iter().enumerate() {
         let resource = draft.create_resource(file.clone());
-        // Addresses of this module's own form can always be parsed.
+        // URIs that this module builds can always be parsed.
         registry = registry.add(format!("{BASE}{number}"), resource).ok()?;
     }
     match registry.prepare() {
--- a/crates/contract/src/schema/keyword_checks.rs
+++ b/crates/contract/src/schema/keyword_checks.rs
@@ -1,19 +1,20 @@
-//! Faults of single keywords that the compiler would not report, or not with their place.
+//! Checks single keywords for faults that the compiler does not report, or reports without their node.
 
 use super::{clip, Dialect};
 use crate::sources::{NodeLocation, Sources};
 use serde_json::Value;
 
-/// The longest regular expression, in bytes. Expressions run without backtracking, in time linear in the text.
+/// The longest regular expression, in bytes. Regular expressions are matched without backtracking, in time linear in
+/// the text.
 const MAX_PATTERN_BYTES: usize = 1_000;
-/// The most expressions of a description: each costs up to some milliseconds to compile.
+/// The largest number of regular expressions in a description. Each takes up to a few milliseconds to compile.
 const MAX_PATTERNS: usize = 1_000;
 /// The names of the types of JSON Schema.
 const TYPES: [&str; 7] = [
     "array", "boolean", "integer", "null", "number", "object", "string",
 ];
 
-/// Checks the keywords of one schema. `pattern_count` counts the expressions of the whole description.
+/// Checks the keywords of one schema. `pattern_count` counts the regular expressions of the whole description.
 pub(super) fn check_keywords(
     sources: &mut Sources,
     node: &NodeLocation,
@@ -32,7 +33,7 @@
     if let Some(pattern) = schema.get("pattern").and_then(Value::as_str) {
         check_pattern(sources, &node.at("pattern"), pattern);
         *pattern_count += 1;
-        // Reported once, where the bound is passed.
+        // Reported once, at the first expression beyond the bound.
         if *pattern_count == MAX_PATTERNS + 1 {
             sources.fault(
                 &node.at("pattern"),
@@ -54,7 +55,7 @@
         );
         sources.fault(node, cause);
     } else if let Err(error) = regex_syntax::Parser::new().parse(pattern) {
-        // The last line says what is wrong; those before it draw where.
+        // The last line holds the cause; the lines before it mark the position in the expression.
         let text = error.to_string();
         let last_line = text.lines().last().unwrap_or("");
         let cause = last_line.trim_start_matches("error: ");
@@ -80,7 +81,7 @@
     }
 }
 
-/// Checks for forms that OpenAPI 3.1 has and 3.0 has not.
+/// Reports keyword forms that OpenAPI 3.1 allows and 3.0 does not.
 fn check_openapi_30(sources: &mut Sources, node: &NodeLocation, schema: &Value) {
     if schema.get("type").is_some_and(Value::is_array) {
         sources.fault(
--- a/crates/contract/src/schema/subschemas.rs
+++ b/crates/contract/src/schema/subschemas.rs
@@ -6,7 +6,7 @@
 /// How a subschema is applied, in the terms of JSON Schema.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Applicator {
-    /// To the same value: it adds a visit of that value.
+    /// To the same value, which adds a visit of that value.
     InPlace,
     /// To parts of the value.
     Child,
@@ -19,7 +19,7 @@
 }
 
 impl Subschema {
-    /// Whether it is applied to the same value as the schema around it.
+    /// Returns whether the subschema is applied to the same value as the schema that contains it.
     pub(super) fn is_in_place(&self) -> bool {
         self.applicator == Applicator::InPlace
     }
@@ -58,7 +58,7 @@
     ("dependencies", Applicator::InPlace),
 ];
 
-/// The direct subschemas of a schema; references are not followed.
+/// Returns the direct subschemas of a schema, without following references.
 pub(super) fn subschemas(schema: &Value, node: &NodeLocation) -> Vec<Subschema> {
     let Some(map) = schema.as_object() else {
         return Vec::new();
--- a/crates/contract/src/schema/visits.rs
+++ b/crates/contract/src/schema/visits.rs
@@ -1,19 +1,21 @@
-//! Counts how often schemas visit one value, to find those that recur without end or cost too much.
+//! Counts how often schemas visit one value, to find schemas that recurse without end or cost too much.
 
 use super::subschemas::Subschema;
 use super::SchemaRegistry;
 use crate::sources::{NodeLocation, Sources};
 use std::collections::BTreeMap;
 
-/// The most visits of one value, counted over `allOf`, `anyOf`, `oneOf` and the like with their references. A few
-/// schemas that each name two others twice could otherwise ask for more visits than there is time.
+/// The largest number of visits of one value, counted over `allOf`, `anyOf`, `oneOf` and similar keywords with their
+/// references. Without the bound, a short chain of schemas that each refer to the next one twice would take exponential
+/// time.
 pub const MAX_VISITS: u64 = 10_000;
 
-/// How far the count of a schema is.
+/// The progress of counting a schema's visits.
 #[derive(Clone, Copy)]
 enum Count {
-    /// The schema is on the current path, so that reaching it again is a recursion.
+    /// The schema is on the current path, so reaching it again is a recursion.
     InProgress,
+    /// The number of visits is known.
     Done(u64),
 }
 
@@ -53,7 +55,7 @@
                 .map(|subschema| visits(&subschema.node))
                 .max()
                 .unwrap_or(0);
-            // Reported at the innermost schema only, not at all that contain it.
+            // Reported at the innermost schema only, not at every schema that contains it.
             if visits(node) > MAX_VISITS && most_within <= MAX_VISITS {
                 let cause = format!(
                     "schemas visit one value {} times, expected at most {MAX_VISITS}",
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Counts a schema and those that it reaches. The search keeps its own stack, since chains of references may be
-    /// longer than the thread's stack allows.
+    /// Counts the visits of a schema and of the schemas reachable from it. The search uses an explicit stack, since a
+    /// chain of references may be longer than the thread's stack allows.
     fn count_visits<'s>(
         &'s self,
         sources: &mut Sources,
