--- a/crates/contract/benches/check.rs
+++ b/crates/contract/benches/check.rs
@@ -36,7 +36,7 @@
         _source: {type: object, required: [sku, count], properties: {sku: {type: string}, count: {type: integer, minimum: 0}, room: {enum: [kita, higashi, minami]}}}
 "##;
 
-/// The body of a search response with so many hits.
+/// Returns the body of a search response with `hit_count` hits.
 fn response_body(hit_count: usize) -> Vec<u8> {
     let hit = |number: usize| {
         let source = json!({"sku": "A-17", "count": number, "room": "kita"});
@@ -62,7 +62,7 @@
     ] {
         let mut body = response_body(hit_count);
         if has_violation {
-            // The last hit's room becomes one that is not listed.
+            // The room of the last hit becomes a value that the enum does not list.
             let room = body.iter().rposition(|&byte| byte == b'k').unwrap();
             body[room] = b'x';
         }
--- a/crates/contract/src/diff/messages.rs
+++ b/crates/contract/src/diff/messages.rs
@@ -21,7 +21,7 @@
             self.operation = message.name.to_string();
             let impact = match message.direction {
                 Direction::Request => ChangeImpact::Compatible,
-                // Whoever listens is sent what it does not know.
+                // Receivers of the channel get a message that they do not know.
                 Direction::Response => ChangeImpact::Breaking,
             };
             self.add(impact, "", "the message is new");
--- a/crates/contract/src/diff/mod.rs
+++ b/crates/contract/src/diff/mod.rs
@@ -1,6 +1,7 @@
-//! What changed between two descriptions, and whether it breaks those who rely on the old one.
+//! Finds the changes between two descriptions and whether they break users of the old one.
 //!
-//! Requests may be widened and responses narrowed without harm; the reverse breaks clients of the old form.
+//! Accepting more requests and sending fewer kinds of responses is compatible; the reverse breaks clients of the old
+//! description.
 
 mod messages;
 mod operations;
@@ -16,18 +17,18 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The most changes that are reported.
+/// The largest number of changes that are reported.
 pub const MAX_CHANGES: usize = 1_000;
 
-/// What a change does to those who keep to the old description.
+/// The effect of a change on users of the old description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeImpact {
-    /// What worked may no longer work.
+    /// A message that was valid may no longer be accepted or understood.
     Breaking,
-    /// All that worked still works.
+    /// All messages that were valid are still accepted and understood.
     Compatible,
-    /// Nothing on the wire differs.
+    /// The messages on the wire are the same.
     Cosmetic,
 }
 
@@ -44,15 +45,16 @@
 /// One difference.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Change {
-    /// What it does to those who keep to the old description.
+    /// The effect on users of the old description.
     #[serde(rename = "weight")]
     pub impact: ChangeImpact,
-    /// The operation or message.
+    /// The name of the operation or message.
     pub operation: String,
-    /// Where in the message.
+    /// The place in the message; empty if the change concerns the whole operation or message.
     pub place: String,
-    /// What is different.
-    pub what: String,
+    /// The change, in words.
+    #[serde(rename = "what")]
+    pub text: String,
 }
 
 impl fmt::Display for Change {
@@ -61,14 +63,14 @@
         if !self.place.is_empty() {
             write!(f, ", {}", self.place)?;
         }
-        write!(f, ": {}", self.what)
+        write!(f, ": {}", self.text)
     }
 }
 
-/// The descriptions can't be compared.
+/// The error of descriptions that cannot be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DiffError {
-    /// They are of two formats.
+    /// The descriptions are of different formats.
     #[error("an OpenAPI and an AsyncAPI description can't be compared")]
     DifferentFormats,
 }
@@ -112,7 +114,7 @@
     place: &'p str,
 }
 
-/// Two descriptions while they are compared.
+/// The state of a comparison of two descriptions.
 struct Comparison<'d> {
     old: &'d Description,
     new: &'d Description,
@@ -130,12 +132,12 @@
                 impact,
                 operation: self.operation.clone(),
                 place: place.into(),
-                what: what.into(),
+                text: what.into(),
             });
         }
     }
 
-    /// Fewer values are valid: harmless where they are read, breaking where they are sent.
+    /// Adds a change that makes fewer values valid, which breaks clients in requests and is compatible in responses.
     fn add_narrowed(&mut self, at: Position<'_>, what: impl Into<String>) {
         let impact = match at.direction {
             Direction::Request => ChangeImpact::Breaking,
@@ -144,7 +146,7 @@
         self.add(impact, at.place, what);
     }
 
-    /// More values are valid: harmless where they are sent, breaking where they are read.
+    /// Adds a change that makes more values valid, which is compatible in requests and breaks clients in responses.
     fn add_widened(&mut self, at: Position<'_>, what: impl Into<String>) {
         let impact = match at.direction {
             Direction::Request => ChangeImpact::Compatible,
@@ -153,12 +155,12 @@
         self.add(impact, at.place, what);
     }
 
-    /// Some values are valid that were not, and some are not that were.
+    /// Adds a change that makes some values valid and others invalid, which is breaking in both directions.
     fn add_replaced(&mut self, at: Position<'_>, what: impl Into<String>) {
         self.add(ChangeImpact::Breaking, at.place, what);
     }
 
-    /// Compares texts for people, and whether anything became deprecated.
+    /// Compares the documentation of two nodes, and whether the new node became deprecated.
     fn compare_annotations(&mut self, place: &str, old: &NodeLocation, new: &NodeLocation) {
         for key in ["summary", "description", "title"] {
             let before = self.old.sources.get(&old.at(key));
--- a/crates/contract/src/diff/operations.rs
+++ b/crates/contract/src/diff/operations.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A response that is never given any more harms nobody, unless it was the successful one.
+    /// Adds a removed response, which is breaking only if it was the successful one.
     fn add_removed_response(&mut self, response: &Response) {
         let impact = if is_success(response.status) {
             ChangeImpact::Breaking
@@ -112,7 +112,7 @@
         self.add(impact, &place, "this answer is gone");
     }
 
-    /// Clients handle an unknown error by its range; an unknown successful response they can't read.
+    /// Adds a new response. Clients handle an unknown error by its range, but cannot read an unknown successful response.
     fn add_new_response(&mut self, old: &[Response], response: &Response) {
         let was_covered = old
             .iter()
@@ -149,7 +149,7 @@
         }
         for media in new {
             if !old.iter().any(|before| before.range == media.range) {
-                // A response in another form is only given to those who ask for it.
+                // Clients get another media type only if they ask for it.
                 let what = format!("{} is new", media.range);
                 self.add(ChangeImpact::Compatible, at.place, what);
             }
@@ -157,7 +157,7 @@
     }
 }
 
-/// Operations by method and the template's shape: a variable's name is no part of the wire.
+/// Returns the operations by method and shape of the template, since the names of variables are not on the wire.
 fn operations_by_shape(description: &Description) -> BTreeMap<String, &Operation> {
     let operations = description.operations.iter();
     operations
--- a/crates/contract/src/diff/parameters.rs
+++ b/crates/contract/src/diff/parameters.rs
@@ -13,7 +13,7 @@
         old: &[Parameter],
         new: &[Parameter],
     ) {
-        // Variables of the path are told apart by their position there, which the sorted names stand for.
+        // Path variables are identified by their position in the path, for which the order of their sorted names stands in.
         for (old, new) in path_variables(old).into_iter().zip(path_variables(new)) {
             self.compare_parameter(direction, &parameter_place(place, old), old, new);
         }
@@ -84,7 +84,7 @@
     variables
 }
 
-/// Whether two parameters outside the path are the same one. Names of headers are the same in any case.
+/// Returns whether two parameters outside the path are the same. Header names are compared without regard to case.
 fn is_same(a: &Parameter, b: &Parameter) -> bool {
     let has_same_name = match a.location {
         ParameterLocation::Header => a.name.eq_ignore_ascii_case(&b.name),
--- a/crates/contract/src/diff/schema_view.rs
+++ b/crates/contract/src/diff/schema_view.rs
@@ -1,11 +1,11 @@
-//! The constraints of a schema, in a form in which two schemas can be compared.
+//! Extracts the constraints of a schema into a form in which two schemas can be compared.
 
 use crate::schema::Direction;
 use crate::sources::{NodeLocation, Sources};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How deep references and `allOf` are followed.
+/// The largest depth to which references and `allOf` are followed.
 const MAX_ALL_OF_DEPTH: usize = 32;
 const LOWER_BOUNDS: [&str; 4] = ["minLength", "minItems", "minProperties", "minContains"];
 const UPPER_BOUNDS: [&str; 4] = ["maxLength", "maxItems", "maxProperties", "maxContains"];
@@ -36,36 +36,36 @@
     "additionalItems",
 ];
 
-/// A schema with `allOf` and references merged in, the keywords of OpenAPI 3.0 as those of 3.1.
+/// The constraints of a schema with `allOf` and references merged in. Keywords of OpenAPI 3.0 are translated to 3.1.
 #[derive(Default)]
 pub(super) struct SchemaView {
-    /// `None`: any type.
+    /// The allowed types; `None` if any type is allowed.
     pub(super) types: Option<BTreeSet<String>>,
-    /// The values of `enum` or `const` as JSON text; `None`: any value.
+    /// The values of `enum` or `const` as JSON text; `None` if any value is allowed.
     pub(super) values: Option<BTreeSet<String>>,
     pub(super) required: BTreeSet<String>,
     pub(super) properties: BTreeMap<String, NodeLocation>,
-    /// Members that are not named are invalid.
+    /// Whether members that are not listed are invalid.
     pub(super) closed: bool,
-    /// The schema of members that are not named.
+    /// The schema of members that are not listed.
     pub(super) others: Option<NodeLocation>,
     pub(super) items: Option<NodeLocation>,
-    /// Schemas of items by their position.
+    /// The schemas of the first items, by position.
     pub(super) first_items: Vec<NodeLocation>,
     pub(super) one_of: Vec<NodeLocation>,
     pub(super) any_of: Vec<NodeLocation>,
     pub(super) lower_bounds: BTreeMap<&'static str, f64>,
     pub(super) upper_bounds: BTreeMap<&'static str, f64>,
     pub(super) texts: BTreeMap<&'static str, String>,
-    /// Keywords that are only compared as they stand.
+    /// Keywords that are compared only for equality, since their effect on the valid values is not evaluated.
     pub(super) uninterpreted: BTreeMap<&'static str, Value>,
-    /// Texts for people.
+    /// Keywords that only document the schema.
     pub(super) annotations: BTreeMap<&'static str, Value>,
 }
 
 impl SchemaView {
-    /// The schema at a location, for values of a direction: `readOnly` members are not required in requests,
-    /// `writeOnly` ones not in responses.
+    /// Reads the schema at a location for messages of a direction. `readOnly` members are not required in requests,
+    /// `writeOnly` members not in responses.
     pub(super) fn new(
         sources: &Sources,
         location: &NodeLocation,
@@ -89,7 +89,7 @@
         if depth > MAX_ALL_OF_DEPTH {
             return;
         }
-        // A reference with siblings counts as both.
+        // A reference with siblings is merged with its siblings.
         if sources.reference(location).is_some() {
             if let Some(target) = sources.target(location) {
                 self.merge(sources, &target, direction, depth + 1);
@@ -207,7 +207,7 @@
     }
 }
 
-/// The places of a list's items; none where there is no list.
+/// Returns the locations of a list's items; empty if there is no list.
 fn list_locations(
     location: &NodeLocation,
     map: &Map<String, Value>,
@@ -233,7 +233,7 @@
     Some((key, map.get(key)?.as_f64()?))
 }
 
-/// Merges a limit and its exclusive form, which OpenAPI 3.0 writes as a flag beside the limit.
+/// Merges a limit and its exclusive form, which OpenAPI 3.0 writes as a boolean beside the limit.
 fn merge_limit(
     bounds: &mut BTreeMap<&'static str, f64>,
     map: &Map<String, Value>,
--- a/crates/contract/src/diff/schemas.rs
+++ b/crates/contract/src/diff/schemas.rs
@@ -8,14 +8,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Comparison<'_> {
-    /// Compares two schemas and all that they hold.
+    /// Compares two schemas with their subschemas.
     pub(super) fn compare_schemas(
         &mut self,
         at: Position<'_>,
         old: &NodeLocation,
         new: &NodeLocation,
     ) {
-        // A schema that holds itself is compared once, whichever reference leads to it.
+        // A recursive schema is compared once, no matter which reference leads to it.
         let old = follow_plain_reference(&self.old.sources, old);
         let new = follow_plain_reference(&self.new.sources, new);
         let pair = (old.clone(), new.clone(), at.direction);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Compares an object's members that the schema names.
+    /// Compares the members of an object that the schemas list.
     fn compare_members(&mut self, at: Position<'_>, old: &SchemaView, new: &SchemaView) {
         for name in new.required.difference(&old.required) {
             let place = member_place(at, name);
@@ -168,7 +168,7 @@
                 let what = "it is no longer looked at";
                 self.add(ChangeImpact::Compatible, at.place, what);
             }
-            // One that was required was reported as having become optional.
+            // A required member was already reported as having become optional.
             Direction::Response if old.required.contains(name) => {}
             Direction::Response => {
                 self.add(ChangeImpact::Compatible, at.place, "it is no longer given");
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Compares what the schema says of members that it doesn't name.
+    /// Compares the constraints on members that the schemas do not list.
     fn compare_other_members(&mut self, at: Position<'_>, old: &SchemaView, new: &SchemaView) {
         match (old.closed, new.closed) {
             (false, true) => self.add_narrowed(at, "no other members are taken now"),
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Compares alternatives: those that are equal pair up wherever they stand, the others in their order.
+    /// Compares alternatives. Equal alternatives are paired regardless of their order, the others in order.
     fn compare_alternatives(
         &mut self,
         at: Position<'_>,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Compares keywords whose effect on the valid values is not worked out.
+    /// Compares keywords whose effect on the valid values is not evaluated.
     fn compare_uninterpreted(&mut self, at: Position<'_>, old: &SchemaView, new: &SchemaView) {
         for key in keys_of(&old.uninterpreted, &new.uninterpreted) {
             if old.uninterpreted.get(key) != new.uninterpreted.get(key) {
@@ -261,7 +261,7 @@
 }
 
 impl<'p> Position<'p> {
-    /// A place within, in the same direction.
+    /// Returns a nested place in the same direction.
     fn inner(self, place: &'p str) -> Position<'p> {
         Position { place, ..self }
     }
@@ -271,7 +271,7 @@
     format!("{} {name}", at.place)
 }
 
-/// A whole number is a number too.
+/// Returns whether a list of types allows a type. `number` allows `integer`, too.
 fn allows_type(types: &BTreeSet<String>, kind: &str) -> bool {
     types.contains(kind) || kind == "integer" && types.contains("number")
 }
@@ -285,7 +285,7 @@
     texts.join(", ")
 }
 
-/// What a reference without siblings leads to; any other node itself.
+/// Returns the target of a reference without siblings, or the node itself if it is anything else.
 fn follow_plain_reference(sources: &Sources, location: &NodeLocation) -> NodeLocation {
     let is_plain = sources
         .get(location)
--- a/crates/contract/src/drift/entry.rs
+++ b/crates/contract/src/drift/entry.rs
@@ -1,4 +1,4 @@
-//! What is counted for one kind of violation at one place of an operation.
+//! The counts for one kind of violation at one place of an operation.
 
 use super::{Interface, UnixSeconds, MAX_PARTIES};
 use crate::conformance::{Violation, ViolationKind};
@@ -14,7 +14,7 @@
     pub(super) direction: Direction,
 }
 
-/// What tells entries apart.
+/// The key of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EntryKey {
     pub(super) operation: ObservedOperation,
@@ -27,7 +27,7 @@
 pub(super) struct PartyRecord {
     pub(super) first_seen: UnixSeconds,
     pub(super) count: u64,
-    /// Valid messages of the party before its first violation.
+    /// The number of valid messages of the party before its first violation.
     pub(super) valid_messages_before: u64,
 }
 
@@ -39,12 +39,12 @@
     pub(super) count: u64,
     pub(super) example: Violation,
     pub(super) parties: BTreeMap<Arc<str>, PartyRecord>,
-    /// Violations of parties beyond [`MAX_PARTIES`].
+    /// The number of violations of parties beyond [`MAX_PARTIES`].
     pub(super) other_parties_count: u64,
 }
 
 impl Entry {
-    /// An entry that holds no violation yet.
+    /// Creates an entry without violations.
     pub(super) fn new(now: UnixSeconds, example: &Violation) -> Self {
         Entry {
             first_seen: now,
@@ -86,7 +86,7 @@
     }
 }
 
-/// A place with list indexes replaced by `*`: all items of a list are one place of the description.
+/// Replaces the list indexes of a place by `*`, since all items of a list are one place of the description.
 pub(super) fn generalized_place(place: &str) -> String {
     let is_index = |step: &str| !step.is_empty() && step.bytes().all(|byte| byte.is_ascii_digit());
     place
--- a/crates/contract/src/drift/listing.rs
+++ b/crates/contract/src/drift/listing.rs
@@ -1,4 +1,4 @@
-//! The entries as operators see them: counts, shares, and a sentence each.
+//! Lists the entries for operators, with counts, shares and a one-sentence summary.
 
 use super::entry::{Entry, EntryKey, PartyRecord};
 use super::tracker::{DriftTracker, Observation};
@@ -9,60 +9,60 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The most servers that a summary names.
+/// The largest number of servers that a summary names.
 const MAX_NAMED_SERVERS: usize = 4;
 
-/// One entry, as operators see it.
+/// One entry of the drift report.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DriftEntry {
-    /// The interface that it belongs to.
+    /// The interface that the entry belongs to.
     pub interface: Interface,
-    /// Name of the operation.
+    /// The name of the operation.
     pub operation: String,
-    /// Which way the messages went.
+    /// The direction of the messages.
     pub direction: Direction,
-    /// Where in the message; `*` stands for any item of a list.
+    /// The place in the message; `*` stands for any item of a list.
     pub place: String,
     /// The rule that is violated.
     pub kind: ViolationKind,
-    /// When the first violation was seen.
+    /// The time of the first violation.
     #[serde(rename = "first")]
     pub first_seen: UnixSeconds,
-    /// When the last violation was seen.
+    /// The time of the last violation.
     #[serde(rename = "last")]
     pub last_seen: UnixSeconds,
-    /// Messages with this violation.
+    /// The number of messages with this violation.
     pub count: u64,
     /// `count` as a share of the checked messages of this operation and direction, from 0 to 1.
     pub share: f64,
-    /// The last violation that was seen.
+    /// The most recent violation.
     pub example: Violation,
-    /// The parties that cause it, ordered by their first violation.
+    /// The parties that cause the violation, ordered by their first violation.
     pub parties: Vec<PartyCount>,
-    /// How many of the parties whose messages were checked cause it.
+    /// The number of parties that cause the violation, and of those whose messages were checked.
     #[serde(rename = "of")]
     pub party_counts: PartyCounts,
-    /// The entry as a sentence.
+    /// A summary of the entry in one sentence.
     pub summary: String,
 }
 
-/// The violations of one party. Serialized as a pair.
+/// The number of violations of one party. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, u64)")]
 pub struct PartyCount {
     /// The party: a server's id, or a kind of party.
     pub party: String,
-    /// Its messages with the violation.
+    /// The number of the party's messages with the violation.
     pub count: u64,
 }
 
-/// How many parties cause a violation, and how many were checked. Serialized as a pair.
+/// The number of parties that cause a violation, and of those that were checked. Serialized as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(usize, usize)")]
 pub struct PartyCounts {
-    /// Parties that cause it.
+    /// The number of parties that cause the violation.
     pub violating: usize,
-    /// Parties whose messages were checked.
+    /// The number of parties whose messages were checked.
     pub checked: usize,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl DriftTracker {
-    /// All entries, the one with the latest violation first.
+    /// Returns all entries, ordered from the most recent violation to the oldest.
     pub fn rows(&self) -> Vec<DriftEntry> {
         let mut rows: Vec<DriftEntry> = self
             .entries
@@ -93,7 +93,7 @@
         rows
     }
 
-    /// The entry of a violation that was just recorded, in one sentence.
+    /// Summarizes the entry of a violation that was just recorded in one sentence.
     pub fn summary(&self, observation: &Observation, violation: &Violation) -> Option<String> {
         let (key, entry) = self.entry_of(observation, violation)?;
         Some(self.row(&key, entry).summary)
@@ -151,7 +151,7 @@
             let count = entry.count;
             return format!("{interface}: {violation} ({count} times since {since})");
         }
-        // Valid messages before the first violation point to a change while in service.
+        // Valid messages before the first violation indicate that the server changed while in service.
         let began = parties
             .iter()
             .all(|(_, record)| record.valid_messages_before > 0);
@@ -169,7 +169,7 @@
         )
     }
 
-    /// Whether these servers all started after all others: a new version is the likely cause.
+    /// Returns whether all of these servers started after all other servers, which makes a new version the likely cause.
     fn are_newest_servers(&self, parties: &Parties) -> bool {
         let violating: BTreeSet<&Arc<str>> = parties.iter().map(|(party, _)| *party).collect();
         let started = |id: &Arc<str>| self.server_starts.get(id).copied().flatten();
@@ -206,7 +206,7 @@
     }
 }
 
-/// The time of day of a moment, in UTC.
+/// Formats the time of day of a timestamp, in UTC.
 pub fn clock(at: UnixSeconds) -> String {
     let seconds = at.max(0.0) as u64 % 86_400;
     format!(
--- a/crates/contract/src/drift/tests.rs
+++ b/crates/contract/src/drift/tests.rs
@@ -85,7 +85,7 @@
         "2 of 4 servers (s-3, s-2) began to depart at 12:03:00 UTC, all of them newer than the rest: \
          A, body /hits/*/doc: wanted the type string, found 3"
     );
-    // One that started as late conforms to the description: being new is not the cause.
+    // A server that started as late conforms to the description, so a new version is not the cause.
     tracker.update_servers(&servers(&[
         ("s-1", Some(60.0)),
         ("s-2", Some(40.0)),
@@ -132,7 +132,7 @@
     assert!(tracker.is_empty());
 }
 
-/// Guards against members' names that a sender makes up, which would push every other entry out or fill memory.
+/// Guards against member names that a sender makes up, which would evict every other entry or exhaust memory.
 #[test]
 fn made_up_names_and_parties_stay_within_bounds() {
     let mut tracker = DriftTracker::default();
--- a/crates/contract/src/drift/tracker.rs
+++ b/crates/contract/src/drift/tracker.rs
@@ -13,28 +13,28 @@
 /// One message that was checked.
 #[derive(Clone, Debug)]
 pub struct Observation<'o> {
-    /// The interface that it belongs to.
+    /// The interface that the message belongs to.
     pub interface: Interface,
-    /// Its sender: a server's id, or the kind of party where senders can't be told apart.
+    /// The sender: a server's id, or the kind of party if individual senders are not known.
     pub party: &'o Arc<str>,
-    /// Name of the operation.
+    /// The name of the operation.
     pub operation: &'o Arc<str>,
-    /// Which way it went.
+    /// The direction of the message.
     pub direction: Direction,
-    /// Its violations.
+    /// The violations of the message.
     pub violations: &'o [Violation],
 }
 
 /// A server of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownServer {
-    /// Its id.
+    /// The server's id.
     pub id: Arc<str>,
-    /// When it started, in Unix seconds; `None` means long ago.
+    /// The time at which the server started, in seconds since the Unix epoch; `None` if the server started long ago.
     pub started: Option<f64>,
 }
 
-/// Checked messages of one operation.
+/// The numbers of checked messages of one operation.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OperationCounts {
     pub(super) messages: u64,
@@ -47,16 +47,16 @@
     pub(super) entries: BTreeMap<EntryKey, Entry>,
     pub(super) operations: BTreeMap<ObservedOperation, OperationCounts>,
     pub(super) server_starts: BTreeMap<Arc<str>, Option<UnixSeconds>>,
-    /// Messages checked.
+    /// The number of messages checked.
     pub messages: u64,
-    /// Messages with at least one violation.
+    /// The number of messages with at least one violation.
     pub violating_messages: u64,
-    /// Entries evicted to keep within [`MAX_ENTRIES`].
+    /// The number of entries evicted to keep within [`MAX_ENTRIES`].
     pub evicted_entries: u64,
 }
 
 impl OperationCounts {
-    /// Counts a message of a party. Returns how many of the party's messages were counted before.
+    /// Counts a message of a party. Returns the number of the party's messages that were counted before.
     fn count(&mut self, party: &Arc<str>) -> u64 {
         self.messages += 1;
         if self.by_party.len() >= MAX_PARTIES && !self.by_party.contains_key(party) {
@@ -70,7 +70,7 @@
 }
 
 impl DriftTracker {
-    /// Counts one message. Returns whether it shows something new: an entry, or another party of one.
+    /// Counts one message. Returns whether the message added an entry, or a party to an existing entry.
     pub fn record(&mut self, now: UnixSeconds, observation: &Observation) -> bool {
         self.messages += 1;
         let operation = observed_operation(observation);
@@ -80,7 +80,7 @@
         }
         self.violating_messages += 1;
         let mut is_new = false;
-        // A message counts once for each place, however many items of a list violate the description there.
+        // A message counts once for each place, no matter how many items of a list violate the description there.
         let mut places = BTreeSet::new();
         for violation in observation.violations {
             let place = generalized_place(&violation.place);
@@ -101,7 +101,8 @@
         is_new
     }
 
-    /// Returns how many messages of the party were counted before; 0 for an operation beyond [`MAX_OPERATIONS`].
+    /// Returns the number of the party's messages that were counted before; 0 for an operation beyond
+    /// [`MAX_OPERATIONS`].
     fn count_message(&mut self, operation: &ObservedOperation, party: &Arc<str>) -> u64 {
         if self.operations.len() >= MAX_OPERATIONS && !self.operations.contains_key(operation) {
             return 0;
@@ -112,7 +113,7 @@
             .count(party)
     }
 
-    /// The key that a violation is counted under, with room made for its entry.
+    /// Returns the key that a violation is counted under. Evicts the oldest entry if there is no room for another one.
     fn key_within_bounds(&mut self, mut key: EntryKey) -> EntryKey {
         if self.entries.contains_key(&key) {
             return key;
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Applies a new endpoint list. A server that is not on it was replaced: its counts are removed, and with them the
-    /// entries that only it caused.
+    /// Applies a new endpoint list. The counts of servers that are not on the list are removed, and so are the entries
+    /// that only those servers caused.
     pub fn update_servers(&mut self, list: &[KnownServer]) {
         self.server_starts = list
             .iter()
@@ -166,13 +167,13 @@
         });
     }
 
-    /// Removes the entries that saw no violation for [`RETENTION_SECONDS`].
+    /// Removes the entries without a violation in the last [`RETENTION_SECONDS`].
     pub fn expire(&mut self, now: UnixSeconds) {
         self.entries
             .retain(|_, entry| now - entry.last_seen <= RETENTION_SECONDS);
     }
 
-    /// Removes everything about an interface, for when its description was replaced.
+    /// Removes all counts of an interface whose description was replaced.
     pub fn remove(&mut self, interface: Interface) {
         self.entries
             .retain(|key, _| key.operation.interface != interface);
@@ -180,17 +181,17 @@
             .retain(|operation, _| operation.interface != interface);
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no violation is known.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The key and entry that a violation was counted under.
+    /// Returns the key and entry that a violation was counted under.
     pub(super) fn entry_of(
         &self,
         observation: &Observation,
--- a/crates/contract/src/enforcement.rs
+++ b/crates/contract/src/enforcement.rs
@@ -1,5 +1,5 @@
-//! Decides what is done about violations: which messages are checked, which requests are rejected, which responses
-//! count as failed, and which descriptions are in force. Does no I/O and reads no clock.
+//! Decides how violations are handled: which messages are checked, which requests are rejected, which responses count as
+//! failed, and which descriptions are in force. This module does no I/O and reads no clock.
 
 use crate::conformance::{Violation, ViolationKind};
 use crate::drift::Interface;
@@ -12,27 +12,28 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// Not at all, at no cost.
+    /// Traffic is not checked, which costs nothing.
     #[default]
     Off,
-    /// In the background: violations are reported and change nothing.
+    /// Traffic is checked in the background; violations are reported and have no other effect.
     Observe,
-    /// Before a message is used: one with a violation is not used.
+    /// Each message is checked before it is used; a message with a violation is not used.
     Enforce,
 }
 
-/// Selects an even share of the messages: with a share of 0.25, every fourth.
+/// Selects an evenly spaced share of the messages; a share of 0.25 selects every fourth message.
 #[derive(Clone, Debug)]
 pub struct Sampler {
     share: f64,
     credit: f64,
 }
 
-/// How far the sum of shares such as 0.1 may fall short of 1 by rounding.
+/// The rounding error by which a sum of shares such as 0.1 may fall short of 1.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 impl Sampler {
-    /// For a share from 0 to 1. The first message is always selected, so that even a tiny share shows something.
+    /// Creates a sampler for a share from 0 to 1. The first message is selected unless the share is 0, so that even a tiny
+    /// share has a result.
     pub fn new(share: f64) -> Sampler {
         let share = if share.is_finite() {
             share.clamp(0.0, 1.0)
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Whether the next message is to be checked.
+    /// Returns whether the next message is selected.
     pub fn sample(&mut self) -> bool {
         self.credit += self.share;
         let is_selected = self.credit >= 1.0 - ROUNDING_TOLERANCE;
@@ -56,19 +57,20 @@
     }
 }
 
-/// Bounds the messages that wait to be checked. A message beyond the bound is counted and not checked, never waited for.
+/// Bounds the messages that wait to be checked. A message beyond the bound is counted and not checked; the sender never
+/// waits for capacity.
 #[derive(Clone, Debug)]
 pub struct BacklogLimit {
     messages: usize,
     bytes: usize,
     max_messages: usize,
     max_bytes: usize,
-    /// Messages beyond the bound.
+    /// The number of messages that were not checked because the bound was reached.
     pub rejected: u64,
 }
 
 impl BacklogLimit {
-    /// At most `max_messages` messages, with `max_bytes` bytes in total.
+    /// Creates a limit of `max_messages` messages with `max_bytes` bytes in total.
     pub fn new(max_messages: usize, max_bytes: usize) -> BacklogLimit {
         BacklogLimit {
             messages: 0,
@@ -97,22 +99,22 @@
     }
 }
 
-/// What is done with a client's request.
+/// The decision on a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestDecision {
-    /// It is served.
+    /// The request is served.
     Serve,
-    /// It is answered with status 400 and this reason, and no attempt is made.
+    /// The request is answered with status 400 and this reason, and no attempt is made.
     Reject(Rejection),
 }
 
-/// Why a request is rejected.
+/// The reason for which a request is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{}: wanted {}, found {}{}", first.place, first.expected, first.found, count_more(*more))]
 pub struct Rejection {
     /// The first violation.
     pub first: Violation,
-    /// How many more there are.
+    /// The number of further violations.
     pub more: usize,
 }
 
@@ -123,8 +125,9 @@
     }
 }
 
-/// Decides whether a request is served. One whose path or method is not described is left to the front, which has its
-/// own responses for those: a description may cover only a part of an interface, such as all but its health page.
+/// Decides whether a request is served. A request whose path or method is not described is left to the front, which has
+/// its own responses for that case: a description may cover only a part of an interface, such as all but its health
+/// page.
 pub fn decide_request(mode: Mode, violations: &[Violation]) -> RequestDecision {
     match violations.first() {
         Some(first) if mode == Mode::Enforce && first.kind != ViolationKind::Unknown => {
@@ -137,16 +140,17 @@
     }
 }
 
-/// Whether a server's response may be used. Under `enforce`, one with a violation is a failed attempt that may have
-/// been executed: a server that violates its description isn't trusted when it claims not to have started, either.
+/// Returns whether a server's response may be used. Under `enforce`, a response with a violation is a failed attempt
+/// that may have been executed: a server that violates its description is not trusted either when it reports that it
+/// did not start the request.
 pub fn is_response_usable(mode: Mode, violations: &[Violation]) -> bool {
     mode != Mode::Enforce || violations.is_empty()
 }
 
-/// The description that an interface's traffic is checked against.
+/// The description that an interface's traffic is checked against, with the settings of the check.
 #[derive(Clone, Debug)]
 pub struct InterfaceContract {
-    /// How it is checked.
+    /// The way in which the traffic is checked.
     pub mode: Mode,
     /// The share of messages that is checked under `observe`, from 0 to 1.
     pub share: f64,
@@ -154,29 +158,29 @@
     pub description: Arc<Description>,
 }
 
-/// Why an interface's description can't be used.
+/// The error of an interface whose description cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The description is faulty.
     #[error("{0}")]
     Faulty(Faults),
     /// The description has another format than the interface needs.
-    #[error("{path}: this interface is described in {expected:?}, not in {found:?}")]
+    #[error("{path}: expected an {expected:?} description for this interface, found {found:?}")]
     WrongFormat {
-        /// The description's file.
+        /// The file of the description.
         path: String,
-        /// The format of the interface.
+        /// The format that the interface requires.
         expected: DescriptionFormat,
-        /// The description's format.
+        /// The format of the description that was read.
         found: DescriptionFormat,
     },
 }
 
-/// Descriptions that can't be used; the ones that were loaded with them are not put into force either.
+/// Descriptions that cannot be used. The descriptions that were loaded with them are not put into force either.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", join_lines(faulty))]
 pub struct FaultyContracts {
-    /// The interfaces, each with what is wrong.
+    /// The interfaces with faulty descriptions, each with its error.
     pub faulty: Vec<(Interface, LoadError)>,
 }
 
@@ -188,36 +192,36 @@
     lines.join("\n")
 }
 
-/// All descriptions in force at one time. A request keeps those that were in force when it arrived.
+/// All descriptions in force at one time. A request uses the descriptions that were in force when it arrived.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveContracts {
-    /// Incremented with each change.
+    /// The number of changes so far; incremented with each reload that takes effect.
     pub generation: u64,
     by_interface: BTreeMap<Interface, InterfaceContract>,
 }
 
 impl ActiveContracts {
-    /// The contract of an interface; `None` if checks are off.
+    /// Returns the contract of an interface; `None` if its checks are off.
     pub fn get(&self, interface: Interface) -> Option<&InterfaceContract> {
         self.by_interface.get(&interface)
     }
 
-    /// Whether checks are off for all interfaces.
+    /// Returns whether checks are off for all interfaces.
     pub fn is_off(&self) -> bool {
         self.by_interface.is_empty()
     }
 
-    /// The contracts of all interfaces whose checks are on.
+    /// Returns the contracts of all interfaces whose checks are on.
     pub fn all(&self) -> impl Iterator<Item = (Interface, &InterfaceContract)> {
         self.by_interface
             .iter()
             .map(|(interface, contract)| (*interface, contract))
     }
 
-    /// The contracts in force after a reload, and the interfaces whose description changed.
+    /// Returns the contracts in force after a reload, and the interfaces whose description changed.
     ///
     /// If one of the loaded contracts is faulty, none is put into force. An interface whose description is unchanged
-    /// keeps the very same one, so that its drift counts stay valid.
+    /// keeps the previous `Arc`, so that its drift counts stay valid.
     pub fn replaced_by(
         &self,
         loaded: Vec<(Interface, Result<InterfaceContract, LoadError>)>,
@@ -236,7 +240,7 @@
         Ok((next, changed))
     }
 
-    /// The contract with the description in force, if that is the same text.
+    /// Replaces the contract's description by the one in force if both have the same fingerprint.
     fn with_known_description(
         &self,
         interface: Interface,
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,9 +1,9 @@
-//! Descriptions of interfaces, in OpenAPI and AsyncAPI: reading with all faults reported, checking of traffic,
-//! publishing from a configuration, and comparison.
+//! Descriptions of interfaces in OpenAPI and AsyncAPI: reads them and reports all faults, checks traffic against them,
+//! publishes them from a configuration, and compares them.
 //!
 //! A description is read once ([`model::Description`]) and then checks messages without I/O ([`conformance`]).
-//! [`enforcement`] decides what is done about a violation; [`drift`] records where and since when an interface differs
-//! from its description.
+//! [`enforcement`] decides how a violation is handled; [`drift`] records where and since when an interface violates
+//! its description.
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
--- a/crates/contract/src/publish.rs
+++ b/crates/contract/src/publish.rs
@@ -1,5 +1,4 @@
-//! Builds the coordinator's own descriptions from what is in force: which fronts are on, the classes, the indices and
-//! the limits.
+//! Builds the coordinator's own descriptions from the configuration in force: the fronts, classes, indices and limits.
 
 mod asyncapi;
 mod elements;
@@ -10,18 +9,18 @@
 pub use asyncapi::asyncapi;
 pub use openapi::openapi;
 
-/// What an instance offers to clients and uses of servers.
+/// The interfaces that an instance offers to clients and uses of servers.
 #[derive(Clone, Debug)]
 pub struct InterfaceSpec {
     /// The program's version.
     pub version: String,
-    /// The address of the platform's front.
+    /// The listen address of the platform front.
     pub platform_listen: String,
-    /// The address of the query front; `None` where it is off.
+    /// The listen address of the query front; `None` if the front is off.
     pub query_listen: Option<String>,
-    /// The classes of query.
+    /// The query classes.
     pub classes: Vec<Class>,
-    /// How many shards there are, numbered from 0.
+    /// The number of shards, which are numbered from 0.
     pub shard_count: u32,
     /// The query front's indices.
     pub indices: Vec<Index>,
@@ -33,31 +32,31 @@
     pub limits: Limits,
 }
 
-/// A class of query.
+/// A query class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// The time in which an answer is wanted, in seconds.
+    /// The latency objective, in seconds.
     pub latency_objective_seconds: f64,
-    /// The time after which a query is given up, in seconds.
+    /// The deadline after which a query is cancelled, in seconds.
     pub deadline_seconds: f64,
-    /// Whether a part may run twice.
+    /// Whether a part may be executed more than once.
     pub is_idempotent: bool,
-    /// The least share of the parts' weight, from 0 to 1, that a partial answer may be given from.
+    /// The minimum share of the parts' weight that a partial answer needs, from 0 to 1.
     pub minimum_share: f64,
 }
 
 /// An index: a class over a range of shards.
 #[derive(Clone, Debug)]
 pub struct Index {
-    /// Its name.
+    /// The name of the index.
     pub name: String,
-    /// Its class's name.
+    /// The name of the index's class.
     pub class: String,
     /// The first shard of the range.
     pub first_shard: u32,
-    /// The last shard of the range, which belongs to it.
+    /// The last shard of the range, inclusive.
     pub last_shard: u32,
 }
 
@@ -68,12 +67,12 @@
     pub max_body_bytes: usize,
     /// The largest head, in bytes.
     pub max_head_bytes: usize,
-    /// The most header fields of a head.
+    /// The largest number of header fields in a head.
     pub max_head_fields: usize,
-    /// How long a request may take to arrive, in seconds.
+    /// The time limit for reading a request, in seconds.
     pub read_timeout_seconds: f64,
-    /// The most hits that `from` and `size` may span.
+    /// The largest sum of `from` and `size`.
     pub max_result_window: usize,
-    /// The most searches of one `_msearch`.
+    /// The largest number of searches in one `_msearch`.
     pub max_searches: usize,
 }
--- a/crates/contract/src/publish/asyncapi.rs
+++ b/crates/contract/src/publish/asyncapi.rs
@@ -44,7 +44,7 @@
         "messages": messages.iter().map(message_reference).collect::<Vec<_>>()})
 }
 
-/// The channel of frames. A message's headers are the fields of its line, its payload is what follows.
+/// The channel of frames. The headers of a message are the fields of its first line; the payload is the rest.
 fn frames_channel(spec: &InterfaceSpec) -> Value {
     json!({
         "address": null,
--- a/crates/contract/src/publish/elements.rs
+++ b/crates/contract/src/publish/elements.rs
@@ -1,4 +1,4 @@
-//! Elements that the OpenAPI description uses in several places.
+//! Builds elements that the OpenAPI description uses in several places.
 
 use super::Limits;
 use serde_json::{json, Map, Value};
@@ -8,12 +8,12 @@
 /// The pattern of a time in the query API: a number with its unit, or -1 for none.
 pub(super) const TIME_PATTERN: &str = "^(-1|[0-9]+(nanos|micros|ms|s|m|h|d))$";
 
-/// The form of a Retry-After header.
+/// The format of a `Retry-After` header.
 #[derive(Clone, Copy)]
 pub(super) enum RetryAfter {
     /// Whole seconds.
     Whole,
-    /// Seconds, whole or decimal.
+    /// Seconds, with an optional fraction.
     Decimal,
 }
 
@@ -34,7 +34,7 @@
     json!({"description": description, "content": content(JSON, reference(schema))})
 }
 
-/// Adds a Retry-After header to a response.
+/// Adds a `Retry-After` header to a response.
 pub(super) fn with_retry_after(mut response: Value, form: RetryAfter, required: bool) -> Value {
     let (pattern, description) = match form {
         RetryAfter::Whole => ("^[0-9]+$", "Whole seconds after which to come back."),
@@ -73,7 +73,7 @@
     json!({"type": "integer", "minimum": 0, "maximum": limits.max_result_window})
 }
 
-/// The responses that any request of a front may get before it is understood, and the rejections under load, by
+/// Returns the responses that a front may send before it has parsed a request, and the rejections under load, by
 /// status. `error_schema` is the schema of the front's errors.
 pub(super) fn common_responses(
     limits: &Limits,
--- a/crates/contract/src/publish/query_api.rs
+++ b/crates/contract/src/publish/query_api.rs
@@ -7,7 +7,7 @@
 use super::{Index, InterfaceSpec};
 use serde_json::{json, Map, Value};
 
-/// Returns the query front's paths with what is described of each.
+/// Returns the paths of the query front with their descriptions.
 pub(super) fn query_paths(spec: &InterfaceSpec) -> Vec<(&'static str, Value)> {
     vec![
         ("/{index}/_search", search_path(spec)),
@@ -65,12 +65,12 @@
     )
 }
 
-/// The schema of a description: its version stands under `version_key`.
+/// Returns the schema of a description whose format's version is the value of `version_key`.
 fn document_schema(version_key: &str) -> Value {
     json!({"type": "object", "required": [version_key, "info"]})
 }
 
-/// A path that only answers GET with 200.
+/// Returns a path that only answers GET, with status 200.
 fn page(operation_id: &str, summary: &str, description: &str, schema: Value) -> Value {
     json!({"get": {
         "operationId": operation_id,
--- a/crates/contract/src/publish/schemas.rs
+++ b/crates/contract/src/publish/schemas.rs
@@ -4,7 +4,7 @@
 use super::InterfaceSpec;
 use serde_json::{json, Value};
 
-/// Returns all schemas by name: those of the query API only where its front is on.
+/// Returns all schemas by name. Those of the query API are included only if its front is on.
 pub(super) fn schemas(spec: &InterfaceSpec) -> Value {
     let mut schemas = platform_schemas(spec);
     if spec.query_listen.is_none() {
--- a/crates/contract/src/replay.rs
+++ b/crates/contract/src/replay.rs
@@ -41,15 +41,15 @@
     fields: BTreeMap<String, String>,
     #[serde(default)]
     body: Value,
-    #[serde(rename = "whole", default = "yes")]
+    #[serde(rename = "whole", default = "default_complete")]
     complete: bool,
 }
 
-fn yes() -> bool {
+fn default_complete() -> bool {
     true
 }
 
-/// Which message of a line is meant.
+/// The message of a recorded line that a result refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MessageSide {
@@ -75,24 +75,24 @@
 /// A violation with the line that it was found in.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ViolationAtLine {
-    /// Number of the line, from 1.
+    /// The number of the line, from 1.
     pub line: usize,
-    /// Name of the operation or message; if it is not described, the method and target, or the channel and message.
+    /// The name of the operation or message; if it is not described, the method and target, or the channel and message.
     pub operation: String,
-    /// The message of the line.
+    /// The message of the line that violates the description.
     pub side: MessageSide,
     /// The violation.
     #[serde(flatten)]
     pub violation: Violation,
 }
 
-/// A line that can't be used. Serialized as a pair.
+/// A line that cannot be parsed. Serialized as a pair of line number and cause.
 #[derive(Clone, Debug, Serialize)]
 #[serde(into = "(usize, String)")]
 pub struct UnreadableLine {
-    /// Number of the line, from 1.
+    /// The number of the line, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The error of the line.
     pub cause: String,
 }
 
@@ -102,10 +102,10 @@
     }
 }
 
-/// What the violations of a recording are counted by.
+/// The key by which the violations of a recording are counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ViolationGroup {
-    /// See [`ViolationAtLine::operation`].
+    /// The operation; see [`ViolationAtLine::operation`].
     pub operation: String,
     /// The side, and the place in the message.
     pub place: String,
@@ -116,12 +116,12 @@
 /// The result of checking a recording.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ReplayReport {
-    /// Messages checked; a request and its response are two.
+    /// The number of messages checked; a request and its response are two messages.
     pub messages: usize,
-    /// The violations, by line.
+    /// The violations, ordered by line.
     #[serde(rename = "departures")]
     pub violations: Vec<ViolationAtLine>,
-    /// Lines that can't be used.
+    /// The lines that cannot be parsed.
     pub unreadable: Vec<UnreadableLine>,
 }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    /// How many violations there are of each operation, place and kind.
+    /// Returns the number of violations by operation, place and kind.
     pub fn violation_counts(&self) -> BTreeMap<ViolationGroup, usize> {
         let mut counts = BTreeMap::new();
         for found in &self.violations {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Why a line can't be used.
+/// The error of a line that cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 enum LineError {
     #[error("the line has {bytes} bytes: {MAX_LINE} at most")]
@@ -225,7 +225,7 @@
         None => format!("{method} {target}"),
     };
     report.add(number, &operation, MessageSide::Request, checked.violations);
-    if let (Some(operation_number), Some(answer)) = (checked.operation_index, line.answer) {
+    if let (Some(operation_index), Some(answer)) = (checked.operation_index, line.answer) {
         let fields: Vec<_> = answer.fields.into_iter().collect();
         let response = ObservedResponse {
             status: answer.status,
@@ -233,7 +233,7 @@
             body: &body_bytes(&answer.body),
             complete: answer.complete,
         };
-        let checked = description.check_response(operation_number, &response);
+        let checked = description.check_response(operation_index, &response);
         report.add(
             number,
             &operation,
@@ -250,21 +250,21 @@
     line: RecordedLine,
     report: &mut ReplayReport,
 ) -> Result<(), LineError> {
-    let (Some(channel), Some(word)) = (line.channel, line.message) else {
+    let (Some(channel), Some(name)) = (line.channel, line.message) else {
         return Err(LineError::NoMessage);
     };
     let headers = Value::Object(line.headers);
     let payload = body_bytes(&line.payload);
-    let checked = description.check_message(&channel, &word, &headers, &payload);
+    let checked = description.check_message(&channel, &name, &headers, &payload);
     let operation = match checked.operation {
-        Some(name) => name.to_string(),
-        None => format!("{channel} {word}"),
+        Some(operation) => operation.to_string(),
+        None => format!("{channel} {name}"),
     };
     report.add(number, &operation, MessageSide::Message, checked.violations);
     Ok(())
 }
 
-/// The bytes of a recorded body: those of a string, or the JSON text of any other value.
+/// Returns the bytes of a recorded body: those of a string, or the JSON text of any other value.
 fn body_bytes(value: &Value) -> Vec<u8> {
     match value {
         Value::Null => Vec::new(),
--- a/crates/contract/tests/compare.rs
+++ b/crates/contract/tests/compare.rs
@@ -1,4 +1,4 @@
-//! Differences between two descriptions, and whom they break.
+//! Tests the changes found between two descriptions, and their impact on requests and responses.
 
 use cairnroad_contract::diff::{diff, ChangeImpact};
 use cairnroad_contract::model::Description;
@@ -43,13 +43,13 @@
         .collect()
 }
 
-/// All changes that one edit of the old text makes.
+/// Returns all changes that result from one edit of the old text.
 fn edited(from: &str, to: &str) -> Vec<String> {
     assert!(OLD.contains(from), "{from}");
     changes(OLD, &OLD.replacen(from, to, 1))
 }
 
-/// The same edit breaks one side and not the other: requests may widen, responses may narrow.
+/// The same edit breaks one direction and not the other: requests may be widened, responses may be narrowed.
 #[test]
 fn a_shared_schema_breaks_the_side_that_relies_on_it() {
     let get = "GET /stock/{sku}, answer 200";
@@ -214,7 +214,7 @@
     );
 }
 
-/// Guards against a rearrangement that is reported as a change although the meaning is the same.
+/// Guards against reporting a rearrangement as a change although the meaning is the same.
 #[test]
 fn a_rearrangement_is_no_change() {
     let flat = OLD.replace(
@@ -275,7 +275,7 @@
     )
     .unwrap();
     assert_eq!(
-        (breaking[0].impact, breaking[0].what.as_str()),
+        (breaking[0].impact, breaking[0].text.as_str()),
         (ChangeImpact::Breaking, "it goes the other way")
     );
 }
--- a/crates/contract/tests/corpus.rs
+++ b/crates/contract/tests/corpus.rs
@@ -1,5 +1,5 @@
-//! The corpus: valid descriptions, each with traffic that is replayed over loopback, and broken ones, each with the
-//! exact text of its faults.
+//! Tests the corpus: valid descriptions with traffic that is replayed over loopback, and broken descriptions with the
+//! exact text of their faults.
 
 use cairnroad_contract::conformance::{
     ObservedRequest, ObservedResponse, Violation, ViolationKind,
@@ -28,7 +28,7 @@
     all
 }
 
-/// Guards against a fault that is not reported, is reported elsewhere, or in a text that doesn't say what to do.
+/// Guards against a fault that is not reported, is reported at the wrong position, or has an unhelpful text.
 #[test]
 fn each_broken_description_reports_exactly_its_faults() {
     let all = files("broken");
@@ -48,7 +48,7 @@
 
 type Fields = Vec<(String, String)>;
 
-/// A message as it came off the wire: its first line, its fields, its body, and whether that is whole.
+/// Reads a message from the wire: its first line, its header fields, its body, and whether the body is complete.
 fn read(stream: &mut impl BufRead) -> Option<(String, Fields, Vec<u8>, bool)> {
     let mut first = String::new();
     stream
@@ -96,7 +96,7 @@
     let asked = read(&mut reader).unwrap();
     let answer = &row["answer"];
     let body = text(&answer["body"]);
-    // One that ends early promises more than it sends.
+    // A response that ends early declares a longer body than it sends.
     let cut = if answer["whole"] == json!(false) {
         10
     } else {
@@ -116,7 +116,7 @@
     asked
 }
 
-/// One exchange over loopback, checked by what was received at either end.
+/// Runs one exchange over loopback and checks the request and response as received at each end.
 fn exchange(description: &Description, row: &Value) -> Vec<Violation> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -149,7 +149,7 @@
     violations
 }
 
-/// One message over loopback: a line of head fields, then the payload.
+/// Sends one message over loopback as a line of header fields and the payload, and checks what was received.
 fn message(description: &Description, row: &Value) -> Vec<Violation> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut sender = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -175,7 +175,7 @@
         .violations
 }
 
-/// Guards against valid traffic that is reported, and invalid traffic that is not or at another place.
+/// Guards against reporting valid traffic, and against missing invalid traffic or reporting it at the wrong place.
 #[test]
 fn traffic_over_loopback_violates_exactly_what_it_should() {
     let (mut right, mut wrong) = (0, 0);
@@ -209,7 +209,7 @@
                     !departure.expected.is_empty() && !departure.found.is_empty(),
                     "{departure:?}"
                 );
-                // A place in the description is one that can be looked up.
+                // The reported location must exist in the description.
                 let known =
                     departure.kind == ViolationKind::Unknown || departure.described.contains('#');
                 assert!(known, "{name}: {departure:?}");
--- a/crates/contract/tests/damage.rs
+++ b/crates/contract/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Damaged and hostile descriptions and messages, generated from fixed seeds: no panic, and no more time or memory than
-//! the bounds allow.
+//! Tests damaged and hostile descriptions and messages, generated from fixed seeds. None may cause a panic or take more
+//! time or memory than the bounds allow.
 
 use cairnroad_contract::conformance::{ObservedRequest, ObservedResponse};
 use cairnroad_contract::model::Description;
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Far more than any case takes on a slow machine, and far less than an unbounded one would.
+/// Far more time than any case takes on a slow machine, and far less than a case without bounds would take.
 const TIME_LIMIT: Duration = Duration::from_secs(20);
 
 fn corpus() -> Vec<(String, String)> {
@@ -35,7 +35,7 @@
     usize::arbitrary(gen) % bound.max(1)
 }
 
-/// A text with some words, lines or characters removed, duplicated, swapped or replaced.
+/// Returns the text with some words, lines or characters removed, duplicated, swapped or replaced.
 fn damage(gen: &mut Gen, text: &str) -> String {
     let mut lines: Vec<String> = text.lines().map(str::to_string).collect();
     for _ in 0..1 + below(gen, 4) {
@@ -125,7 +125,7 @@
     );
 }
 
-/// Any JSON value of a few members.
+/// Generates a JSON value with a few members.
 fn value(gen: &mut Gen, depth: usize) -> Value {
     let names = [
         "sku", "count", "note", "price", "lines", "pin", "paid", "card", "name", "children",
@@ -215,7 +215,7 @@
     assert!(violations > 4_000, "{violations}");
 }
 
-/// Descriptions made to be expensive: each must be rejected, or loaded, within the time limit.
+/// Descriptions that are built to be expensive must be rejected or loaded within the time limit.
 #[test]
 fn hostile_descriptions_cost_a_bounded_time() {
     let head =
--- a/crates/coordinator/src/contract/background_check.rs
+++ b/crates/coordinator/src/contract/background_check.rs
@@ -1,6 +1,5 @@
-//! Checks sampled messages on a thread of its own, fed through a bounded backlog that the core's thread never waits for.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Checks sampled messages on a separate thread. Messages arrive through a bounded backlog, and the core thread never
+//! waits for its capacity.
 
 use super::drift_log;
 use super::lock;
@@ -13,24 +12,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Messages that may wait for their check. At a share of 1 this is about a tenth of a second of a busy instance; a
-/// thread that is further behind would not catch up with a longer backlog.
+/// The largest number of messages in the backlog. At a share of 1 this is about 0.1 s of a busy instance's traffic; a
+/// thread that is further behind would not catch up with a longer backlog either.
 const MAX_BACKLOG_MESSAGES: usize = 512;
-/// Bytes that may wait for their check.
+/// The largest size of the messages in the backlog, in bytes.
 const MAX_BACKLOG_BYTES: usize = 2 * 1024 * 1024;
-/// How often the thread empties the backlog. Waking it for each message would cost the core's thread more than the
-/// message does.
+/// The interval at which the thread empties the backlog. Waking the thread for each message would cost the core thread
+/// more than handling the message.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A sampled message with the contract that was in force for it.
 pub(super) struct SampledMessage {
     pub(super) contract: InterfaceContract,
     pub(super) interface: Interface,
-    /// Who sent the message: a server's id, or a name for the clients or the coordinator.
+    /// The sender: a server's id, or the name for all clients or for the coordinator.
     pub(super) party: Arc<str>,
-    /// When the message was seen, in seconds on the coordinator's clock.
+    /// The time at which the message was seen, in seconds on the coordinator's clock.
     pub(super) seen_at: Seconds,
-    /// What the message counts in the backlog, in bytes.
+    /// The size that the message counts for in the backlog, in bytes.
     pub(super) size: usize,
     pub(super) content: SampledContent,
 }
@@ -54,7 +53,7 @@
     pub(super) method: String,
     pub(super) target: String,
     pub(super) fields: HttpFields,
-    /// Empty where the request has been checked.
+    /// The body; empty if the request was already checked.
     pub(super) body: Vec<u8>,
     /// Whether the request was checked in place, before it was served.
     pub(super) already_checked: bool,
@@ -65,7 +64,7 @@
     pub(super) status: u16,
     pub(super) fields: HttpFields,
     pub(super) body: Vec<u8>,
-    /// Whether the body arrived to its end.
+    /// Whether the whole body was received.
     pub(super) complete: bool,
 }
 
@@ -86,7 +85,7 @@
 }
 
 impl Backlog {
-    /// An empty backlog.
+    /// Creates an empty backlog.
     pub(super) fn new() -> Backlog {
         Backlog {
             messages: Vec::new(),
@@ -94,19 +93,19 @@
         }
     }
 
-    /// Adds a message; without capacity it is dropped and counted.
+    /// Adds a message. A message that exceeds the capacity is dropped and counted.
     pub(super) fn push(&mut self, message: SampledMessage) {
         if self.limit.try_reserve(message.size) {
             self.messages.push(message);
         }
     }
 
-    /// How many messages found no capacity since the start.
+    /// Returns the number of messages dropped for lack of capacity since the start.
     pub(super) fn rejected(&self) -> u64 {
         self.limit.rejected
     }
 
-    /// Takes all waiting messages and frees their capacity.
+    /// Removes and returns all waiting messages and frees their capacity.
     fn take(&mut self) -> Vec<SampledMessage> {
         let messages = std::mem::take(&mut self.messages);
         for message in &messages {
@@ -116,7 +115,7 @@
     }
 }
 
-/// Starts the thread that checks the backlog's messages for as long as the program runs.
+/// Starts the thread that checks the messages of the backlog until the process exits.
 pub(super) fn spawn(
     backlog: Arc<Mutex<Backlog>>,
     drift: Arc<Mutex<DriftTracker>>,
@@ -164,7 +163,7 @@
     }
 }
 
-/// Checks the request, unless that was done in place, and the response if the operation is described.
+/// Checks the request, unless it was checked in place, and the response if the operation is described.
 fn check_exchange(contract: &InterfaceContract, exchange: &SampledExchange, recorder: &Recorder) {
     let description = &contract.description;
     let SampledExchange { request, response } = exchange;
--- a/crates/coordinator/src/contract/client_traffic.rs
+++ b/crates/coordinator/src/contract/client_traffic.rs
@@ -1,7 +1,5 @@
 //! Checks clients' requests and samples them with their responses.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 use super::background_check::{
     SampledContent, SampledExchange, SampledHttpRequest, SampledMessage, SampledResponse,
 };
@@ -24,10 +22,10 @@
 impl Contracts {
     /// Checks a client's request before it is served, under `enforce`, and samples it.
     ///
-    /// Returns the request if it was sampled; its response then goes to [`Contracts::on_response`].
+    /// Returns the request if it was sampled; the caller then passes the response to [`Contracts::on_response`].
     ///
     /// # Errors
-    /// The violation for which the request must not be served.
+    /// The rejection, if the request has a violation for which it must not be served.
     pub fn check_request(
         &self,
         in_force: &ActiveContracts,
@@ -84,7 +82,7 @@
         }
     }
 
-    /// Queues a sampled request with its response for the check.
+    /// Queues a sampled request with its response for the background check.
     pub fn on_response(
         &self,
         sampled: SampledRequest,
--- a/crates/coordinator/src/contract/drift_log.rs
+++ b/crates/coordinator/src/contract/drift_log.rs
@@ -1,14 +1,12 @@
-//! Records checked messages in the drift tracker and logs what is new.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Records checked messages in the drift tracker and logs new violations.
 
 use cairnroad_contract::drift::{DriftTracker, Observation};
 use cairnroad_types::Seconds;
 
-/// Old entries of the tracker are removed once in so many messages.
+/// The number of messages after which old entries of the tracker are removed.
 const MESSAGES_PER_EXPIRY: u64 = 4096;
 
-/// Records a message seen at `now`; violations are logged where they add an entry to the tracker.
+/// Records a message seen at `now`. Its violations are logged if the message adds an entry, or a party of an entry.
 pub(super) fn record(drift: &mut DriftTracker, now: Seconds, observation: &Observation) {
     if drift.messages.is_multiple_of(MESSAGES_PER_EXPIRY) {
         drift.expire(now);
--- a/crates/coordinator/src/contract/loading.rs
+++ b/crates/coordinator/src/contract/loading.rs
@@ -1,7 +1,5 @@
 //! Reads the descriptions that a configuration names.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 use crate::configuration::{BackendKind, ContractSettings};
 use cairnroad_contract::drift::Interface;
 use cairnroad_contract::enforcement::{FaultyContracts, InterfaceContract, LoadError};
@@ -11,20 +9,20 @@
 /// The result of reading one interface's description.
 pub type LoadedContract = (Interface, Result<InterfaceContract, LoadError>);
 
-/// Why descriptions that were read don't come into force.
+/// The error of descriptions that were read but cannot be put into force.
 #[derive(Debug, thiserror::Error)]
 pub enum AdoptError {
-    /// One of them can't be used.
+    /// At least one of the descriptions cannot be used.
     #[error(transparent)]
     Faulty(#[from] FaultyContracts),
-    /// The thread that checks sampled messages can't be started.
-    #[error("the thread that checks messages can't be started: {0}")]
+    /// The thread that checks sampled messages cannot be started.
+    #[error("cannot start the thread that checks messages: {0}")]
     Thread(#[source] std::io::Error),
 }
 
 /// Reads the descriptions of all configured interfaces.
 ///
-/// This reads files and takes time, so it must not run on the core's thread.
+/// This function blocks on file I/O, so it must not run on the core thread.
 pub fn read(
     configured: &[(Interface, ContractSettings)],
     backend: BackendKind,
@@ -41,7 +39,7 @@
     backend: BackendKind,
 ) -> Result<InterfaceContract, LoadError> {
     let description = Description::open(&settings.path).map_err(LoadError::Faulty)?;
-    let expected = expected_kind(interface, backend);
+    let expected = expected_format(interface, backend);
     if description.format != expected {
         return Err(LoadError::WrongFormat {
             path: settings.path.display().to_string(),
@@ -56,8 +54,9 @@
     })
 }
 
-/// The format that describes an interface: OpenAPI for HTTP requests, AsyncAPI for frames and the watch.
-fn expected_kind(interface: Interface, backend: BackendKind) -> DescriptionFormat {
+/// Returns the format that an interface must be described in: OpenAPI for HTTP requests, AsyncAPI for frames and the
+/// discovery watch.
+fn expected_format(interface: Interface, backend: BackendKind) -> DescriptionFormat {
     match (interface, backend) {
         (Interface::Platform | Interface::Query, _)
         | (Interface::Servers, BackendKind::OpenSearch) => DescriptionFormat::OpenApi,
--- a/crates/coordinator/src/contract/mod.rs
+++ b/crates/coordinator/src/contract/mod.rs
@@ -1,10 +1,8 @@
 //! Checks traffic against the contracts (interface descriptions) in force.
 //!
-//! The decisions are made in `cairnroad_contract`; this module feeds messages to them. Under `observe` a message is
-//! handed to a thread of its own ([`background_check`]) through a bounded backlog that is never waited for; under
-//! `enforce` it is checked in place, before anything is done with it.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! `cairnroad_contract` makes the decisions; this module passes messages to it. Under `observe` a message is handed to a
+//! separate thread ([`background_check`]) through a bounded backlog, and the sender never waits for capacity. Under
+//! `enforce` a message is checked in place, before it is used.
 
 mod background_check;
 mod client_traffic;
@@ -31,16 +29,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Stands for the operation of a message that no operation describes.
+/// The operation that is recorded for a message that no operation describes.
 const UNKNOWN_OPERATION: &str = "(not described)";
 
-/// The fields of an HTTP head, as names and values in their order.
+/// The header fields of an HTTP message: names and values in their order.
 type HttpFields = Vec<(String, String)>;
 
-/// Makes the header fields of a message, as an object, from its line.
+/// Parses the first line of a message into an object of header fields.
 pub type HeaderParser = fn(&str) -> Value;
 
-/// The contracts in force, the checks of traffic against them, and what the checks found.
+/// The contracts in force, the checks of traffic against them, and the violations found.
 pub struct Contracts {
     clock: Clock,
     in_force: RefCell<ContractsInForce>,
@@ -48,7 +46,7 @@
     drift: Arc<Mutex<DriftTracker>>,
     backlog: Arc<Mutex<Backlog>>,
     background_check_started: Cell<bool>,
-    /// When each server known from discovery became ready, where that is known.
+    /// The servers known from discovery, with the time at which each became ready if that is known.
     server_ready_times: RefCell<BTreeMap<Arc<str>, Option<Seconds>>>,
     client_party: Arc<str>,
     coordinator_party: Arc<str>,
@@ -57,7 +55,7 @@
 }
 
 impl Contracts {
-    /// Creates the checks with no contract in force.
+    /// Creates the checks without a contract in force.
     pub fn new(clock: Clock, published: PublishedDescriptions) -> Contracts {
         Contracts {
             clock,
@@ -77,8 +75,8 @@
     /// Puts the loaded contracts into force, all or none.
     ///
     /// # Errors
-    /// A description is faulty, or the thread of the background check can't be started. The contracts that were in
-    /// force stay.
+    /// A description is faulty, or the thread of the background check cannot be started. The previous contracts stay in
+    /// force.
     pub fn adopt(&self, loaded: Vec<LoadedContract>) -> Result<(), AdoptError> {
         let previous = self.in_force.borrow().clone().unwrap_or_default();
         let (next, changed) = previous.replaced_by(loaded)?;
@@ -88,7 +86,7 @@
         if !next.is_off() {
             self.start_background_check()?;
         }
-        // `None` without a contract, so that requests carry nothing and are not checked at all.
+        // `None` without a contract, so that requests carry no contracts and skip all checks.
         let in_force = (!next.is_off()).then(|| Arc::new(next));
         self.in_force.replace(in_force);
         self.update_known_servers();
@@ -111,7 +109,7 @@
         self.samplers.replace(samplers);
     }
 
-    /// Starts the thread of the background check, unless it runs.
+    /// Starts the thread of the background check, unless the thread is already running.
     fn start_background_check(&self) -> Result<(), AdoptError> {
         if self.background_check_started.get() {
             return Ok(());
@@ -122,15 +120,15 @@
         Ok(())
     }
 
-    /// The contracts in force for a request that arrives now; `None` without any.
+    /// Returns the contracts in force for a request that arrives now; `None` if there are none.
     pub fn current(&self) -> ContractsInForce {
         self.in_force.borrow().clone()
     }
 
-    /// Follows an update of the endpoint list, so that a violation can be related to the servers that are known and
-    /// to when they became ready.
+    /// Applies an update of the endpoint list, so that a violation can be related to the known servers and the times at
+    /// which they became ready.
     ///
-    /// `complete` says that `endpoints` is the complete list; an empty one removes nothing.
+    /// `complete` states that `endpoints` is the complete list. An empty list removes nothing.
     pub fn on_endpoint_update(&self, endpoints: &[EndpointEntry], complete: bool) {
         let mut servers = self.server_ready_times.borrow_mut();
         if complete && !endpoints.is_empty() {
@@ -169,7 +167,7 @@
         seconds(self.clock.now())
     }
 
-    /// Whether the next message of an interface is to be checked.
+    /// Returns whether the next message of an interface is to be checked.
     fn is_sampled(&self, interface: Interface) -> bool {
         self.samplers
             .borrow_mut()
@@ -177,7 +175,7 @@
             .is_some_and(Sampler::sample)
     }
 
-    /// Hands a message to the background check.
+    /// Queues a message for the background check.
     fn queue(&self, message: SampledMessage) {
         lock(&self.backlog).push(message);
     }
@@ -214,12 +212,13 @@
     }
 }
 
-/// A time on the coordinator's clock, in microseconds, as seconds.
+/// Converts a time on the coordinator's clock from microseconds to seconds.
 fn seconds(time: Time) -> Seconds {
     time.0 as f64 / 1e6
 }
 
-/// Locks a mutex, also after its holder panicked: each change of the content is one call, so it is never half done.
+/// Locks a mutex, even after a holder has panicked. Each change of the content is a single call, so a panic never leaves
+/// the content partly changed.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/coordinator/src/contract/pages.rs
+++ b/crates/coordinator/src/contract/pages.rs
@@ -1,6 +1,4 @@
-//! The pages of the query front about descriptions: the coordinator's own, and the drift report.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! The pages of the query front about descriptions: the coordinator's own descriptions, and the drift report.
 
 use super::{lock, Contracts};
 use cairnroad_contract::drift::Interface;
@@ -10,19 +8,19 @@
 /// The coordinator's own descriptions, as JSON text.
 #[derive(Default)]
 pub struct PublishedDescriptions {
-    /// The HTTP interfaces.
+    /// The OpenAPI description of the HTTP interfaces.
     pub openapi: Vec<u8>,
-    /// The protocols to servers and discovery.
+    /// The AsyncAPI description of the protocols to servers and discovery.
     pub asyncapi: Vec<u8>,
 }
 
 impl Contracts {
-    /// Replaces the published descriptions after a reload of the settings.
+    /// Replaces the published descriptions after the settings were reloaded.
     pub fn republish(&self, published: PublishedDescriptions) {
         *self.published.borrow_mut() = published;
     }
 
-    /// The body of a page about descriptions; `None` for any other path.
+    /// Returns the body of a page about descriptions; `None` for any other path.
     pub fn page(&self, path: &str) -> Option<Vec<u8>> {
         match path {
             "/openapi.json" => Some(self.published.borrow().openapi.clone()),
@@ -32,7 +30,7 @@
         }
     }
 
-    /// The contracts in force and the violations found so far. The keys are an interface to operators.
+    /// Builds the report of the contracts in force and the violations found so far. Operators' tools read its keys.
     fn drift_report(&self) -> Value {
         let in_force = self.current().unwrap_or_default();
         let interfaces: Map<String, Value> = in_force
--- a/crates/coordinator/src/contract/server_traffic.rs
+++ b/crates/coordinator/src/contract/server_traffic.rs
@@ -1,7 +1,5 @@
 //! Checks the traffic with servers and discovery.
 
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
-
 use super::background_check::{
     SampledContent, SampledExchange, SampledFrame, SampledHttpRequest, SampledMessage,
     SampledResponse,
@@ -15,7 +13,7 @@
 use cairnroad_contract::schema::Direction;
 use std::sync::Arc;
 
-/// A frame, or a message of the discovery watch, as it is on the wire.
+/// A frame, or a message of the discovery watch, as observed on the wire.
 pub struct ObservedMessage<'p> {
     /// The AsyncAPI channel.
     pub channel: &'static str,
@@ -23,14 +21,14 @@
     pub name: &'static str,
     /// Whether the coordinator sends the message (`Request`) or receives it.
     pub direction: Direction,
-    /// What follows the message's line.
+    /// The bytes after the message's first line.
     pub payload: &'p [u8],
 }
 
 impl Contracts {
     /// Checks a server's response to an HTTP request, given as its bytes. Returns whether the response may be used.
     ///
-    /// `complete` says whether the response's body arrived to its end.
+    /// `complete` states whether the whole body of the response was received.
     pub fn check_exchange(
         &self,
         in_force: &ContractsInForce,
@@ -68,7 +66,7 @@
         let method = words.next().unwrap_or("");
         let target = words.next().unwrap_or("");
         let operation = contract.description.find_operation(method, target);
-        // An operation that is not described promises nothing that its response could violate.
+        // A response to an operation that is not described has no requirements to violate.
         let Some(operation) = operation else {
             return true;
         };
@@ -125,9 +123,9 @@
         });
     }
 
-    /// Checks a frame or a watch message. Returns whether it may be used.
+    /// Checks a frame or a watch message. Returns whether the message may be used.
     ///
-    /// `line` and `parse_headers` are called only where the message is checked or sampled. `party` is the other side.
+    /// `line` and `parse_headers` are called only if the message is checked or sampled. `party` is the remote side.
     pub fn check_message(
         &self,
         in_force: &ContractsInForce,
