--- a/crates/contract/src/conformance/report.rs
+++ b/crates/contract/src/conformance/report.rs
@@ -5,9 +5,9 @@
 use super::redaction::redacted;
 use super::types::{Violation, ViolationKind};
 use super::MAX_VIOLATIONS;
-use crate::document::step;
-use crate::model::{best_media, Description, Media, MediaRange, Parameter, SchemaSlot};
-use crate::schema::{clip, place_of};
+use crate::document::append_to_pointer;
+use crate::model::{best_media, Description, Media, MediaRange, Parameter, SchemaRef};
+use crate::schema::{clip, location_from_uri};
 use crate::sources::NodeLocation;
 use jsonschema::error::ValidationErrorKind;
 use jsonschema::ValidationError;
@@ -19,14 +19,14 @@
     violations: Vec<Violation>,
 }
 
-/// A faulty value of a message, as it is reported.
+/// An invalid value of a message, as it is reported.
 struct Finding {
     place: String,
     found: String,
 }
 
 impl<'d> ViolationReport<'d> {
-    /// An empty report on a message that is checked against `description`.
+    /// Creates an empty report for a message that is checked against `description`.
     pub(super) fn new(description: &'d Description) -> Self {
         ViolationReport {
             description,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The violations found.
+    /// Returns the violations found.
     pub(super) fn into_violations(self) -> Vec<Violation> {
         self.violations
     }
@@ -55,14 +55,14 @@
             kind,
             place: place.into(),
             described: described
-                .map(|location| self.description.place(location))
+                .map(|location| self.description.display_location(location))
                 .unwrap_or_default(),
             expected: expected.into(),
             found: found.into(),
         });
     }
 
-    /// Adds that a required body is missing.
+    /// Adds the violation of a missing required body.
     pub(super) fn add_missing_body(&mut self, described: &NodeLocation) {
         self.add(
             ViolationKind::Missing,
@@ -73,7 +73,7 @@
         );
     }
 
-    /// Checks a body by the schema of its media type.
+    /// Checks a body against the schema of its media type.
     pub(super) fn check_body(
         &mut self,
         content: &[Media],
@@ -81,18 +81,20 @@
         content_type: Option<&str>,
         body: &[u8],
     ) {
-        let range = content_type.and_then(MediaRange::read);
+        let range = content_type.and_then(MediaRange::parse);
         let media = range.as_ref().and_then(|range| best_media(content, range));
         let (Some(range), Some(media)) = (range, media) else {
             return self.add_unknown_media_type(content, described, content_type);
         };
-        if media.slot.loc.is_none() {
+        if media.schema.node.is_none() {
             return;
         }
         if range.is_json() {
-            self.check_json(&media.slot, described, body);
-        } else if range.kind == "text" || media.slot.types.iter().any(|name| name == "string") {
-            self.check_text(&media.slot, described, body);
+            self.check_json(&media.schema, described, body);
+        } else if range.type_name == "text"
+            || media.schema.types.iter().any(|name| name == "string")
+        {
+            self.check_text(&media.schema, described, body);
         }
     }
 
@@ -118,12 +120,12 @@
     }
 
     /// Checks a body that must be JSON.
-    pub(super) fn check_json(&mut self, slot: &SchemaSlot, fallback: &NodeLocation, body: &[u8]) {
+    pub(super) fn check_json(&mut self, schema: &SchemaRef, fallback: &NodeLocation, body: &[u8]) {
         let error = match serde_json::from_slice::<Value>(body) {
-            Ok(value) => return self.check_value(slot, "body", &value),
+            Ok(value) => return self.check_value(schema, "body", &value),
             Err(error) => error,
         };
-        // The text around the fault may hold secrets, so only its position is shown.
+        // The text around the syntax error may hold secrets, so only the position is shown.
         let found = format!(
             "{} bytes with a fault at line {}, column {}",
             body.len(),
@@ -135,17 +137,17 @@
         } else {
             ViolationKind::NotJson
         };
-        let described = slot.loc.as_ref().unwrap_or(fallback);
+        let described = schema.node.as_ref().unwrap_or(fallback);
         self.add(kind, "body", Some(described), "JSON", &found);
     }
 
     /// Checks a body that must be UTF-8 text.
-    pub(super) fn check_text(&mut self, slot: &SchemaSlot, fallback: &NodeLocation, body: &[u8]) {
+    pub(super) fn check_text(&mut self, schema: &SchemaRef, fallback: &NodeLocation, body: &[u8]) {
         match std::str::from_utf8(body) {
-            Ok(text) => self.check_value(slot, "body", &Value::String(text.into())),
+            Ok(text) => self.check_value(schema, "body", &Value::String(text.into())),
             Err(error) => {
                 let found = format!("a byte at {} that is none", error.valid_up_to());
-                let described = slot.loc.as_ref().unwrap_or(fallback);
+                let described = schema.node.as_ref().unwrap_or(fallback);
                 self.add(
                     ViolationKind::Encoding,
                     "body",
@@ -157,10 +159,11 @@
         }
     }
 
-    /// Checks a parameter or header, given all texts for it; `None` stands for one with broken percent-encoding.
+    /// Checks a parameter or header, given all texts that the message has for it. A text is `None` if its
+    /// percent-encoding is invalid.
     pub(super) fn check_parameter(&mut self, parameter: &Parameter, texts: Vec<Option<String>>) {
-        let place = format!("{} {}", parameter.within.word(), parameter.name);
-        let described = Some(&parameter.loc);
+        let place = format!("{} {}", parameter.location.as_str(), parameter.name);
+        let described = Some(&parameter.node);
         if texts.is_empty() {
             if parameter.required {
                 let expected = "this to be given";
@@ -184,10 +187,10 @@
                 "broken codes",
             );
         };
-        if parameter.empty && texts.iter().all(String::is_empty) {
+        if parameter.allow_empty && texts.iter().all(String::is_empty) {
             return;
         }
-        let Some(validator) = &parameter.slot.validator else {
+        let Some(validator) = &parameter.schema.validator else {
             return;
         };
         let values = candidates(parameter, &texts);
@@ -196,13 +199,13 @@
             return;
         }
         if let Some(likeliest) = values.first() {
-            self.check_value(&parameter.slot, &place, likeliest);
+            self.check_value(&parameter.schema, &place, likeliest);
         }
     }
 
     /// Checks a value by its schema.
-    pub(super) fn check_value(&mut self, slot: &SchemaSlot, place: &str, value: &Value) {
-        let Some(validator) = &slot.validator else {
+    pub(super) fn check_value(&mut self, schema: &SchemaRef, place: &str, value: &Value) {
+        let Some(validator) = &schema.validator else {
             return;
         };
         if validator.is_valid(value) {
@@ -217,7 +220,7 @@
         let expectation = expectation(error.kind());
         let described = error
             .absolute_keyword_location()
-            .and_then(|uri| place_of(uri.as_str()));
+            .and_then(|uri| location_from_uri(uri.as_str()));
         for finding in self.findings(place, error) {
             self.add(
                 expectation.kind,
@@ -229,13 +232,13 @@
         }
     }
 
-    /// The faulty values that a schema error is about: each unexpected member, or the value itself.
+    /// Returns the invalid values that a schema error concerns: each unexpected member, or the value itself.
     fn findings(&self, place: &str, error: &ValidationError) -> Vec<Finding> {
         let pointer = error.instance_path().as_str();
         let instance = error.instance();
         match error.kind() {
             ValidationErrorKind::Required { property } => {
-                let missing = step(pointer, property.as_str().unwrap_or(""));
+                let missing = append_to_pointer(pointer, property.as_str().unwrap_or(""));
                 vec![Finding {
                     place: place_at(place, &missing),
                     found: "nothing".into(),
@@ -246,7 +249,7 @@
                 .iter()
                 .map(|name| {
                     let value = instance.get(name).unwrap_or(&Value::Null);
-                    self.finding(place, &step(pointer, name), value)
+                    self.finding(place, &append_to_pointer(pointer, name), value)
                 })
                 .collect(),
             _ => vec![self.finding(place, pointer, instance)],
@@ -261,7 +264,7 @@
     }
 }
 
-/// A place within a part of the message, such as `body /hits/0`.
+/// Formats a place in a part of the message, such as `body /hits/0`.
 fn place_at(part: &str, pointer: &str) -> String {
     if pointer.is_empty() {
         part.into()
--- a/crates/contract/src/diff/operations.rs
+++ b/crates/contract/src/diff/operations.rs
@@ -30,7 +30,7 @@
     fn compare_operation(&mut self, old: &Operation, new: &Operation) {
         self.compared.clear();
         self.compare_names(old, new);
-        self.compare_annotations("", &old.loc, &new.loc);
+        self.compare_annotations("", &old.node, &new.node);
         self.compare_parameters(Direction::Request, "", &old.parameters, &new.parameters);
         self.compare_request_bodies(old, new);
         for response in &old.responses {
@@ -86,7 +86,7 @@
 
     fn compare_response(&mut self, old: &Response, new: &Response) {
         let place = response_place(old.status);
-        self.compare_annotations(&place, &old.loc, &new.loc);
+        self.compare_annotations(&place, &old.node, &new.node);
         self.compare_parameters(Direction::Response, &place, &old.headers, &new.headers);
         match (old.content.is_empty(), new.content.is_empty()) {
             (false, true) => self.add(ChangeImpact::Breaking, &place, "its body is gone"),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A response that is never given any more harms nobody, unless it was the successful one.
+    /// Adds a removed response, which is breaking only if it was the successful one.
     fn add_removed_response(&mut self, response: &Response) {
         let impact = if is_success(response.status) {
             ChangeImpact::Breaking
@@ -112,7 +112,7 @@
         self.add(impact, &place, "this answer is gone");
     }
 
-    /// Clients handle an unknown error by its range; an unknown successful response they can't read.
+    /// Adds a new response. Clients handle an unknown error by its range, but cannot read an unknown successful response.
     fn add_new_response(&mut self, old: &[Response], response: &Response) {
         let was_covered = old
             .iter()
@@ -133,10 +133,10 @@
     fn compare_media(&mut self, at: Position<'_>, old: &[Media], new: &[Media]) {
         for media in old {
             match new.iter().find(|now| now.range == media.range) {
-                Some(now) => self.compare_slots(at, &media.slot, &now.slot),
+                Some(now) => self.compare_schema_refs(at, &media.schema, &now.schema),
                 None if new
                     .iter()
-                    .any(|now| now.range.covers(&media.range).is_some()) =>
+                    .any(|now| now.range.match_rank(&media.range).is_some()) =>
                 {
                     let what = format!("{} is covered by a wider range now", media.range);
                     self.add_widened(at, what);
@@ -149,7 +149,7 @@
         }
         for media in new {
             if !old.iter().any(|before| before.range == media.range) {
-                // A response in another form is only given to those who ask for it.
+                // Clients get another media type only if they ask for it.
                 let what = format!("{} is new", media.range);
                 self.add(ChangeImpact::Compatible, at.place, what);
             }
@@ -157,7 +157,7 @@
     }
 }
 
-/// Operations by method and the template's shape: a variable's name is no part of the wire.
+/// Returns the operations by method and shape of the template, since the names of variables are not on the wire.
 fn operations_by_shape(description: &Description) -> BTreeMap<String, &Operation> {
     let operations = description.operations.iter();
     operations
--- a/crates/contract/src/reader.rs
+++ b/crates/contract/src/reader.rs
@@ -1,23 +1,21 @@
-//! Reading of descriptions: the files, then the parser of their format.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Reads descriptions: opens the files and runs the parser of their format.
 
 use crate::builder::DescriptionBuilder;
 use crate::fault::{Fault, Faults};
-use crate::model::{Description, Kind};
+use crate::model::{Description, DescriptionFormat};
 use crate::sources::Sources;
 use crate::{asyncapi, openapi};
 use std::path::Path;
 
 impl Description {
-    /// Reads a description and all files beside it that it refers to.
+    /// Reads a description and all files that it refers to.
     pub fn open(path: &Path) -> Result<Description, Faults> {
         Self::read(Sources::open(path))
     }
 
-    /// Reads a description from text.
+    /// Reads a description from text. The ending of `name` selects JSON or YAML.
     pub fn from_text(name: &str, text: &str) -> Result<Description, Faults> {
-        Self::read(Sources::text(name, text))
+        Self::read(Sources::from_text(name, text))
     }
 
     fn read(sources: Result<Sources, Fault>) -> Result<Description, Faults> {
@@ -25,11 +23,11 @@
             list: vec![fault],
             more: 0,
         })?;
-        let mut build = DescriptionBuilder::new(sources)?;
-        match build.kind {
-            Kind::OpenApi => openapi::read(&mut build),
-            Kind::AsyncApi => asyncapi::read(&mut build),
+        let mut builder = DescriptionBuilder::new(sources)?;
+        match builder.format {
+            DescriptionFormat::OpenApi => openapi::read(&mut builder),
+            DescriptionFormat::AsyncApi => asyncapi::read(&mut builder),
         }
-        build.finish()
+        builder.finish()
     }
 }
--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -1,8 +1,6 @@
-//! Schemas: found in a description, checked for what would make them useless or costly, brought to one dialect and
-//! compiled. OpenAPI 3.1 and 3.0 are compiled as JSON Schema 2020-12 (3.0's dialect is translated), AsyncAPI's
-//! superset of JSON Schema as draft 7.
-
-#![warn(clippy::too_many_lines, clippy::wildcard_imports)]
+//! Collects the schemas of a description, checks them for faults and excessive cost, translates them to one dialect and
+//! compiles them. OpenAPI 3.1 and 3.0 are compiled as JSON Schema 2020-12 (the dialect of 3.0 is translated),
+//! AsyncAPI's superset of JSON Schema as draft 7.
 
 mod bundle;
 mod compilation;
@@ -16,38 +14,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use subschemas::{subschemas, Applicator, Subschema};
 
-pub use bundle::place_of;
+pub use bundle::location_from_uri;
 pub use visits::MAX_VISITS;
 
-/// The most schemas of a description, subschemas included.
+/// The largest number of schemas in a description, subschemas included.
 pub const MAX_SCHEMAS: usize = 50_000;
-/// The most characters that [`clip`] keeps.
+/// The number of characters that [`clip`] keeps.
 const MAX_CLIPPED: usize = 80;
 
 /// The dialect that a schema is written in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dialect {
-    /// OpenAPI 3.0's own: `nullable`, boolean `exclusiveMinimum`, references without siblings.
+    /// The dialect of OpenAPI 3.0, with `nullable`, a boolean `exclusiveMinimum`, and references without siblings.
     OpenApi30,
-    /// JSON Schema 2020-12, as OpenAPI 3.1 has it.
+    /// JSON Schema 2020-12, which OpenAPI 3.1 uses.
     Json2020,
-    /// JSON Schema draft 7, as AsyncAPI has it.
+    /// JSON Schema draft 7, which AsyncAPI uses.
     Json7,
 }
 
 impl Dialect {
-    /// Whether keywords beside a `$ref` count.
+    /// Returns whether keywords beside a `$ref` take effect.
     fn allows_ref_siblings(self) -> bool {
         self == Dialect::Json2020
     }
 
-    /// Whether a schema may be `true` or `false` everywhere. OpenAPI 3.0 has that in `additionalProperties` only.
+    /// Returns whether `true` and `false` are schemas everywhere. OpenAPI 3.0 allows them only in `additionalProperties`.
     fn allows_boolean_schemas(self) -> bool {
         self != Dialect::OpenApi30
     }
 }
 
-/// The direction of a value: `readOnly` members are not required in a request, `writeOnly` ones not in a response.
+/// The direction of a message. `readOnly` members are not required in a request, `writeOnly` members not in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Direction {
@@ -58,24 +56,24 @@
     Response,
 }
 
-/// All schemas of a description while it is read.
+/// The schemas of a description that is being read.
 pub struct SchemaRegistry {
     dialect: Dialect,
-    /// Every registered schema, with its subschemas. A reference's target comes first among them.
+    /// Every registered schema with its subschemas. For a reference, the target is the first of them.
     schemas: BTreeMap<NodeLocation, Vec<Subschema>>,
-    /// Where schemas begin that are no subschema of another.
+    /// The nodes of the schemas that are not subschemas of another schema.
     roots: BTreeSet<NodeLocation>,
-    /// Names of members whose values must not be shown.
+    /// The names of members whose values must not appear in reports.
     pub secrets: BTreeSet<String>,
     /// Whether any member is `readOnly` or `writeOnly`.
     has_one_way_members: bool,
     pattern_count: usize,
-    /// Whether [`MAX_SCHEMAS`] was passed.
+    /// Whether [`MAX_SCHEMAS`] was exceeded.
     is_full: bool,
 }
 
 impl SchemaRegistry {
-    /// A registry without schemas.
+    /// Creates an empty registry.
     pub fn new(dialect: Dialect) -> SchemaRegistry {
         SchemaRegistry {
             dialect,
@@ -88,81 +86,84 @@
         }
     }
 
-    /// Registers the schema at a place with all that it refers to. Faults are added to the sources.
+    /// Registers the schema at a node with all schemas that it contains or refers to. Faults are added to the sources.
     pub fn visit(&mut self, sources: &mut Sources, root: &NodeLocation) {
         if self.schemas.contains_key(root) {
             return;
         }
         self.roots.insert(root.clone());
         let mut pending = vec![root.clone()];
-        while let Some(loc) = pending.pop() {
-            if self.schemas.contains_key(&loc) || self.is_full {
+        while let Some(node) = pending.pop() {
+            if self.schemas.contains_key(&node) || self.is_full {
                 continue;
             }
             if self.schemas.len() >= MAX_SCHEMAS {
                 self.is_full = true;
-                sources.fault(&loc, format!("there are more than {MAX_SCHEMAS} schemas"));
+                sources.fault(
+                    &node,
+                    format!("too many schemas: expected at most {MAX_SCHEMAS}"),
+                );
                 return;
             }
-            let Some(schema) = sources.get(&loc).cloned() else {
+            let Some(schema) = sources.get(&node).cloned() else {
                 continue;
             };
-            if !self.is_schema(&loc, &schema) {
-                sources.fault(&loc, "a schema must be an object");
+            if !self.is_schema(&node, &schema) {
+                sources.fault(&node, "invalid schema: expected an object");
                 continue;
             }
-            let found = self.follow(sources, &loc, &schema);
+            let found = self.follow(sources, &node, &schema);
             check_keywords(
                 sources,
-                &loc,
+                &node,
                 &schema,
                 self.dialect,
                 &mut self.pattern_count,
             );
             self.note_members(&schema);
-            pending.extend(found.iter().map(|subschema| subschema.loc.clone()));
-            self.schemas.insert(loc, found);
+            pending.extend(found.iter().map(|subschema| subschema.node.clone()));
+            self.schemas.insert(node, found);
         }
     }
 
-    fn is_schema(&self, loc: &NodeLocation, value: &Value) -> bool {
-        let may_be_boolean =
-            self.dialect.allows_boolean_schemas() || loc.pointer.ends_with("/additionalProperties");
+    fn is_schema(&self, node: &NodeLocation, value: &Value) -> bool {
+        let may_be_boolean = self.dialect.allows_boolean_schemas()
+            || node.pointer.ends_with("/additionalProperties");
         value.is_object() || value.is_boolean() && may_be_boolean
     }
 
-    /// The subschemas of a schema, the target of its reference first.
+    /// Returns the subschemas of a schema, preceded by the target of its reference.
     fn follow(
         &mut self,
         sources: &mut Sources,
-        loc: &NodeLocation,
+        node: &NodeLocation,
         schema: &Value,
     ) -> Vec<Subschema> {
         let reference = match schema.get("$ref") {
             Some(Value::String(reference)) => reference,
             Some(_) => {
-                sources.fault(&loc.at("$ref"), "$ref must be a string");
+                sources.fault(&node.at("$ref"), "$ref must be a string");
                 return Vec::new();
             }
-            None => return subschemas(schema, loc),
+            None => return subschemas(schema, node),
         };
         let mut found = Vec::new();
-        if let Some(target) = sources.follow(loc, reference) {
+        if let Some(target) = sources.follow(node, reference) {
             if !self.schemas.contains_key(&target) {
                 self.roots.insert(target.clone());
             }
             found.push(Subschema {
-                loc: target,
+                node: target,
                 applicator: Applicator::InPlace,
             });
         }
         if self.dialect.allows_ref_siblings() {
-            found.extend(subschemas(schema, loc));
+            found.extend(subschemas(schema, node));
         }
         found
     }
 
-    /// Records whether members are sent in one direction only, and which are secret.
+    /// Records whether any member is sent in one direction only, and the names of secret members.
     fn note_members(&mut self, schema: &Value) {
         self.has_one_way_members |=
             schema["readOnly"] == json!(true) || schema["writeOnly"] == json!(true);
@@ -175,7 +176,7 @@
     }
 }
 
-/// Cuts a text to the length that a line of a report can hold.
+/// Truncates a text to a length that fits on a line of a report.
 pub fn clip(text: &str) -> String {
     match text.char_indices().nth(MAX_CLIPPED) {
         Some((at, _)) => format!("{}...", &text[..at]),
--- a/crates/contract/src/schema/compilation.rs
+++ b/crates/contract/src/schema/compilation.rs
@@ -1,4 +1,4 @@
-//! Compilation of the registered schemas: checked against their metaschema and compiled for each direction.
+//! Compiles the registered schemas: checks them against their metaschema and compiles them for each direction.
 
 use super::bundle::{address, BASE};
 use super::{clip, Dialect, Direction, SchemaRegistry};
@@ -9,12 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The most memory of a compiled regular expression, in bytes.
+/// The largest size of a compiled regular expression in memory, in bytes.
 const MAX_PATTERN_MEMORY: usize = 256 * 1024;
 
 impl SchemaRegistry {
-    /// Compiles the wanted schemas, each for its direction. Faults are added to the sources; after one, the result
-    /// is not complete.
+    /// Compiles the wanted schemas, each for its direction. Faults are added to the sources; after a fault the result is
+    /// incomplete.
     pub fn compile(
         &self,
         sources: &mut Sources,
@@ -36,12 +36,12 @@
             let Some(registry) = prepare_registry(sources, draft, files) else {
                 return compiled;
             };
-            for (loc, _) in wanted.iter().filter(|(_, wanted)| wanted == direction) {
-                match build_validator(draft, &registry, loc) {
+            for (node, _) in wanted.iter().filter(|(_, wanted)| wanted == direction) {
+                match build_validator(draft, &registry, node) {
                     Ok(validator) => {
-                        compiled.insert((loc.clone(), *direction), Arc::new(validator));
+                        compiled.insert((node.clone(), *direction), Arc::new(validator));
                     }
-                    Err(error) => self.report_compile_error(sources, loc, &error),
+                    Err(error) => self.report_compile_error(sources, node, &error),
                 }
             }
         }
@@ -80,7 +80,7 @@
                 file: root.file,
                 pointer: format!("{}{}", root.pointer, error.instance_path()),
             };
-            let cause = format!("this is no schema: {}", clip(&error.to_string()));
+            let cause = format!("invalid schema: {}", clip(&error.to_string()));
             sources.fault(&at, cause);
         }
     }
@@ -89,12 +89,12 @@
     fn report_compile_error(
         &self,
         sources: &mut Sources,
-        loc: &NodeLocation,
+        node: &NodeLocation,
         error: &ValidationError,
     ) {
         let is_pattern =
             matches!(error.kind(), ValidationErrorKind::Format { format } if format == "regex");
-        // The compiler names a faulty expression, but not its place.
+        // The compiler reports the text of a faulty regular expression, but not its node.
         let pattern = error.instance().as_ref();
         let place = self
             .schemas
@@ -104,13 +104,13 @@
             Some(at) => sources.fault(
                 &at.at("pattern"),
                 format!(
-                    "this expression takes more than {MAX_PATTERN_MEMORY} bytes, or can't be used"
+                    "invalid regular expression, or its compiled form exceeds {MAX_PATTERN_MEMORY} bytes"
                 ),
             ),
             None => sources.fault(
-                loc,
+                node,
                 format!(
-                    "this schema can't be compiled: {}",
+                    "cannot compile the schema: {}",
                     clip(&error.to_string())
                 ),
             ),
@@ -118,7 +118,7 @@
     }
 }
 
-/// Makes the files known to the compiler by their addresses.
+/// Registers the files with the compiler under their URIs.
 fn prepare_registry(
     sources: &mut Sources,
     draft: Draft,
@@ -127,7 +127,7 @@
     let mut registry = Registry::new().draft(draft);
     for (number, file) in files.iter().enumerate() {
         let resource = draft.create_resource(file.clone());
-        // Addresses of this module's own form can always be parsed.
+        // URIs that this module builds can always be parsed.
         registry = registry.add(format!("{BASE}{number}"), resource).ok()?;
     }
     match registry.prepare() {
@@ -135,7 +135,7 @@
         Err(error) => {
             sources.fault(
                 &sources.root(),
-                format!("the schemas can't be compiled: {error}"),
+                format!("cannot compile the schemas: {error}"),
             );
             None
         }
@@ -145,9 +145,9 @@
 fn build_validator(
     draft: Draft,
     registry: &Registry<'static>,
-    loc: &NodeLocation,
+    node: &NodeLocation,
 ) -> Result<Validator, ValidationError<'static>> {
-    let schema = json!({"$ref": address(loc)});
+    let schema = json!({"$ref": address(node)});
     let patterns = PatternOptions::regex()
         .size_limit(MAX_PATTERN_MEMORY)
         .dfa_size_limit(MAX_PATTERN_MEMORY);
--- a/crates/contract/src/schema/visits.rs
+++ b/crates/contract/src/schema/visits.rs
@@ -1,33 +1,35 @@
-//! Counts how often schemas visit one value, to find those that recur without end or cost too much.
+//! Counts how often schemas visit one value, to find schemas that recurse without end or cost too much.
 
 use super::subschemas::Subschema;
 use super::SchemaRegistry;
 use crate::sources::{NodeLocation, Sources};
 use std::collections::BTreeMap;
 
-/// The most visits of one value, counted over `allOf`, `anyOf`, `oneOf` and the like with their references. A few
-/// schemas that each name two others twice could otherwise ask for more visits than there is time.
+/// The largest number of visits of one value, counted over `allOf`, `anyOf`, `oneOf` and similar keywords with their
+/// references. Without the bound, a short chain of schemas that each refer to the next one twice would take exponential
+/// time.
 pub const MAX_VISITS: u64 = 10_000;
 
-/// How far the count of a schema is.
+/// The progress of counting a schema's visits.
 #[derive(Clone, Copy)]
 enum Count {
-    /// The schema is on the current path, so that reaching it again is a recursion.
+    /// The schema is on the current path, so reaching it again is a recursion.
     InProgress,
+    /// The number of visits is known.
     Done(u64),
 }
 
 /// A schema on the current path of the depth-first search.
 struct Frame<'s> {
-    loc: &'s NodeLocation,
+    node: &'s NodeLocation,
     remaining: std::slice::Iter<'s, Subschema>,
     visits: u64,
 }
 
 impl<'s> Frame<'s> {
-    fn new(loc: &'s NodeLocation, subschemas: &'s [Subschema]) -> Frame<'s> {
+    fn new(node: &'s NodeLocation, subschemas: &'s [Subschema]) -> Frame<'s> {
         Frame {
-            loc,
+            node,
             remaining: subschemas.iter(),
             visits: 1,
         }
@@ -42,30 +44,30 @@
         for start in self.schemas.keys() {
             self.count_visits(sources, start, &mut counts);
         }
-        let visits = |loc: &NodeLocation| match counts.get(loc) {
+        let visits = |node: &NodeLocation| match counts.get(node) {
             Some(Count::Done(visits)) => *visits,
             _ => 0,
         };
-        for (loc, subschemas) in &self.schemas {
+        for (node, subschemas) in &self.schemas {
             let most_within = subschemas
                 .iter()
                 .filter(|subschema| subschema.is_in_place())
-                .map(|subschema| visits(&subschema.loc))
+                .map(|subschema| visits(&subschema.node))
                 .max()
                 .unwrap_or(0);
-            // Reported at the innermost schema only, not at all that contain it.
-            if visits(loc) > MAX_VISITS && most_within <= MAX_VISITS {
+            // Reported at the innermost schema only, not at every schema that contains it.
+            if visits(node) > MAX_VISITS && most_within <= MAX_VISITS {
                 let cause = format!(
-                    "one value would be looked at {} times: {MAX_VISITS} at most",
-                    visits(loc)
+                    "schemas visit one value {} times, expected at most {MAX_VISITS}",
+                    visits(node)
                 );
-                sources.fault(loc, cause);
+                sources.fault(node, cause);
             }
         }
     }
 
-    /// Counts a schema and those that it reaches. The search keeps its own stack, since chains of references may be
-    /// longer than the thread's stack allows.
+    /// Counts the visits of a schema and of the schemas reachable from it. The search uses an explicit stack, since a
+    /// chain of references may be longer than the thread's stack allows.
     fn count_visits<'s>(
         &'s self,
         sources: &mut Sources,
@@ -79,7 +81,7 @@
         let mut path = vec![Frame::new(start, &self.schemas[start])];
         while let Some(frame) = path.last_mut() {
             let Some(subschema) = frame.remaining.find(|next| next.is_in_place()) else {
-                counts.insert(frame.loc, Count::Done(frame.visits));
+                counts.insert(frame.node, Count::Done(frame.visits));
                 let visits = frame.visits;
                 path.pop();
                 if let Some(parent) = path.last_mut() {
@@ -87,21 +89,23 @@
                 }
                 continue;
             };
-            let Some((loc, subschemas)) = self.schemas.get_key_value(&subschema.loc) else {
+            let Some((node, subschemas)) = self.schemas.get_key_value(&subschema.node) else {
                 continue;
             };
-            match counts.get(loc) {
+            match counts.get(node) {
                 Some(Count::Done(visits)) => {
                     frame.visits = frame.visits.saturating_add(*visits);
                 }
                 Some(Count::InProgress) => {
-                    let cause =
-                        format!("this schema only leads to itself, by {}", sources.name(loc));
-                    sources.fault(frame.loc, cause);
+                    let cause = format!(
+                        "circular schema: applies itself to the same value through {}",
+                        sources.display_location(node)
+                    );
+                    sources.fault(frame.node, cause);
                 }
                 None => {
-                    counts.insert(loc, Count::InProgress);
-                    path.push(Frame::new(loc, subschemas));
+                    counts.insert(node, Count::InProgress);
+                    path.push(Frame::new(node, subschemas));
                 }
             }
         }
--- a/crates/coordinator/src/commands/contract/replay.rs
+++ b/crates/coordinator/src/commands/contract/replay.rs
@@ -5,7 +5,7 @@
 use crate::commands::error::CommandError;
 use crate::commands::output::{print, print_json};
 use crate::commands::CommandStatus;
-use cairnroad_contract::replay::{self, Outcome, MAX_LINE};
+use cairnroad_contract::replay::{self, ReplayReport, MAX_LINE};
 use serde_json::json;
 use std::fmt::Write;
 use std::fs::File;
@@ -27,19 +27,19 @@
         reader: BufReader::new(open_traffic(traffic)?),
         error: None,
     };
-    let outcome = replay::replay(&description, &mut lines);
+    let report = replay::replay(&description, &mut lines);
     if let Some(source) = lines.error {
         return Err(CommandError::file(traffic, source));
     }
     if output.json {
-        print_json(&json!(outcome));
+        print_json(&json!(report));
     } else {
-        print(&format_outcome(&outcome));
+        print(&format_report(&report));
     }
-    if !outcome.unreadable.is_empty() {
+    if !report.unreadable.is_empty() {
         return Ok(CommandStatus::InputError);
     }
-    Ok(CommandStatus::from_faults(!outcome.violations.is_empty()))
+    Ok(CommandStatus::from_faults(!report.violations.is_empty()))
 }
 
 fn open_traffic(path: &Path) -> Result<Box<dyn Read>, CommandError> {
@@ -78,22 +78,22 @@
     }
 }
 
-/// Returns the outcome as text: the counts, then each violation, then each line that can't be parsed.
-fn format_outcome(outcome: &Outcome) -> String {
+/// Returns the report as text: the counts, then each violation, then each line that can't be parsed.
+fn format_report(report: &ReplayReport) -> String {
     let mut text = format!(
         "{} messages, {} violations\n",
-        outcome.messages,
-        outcome.violations.len()
+        report.messages,
+        report.violations.len()
     );
     // Writing to a string never fails.
-    let _ = write_counts(outcome, &mut text)
-        .and_then(|()| write_violations(outcome, &mut text))
-        .and_then(|()| write_unreadable_lines(outcome, &mut text));
+    let _ = write_counts(report, &mut text)
+        .and_then(|()| write_violations(report, &mut text))
+        .and_then(|()| write_unreadable_lines(report, &mut text));
     text
 }
 
-fn write_counts(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for (group, count) in outcome.table() {
+fn write_counts(report: &ReplayReport, text: &mut String) -> std::fmt::Result {
+    for (group, count) in report.violation_counts() {
         let kind = json!(group.kind);
         let kind = kind.as_str().unwrap_or("");
         let operation = group.operation;
@@ -103,8 +103,8 @@
     Ok(())
 }
 
-fn write_violations(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for found in &outcome.violations {
+fn write_violations(report: &ReplayReport, text: &mut String) -> std::fmt::Result {
+    for found in &report.violations {
         let violation = &found.violation;
         writeln!(
             text,
@@ -121,8 +121,8 @@
     Ok(())
 }
 
-fn write_unreadable_lines(outcome: &Outcome, text: &mut String) -> std::fmt::Result {
-    for unreadable in &outcome.unreadable {
+fn write_unreadable_lines(report: &ReplayReport, text: &mut String) -> std::fmt::Result {
+    for unreadable in &report.unreadable {
         let line = unreadable.line;
         let cause = &unreadable.cause;
         writeln!(text, "line {line}: can't be read: {cause}")?;
--- a/crates/coordinator/tests/published_descriptions.rs
+++ b/crates/coordinator/tests/published_descriptions.rs
@@ -174,7 +174,7 @@
         };
         let request = document.check_request(&observed_request);
         let number = request
-            .number
+            .operation_index
             .unwrap_or_else(|| panic!("{request_line}: no operation in the description matches"));
         if answer.status == 200 {
             assert_eq!(request.violations, [], "{request_line}");
