--- a/crates/simulator-host/src/codec/batch.rs
+++ b/crates/simulator-host/src/codec/batch.rs
@@ -7,31 +7,31 @@
     Time,
 };
 
-/// Codes of the records of a batch, by the wire page's names.
+/// Codes of the records of a batch, under their names in the operators' protocol description.
 mod code {
     pub const PROVISION: u8 = 1;
     pub const SYNC: u8 = 2;
     pub const INCOMING: u8 = 3;
-    /// The answer of a streamed class has started, which no class here uses.
+    /// The answer of a streamed class has started. Ignored, because no class here is streamed.
     pub const FIRST: u8 = 4;
     pub const RESOLVED: u8 = 5;
     pub const WITHDRAWN: u8 = 6;
     pub const WAKE: u8 = 7;
     pub const HEALTH: u8 = 8;
-    /// A message of another instance, which the decisions don't use.
+    /// A message from another instance. Ignored, because the routing decisions don't use it.
     pub const WHISPER: u8 = 9;
     pub const RETIRE: u8 = 10;
     pub const PAGE: u8 = 11;
 }
 
-/// Flag of a request whose expected work is stated.
+/// Flag of a request that states its expected work.
 const FLAG_WORK_STATED: u8 = 1;
-/// Flag of a request that its client sends again.
+/// Flag of a request that is a client retry.
 const FLAG_CLIENT_RETRY: u8 = 2;
 
-/// All records of one moment.
+/// All records of one instant of the simulation.
 pub struct Batch {
-    /// The simulator's clock.
+    /// The time on the simulator's clock, in seconds.
     pub now: Seconds,
     /// The records, in order of arrival.
     pub records: Vec<Record>,
@@ -39,56 +39,56 @@
 
 /// One record of a batch.
 pub enum Record {
-    /// A new instance is started.
+    /// Starts a new instance.
     Provision {
-        /// The instance.
+        /// Number of the new instance.
         instance: u16,
-        /// Seed of all its random choices.
+        /// Seed of the instance's random number generator.
         seed: u64,
         /// The deployment's settings, as JSON text.
         settings: Vec<u8>,
     },
-    /// An instance ends.
+    /// Ends an instance.
     Retire {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
     },
-    /// An endpoint list, kept for the `Sync` records that name its buffer.
+    /// Stores an endpoint list for the `Sync` records that name its buffer.
     Page {
-        /// The buffer that keeps it.
+        /// Number of the buffer that holds the list.
         buffer: u8,
-        /// The list.
+        /// The endpoints, in the order of the list.
         endpoints: Vec<Endpoint>,
     },
-    /// An instance is notified of an endpoint list.
+    /// Notifies an instance of an endpoint list.
     Sync {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
-        /// Code of the kind of update: see [`endpoint_update`].
+        /// Code of the kind of update; see [`endpoint_update`].
         form: u8,
-        /// The buffer that keeps the list.
+        /// Number of the buffer that holds the list.
         buffer: u8,
     },
-    /// Anything else that happens to an instance.
+    /// Delivers any other event to an instance.
     Event {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
-        /// What happens.
+        /// The event, as the router takes it.
         event: Event,
     },
-    /// A record that the decisions don't use. Its instance is run all the same: timers may be due.
+    /// A record that the routing decisions don't use. Its instance is still run, because its timers may be due.
     Ignored {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
     },
 }
 
 impl Batch {
-    /// Decodes a frame as [`read_frame`](super::read_frame) returns it.
+    /// Decodes a frame that [`read_frame`](super::read_frame) returned.
     ///
     /// # Errors
     ///
-    /// The first malformed record with its index, or bytes too few or too many.
+    /// Returns the first malformed record with its index, or an error if the frame has too few or too many bytes.
     pub fn parse(frame: &[u8]) -> Result<Batch, BatchError> {
         let mut fields = Fields(frame);
         let count = fields.u32().map_err(BatchError::RecordCount)?;
@@ -182,7 +182,7 @@
     let weight = fields.f32()?;
     let _tenant = fields.u32()?;
     let number = fields.f32()? as u64;
-    // A whole query has no shard.
+    // A negative shard marks a query; only parts have a shard.
     if shard < 0.0 {
         return Ok(Event::Query {
             id,
@@ -270,7 +270,9 @@
     })
 }
 
-/// The endpoint update of a `Sync` record, from its form and the list in its buffer; `None` if either is unknown.
+/// Returns the endpoint update that a `Sync` record describes, given its form and the list in its buffer.
+///
+/// Returns `None` if the form is unknown, or if it needs a list and the buffer holds none.
 pub fn endpoint_update(form: u8, endpoints: Option<Vec<Endpoint>>) -> Option<EndpointUpdate> {
     Some(match form {
         0 => EndpointUpdate::Snapshot(endpoints?),
--- a/crates/simulator-host/src/codec/error.rs
+++ b/crates/simulator-host/src/codec/error.rs
@@ -1,57 +1,57 @@
-//! What can be wrong with bytes on the simulator's wire, from the pipe down to a single field.
+//! Decoding errors of the simulator's protocol, from the input stream down to a single field.
 
 use std::io;
 
-/// Why no frame could be read from the pipe.
+/// The reason why no frame could be read from standard input.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The input ended within a header.
-    #[error("truncated header: {received} of {wanted} bytes")]
+    #[error("truncated header: got {received} of {expected} bytes")]
     TruncatedHeader {
-        /// Bytes received.
+        /// Number of bytes received.
         received: usize,
-        /// Bytes of a whole header.
-        wanted: usize,
+        /// Length of a header in bytes.
+        expected: usize,
     },
-    /// The input ended within the bytes that a header announced.
-    #[error("truncated frame: {received} of {wanted} bytes")]
+    /// The input ended before the number of bytes that the header states.
+    #[error("truncated frame: got {received} of {expected} bytes")]
     TruncatedBody {
-        /// Bytes received.
+        /// Number of bytes received.
         received: u64,
-        /// Bytes announced.
-        wanted: u64,
+        /// Number of bytes that the header states.
+        expected: u64,
     },
-    /// The pipe failed.
-    #[error("standard input: {0}")]
+    /// Reading failed.
+    #[error("cannot read from standard input: {0}")]
     Input(#[from] io::Error),
 }
 
-/// Why a frame is not a batch.
+/// The reason why a frame is not a valid batch.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// It is too short for the number of records.
-    #[error(transparent)]
-    RecordCount(Truncated),
-    /// It is too short for the clock.
+    /// The frame ends within the record count.
+    #[error("record count: {0}")]
+    RecordCount(#[source] Truncated),
+    /// The frame ends within the clock.
     #[error("clock: {0}")]
     Clock(#[source] Truncated),
     /// The clock is infinite or not a number.
-    #[error("clock: not a number")]
+    #[error("clock: expected a finite number of seconds")]
     ClockNotFinite,
     /// One record is malformed.
     #[error("record {index}, {source}")]
     Record {
-        /// Its index in the batch.
+        /// Index of the record in the batch, counted from 0.
         index: u32,
-        /// What is wrong with it.
+        /// Why the record is malformed.
         source: RecordError,
     },
-    /// More bytes follow than the announced records take.
-    #[error("{0} bytes after the last record")]
+    /// Bytes follow the last of the announced records.
+    #[error("{0} unexpected bytes after the last record")]
     TrailingBytes(usize),
 }
 
-/// Why the bytes of a record are not one.
+/// The reason why a record is malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
     /// The batch ends within the record.
@@ -60,44 +60,44 @@
     /// The fields don't fit the record's code.
     #[error("code {code}: {source}")]
     Fields {
-        /// The code.
+        /// The code of the record.
         code: u8,
-        /// What is wrong with the fields.
+        /// Why the fields are malformed.
         source: FieldError,
     },
 }
 
-/// Why the fields of a record can't be read.
+/// The reason why the fields of a record can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
     /// The record ends within a field.
     #[error(transparent)]
     Truncated(#[from] Truncated),
-    /// No record has this code.
+    /// The record has an unknown code, which the enclosing [`RecordError`] states.
     #[error("unknown event")]
     UnknownEvent,
-    /// No outcome of an attempt has this code.
+    /// The code stands for no outcome of an attempt.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u8),
-    /// No state of a server has this code.
-    #[error("unknown condition {0}")]
+    /// The code stands for no state of a server.
+    #[error("unknown server state {0}")]
     UnknownServerState(u8),
     /// A row of an endpoint list is malformed.
     #[error("row {index}: {source}")]
     Row {
-        /// Its index in the list.
+        /// Index of the row in the list, counted from 0.
         index: u32,
-        /// What is wrong with it.
+        /// Why the row is malformed.
         source: Box<FieldError>,
     },
 }
 
-/// Bytes end within a field.
+/// The bytes end within a field.
 #[derive(Debug, thiserror::Error)]
-#[error("truncated: {wanted} bytes wanted, {left} left")]
+#[error("truncated: expected {expected} bytes, {remaining} left")]
 pub struct Truncated {
-    /// Bytes of the field.
-    pub wanted: usize,
-    /// Bytes left.
-    pub left: usize,
+    /// Length of the field in bytes.
+    pub expected: usize,
+    /// Number of bytes left for the field.
+    pub remaining: usize,
 }
--- a/crates/simulator-host/src/codec/frame.rs
+++ b/crates/simulator-host/src/codec/frame.rs
@@ -1,18 +1,19 @@
-//! Frames on the pipe: a record count and a length, then that many bytes.
+//! Reads frames: a header of record count and body length, then the body.
 
 use super::error::FrameError;
 use std::io::{ErrorKind, Read};
 
-/// The record count and the length, four bytes each.
+/// Length of the header: the record count and the body length, four bytes each.
 const HEADER_BYTES: usize = 8;
+/// Length of the record count, the first field of the header.
 const RECORD_COUNT_BYTES: usize = 4;
 
-/// Reads one frame and returns the record count's bytes followed by the body, for [`Batch::parse`](super::Batch::parse);
-/// `None` where the input ends between two frames.
+/// Reads one frame and returns the bytes of the record count followed by the body, as
+/// [`Batch::parse`](super::Batch::parse) takes them, or `None` if the input ends between two frames.
 ///
 /// # Errors
 ///
-/// The input ended within a frame, or the pipe failed.
+/// Returns an error if the input ends within a frame or can't be read.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, FrameError> {
     let Some(header) = read_header(input)? else {
         return Ok(None);
@@ -20,12 +21,12 @@
     let (record_count, length) = header.split_at(RECORD_COUNT_BYTES);
     let mut length_bytes = [0; HEADER_BYTES - RECORD_COUNT_BYTES];
     length_bytes.copy_from_slice(length);
-    let wanted = u64::from(u32::from_le_bytes(length_bytes));
+    let expected = u64::from(u32::from_le_bytes(length_bytes));
     let mut frame = record_count.to_vec();
-    // Grows as bytes arrive: a length that is a lie must not allocate 4 GiB.
-    let received = input.take(wanted).read_to_end(&mut frame)? as u64;
-    if received < wanted {
-        return Err(FrameError::TruncatedBody { received, wanted });
+    // The buffer grows as bytes arrive, so that a false length in the header can't allocate up to 4 GiB.
+    let received = input.take(expected).read_to_end(&mut frame)? as u64;
+    if received < expected {
+        return Err(FrameError::TruncatedBody { received, expected });
     }
     Ok(Some(frame))
 }
@@ -39,7 +40,7 @@
             Ok(0) => {
                 return Err(FrameError::TruncatedHeader {
                     received,
-                    wanted: HEADER_BYTES,
+                    expected: HEADER_BYTES,
                 })
             }
             Ok(count) => received += count,
--- a/crates/simulator-host/src/codec/mod.rs
+++ b/crates/simulator-host/src/codec/mod.rs
@@ -1,6 +1,7 @@
-//! The binary codec of the simulator's wire: batches of events in, replies of actions out, all little-endian.
+//! The binary codec of the simulator's protocol: decodes batches of events and encodes replies of actions. All numbers
+//! are little-endian.
 //!
-//! Codes and layouts are those of the operators' wire page; only their meaning is named here.
+//! The operators' protocol description defines the codes and layouts; this module maps them to the router's types.
 
 mod batch;
 mod error;
--- a/crates/simulator-host/src/codec/reply.rs
+++ b/crates/simulator-host/src/codec/reply.rs
@@ -1,8 +1,8 @@
-//! Encodes a reply: the actions of all instances of one batch.
+//! Encodes a reply: the actions that all instances take in response to one batch.
 
 use cairnroad_types::Action;
 
-/// Codes of the records of a reply, by the wire page's names.
+/// Codes of the records of a reply, under their names in the operators' protocol description.
 mod code {
     pub const ROUTE: u8 = 1;
     pub const TURN_AWAY: u8 = 2;
@@ -14,10 +14,10 @@
     pub const ASSEMBLE: u8 = 13;
 }
 
-/// The record count's bytes, which the frame's length includes.
+/// Length of the record count, which the length of the frame includes.
 const RECORD_COUNT_BYTES: u32 = 4;
 
-/// A reply to which actions are added.
+/// A reply under construction.
 #[derive(Default)]
 pub struct Reply {
     count: u32,
@@ -25,7 +25,7 @@
 }
 
 impl Reply {
-    /// Adds one action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
         let mut fields = instance.to_le_bytes().to_vec();
         let code = encode_fields(action, &mut fields);
@@ -36,7 +36,7 @@
         self.count += 1;
     }
 
-    /// The whole frame.
+    /// Returns the complete frame.
     pub fn finish(self) -> Vec<u8> {
         let length = self.records.len() as u32 + RECORD_COUNT_BYTES;
         let mut frame = length.to_le_bytes().to_vec();
@@ -46,7 +46,7 @@
     }
 }
 
-/// Appends the action's fields and returns its code.
+/// Appends the fields of an action and returns the code of its record.
 fn encode_fields(action: &Action, fields: &mut Vec<u8>) -> u8 {
     let mut put = |bytes: &[u8]| fields.extend_from_slice(bytes);
     match action {
@@ -75,7 +75,7 @@
             code::REVOKE
         }
         Action::SetTimer(at) => {
-            // The token tells timers apart; the decisions have one only.
+            // The token distinguishes several timers of an instance; a router has only one.
             let token: u64 = 0;
             put(&at.secs().to_le_bytes());
             put(&token.to_le_bytes());
--- a/crates/simulator-host/src/codec/tests.rs
+++ b/crates/simulator-host/src/codec/tests.rs
@@ -11,7 +11,7 @@
         .collect()
 }
 
-/// A hand-worked batch: clock 1.5 s; a part of shard 2 for instance 3, its outcome, a timer.
+/// A hand-encoded batch at 1.5 s: a part of shard 2 for instance 3, the outcome of its attempt, and a timer.
 const BATCH: &str = "03000000 70000000 000000000000f83f
     03 35000000 0300 0500000000000000 0100 00 00000040 0000000000000440 0000000000000000
        0000000000000000 0000003f 00000000 00000041
@@ -19,9 +19,9 @@
     07 0a000000 0300 0000000000000000";
 
 #[test]
-fn a_hand_worked_batch_is_decoded() {
-    let whole = bytes(BATCH);
-    let body = read_frame(&mut &whole[..]).unwrap().unwrap();
+fn a_hand_encoded_batch_is_decoded() {
+    let input = bytes(BATCH);
+    let body = read_frame(&mut &input[..]).unwrap().unwrap();
     let batch = Batch::parse(&body).unwrap();
     assert_eq!(batch.now, 1.5);
     let events: Vec<String> = batch
@@ -34,29 +34,29 @@
         .collect();
     assert_eq!(
         events[0],
-        "Part { id: RequestId(5), number: 8, shard: 2, weight: 0.5 }"
+        "Part { id: RequestId(5), query_number: 8, shard: 2, weight: 0.5 }"
     );
     assert_eq!(
         events[1],
-        "AttemptEnded { id: RequestId(5), attempt: 1, outcome: Rejected }"
+        "AttemptEnded { part: RequestId(5), attempt: 1, outcome: Rejected }"
     );
     assert_eq!(events[2], "TimerFired");
 }
 
 #[test]
 fn truncated_input_and_unknown_codes_are_reported() {
-    let whole = bytes(BATCH);
-    assert!(read_frame(&mut &whole[..0]).unwrap().is_none());
-    for cut in 1..whole.len() {
+    let input = bytes(BATCH);
+    assert!(read_frame(&mut &input[..0]).unwrap().is_none());
+    for cut in 1..input.len() {
         assert!(
-            read_frame(&mut &whole[..cut])
+            read_frame(&mut &input[..cut])
                 .unwrap_err()
                 .to_string()
                 .contains("truncated"),
             "cut at {cut}"
         );
     }
-    let mut body = read_frame(&mut &whole[..]).unwrap().unwrap();
+    let mut body = read_frame(&mut &input[..]).unwrap().unwrap();
     body[12] = 99;
     assert_eq!(
         Batch::parse(&body).err().unwrap().to_string(),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn actions_are_encoded_as_the_wire_page_states() {
+fn actions_are_encoded_as_the_protocol_description_states() {
     let mut reply = Reply::default();
     let deadline = Time::from_secs(1.5);
     reply.push(
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of this process: each batch is delivered to them, and their actions make the reply.
+//! Holds the router instances of this process, delivers each batch of events to them and replies with their actions.
 
 use crate::codec::{self, Batch, BatchError, FrameError, Record, Reply};
 use cairnroad_routing::RequestRouter;
@@ -7,129 +7,144 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
-/// Why the host ended before its input did.
+/// The error that ends the host before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// A batch can't be read or carried out.
+    /// A batch could not be read or processed.
     #[error("batch {number}: {source}")]
     Batch {
-        /// Number of the batch, from 0.
+        /// Number of the batch, counted from 0.
         number: u64,
-        /// What is wrong with it.
-        source: TurnError,
+        /// Why the batch could not be processed.
+        source: BatchFailure,
     },
-    /// The reply can't be written.
-    #[error("standard output: {0}")]
+    /// A reply could not be written.
+    #[error("cannot write the reply to standard output: {0}")]
     Output(#[source] io::Error),
 }
 
-/// Why one batch can't be read or carried out.
+/// The reason why one batch could not be read or processed.
 #[derive(Debug, thiserror::Error)]
-pub enum TurnError {
-    /// The pipe failed or ended within the batch.
+pub enum BatchFailure {
+    /// Reading from standard input failed, or the input ended within the batch.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The bytes are not a batch.
+    /// The bytes of the frame don't form a valid batch.
     #[error(transparent)]
     Batch(#[from] BatchError),
-    /// A new instance's settings are rejected.
-    #[error("record {record}, provision: {source}")]
+    /// The settings of a new instance are invalid.
+    #[error("record {record}, provision: invalid settings: {source}")]
     Settings {
-        /// Index of the record.
+        /// Index of the record in the batch, counted from 0.
         record: usize,
-        /// What is wrong with the settings.
+        /// Why the settings were rejected.
         source: SettingsError,
     },
-    /// A sync record names an unknown form, or a buffer without a list.
-    #[error("record {record}, sync: form {form} or page {buffer} is unknown")]
+    /// A sync record states an unknown form, or names a buffer that holds no endpoint list.
+    #[error(
+        "record {record}, sync: form {form} is unknown, or buffer {buffer} holds no endpoint list"
+    )]
     UnknownList {
-        /// Index of the record.
+        /// Index of the record in the batch, counted from 0.
         record: usize,
-        /// The form.
+        /// The code of the kind of update.
         form: u8,
-        /// The buffer.
+        /// The number of the buffer.
         buffer: u8,
     },
-    /// An event is for an instance that does not exist.
-    #[error("event for instance {0}, which was never provisioned")]
+    /// An event is addressed to an instance that was not provisioned, or that has been retired.
+    #[error("event for instance {0}, which is not provisioned")]
     UnknownInstance(u16),
 }
 
-/// The instances, and the endpoint lists that they may be notified of.
+/// The router instances, and the endpoint lists that sync records refer to.
 ///
-/// All maps are ordered: equal events have to give equal actions in an equal order.
+/// All maps are ordered, because equal events must give equal actions in an equal order.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u16, RequestRouter>,
-    lists: BTreeMap<u8, Vec<Endpoint>>,
+    /// Endpoint lists by the number of the buffer that holds them.
+    endpoint_lists: BTreeMap<u8, Vec<Endpoint>>,
 }
 
-/// The events of one batch for each instance that has to be run.
-type Inbox = BTreeMap<u16, Vec<Event>>;
+/// The events of one batch, by instance. An instance without events is run as well, since its timers may be due.
+type EventsByInstance = BTreeMap<u16, Vec<Event>>;
 
 impl Host {
-    /// Carries out one batch and returns the reply's bytes.
-    fn turn(&mut self, batch: Batch) -> Result<Vec<u8>, TurnError> {
+    /// Processes one batch and returns the encoded reply.
+    fn process_batch(&mut self, batch: Batch) -> Result<Vec<u8>, BatchFailure> {
         let now = Time::from_secs(batch.now);
-        let mut inbox = Inbox::new();
+        let mut events_by_instance = EventsByInstance::new();
         for (index, record) in batch.records.into_iter().enumerate() {
-            self.accept(index, record, &mut inbox)?;
+            self.apply_record(index, record, &mut events_by_instance)?;
         }
-        self.run_instances(now, inbox)
+        self.run_instances(now, events_by_instance)
     }
 
-    fn accept(&mut self, index: usize, record: Record, inbox: &mut Inbox) -> Result<(), TurnError> {
+    fn apply_record(
+        &mut self,
+        index: usize,
+        record: Record,
+        events_by_instance: &mut EventsByInstance,
+    ) -> Result<(), BatchFailure> {
         match record {
             Record::Provision {
                 instance,
                 seed,
                 settings,
             } => {
-                let deployment =
-                    cairnroad_settings::parse(&settings).map_err(|source| TurnError::Settings {
+                let deployment = cairnroad_settings::parse(&settings).map_err(|source| {
+                    BatchFailure::Settings {
                         record: index,
                         source,
-                    })?;
+                    }
+                })?;
                 let router = RequestRouter::new(deployment.policy, seed);
                 self.instances.insert(instance, router);
-                inbox.insert(instance, Vec::new());
+                events_by_instance.insert(instance, Vec::new());
             }
             Record::Retire { instance } => {
                 self.instances.remove(&instance);
-                inbox.remove(&instance);
+                events_by_instance.remove(&instance);
             }
             Record::Page { buffer, endpoints } => {
-                self.lists.insert(buffer, endpoints);
+                self.endpoint_lists.insert(buffer, endpoints);
             }
             Record::Sync {
                 instance,
                 form,
                 buffer,
             } => {
-                let endpoints = self.lists.get(&buffer).cloned();
+                let endpoints = self.endpoint_lists.get(&buffer).cloned();
                 let update =
-                    codec::endpoint_update(form, endpoints).ok_or(TurnError::UnknownList {
+                    codec::endpoint_update(form, endpoints).ok_or(BatchFailure::UnknownList {
                         record: index,
                         form,
                         buffer,
                     })?;
-                let events = inbox.entry(instance).or_default();
+                let events = events_by_instance.entry(instance).or_default();
                 events.push(Event::Endpoints(update));
             }
-            Record::Event { instance, event } => inbox.entry(instance).or_default().push(event),
+            Record::Event { instance, event } => {
+                events_by_instance.entry(instance).or_default().push(event)
+            }
             Record::Ignored { instance } => {
-                inbox.entry(instance).or_default();
+                events_by_instance.entry(instance).or_default();
             }
         }
         Ok(())
     }
 
-    fn run_instances(&mut self, now: Time, inbox: Inbox) -> Result<Vec<u8>, TurnError> {
+    fn run_instances(
+        &mut self,
+        now: Time,
+        events_by_instance: EventsByInstance,
+    ) -> Result<Vec<u8>, BatchFailure> {
         let mut reply = Reply::default();
         let mut actions: Vec<Action> = Vec::new();
-        for (instance, events) in inbox {
+        for (instance, events) in events_by_instance {
             let router = self.instances.get_mut(&instance);
-            let router = router.ok_or(TurnError::UnknownInstance(instance))?;
+            let router = router.ok_or(BatchFailure::UnknownInstance(instance))?;
             actions.clear();
             router.handle(now, &events, &mut actions);
             for action in &actions {
@@ -139,33 +154,37 @@
         Ok(reply.finish())
     }
 
-    /// Reads the next batch and returns its reply; `None` at the end of the input.
-    fn next_reply(&mut self, input: &mut impl Read) -> Result<Option<Vec<u8>>, TurnError> {
+    /// Reads and processes the next batch and returns the encoded reply, or `None` at the end of the input.
+    fn next_reply(&mut self, input: &mut impl Read) -> Result<Option<Vec<u8>>, BatchFailure> {
         let Some(frame) = codec::read_frame(input)? else {
             return Ok(None);
         };
         let batch = Batch::parse(&frame)?;
-        self.turn(batch).map(Some)
+        self.process_batch(batch).map(Some)
     }
 }
 
-/// Replies to batches until the input ends.
+/// Processes batches and writes their replies until the input ends.
 ///
 /// # Errors
 ///
-/// The first batch that can't be read or carried out, or a reply that can't be written.
+/// Returns the first failure to read or process a batch or to write a reply.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
     let mut host = Host::default();
-    let mut number = 0;
+    let mut batch_number = 0;
     loop {
         let reply = host.next_reply(&mut input);
-        let Some(reply) = reply.map_err(|source| HostError::Batch { number, source })? else {
+        let Some(reply) = reply.map_err(|source| HostError::Batch {
+            number: batch_number,
+            source,
+        })?
+        else {
             return Ok(());
         };
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
             .map_err(HostError::Output)?;
-        number += 1;
+        batch_number += 1;
     }
 }
--- a/crates/simulator-host/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -1,5 +1,7 @@
-//! Hosts the routing decisions of many coordinators on the simulator's wire: frames in on standard input, frames out
-//! on standard output. It translates only; every decision is made by `cairnroad_routing`.
+//! Runs the routing decisions of many coordinators under the operators' simulator: reads batches of events from
+//! standard input and writes the resulting actions to standard output, both as binary frames.
+//!
+//! This program only translates between the simulator's protocol and `cairnroad_routing`, which makes every decision.
 
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
