--- a/crates/testbed/src/chaos/figures.rs
+++ b/crates/testbed/src/chaos/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run, for people and programs.
+//! Computes the figures that a chaos run prints as JSON.
 
 use super::history_check::History;
 use super::process::{Process, ProcessUsage};
@@ -8,11 +8,11 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// What a run showed.
+/// The result of a run.
 pub(super) struct ChaosReport {
-    /// Everything that was wrong, in words.
+    /// Descriptions of all violations; empty if the run was correct.
     pub(super) violations: Vec<String>,
-    /// Counts and rates, as printed.
+    /// Counts and rates, in the form that is printed.
     pub(super) figures: serde_json::Value,
 }
 
@@ -29,7 +29,7 @@
         |total: u64| total as f64 / scenario.span / scenario.coordinators as f64;
     let processes = run.processes.borrow();
     let usages: Vec<ProcessUsage> = processes.values().filter_map(Process::usage).collect();
-    let measured = usages.len().max(1) as f64;
+    let process_count = usages.len().max(1) as f64;
     let cpu_seconds: f64 = usages.iter().map(|usage| usage.cpu_seconds).sum();
     let memory_mb: f64 = usages.iter().map(|usage| usage.memory_mb).sum();
     json!({
@@ -42,8 +42,8 @@
         "failed": count(Ending::Failed),
         "late": count(Ending::Late),
         "unanswered": count(Ending::Unanswered) + count(Ending::Disconnected),
-        "cpu_ms_a_process_s": round_to_tenth(cpu_seconds * 1e3 / measured / scenario.span),
-        "memory_mb": round_to_tenth(memory_mb / measured),
+        "cpu_ms_a_process_s": round_to_tenth(cpu_seconds * 1e3 / process_count / scenario.span),
+        "memory_mb": round_to_tenth(memory_mb / process_count),
         "looks": history.views.len(),
         "datagrams_a_member_s": round_to_tenth(per_member_second(datagrams)),
         "bytes_a_member_s": round_to_tenth(per_member_second(bytes)),
@@ -55,7 +55,10 @@
     (figure * 10.0).round() / 10.0
 }
 
-/// Returns how long after a kill each survivor first saw it: the median, the 99th percentile and the most, in seconds.
+/// Returns the median, the 99th percentile and the maximum of the failure detection times, in seconds.
+///
+/// A detection time runs from the kill of a coordinator until one of the survivors first reports it as gone. Returns `None`
+/// if there was none.
 fn failure_detection_seconds(history: &History) -> Option<[f64; 3]> {
     let mut delays = Vec::new();
     for kill in &history.faults {
@@ -74,7 +77,7 @@
     Some(figures.map(|seconds| (seconds * 100.0).round() / 100.0))
 }
 
-/// Returns by survivor how long after a member's kill it first did not see it.
+/// Returns, for each survivor that detected the kill of `member`, the seconds from the kill until then.
 fn detection_delays(history: &History, member: usize, killed_at: f64) -> Vec<f64> {
     let mut first_seen: BTreeMap<usize, f64> = BTreeMap::new();
     let views = history.views.iter();
--- a/crates/testbed/src/chaos/history_check.rs
+++ b/crates/testbed/src/chaos/history_check.rs
@@ -1,62 +1,69 @@
-//! The whole history of a run on one clock, and what is wrong with it.
+//! The recorded history of a run, on one clock, and the checks for violations in it.
 
 use super::scenario::{Fault, TimedFault};
 use crate::workload::Ending;
 use std::collections::BTreeSet;
 
-/// How long before its client noticed a process may have been affected by a fault, in seconds.
-const NOTICE_DELAY: f64 = 0.25;
-/// The share of requests whose answers may come late where no fault explains it: a busy machine holds one up now and
-/// then, while a program that is late by itself is so wherever a request waits to its end.
+/// Seconds before the start of a request within which a fault still counts as affecting it.
+///
+/// A process may have been hit by a fault for this long before its clients notice.
+const FAULT_NOTICE_SECONDS: f64 = 0.25;
+/// Maximum share of requests with late answers that no fault explains.
+///
+/// A busy machine delays a single answer now and then, whereas a defect of the coordinator delays every answer that is
+/// due at its deadline.
 const MAX_LATE_SHARE: f64 = 0.01;
 
-/// A request, as its client saw it.
+/// A request, as its client observed it.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// The coordinator that was asked.
+    /// Index of the coordinator that received the request.
     pub coordinator: usize,
-    /// The query's number.
+    /// Number of the query.
     pub query: u64,
-    /// When it was asked, in seconds from the run's start.
-    pub asked_at: f64,
-    /// When it ended.
+    /// Time at which the request was sent, in seconds since the start of the run.
+    pub sent_at: f64,
+    /// Time at which the request ended, in seconds since the start of the run.
     pub ended_at: f64,
-    /// How it ended.
+    /// How the request ended for its client.
     pub ending: Ending,
-    /// What was wrong with its answer, if anything.
+    /// What was wrong with the answer; `None` if it was correct or there was none.
     pub answer_fault: Option<String>,
 }
 
-/// Which members one coordinator saw at a moment.
+/// The members that one coordinator considered alive at one time.
 #[derive(Clone, Debug)]
 pub struct MembershipView {
-    /// When, in seconds from the run's start.
+    /// Time of the poll, in seconds since the start of the run.
     pub seen_at: f64,
-    /// The coordinator.
+    /// Index of the polled coordinator.
     pub observer: usize,
-    /// The members that it saw alive, itself included.
+    /// Indices of the members that it considered alive, including itself.
     pub alive: BTreeSet<usize>,
 }
 
-/// All that happened.
+/// Everything that was recorded during a run.
 #[derive(Default)]
 pub struct History {
     /// Number of coordinators.
     pub coordinators: usize,
-    /// All requests.
+    /// All requests, in the order in which they ended.
     pub requests: Vec<RequestRecord>,
-    /// All membership views.
+    /// All polled membership views.
     pub views: Vec<MembershipView>,
-    /// All faults, in the order of time.
+    /// All injected faults, ordered by time.
     pub faults: Vec<TimedFault>,
-    /// The rules that were broken by what reached the data nodes.
+    /// Violations that the run log of the data nodes shows.
     pub run_log_violations: Vec<String>,
 }
 
-/// Who is alive, who runs, and who reaches whom, at a moment.
+/// Which coordinators are alive and running, and which can reach each other, at one time.
 struct Reachability {
+    /// By coordinator: whether its process has not been killed.
     alive: Vec<bool>,
+    /// By coordinator: whether its process is paused.
     stopped: Vec<bool>,
+    /// By coordinator: whether the datagrams that it sends are dropped.
     muted: Vec<bool>,
     /// The coordinators of one side of each partition.
     partitions: Vec<BTreeSet<usize>>,
@@ -98,7 +105,8 @@
         }
     }
 
-    fn is_heard(&self, member: usize) -> bool {
+    /// Returns whether other members can receive datagrams from this one, apart from partitions.
+    fn can_be_heard(&self, member: usize) -> bool {
         self.alive[member] && !self.stopped[member] && !self.muted[member]
     }
 
@@ -107,20 +115,22 @@
         sides.all(|side| side.contains(&one) == side.contains(&other))
     }
 
-    /// Returns whom a running coordinator has to see alive; `None` where nothing is promised.
+    /// Returns the members that a coordinator has to consider alive, or `None` if its view need not be correct because it
+    /// is killed, paused or muted.
     fn expected_view(&self, observer: usize) -> Option<BTreeSet<usize>> {
-        if !self.is_heard(observer) {
+        if !self.can_be_heard(observer) {
             return None;
         }
         let is_seen = |member: &usize| {
-            *member == observer || (self.is_heard(*member) && self.are_connected(*member, observer))
+            *member == observer
+                || (self.can_be_heard(*member) && self.are_connected(*member, observer))
         };
         Some((0..self.alive.len()).filter(is_seen).collect())
     }
 }
 
 impl History {
-    /// Returns everything that is wrong, in words. Views have to be right from `settling_seconds` after a fault on.
+    /// Returns descriptions of all violations. Membership views have to be correct from `settling_seconds` after a fault.
     pub fn violations(&self, settling_seconds: f64) -> Vec<String> {
         let mut violations = self.run_log_violations.clone();
         let answer_faults = self.requests.iter();
@@ -131,37 +141,37 @@
         violations
     }
 
-    /// Requests without a final answer, though their coordinator lived and ran.
+    /// Describes the requests that got no final answer although their coordinator was running.
     fn unanswered_requests(&self) -> impl Iterator<Item = String> + '_ {
-        let lost = self.requests.iter().filter(|request| {
+        let unanswered = self.requests.iter().filter(|request| {
             matches!(request.ending, Ending::Unanswered | Ending::Disconnected)
                 && !self.was_under_fault(request)
         });
-        lost.map(|request| {
+        unanswered.map(|request| {
             format!(
                 "query {} at coordinator {}, {:.2} to {:.2} s: no final answer ({:?})",
                 request.query,
                 request.coordinator,
-                request.asked_at,
+                request.sent_at,
                 request.ended_at,
                 request.ending
             )
         })
     }
 
-    /// More late answers than a busy machine explains.
+    /// Describes the late answers if there are more than a busy machine explains.
     fn too_many_late_answers(&self) -> Option<String> {
         let late = self
             .requests
             .iter()
             .filter(|request| request.ending == Ending::Late && !self.was_under_fault(request));
         let late = late.count();
-        let asked = self.requests.len();
-        let too_many = late as f64 > MAX_LATE_SHARE * asked as f64;
-        too_many.then(|| format!("{late} of {asked} answers came after their clients' time"))
+        let total = self.requests.len();
+        let too_many = late as f64 > MAX_LATE_SHARE * total as f64;
+        too_many.then(|| format!("{late} of {total} requests were answered after their deadline"))
     }
 
-    /// Whether the coordinator was killed, or stopped, while it had the request.
+    /// Returns whether the coordinator was killed or paused while it processed the request.
     fn was_under_fault(&self, request: &RequestRecord) -> bool {
         let mut stopped = false;
         for TimedFault { at, fault } in &self.faults {
@@ -169,9 +179,9 @@
             if !affected || *at > request.ended_at {
                 continue;
             }
-            let during_request = *at > request.asked_at - NOTICE_DELAY;
+            let during_request = *at > request.sent_at - FAULT_NOTICE_SECONDS;
             match fault {
-                // What came during a stop is found late after the resume.
+                // A request that arrived while the process was paused is only read after the resume.
                 Fault::Kill { .. } | Fault::Stop { .. } | Fault::Resume { .. }
                     if during_request =>
                 {
@@ -185,7 +195,7 @@
         stopped
     }
 
-    /// Views that are wrong though nothing has happened for so long that they must be right.
+    /// Describes the membership views that are still wrong after the settling time of the last fault.
     fn wrong_views(&self, settling_seconds: f64) -> Vec<String> {
         let mut reachability = Reachability::new(self.coordinators);
         let mut violations = Vec::new();
@@ -220,9 +230,9 @@
     last_fault_at: f64,
 ) -> String {
     let missing: Vec<_> = expected.difference(&view.alive).collect();
-    let surplus: Vec<_> = view.alive.difference(expected).collect();
+    let unexpected: Vec<_> = view.alive.difference(expected).collect();
     format!(
-        "coordinator {} at {:.2} s, {:.1} s after the last fault: misses {missing:?}, sees {surplus:?}",
+        "coordinator {} at {:.2} s, {:.1} s after the last fault: membership view lacks {missing:?} and wrongly includes {unexpected:?}",
         view.observer,
         view.seen_at,
         view.seen_at - last_fault_at
--- a/crates/testbed/src/chaos/history_check/tests.rs
+++ b/crates/testbed/src/chaos/history_check/tests.rs
@@ -11,22 +11,22 @@
     }
 }
 
-fn request(coordinator: usize, at: f64, ended: f64, end: Ending) -> RequestRecord {
+fn request(coordinator: usize, sent_at: f64, ended_at: f64, ending: Ending) -> RequestRecord {
     RequestRecord {
         coordinator,
         query: 7,
-        asked_at: at,
-        ended_at: ended,
-        ending: end,
+        sent_at,
+        ended_at,
+        ending,
         answer_fault: None,
     }
 }
 
-fn view(at: f64, by: usize, there: &[usize]) -> MembershipView {
+fn view(seen_at: f64, observer: usize, alive: &[usize]) -> MembershipView {
     MembershipView {
-        seen_at: at,
-        observer: by,
-        alive: there.iter().copied().collect(),
+        seen_at,
+        observer,
+        alive: alive.iter().copied().collect(),
     }
 }
 
@@ -47,42 +47,47 @@
     ];
     history.requests = excused.to_vec();
     assert!(history.violations(1.0).is_empty());
-    let lost = [
+    let unanswered = [
         request(0, 4.9, 7.0, Ending::Unanswered),
         request(1, 1.0, 3.0, Ending::Unanswered),
         request(2, 12.0, 14.0, Ending::Disconnected),
         request(3, 4.9, 5.5, Ending::Disconnected),
     ];
-    for one in lost {
-        history.requests = vec![one.clone()];
-        let wrong = history.violations(1.0);
+    for request in unanswered {
+        history.requests = vec![request.clone()];
+        let violations = history.violations(1.0);
         assert!(
-            wrong.len() == 1 && wrong[0].contains("no final answer"),
-            "{one:?}"
+            violations.len() == 1 && violations[0].contains("no final answer"),
+            "{request:?}"
         );
     }
 }
 
-/// One late answer in a hundred is put down to the machine; more are the program's, unless it was struck.
+/// Up to 1 % of late answers are attributed to a busy machine. More are a violation, unless a fault explains them.
 #[test]
 fn many_late_answers_are_a_violation() {
     let mut history = history();
-    let of = |late: usize| {
-        (0..200).map(move |at| {
-            if at < late {
+    let endings = |late: usize| {
+        (0..200).map(move |index| {
+            if index < late {
                 Ending::Late
             } else {
                 Ending::Served
             }
         })
     };
-    history.requests = of(2).map(|end| request(0, 4.0, 6.1, end)).collect();
+    history.requests = endings(2)
+        .map(|ending| request(0, 4.0, 6.1, ending))
+        .collect();
     assert!(history.violations(1.0).is_empty());
-    history.requests = of(3).map(|end| request(0, 4.0, 6.1, end)).collect();
-    let wrong = history.violations(1.0);
+    history.requests = endings(3)
+        .map(|ending| request(0, 4.0, 6.1, ending))
+        .collect();
+    let violations = history.violations(1.0);
     assert!(
-        wrong.len() == 1 && wrong[0].contains("3 of 200 answers came after"),
-        "{wrong:?}"
+        violations.len() == 1
+            && violations[0].contains("3 of 200 requests were answered after their deadline"),
+        "{violations:?}"
     );
     history.faults = vec![
         timed(3.0, Fault::Stop { members: vec![0] }),
@@ -122,12 +127,12 @@
         "{:?}",
         history.violations(5.0)
     );
-    for late in [
+    for wrong_view in [
         view(16.0, 0, &[0, 1, 2]),
         view(36.0, 3, &[2, 3]),
         view(46.0, 0, &[0, 1, 2, 3]),
     ] {
-        let views = std::mem::replace(&mut history.views, vec![late]);
+        let views = std::mem::replace(&mut history.views, vec![wrong_view]);
         assert_eq!(history.violations(5.0).len(), 1, "{:?}", history.views);
         history.views = views;
     }
--- a/crates/testbed/src/chaos/injection.rs
+++ b/crates/testbed/src/chaos/injection.rs
@@ -1,23 +1,23 @@
-//! How each fault of a scenario is injected.
+//! Injects the faults of a scenario.
 
-use super::network::{DatagramFaults, Party};
+use super::network::{DatagramFaults, Participant};
 use super::process::Process;
 use super::run::ChaosRun;
 use super::scenario::{Fault, TimedFault};
 use crate::fleet::NodeBehavior;
 use std::rc::Rc;
 
-/// Seconds after which a coordinator knows of a changed endpoint list: it looks at its files this often.
+/// Seconds until a coordinator has noticed a changed endpoint list: the interval at which it polls its files.
 const LIST_POLL_SECONDS: f64 = 0.25;
 
 impl ChaosRun {
-    /// Injects a fault now and records it.
+    /// Injects a fault now and records it in the history.
     pub(super) async fn inject(self: &Rc<Self>, fault: Fault) {
         self.record_fault(fault.clone());
         match &fault {
             Fault::Partition { members, nodes } => {
-                let members = members.iter().map(|&member| Party::Member(member));
-                let nodes = nodes.iter().map(|&node| Party::Node(node));
+                let members = members.iter().map(|&member| Participant::Member(member));
+                let nodes = nodes.iter().map(|&node| Participant::Node(node));
                 self.network.partition(members.chain(nodes).collect());
             }
             Fault::Mute { members } => self.network.mute(members),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes a coordinator's process out of the run and sends it no more clients.
+    /// Removes a coordinator's process from the run, so that it gets no new clients, and returns it.
     fn take_process(&self, member: usize) -> Option<Process> {
         self.fronts.borrow_mut().remove(&member);
         self.processes.borrow_mut().remove(&member)
@@ -90,7 +90,7 @@
 
     async fn restart(self: &Rc<Self>, members: &[usize]) {
         for &member in members {
-            // Clients learn from its health that it stops; what they have open goes on.
+            // Clients see from the health endpoint that the process is stopping; their open requests continue.
             let process = self.take_process(member);
             if let Some(process) = process {
                 if let Err(error) = process.stop().await {
@@ -99,7 +99,7 @@
             }
             self.clone().start_member(member).await;
         }
-        // From the last start on the views have to be right again.
+        // Membership views have to become correct again within the settling time after the last start.
         self.record_fault(Fault::Start {
             members: members.to_vec(),
         });
--- a/crates/testbed/src/chaos/mod.rs
+++ b/crates/testbed/src/chaos/mod.rs
@@ -1,5 +1,5 @@
-//! Faults between processes: many coordinators and emulated data nodes, everything that passes between them delayed,
-//! lost or cut off by a scenario, and a checker of the whole history. See `docs/TESTBED.md`.
+//! Fault injection between processes: runs many coordinators and emulated data nodes, delays, drops or partitions the
+//! traffic between them as a scenario states, and checks the recorded history. See `docs/TESTBED.md`.
 
 mod figures;
 pub mod history_check;
@@ -13,13 +13,14 @@
 use run::ChaosRun;
 use std::path::{Path, PathBuf};
 
-/// Plays a scenario's file and prints what it showed. Returns whether nothing was wrong.
+/// Plays a scenario file and prints its figures and violations. Returns whether there were no violations.
 ///
-/// `keep` is a folder that keeps the processes' settings and logs, `program` another program than the one beside this.
+/// `keep` is the folder that retains the settings and logs of the processes; without it they go to a temporary folder
+/// that is removed afterwards. `program` replaces the coordinator binary next to the testbed's own.
 ///
 /// # Errors
 ///
-/// A scenario that is wrong, or a process that doesn't start or end as it should.
+/// Returns an error if the scenario is invalid, or if a process does not start or stop as expected.
 pub async fn run(
     path: &Path,
     keep: Option<&Path>,
--- a/crates/testbed/src/chaos/network.rs
+++ b/crates/testbed/src/chaos/network.rs
@@ -1,5 +1,5 @@
-//! The network between processes: datagrams among coordinators and connections from these to data nodes pass through
-//! proxies that delay, lose, duplicate or reset them as the scenario says.
+//! The emulated network between processes. Datagrams between coordinators and their connections to data nodes pass
+//! through proxies that delay, drop, duplicate or reset them as the scenario states.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -12,67 +12,68 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::watch;
 
-/// How often a partitioned connection looks whether the partition is over.
+/// Interval at which a partitioned connection checks whether the partition has ended.
 const PARTITION_POLL: Duration = Duration::from_millis(5);
-/// Bytes that a connection's proxy takes at a time.
+/// Size of a connection proxy's copy buffer, in bytes.
 const COPY_BYTES: usize = 16 * 1024;
-/// The largest datagram that is passed on.
+/// The largest datagram that is forwarded in full, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// One end of a connection or of a datagram's way.
+/// A process that sends or receives traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Party {
-    /// A coordinator.
+pub enum Participant {
+    /// A coordinator, by index.
     Member(usize),
-    /// A data node.
+    /// A data node, by index.
     Node(usize),
 }
 
-/// Faults of datagrams among coordinators.
+/// Faults that affect datagrams between coordinators.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DatagramFaults {
-    /// Share that is lost.
+    /// Share of datagrams that are lost, from 0 to under 1.
     pub loss: f64,
-    /// Share that arrives twice.
+    /// Share of datagrams that arrive twice, from 0 to under 1.
     pub duplication: f64,
     /// Shortest and longest delay in milliseconds.
     pub delay_ms: [f64; 2],
 }
 
-/// Datagrams that a member sent.
+/// The datagram traffic that a coordinator sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// How many.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total size of their payloads in bytes.
     pub bytes: u64,
 }
 
-/// The faults in force.
+/// The faults that are currently active.
 #[derive(Default)]
 struct NetworkState {
-    /// One side of each partition.
-    partitions: Vec<BTreeSet<Party>>,
+    /// The members of one side of each active partition.
+    partitions: Vec<BTreeSet<Participant>>,
+    /// Coordinators whose datagrams are dropped.
     muted: BTreeSet<usize>,
     datagram_faults: DatagramFaults,
 }
 
-/// All proxies of a run.
+/// The proxies of a run, and the state that they share.
 pub struct FaultyNetwork {
     state: RefCell<NetworkState>,
     rng: RefCell<StdRng>,
-    /// Who sends datagrams from an address; a process that starts again has a new one.
+    /// The sending coordinator by source address. A restarted process gets a new address.
     senders: RefCell<BTreeMap<SocketAddr, usize>>,
-    /// Where each member takes datagrams.
+    /// The address at which each coordinator receives datagrams.
     targets: RefCell<BTreeMap<usize, SocketAddr>>,
-    /// Counts up when a member's connections are reset.
+    /// By coordinator, a counter whose increase resets all of its connections.
     reset_epochs: RefCell<BTreeMap<usize, watch::Sender<u64>>>,
-    /// Datagrams by the member that sent them.
+    /// Datagram traffic by sending coordinator.
     pub traffic: RefCell<BTreeMap<usize, Traffic>>,
 }
 
 impl FaultyNetwork {
-    /// Returns a network without faults. `seed` is its only source of chance.
+    /// Creates a network without faults. All random choices derive from `seed`.
     pub fn new(seed: u64) -> Rc<FaultyNetwork> {
         Rc::new(FaultyNetwork {
             state: RefCell::default(),
@@ -84,36 +85,36 @@
         })
     }
 
-    /// Lets nothing pass between this side and all others.
-    pub fn partition(&self, side: BTreeSet<Party>) {
+    /// Blocks all traffic between the processes of `side` and all others.
+    pub fn partition(&self, side: BTreeSet<Participant>) {
         self.state.borrow_mut().partitions.push(side);
     }
 
-    /// Loses all datagrams from these members.
+    /// Drops all datagrams from these coordinators.
     pub fn mute(&self, members: &[usize]) {
         self.state.borrow_mut().muted.extend(members);
     }
 
-    /// Ends all partitions and lets muted members be heard.
+    /// Ends all partitions and unmutes all coordinators.
     pub fn heal(&self) {
         let mut state = self.state.borrow_mut();
         state.partitions.clear();
         state.muted.clear();
     }
 
-    /// Sets the faults of datagrams from now on.
+    /// Replaces the faults that affect datagrams.
     pub fn set_datagram_faults(&self, faults: DatagramFaults) {
         self.state.borrow_mut().datagram_faults = faults;
     }
 
-    /// Resets all connections of a member to data nodes.
+    /// Resets all connections of a coordinator to data nodes.
     pub fn reset_connections(&self, member: usize) {
         if let Some(epoch) = self.reset_epochs.borrow().get(&member) {
             epoch.send_modify(|count| *count += 1);
         }
     }
 
-    /// Sets where a member sends and takes its datagrams from now on.
+    /// Sets the address at which a coordinator sends and receives datagrams from now on.
     pub fn set_member_address(&self, member: usize, address: SocketAddr) {
         let mut senders = self.senders.borrow_mut();
         senders.retain(|_, other| *other != member);
@@ -121,17 +122,17 @@
         self.targets.borrow_mut().insert(member, address);
     }
 
-    fn is_partitioned(&self, from: Party, to: Party) -> bool {
+    fn is_partitioned(&self, from: Participant, to: Participant) -> bool {
         let state = self.state.borrow();
         let mut sides = state.partitions.iter();
         sides.any(|side| side.contains(&from) != side.contains(&to))
     }
 
-    /// Opens the address at which others reach a member with datagrams.
+    /// Opens the datagram proxy of a coordinator and returns its address, which the other coordinators use.
     ///
     /// # Errors
     ///
-    /// A socket that can't be opened.
+    /// Returns an error if the socket can't be opened.
     pub async fn proxy_datagrams(self: &Rc<Self>, to: usize) -> std::io::Result<SocketAddr> {
         let socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let address = socket.local_addr()?;
@@ -162,7 +163,7 @@
 
     fn forward_datagram(&self, socket: &Rc<UdpSocket>, from: usize, to: usize, bytes: &[u8]) {
         let is_muted = self.state.borrow().muted.contains(&from);
-        if is_muted || self.is_partitioned(Party::Member(from), Party::Member(to)) {
+        if is_muted || self.is_partitioned(Participant::Member(from), Participant::Member(to)) {
             return;
         }
         let Some(target) = self.targets.borrow().get(&to).copied() else {
@@ -191,11 +192,11 @@
         }
     }
 
-    /// Opens the address at which one member reaches one data node.
+    /// Opens a connection proxy from one coordinator to one data node and returns its address.
     ///
     /// # Errors
     ///
-    /// A socket that can't be opened.
+    /// Returns an error if the listener can't be opened.
     pub async fn proxy_connections(
         self: &Rc<Self>,
         member: usize,
@@ -215,8 +216,8 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let proxy = ConnectionProxy {
                     network: network.clone(),
-                    member: Party::Member(member),
-                    node: Party::Node(node),
+                    member: Participant::Member(member),
+                    node: Participant::Node(node),
                 };
                 tokio::task::spawn_local(proxy.run(stream, target, epoch.subscribe()));
             }
@@ -228,8 +229,8 @@
         &self,
         from: &mut (impl AsyncReadExt + Unpin),
         to: &mut (impl AsyncWriteExt + Unpin),
-        source: Party,
-        target: Party,
+        source: Participant,
+        target: Participant,
     ) {
         let mut buffer = vec![0; COPY_BYTES];
         loop {
@@ -237,7 +238,7 @@
                 Ok(length) if length > 0 => length,
                 _ => return,
             };
-            // What is under way is held, as a network that is partitioned holds what it was given.
+            // Bytes in transit are held until the partition ends, like data that a sender retransmits after a real one.
             while self.is_partitioned(source, target) {
                 tokio::time::sleep(PARTITION_POLL).await;
             }
@@ -248,11 +249,11 @@
     }
 }
 
-/// One connection from a member to a data node.
+/// The proxy of one connection from a coordinator to a data node.
 struct ConnectionProxy {
     network: Rc<FaultyNetwork>,
-    member: Party,
-    node: Party,
+    member: Participant,
+    node: Participant,
 }
 
 impl ConnectionProxy {
@@ -276,7 +277,7 @@
             _ = reset.changed() => true,
         };
         if let (true, Ok(stream)) = (is_reset, from_member.reunite(to_member)) {
-            // A close without lingering is a reset.
+            // With a linger time of zero, the close sends a TCP reset.
             let _ = stream.set_zero_linger();
         }
     }
--- a/crates/testbed/src/chaos/process.rs
+++ b/crates/testbed/src/chaos/process.rs
@@ -1,5 +1,5 @@
-//! Coordinators as processes: started at port 0, stopped, resumed, killed, restarted and reloaded. Whatever was started
-//! ends with its owner, also when a run fails.
+//! Runs coordinators as child processes that listen on port 0 and can be stopped, resumed, killed, restarted and
+//! reloaded. Dropping a [`Process`] kills it, so that no child outlives a failed run.
 
 use crate::coordinator_process::log_field;
 use crate::deployment::{write_atomically, DeploymentSpec};
@@ -14,101 +14,103 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, ChildStderr, Command};
 
-/// How long a start may take.
+/// Time limit for a process to list its addresses, and again for it to become healthy.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a graceful shutdown may take.
+/// Time limit for a graceful shutdown.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a starting coordinator's health is asked for.
+/// Interval between two health checks of a starting coordinator.
 const HEALTH_INTERVAL: Duration = Duration::from_millis(5);
-/// The system counts processor time in these.
+/// Unit of the processor times in `/proc/<pid>/stat`.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
-/// How long an admin request may take.
+/// Time limit for a health check or an admin request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Log lines that name the admin address, of this program and of earlier ones.
+/// Log events that state the address of the admin API, in current and earlier versions of the coordinator.
 const ADMIN_LISTENING: [&str; 2] = ["admin API listening", "operators' calls"];
-/// Log lines that name the cluster's address, of this program and of earlier ones.
+/// Log events that state the address for cluster datagrams, in current and earlier versions of the coordinator.
 const CLUSTER_JOINED: [&str; 2] = ["joining the cluster", "takes part"];
 
-/// Why a process is not there.
+/// The reason why a process did not start or stop as expected.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// The program can't be started.
-    #[error("{path}: {source}", path = path.display())]
+    #[error("cannot start {path}: {source}", path = path.display())]
     Spawn {
-        /// The program.
+        /// Path of the program.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// It ended before it listened.
-    #[error("coordinator {index} ended at its start:\n{log}")]
+    /// The process ended before it listened on all of its addresses.
+    #[error("coordinator {index} exited before it was listening; its log:\n{log}")]
     EndedAtStart {
-        /// Its index.
+        /// Index of the coordinator.
         index: usize,
-        /// Its log so far.
+        /// The log until then.
         log: String,
     },
-    /// It did not become ready.
-    #[error("coordinator {index} was not ready in time:\n{log}")]
+    /// The process did not become ready within the time limit.
+    #[error("coordinator {index} was not ready within {} s; its log:\n{log}", START_TIMEOUT.as_secs())]
     NotReady {
-        /// Its index.
+        /// Index of the coordinator.
         index: usize,
-        /// Its log so far.
+        /// The log until then.
         log: String,
     },
-    /// It did not end after SIGTERM.
-    #[error("coordinator {index} did not end {} s after it was told to", STOP_TIMEOUT.as_secs())]
+    /// The process did not exit after SIGTERM within the time limit.
+    #[error("coordinator {index} did not exit within {} s after SIGTERM", STOP_TIMEOUT.as_secs())]
     DidNotStop {
-        /// Its index.
+        /// Index of the coordinator.
         index: usize,
     },
-    /// It did not end successfully after SIGTERM.
-    #[error("coordinator {index} ended with {status}, told to stop")]
+    /// The process exited with a failure after SIGTERM.
+    #[error(
+        "coordinator {index} failed to stop cleanly after SIGTERM: expected success, got {status}"
+    )]
     Crashed {
-        /// Its index.
+        /// Index of the coordinator.
         index: usize,
-        /// How it ended.
+        /// Exit status of the process.
         status: std::process::ExitStatus,
     },
 }
 
 /// Starts the coordinators of a run.
 pub struct ProcessLauncher {
-    /// The program.
+    /// Path of the coordinator's binary.
     pub program: PathBuf,
-    /// The folder that holds a folder for each coordinator.
+    /// The folder that holds one subfolder per coordinator.
     pub folder: PathBuf,
-    /// What the deployment states.
+    /// The deployment, which is the same for all coordinators.
     pub deployment: DeploymentSpec,
-    /// Lines of the project's own settings, beside those that each coordinator has of its own.
+    /// Lines of the project's own settings that are common to all coordinators.
     pub project_settings: String,
 }
 
-/// Where a running coordinator listens.
+/// The addresses on which a running coordinator listens.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessAddresses {
-    /// The platform's front.
+    /// Address of the platform front.
     pub front: SocketAddr,
-    /// The admin API.
+    /// Address of the admin API.
     pub admin: SocketAddr,
-    /// Where it takes datagrams, if it is a member of a cluster.
+    /// Address for cluster datagrams; `None` if the coordinator belongs to no cluster.
     pub cluster: Option<SocketAddr>,
 }
 
-/// One running coordinator. It is killed when it is dropped.
+/// A running coordinator. Dropping it kills the process.
 pub struct Process {
     index: usize,
     child: Child,
-    /// Where it listens.
+    /// The addresses on which the coordinator listens.
     pub addresses: ProcessAddresses,
 }
 
-/// What a process has used.
+/// The resources that a process uses.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessUsage {
-    /// Seconds of processor time.
+    /// Processor time since the start of the process, in seconds.
     pub cpu_seconds: f64,
-    /// Resident memory in MB.
+    /// Resident memory, in units of 1024 KiB.
     pub memory_mb: f64,
 }
 
@@ -121,18 +123,18 @@
     ///
     /// # Errors
     ///
-    /// A file that can't be written.
+    /// Returns an error if the file or its folder can't be written.
     pub fn write_endpoint_list(&self, index: usize, list: &str) -> Result<(), TestbedError> {
         let folder = self.member_folder(index);
         std::fs::create_dir_all(&folder).map_err(TestbedError::file(&folder))?;
         write_atomically(&folder.join("servers.toml"), list)
     }
 
-    /// Writes a coordinator's settings. `cluster_settings`: the lines of its membership.
+    /// Writes a coordinator's settings. `cluster_settings` is the `[peers]` section, or empty.
     ///
     /// # Errors
     ///
-    /// A file that can't be written.
+    /// Returns an error if a file can't be written.
     pub fn write_settings(&self, index: usize, cluster_settings: &str) -> Result<(), TestbedError> {
         let config = json!({
             "name": format!("n{index}"),
@@ -151,11 +153,11 @@
         write_atomically(&folder.join("own.toml"), &project_settings)
     }
 
-    /// Starts a coordinator and waits until it is ready.
+    /// Starts a coordinator and waits until it is healthy.
     ///
     /// # Errors
     ///
-    /// A program that can't be started, ends at once or does not become ready.
+    /// Returns an error if the program can't be started, exits early or does not become healthy in time.
     pub async fn start(&self, index: usize, clustered: bool) -> Result<Process, ProcessError> {
         let folder = self.member_folder(index);
         let mut child = Command::new(&self.program)
@@ -193,8 +195,9 @@
     }
 }
 
-/// Reads the log until it names all addresses; the rest goes to a file beside the settings. `None` if the log ends
-/// before.
+/// Reads the log until it has stated all addresses, and redirects the log to a file next to the settings.
+///
+/// Returns `None` if the log ends before, or if the file can't be opened.
 async fn read_addresses(
     child: &mut Child,
     folder: &Path,
@@ -219,7 +222,7 @@
         log.push_str(&line);
         log.push('\n');
     }
-    keep_log(lines, log, folder).ok()?;
+    write_log(lines, log, folder).ok()?;
     Some(ProcessAddresses {
         front: front?,
         admin: admin?,
@@ -227,8 +230,8 @@
     })
 }
 
-/// Appends the log so far and all that follows to a file.
-fn keep_log(
+/// Appends the log so far, and all lines that follow, to `log.txt` in the folder.
+fn write_log(
     mut lines: Lines<BufReader<ChildStderr>>,
     log: &str,
     folder: &Path,
@@ -277,7 +280,7 @@
     response.is_some_and(|response| response.status == 200)
 }
 
-/// Returns what a coordinator says of its cluster, as the admin API's JSON; `None` if it doesn't answer.
+/// Fetches a coordinator's view of its cluster from the admin API, as JSON; `None` if the request fails.
 pub async fn fetch_membership_view(admin: SocketAddr) -> Option<serde_json::Value> {
     let response = get(admin, "/v1/peers").await?;
     if response.status != 200 {
@@ -287,14 +290,15 @@
 }
 
 impl Process {
-    /// Returns what the process has used, where the system tells.
+    /// Returns the resource usage from `/proc`, or `None` where that is not available.
     pub fn usage(&self) -> Option<ProcessUsage> {
         let folder = PathBuf::from(format!("/proc/{}", self.child.id()?));
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
-        // Behind the name, which may hold anything, user and system time are the 12th and 13th words.
-        let words: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-        let user_ticks: f64 = words.get(11)?.parse().ok()?;
-        let system_ticks: f64 = words.get(12)?.parse().ok()?;
+        // The program name may contain spaces and parentheses. After its closing parenthesis, user and system time are
+        // the 12th and 13th fields.
+        let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
+        let user_ticks: f64 = fields.get(11)?.parse().ok()?;
+        let system_ticks: f64 = fields.get(12)?.parse().ok()?;
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
         let resident = status
             .lines()
@@ -306,7 +310,7 @@
         })
     }
 
-    /// Sends it a signal by name, such as `HUP`.
+    /// Sends the process a signal, given its name without `SIG`, such as `HUP`.
     pub fn signal(&self, name: &str) {
         if let Some(id) = self.child.id() {
             let _ = std::process::Command::new("kill")
@@ -316,16 +320,16 @@
         }
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its end.
     pub async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 
-    /// Sends SIGTERM and waits for its end.
+    /// Shuts the process down with SIGTERM and waits for its end.
     ///
     /// # Errors
     ///
-    /// A process that doesn't end in time, or not successfully.
+    /// Returns an error if the process does not exit in time, or exits with a failure.
     pub async fn stop(mut self) -> Result<(), ProcessError> {
         self.signal("TERM");
         let index = self.index;
--- a/crates/testbed/src/chaos/run.rs
+++ b/crates/testbed/src/chaos/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario: its processes, its clients and the polls of membership.
+//! Runs one scenario: starts its processes, plays its clients and polls the membership views.
 
 use super::figures::{figures, ChaosReport};
 use super::history_check::{History, MembershipView, RequestRecord};
@@ -22,19 +22,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often each coordinator is asked what it sees.
+/// Interval between two polls of each coordinator's membership view.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Shards of a run.
+/// Number of shards in a run.
 const SHARDS: u32 = 24;
-/// Most cells of a run.
+/// Maximum number of cells in a run; fewer nodes than this give one cell each.
 const MAX_CELLS: usize = 6;
-/// Cells in a row that hold a shard.
+/// Number of consecutive cells that hold a shard.
 const CELLS_PER_SHARD: u32 = 2;
-/// Seeds that every coordinator knows.
+/// Number of cluster seeds in the settings of every coordinator.
 const CLUSTER_SEEDS: usize = 3;
-/// Rooms over which the coordinators are spread.
+/// Number of rooms over which the coordinators are spread.
 const ROOMS: usize = 3;
-/// How many coordinators are started at a time.
+/// Number of coordinators that are started concurrently.
 const CONCURRENT_STARTS: usize = 8;
 
 /// One run of a scenario.
@@ -44,19 +44,19 @@
     pub(super) network: Rc<FaultyNetwork>,
     launcher: ProcessLauncher,
     pub(super) processes: RefCell<BTreeMap<usize, Process>>,
-    /// The coordinators that clients are sent to.
+    /// Platform fronts of the coordinators that take clients, by coordinator.
     pub(super) fronts: RefCell<BTreeMap<usize, SocketAddr>>,
-    /// By coordinator: where it reaches each data node.
+    /// Proxy addresses of the data nodes, first by coordinator, then by node.
     node_addresses: Vec<Vec<SocketAddr>>,
     pub(super) removed_nodes: RefCell<BTreeSet<usize>>,
     pub(super) history: RefCell<History>,
     errors: RefCell<Vec<TestbedError>>,
-    /// When clients began, in seconds of the fleet's clock.
-    begun_at: std::cell::Cell<f64>,
+    /// Time at which the first client started, in seconds on the fleet's clock.
+    started_at: std::cell::Cell<f64>,
 }
 
 impl ChaosRun {
-    /// Plays a scenario; logs and settings of its processes stand in `folder`.
+    /// Plays a scenario. The logs and settings of its processes are written to `folder`.
     pub(super) async fn play(
         scenario: Scenario,
         folder: &Path,
@@ -104,7 +104,7 @@
             removed_nodes: RefCell::default(),
             history: RefCell::new(history),
             errors: RefCell::default(),
-            begun_at: std::cell::Cell::new(0.0),
+            started_at: std::cell::Cell::new(0.0),
         };
         for member in 0..run.scenario.coordinators {
             run.write_endpoint_list(member)?;
@@ -114,16 +114,16 @@
         Ok(run)
     }
 
-    /// Returns the seconds since clients began.
+    /// Returns the seconds since the first client started.
     pub(super) fn now(&self) -> f64 {
-        self.fleet.now() - self.begun_at.get()
+        self.fleet.now() - self.started_at.get()
     }
 
     pub(super) fn record_error(&self, error: impl Into<TestbedError>) {
         self.errors.borrow_mut().push(error.into());
     }
 
-    /// Returns the settings of a coordinator's membership.
+    /// Returns the `[peers]` section of a coordinator's settings; empty if the coordinators form no cluster.
     fn cluster_settings(&self, addresses: &[SocketAddr], member: usize) -> String {
         if !self.scenario.clustered {
             return String::new();
@@ -140,7 +140,8 @@
         )
     }
 
-    /// Writes a coordinator's endpoint list: every data node that is not removed, by the coordinator's own proxies.
+    /// Writes a coordinator's endpoint list. It names every data node that is not removed, at the address of the
+    /// coordinator's own proxy.
     pub(super) fn write_endpoint_list(&self, member: usize) -> Result<(), TestbedError> {
         let removed = self.removed_nodes.borrow();
         let cells = self.fleet.spec.cells as usize;
@@ -183,9 +184,9 @@
         }
     }
 
-    /// Plays clients, faults and polls until the span is over.
+    /// Plays clients, faults and membership polls until the span is over.
     async fn play_to_end(self: Rc<Self>) {
-        self.begun_at.set(self.fleet.now());
+        self.started_at.set(self.fleet.now());
         let start = Instant::now();
         let polls = tokio::task::spawn_local(self.clone().poll_membership_views());
         let mut tasks = Vec::new();
@@ -200,7 +201,7 @@
         for arrival in arrivals(&self.workload(), SHARDS, self.scenario.seed) {
             tokio::time::sleep_until(start + Duration::from_secs_f64(arrival.due_at)).await;
             let run = self.clone();
-            tasks.push(tokio::task::spawn_local(run.ask(
+            tasks.push(tokio::task::spawn_local(run.play_client(
                 arrival,
                 start,
                 idle.clone(),
@@ -222,8 +223,13 @@
         }
     }
 
-    /// Plays one client at one of the coordinators that take clients, by turns.
-    async fn ask(self: Rc<Self>, arrival: QueryArrival, start: Instant, idle: IdleConnections) {
+    /// Plays one client, at the coordinator that is next in turn among those that take clients.
+    async fn play_client(
+        self: Rc<Self>,
+        arrival: QueryArrival,
+        start: Instant,
+        idle: IdleConnections,
+    ) {
         let query = arrival.query;
         let (coordinator, front) = {
             let fronts = self.fronts.borrow();
@@ -242,19 +248,19 @@
             retries: 0,
             listen_after_deadline: LISTEN_AFTER_DEADLINE,
         };
-        let asked_at = self.now();
+        let sent_at = self.now();
         let outcome = run_client(arrival, options, idle).await;
         self.history.borrow_mut().requests.push(RequestRecord {
             coordinator,
             query,
-            asked_at,
+            sent_at,
             ended_at: self.now(),
             ending: outcome.ending,
             answer_fault: outcome.answer_fault,
         });
     }
 
-    /// Asks every coordinator what it sees, again and again.
+    /// Polls the membership view of every coordinator until the task is aborted.
     async fn poll_membership_views(self: Rc<Self>) {
         if !self.scenario.clustered {
             return;
@@ -314,7 +320,7 @@
             cores: 2,
             cold_from: 0.25,
             warm_s: 10.0,
-            // Overload in slow start is not what these scenarios look for.
+            // These scenarios don't test overload in slow start, so no load overloads a node.
             fall_multiple: 1e9,
             fall_s: 1.0,
             ..NodeSpec::default()
--- a/crates/testbed/src/chaos/scenario.rs
+++ b/crates/testbed/src/chaos/scenario.rs
@@ -1,88 +1,89 @@
-//! Scenarios: how many processes there are, and which faults are injected when. Errors of a file name line and key.
+//! Reads and validates scenario files, which state the number of processes and the faults to inject at given times.
+//! Errors name the line and the key.
 
 use serde::Deserialize;
 use std::ops::Range;
 use std::path::Path;
 use toml::Spanned;
 
-/// Most coordinators and most nodes of a scenario.
+/// Maximum number of coordinators, and of data nodes, in a scenario.
 const MAX_PROCESSES: usize = 500;
 
-/// A fault between processes.
+/// A fault to inject, or the end of one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing passes between these and all others; connections stay open and silent.
+    /// Blocks all traffic between one side and all other processes. Connections stay open.
     Partition {
-        /// Coordinators of the one side.
+        /// Coordinators on that side.
         members: Vec<usize>,
-        /// Data nodes of that side.
+        /// Data nodes on that side.
         nodes: Vec<usize>,
     },
-    /// Datagrams from these coordinators are lost; those to them arrive.
+    /// Drops the datagrams that these coordinators send, but delivers those sent to them.
     Mute {
-        /// The coordinators.
+        /// Indices of the coordinators, from 0.
         members: Vec<usize>,
     },
-    /// All partitions are over.
+    /// Ends all partitions and mutes.
     Heal,
-    /// Datagrams among coordinators are lost, duplicated and delayed, so that they also overtake one another.
+    /// Drops, duplicates and delays datagrams between coordinators. Different delays also reorder them.
     Loss {
-        /// Share that is lost.
+        /// Share of datagrams that are lost, from 0 to under 1.
         loss: f64,
-        /// Share that arrives twice.
+        /// Share of datagrams that arrive twice, from 0 to under 1.
         duplication: f64,
         /// Shortest and longest delay in milliseconds.
         delay_ms: [f64; 2],
     },
-    /// All connections of these coordinators to data nodes are reset.
+    /// Resets all connections of these coordinators to data nodes.
     Reset {
-        /// The coordinators.
+        /// Indices of the coordinators, from 0.
         members: Vec<usize>,
     },
-    /// Stopped in the middle, as by SIGSTOP.
+    /// Pauses these coordinators (SIGSTOP).
     Stop {
-        /// The coordinators.
+        /// Indices of the coordinators, from 0.
         members: Vec<usize>,
     },
-    /// Resumed after a stop.
+    /// Continues these coordinators after a stop (SIGCONT).
     Resume {
-        /// The coordinators.
+        /// Indices of the coordinators, from 0.
         members: Vec<usize>,
     },
-    /// Killed.
+    /// Kills these coordinators (SIGKILL).
     Kill {
-        /// The coordinators.
+        /// Indices of the coordinators, from 0.
         members: Vec<usize>,
     },
-    /// Shut down gracefully (SIGTERM), and started again once they have ended.
+    /// Shuts these coordinators down gracefully (SIGTERM), one after the other, and starts each again once it has ended.
     Restart {
-        /// The coordinators.
+        /// Indices of the coordinators, from 0.
         members: Vec<usize>,
     },
-    /// Started again after a kill.
+    /// Starts these coordinators again after a kill.
     Start {
-        /// The coordinators.
+        /// Indices of the coordinators, from 0.
         members: Vec<usize>,
     },
-    /// Told to reload their configuration (SIGHUP).
+    /// Makes these coordinators reload their configuration (SIGHUP).
     Reload {
-        /// The coordinators.
+        /// Indices of the coordinators, from 0.
         members: Vec<usize>,
     },
-    /// Data nodes that are taken off the endpoint lists of all coordinators.
+    /// Removes these data nodes from the endpoint lists of all coordinators.
     Remove {
-        /// The nodes.
+        /// Indices of the data nodes, from 0.
         nodes: Vec<usize>,
     },
-    /// Data nodes that from now on give values of other queries. For trying the checker.
+    /// Makes these data nodes answer with values of other queries, to test that the checker detects it.
     WrongValues {
-        /// The nodes.
+        /// Indices of the data nodes, from 0.
         nodes: Vec<usize>,
     },
 }
 
 impl Fault {
-    /// Returns the coordinators that it affects.
+    /// Returns the indices of the coordinators that the fault targets; empty for faults that target none by name.
     pub fn members(&self) -> &[usize] {
         match self {
             Fault::Partition { members, .. }
@@ -101,77 +102,77 @@
     }
 }
 
-/// A fault and when it is injected.
+/// A fault and the time of its injection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedFault {
-    /// Seconds from the run's start.
+    /// Seconds since the start of the run.
     pub at: f64,
-    /// The fault.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// A scenario, read and checked.
+/// A validated scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Seed of all draws.
+    /// Seed of all random choices of the run.
     pub seed: u64,
     /// Number of coordinators.
     pub coordinators: usize,
     /// Number of data nodes.
     pub nodes: usize,
-    /// Queries a second, over all.
+    /// Queries per second, over all coordinators.
     pub rate: f64,
-    /// Length in seconds.
+    /// Length of the run in seconds.
     pub span: f64,
     /// Whether the coordinators form a cluster.
     pub clustered: bool,
-    /// Seconds within which every membership view has to be right after a fault.
+    /// Seconds after a fault within which every membership view has to become correct.
     pub settling_seconds: f64,
-    /// The faults, in the order of time.
+    /// The faults, ordered by time.
     pub faults: Vec<TimedFault>,
 }
 
-/// What is wrong with a scenario's file.
+/// The reason why a scenario file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the scenario file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// It is not of the form.
+    /// The file is not valid TOML, or has a missing, unknown or mistyped key.
     #[error("{path}:{line}: {cause}")]
     Form {
-        /// The file.
+        /// Path of the scenario file.
         path: String,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the reader says.
+        /// The message of the TOML parser.
         cause: String,
     },
-    /// A key's value is wrong.
+    /// The value of a key is out of range or unknown.
     #[error("{path}:{line}: '{key}': {cause}")]
     Key {
-        /// The file.
+        /// Path of the scenario file.
         path: String,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The key.
+        /// Name of the key.
         key: &'static str,
-        /// What is wrong.
+        /// Why the value is rejected.
         cause: String,
     },
 }
 
 impl ScenarioError {
-    /// Returns what the author of the file can do.
+    /// Returns a hint for the author of the file.
     pub fn help(&self) -> &'static str {
         match self {
             ScenarioError::File { .. } => {
-                "name a scenario's file, such as crates/testbed/scenarios/twelve.toml"
+                "give the path of a scenario file, such as crates/testbed/scenarios/twelve.toml"
             }
             ScenarioError::Form { .. } => "see docs/TESTBED.md for the keys of a scenario",
             ScenarioError::Key { .. } => {
@@ -213,34 +214,34 @@
     delay_ms: Option<Spanned<[f64; 2]>>,
 }
 
-/// Reads a scenario's file.
+/// Reads and validates a scenario file.
 ///
 /// # Errors
 ///
-/// A file that can't be read or is wrong.
+/// Returns an error if the file can't be read or is invalid.
 pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
     let name = path.display().to_string();
     match std::fs::read_to_string(path) {
-        Ok(text) => read(&name, &text),
+        Ok(text) => parse(&name, &text),
         Err(source) => Err(ScenarioError::File { path: name, source }),
     }
 }
 
-/// Reads a scenario's text. `path` is named in errors.
+/// Parses and validates the text of a scenario file. `path` only serves to name the file in errors.
 ///
 /// # Errors
 ///
-/// A text that is not of the form, or a value that is wrong.
-pub fn read(path: &str, text: &str) -> Result<Scenario, ScenarioError> {
-    let reader = ScenarioReader { path, text };
-    let file: ScenarioFile = toml::from_str(text).map_err(|error| reader.form_error(&error))?;
-    reader.check_count("coordinators", &file.coordinators)?;
-    reader.check_count("nodes", &file.nodes)?;
-    reader.check_positive("rate", &file.rate)?;
-    reader.check_positive("span", &file.span)?;
+/// Returns an error if the text is malformed or a value is invalid.
+pub fn parse(path: &str, text: &str) -> Result<Scenario, ScenarioError> {
+    let parser = ScenarioParser { path, text };
+    let file: ScenarioFile = toml::from_str(text).map_err(|error| parser.form_error(&error))?;
+    parser.check_count("coordinators", &file.coordinators)?;
+    parser.check_count("nodes", &file.nodes)?;
+    parser.check_positive("rate", &file.rate)?;
+    parser.check_positive("span", &file.span)?;
     let mut faults = Vec::new();
     for entry in &file.fault {
-        faults.push(reader.read_fault(&file, entry)?);
+        faults.push(parser.read_fault(&file, entry)?);
     }
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(Scenario {
@@ -255,16 +256,16 @@
     })
 }
 
-/// A scenario's text and where it stands, for errors.
-struct ScenarioReader<'a> {
+/// The text of a scenario and the path of its file, from which errors are built.
+struct ScenarioParser<'a> {
     path: &'a str,
     text: &'a str,
 }
 
-impl ScenarioReader<'_> {
+impl ScenarioParser<'_> {
     fn line(&self, span: Range<usize>) -> usize {
-        let before = self.text.get(..span.start).unwrap_or("");
-        before.matches('\n').count() + 1
+        let preceding = self.text.get(..span.start).unwrap_or("");
+        preceding.matches('\n').count() + 1
     }
 
     fn form_error(&self, error: &toml::de::Error) -> ScenarioError {
@@ -289,16 +290,16 @@
         if (1..=MAX_PROCESSES).contains(count) {
             return Ok(());
         }
-        let cause = format!("{count} is not from 1 to {MAX_PROCESSES}");
+        let cause = format!("expected a number from 1 to {MAX_PROCESSES}, found {count}");
         Err(self.key_error(key, value.span(), cause))
     }
 
     fn check_positive(&self, key: &'static str, value: &Spanned<f64>) -> Result<(), ScenarioError> {
-        let figure = value.get_ref();
-        if figure.is_finite() && *figure > 0.0 {
+        let number = value.get_ref();
+        if number.is_finite() && *number > 0.0 {
             return Ok(());
         }
-        let cause = format!("{figure} is not above 0");
+        let cause = format!("expected a finite number above 0, found {number}");
         Err(self.key_error(key, value.span(), cause))
     }
 
@@ -309,7 +310,8 @@
     ) -> Result<TimedFault, ScenarioError> {
         let at = *entry.at.get_ref();
         if !(0.0..*file.span.get_ref()).contains(&at) {
-            let cause = format!("{at} is not within the span");
+            let span = file.span.get_ref();
+            let cause = format!("expected a time from 0 to under the span of {span} s, found {at}");
             return Err(self.key_error("at", entry.at.span(), cause));
         }
         let coordinators = *file.coordinators.get_ref();
@@ -337,7 +339,7 @@
             "remove" => Fault::Remove { nodes },
             "lie" => Fault::WrongValues { nodes },
             other => {
-                let cause = format!("'{other}' is no kind of fault");
+                let cause = format!("unknown kind of fault '{other}'");
                 return Err(self.key_error("kind", entry.kind.span(), cause));
             }
         };
@@ -356,7 +358,7 @@
         match indices.get_ref().iter().find(|index| **index >= count) {
             None => Ok(indices.get_ref().clone()),
             Some(index) => {
-                let cause = format!("there is no {index}: they count from 0");
+                let cause = format!("expected indices from 0 to {}, found {index}", count - 1);
                 Err(self.key_error(key, indices.span(), cause))
             }
         }
@@ -371,7 +373,10 @@
             None => Ok(0.0),
             Some(share) if (0.0..1.0).contains(share.get_ref()) => Ok(*share.get_ref()),
             Some(share) => {
-                let cause = format!("{} is not from 0 to under 1", share.get_ref());
+                let cause = format!(
+                    "expected a share from 0 to under 1, found {}",
+                    share.get_ref()
+                );
                 Err(self.key_error(key, share.span(), cause))
             }
         }
--- a/crates/testbed/tests/chaos.rs
+++ b/crates/testbed/tests/chaos.rs
@@ -1,9 +1,9 @@
-//! Many processes of the program under faults between them, and a checker that is not blind.
+//! Runs many coordinator processes with injected faults, and tests that the checker detects violations.
 
 use std::path::Path;
 use std::process::{Command, Output};
 
-fn chaos(scenario: &str) -> Output {
+fn run_scenario(scenario: &str) -> Output {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("scenarios")
         .join(scenario);
@@ -14,7 +14,7 @@
         .unwrap()
 }
 
-fn text(output: &Output) -> String {
+fn combined_output(output: &Output) -> String {
     format!(
         "{}{}",
         String::from_utf8_lossy(&output.stdout),
@@ -22,29 +22,39 @@
     )
 }
 
-/// Cuts, stops, kills, resets, a roll and loss, with clients on: every request of a living process has one final answer,
-/// no confirm runs twice, a removed data node gets nothing, and every view is right in time after each fault.
+/// Under client load, with partitions, stops, kills, resets, a rolling restart and datagram loss: every request to a
+/// running process gets one final answer, no confirm runs twice, a removed data node receives no parts, and every
+/// membership view is correct within the settling time of each fault.
 #[test]
-fn twelve_processes_under_faults_break_no_rule_and_see_who_is_there() {
-    let output = chaos("twelve.toml");
-    assert!(output.status.success(), "{}", text(&output));
-    assert!(text(&output).contains("0 violations"), "{}", text(&output));
+fn twelve_processes_under_faults_show_no_violations_and_correct_views() {
+    let output = run_scenario("twelve.toml");
+    assert!(output.status.success(), "{}", combined_output(&output));
+    assert!(
+        combined_output(&output).contains("0 violations"),
+        "{}",
+        combined_output(&output)
+    );
 }
 
-/// A planted fault is found: else the test above would show nothing.
+/// Tests that the checker detects wrong values. Without that, a run without violations would prove nothing.
 #[test]
-fn a_data_node_that_lies_is_found() {
-    let output = chaos("lie.toml");
-    assert_eq!(output.status.code(), Some(1), "{}", text(&output));
+fn wrong_values_of_a_data_node_are_detected() {
+    let output = run_scenario("lie.toml");
+    assert_eq!(
+        output.status.code(),
+        Some(1),
+        "{}",
+        combined_output(&output)
+    );
     assert!(
-        text(&output).contains("values that no server made for it"),
+        combined_output(&output).contains("values that no server made for it"),
         "{}",
-        text(&output)
+        combined_output(&output)
     );
 }
 
 #[test]
-fn a_faulty_scenario_is_told_by_file_line_and_key() {
+fn errors_in_a_scenario_name_the_file_line_and_key() {
     let folder = std::env::temp_dir().join(format!("cairnroad-chaos-test-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("bad.toml");
@@ -55,15 +65,15 @@
         .arg(&path)
         .output()
         .unwrap();
-    let told = text(&output);
+    let error_text = combined_output(&output);
     assert!(
-        told.contains(&format!(
-            "{}:8: 'kind': 'fire' is no kind of fault",
+        error_text.contains(&format!(
+            "{}:8: 'kind': unknown kind of fault 'fire'",
             path.display()
         )),
-        "{told}"
+        "{error_text}"
     );
-    assert!(told.contains("help: "), "{told}");
+    assert!(error_text.contains("help: "), "{error_text}");
     assert_eq!(output.status.code(), Some(2));
     std::fs::remove_dir_all(&folder).unwrap();
 }
