--- a/crates/testbed/src/chaos/history_check/tests.rs
+++ b/crates/testbed/src/chaos/history_check/tests.rs
@@ -141,7 +141,8 @@
 #[test]
 fn violations_of_the_run_log_and_faulty_answers_are_included() {
     let mut history = history();
-    history.run_log_violations = vec!["server 1 got a part 300 ms after it was removed".into()];
+    history.run_log_violations =
+        vec!["server 1 received a part 300 ms after its removal; the limit is 250 ms".into()];
     history.requests = vec![RequestRecord {
         answer_fault: Some("values".into()),
         ..request(0, 1.0, 1.1, Ending::Served)
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -1,84 +1,84 @@
-//! What keeps a run of the testbed from starting or from going on.
+//! The errors that prevent a run of the testbed or end it early.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a run did not start or did not go on.
+/// The reason why a run could not start or could not continue.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
     /// A file or folder can't be read or written.
     #[error("{path}: {source}", path = path.display())]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// An experiment's file is not of the form that `docs/TESTBED.md` states.
+    /// An experiment file does not have the form that `docs/TESTBED.md` states.
     #[error("{path}: {source}", path = path.display())]
     ExperimentForm {
-        /// The experiment's file.
+        /// Path of the experiment file.
         path: PathBuf,
-        /// Where and what.
+        /// The TOML error, with its place in the file.
         source: Box<toml::de::Error>,
     },
-    /// An experiment has no variant or no repeat.
-    #[error("{path}: a [[variant]] and a repeat at least are needed", path = path.display())]
+    /// An experiment has no variant, or its number of repeats is 0.
+    #[error("{path}: expected at least one [[variant]] and at least one repeat", path = path.display())]
     EmptyExperiment {
-        /// The experiment's file.
+        /// Path of the experiment file.
         path: PathBuf,
     },
-    /// A scenario's file is wrong.
+    /// A scenario file is invalid.
     #[error("{0}\nhelp: {help}", help = .0.help())]
     Scenario(#[from] crate::chaos::scenario::ScenarioError),
-    /// The fleet's sizes don't fit each other.
-    #[error("fleet: 'cells' and 'shards' must be above 0, and 'nodes' no fewer than 'cells'")]
+    /// The sizes of the fleet are invalid.
+    #[error("fleet: 'cells' and 'shards' must be above 0, and 'nodes' at least 'cells'")]
     FleetSize,
-    /// The spread of work can't be drawn from.
+    /// The distribution of work can't be built from the spread.
     #[error("fleet.spread: {0}")]
     Spread(rand_distr::NormalError),
-    /// There is no such data node.
-    #[error("there is no node {0}")]
+    /// A fault names a data node that the fleet does not have.
+    #[error("unknown data node {0}")]
     UnknownNode(usize),
     /// A loopback socket can't be opened.
-    #[error("{purpose}: {source}")]
+    #[error("cannot open a socket for {purpose}: {source}")]
     Socket {
-        /// What it is for.
+        /// Purpose of the socket.
         purpose: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The coordinator's program is not there and can't be built.
-    #[error("{path} is not there and can't be built: cargo build --release --locked", path = .0.display())]
+    /// The coordinator's binary does not exist and can't be built.
+    #[error("{path} does not exist and could not be built; run: cargo build --release --locked", path = .0.display())]
     NoProgram(PathBuf),
-    /// A coordinator ended before it listened.
-    #[error("{path} ended at its start:\n{log}", path = path.display())]
+    /// A coordinator exited before it was listening.
+    #[error("{path} exited before it was listening; its log:\n{log}", path = path.display())]
     EndedAtStart {
-        /// The program.
+        /// Path of the program.
         path: PathBuf,
-        /// Its log so far.
+        /// The log until then.
         log: String,
     },
-    /// A coordinator's log can't be read.
-    #[error("the program's log is closed")]
+    /// The standard error of a coordinator, which carries its log, is not available.
+    #[error("the coordinator's standard error is not available")]
     NoLog,
-    /// A coordinator did not become ready.
+    /// A coordinator did not become ready within the time limit.
     #[error("the coordinator was not ready within {} s", .0.as_secs())]
     NotReady(Duration),
-    /// There is no coordinator to send load to.
-    #[error("no coordinator")]
+    /// No coordinator is running that clients could send queries to.
+    #[error("no coordinator is running")]
     NoCoordinator,
     /// A process of a scenario failed.
     #[error(transparent)]
     Process(#[from] crate::chaos::process::ProcessError),
-    /// A report can't be rendered.
-    #[error("a plot: {0}")]
+    /// A plot of the report can't be drawn.
+    #[error("cannot draw a plot of the report: {0}")]
     Plot(Box<dyn std::error::Error>),
     /// A summary can't be written as JSON.
-    #[error("summary.json: {0}")]
+    #[error("cannot encode summary.json: {0}")]
     Json(#[from] serde_json::Error),
     /// The asynchronous runtime can't be started.
-    #[error("runtime: {0}")]
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(std::io::Error),
 }
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! The testbed: emulated data nodes, load, experiments, and faults between processes. See `docs/TESTBED.md`.
+//! The testbed: runs coordinators against emulated data nodes, with generated load, experiments and injected faults.
+//! See `docs/TESTBED.md`.
 #![warn(clippy::too_many_lines, clippy::wildcard_imports)]
 
 mod chaos;
@@ -18,12 +19,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code of a run that broke a rule.
+/// Exit code of a run with violations.
 const EXIT_VIOLATIONS: u8 = 1;
-/// Exit code of a run that could not be played.
-const EXIT_NOT_PLAYED: u8 = 2;
+/// Exit code of a run that could not be completed.
+const EXIT_FAILURE: u8 = 2;
 
-/// Emulated stock nodes, load, experiments.
+/// Run coordinators against emulated data nodes
 #[derive(Debug, Parser)]
 #[command(name = "cairnroad-testbed", version)]
 struct Cli {
@@ -33,34 +34,34 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Start stand-in nodes and one coordinator, and show what they do until Ctrl-C
+    /// Start emulated nodes and one coordinator under light load, and print figures until Ctrl-C
     Demo {
-        /// Seconds until it ends by itself; 0: never
+        /// Seconds after which the demo ends; 0 to run until Ctrl-C, at most an hour
         #[arg(long, default_value_t = 0.0)]
         seconds: f64,
     },
-    /// Play an experiment's variants in turn and write a report
+    /// Play the variants of an experiment in turn and write a report
     #[command(
         after_help = "Example:\n  cairnroad-testbed run crates/testbed/experiments/storm.toml --out /tmp/storm"
     )]
     Run {
-        /// The experiment's file
+        /// The experiment file
         experiment: PathBuf,
-        /// The folder that the report is written to
+        /// The folder to write the report to
         #[arg(long)]
         out: PathBuf,
     },
-    /// Play faults between processes and check the whole history
+    /// Run many coordinators with injected faults and check the recorded history
     #[command(
         after_help = "Example:\n  cairnroad-testbed chaos crates/testbed/scenarios/twelve.toml --keep /tmp/twelve"
     )]
     Chaos {
-        /// The scenario's file
+        /// The scenario file
         scenario: PathBuf,
-        /// A folder that keeps the processes' settings and logs
+        /// Keep the settings and logs of the processes in this folder
         #[arg(long)]
         keep: Option<PathBuf>,
-        /// Another program than the one beside this
+        /// The coordinator binary to run instead of the one next to this program
         #[arg(long)]
         program: Option<PathBuf>,
     },
@@ -72,12 +73,12 @@
         Ok(false) => ExitCode::from(EXIT_VIOLATIONS),
         Err(error) => {
             eprintln!("cairnroad-testbed: {error}");
-            ExitCode::from(EXIT_NOT_PLAYED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
-/// Runs a command. Returns whether no rule was broken.
+/// Runs a command. Returns whether there were no violations.
 fn run(command: Command) -> Result<bool, TestbedError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/testbed/src/node_model.rs
+++ b/crates/testbed/src/node_model.rs
@@ -1,32 +1,32 @@
-//! A data node as a model: cores, a queue, calls that cost work, a slow start that ramps up and may be overloaded.
+//! The model of a data node: cores, a queue, work per call, and a slow start in which the node can be overloaded.
 //!
-//! Free of I/O and clock: times are seconds that the caller states.
+//! The model does no I/O and reads no clock; callers pass all times, in seconds.
 
 use serde::Deserialize;
 use std::collections::VecDeque;
 
-/// Weight of one part in a node's recent service time.
+/// Weight of one part in the exponentially smoothed service time that a node reports.
 const SERVICE_TIME_GAIN: f64 = 0.1;
 
-/// What a node can do, as an experiment's file states it.
+/// The capacity of a node, as an experiment file states it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeSpec {
-    /// Parts that run at a time.
+    /// Number of parts that run concurrently.
     pub cores: usize,
-    /// Parts that may wait; more are rejected.
+    /// Maximum number of waiting parts; further parts are rejected.
     pub queue: usize,
-    /// Work of a call beside its parts', in milliseconds.
+    /// Fixed work of a call in addition to that of its parts, in milliseconds.
     pub call_ms: f64,
-    /// Share of its capacity at which a node starts.
+    /// Share of its full capacity that a node has when it starts, from 0 to 1.
     pub cold_from: f64,
-    /// Seconds until it has warmed up.
+    /// Duration of slow start, in seconds.
     pub warm_s: f64,
-    /// Multiple of its present capacity that overloads it in slow start; 0: none does.
+    /// In slow start, the multiple of its current capacity above which incoming work overloads the node; 0 for never.
     pub fall_multiple: f64,
-    /// Seconds over which that is counted.
+    /// Window over which incoming work is summed to detect overload, in seconds.
     pub fall_s: f64,
-    /// Whether a cancel stops work that has begun.
+    /// Whether cancelling a part stops it if it is already running.
     pub cancel_stops: bool,
 }
 
@@ -45,23 +45,23 @@
     }
 }
 
-/// What becomes of a part that arrives.
+/// The decision on a part that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It waits or runs.
+    /// The part waits or runs.
     Accepted,
-    /// It is rejected and never runs.
+    /// The part is rejected and never runs.
     Rejected,
-    /// It overloads the node.
+    /// The part overloads the node, which then stops answering.
     Overloaded,
 }
 
-/// What a node reports of itself.
+/// The load that a node reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Parts that wait or run.
+    /// Number of waiting and running parts.
     pub queue_length: usize,
-    /// Recent service time in milliseconds, without waiting.
+    /// Smoothed service time in milliseconds, without waiting time.
     pub latency_ms: f64,
 }
 
@@ -82,20 +82,20 @@
     work: f64,
 }
 
-/// A node's state.
+/// The state of an emulated node.
 pub struct NodeModel {
     spec: NodeSpec,
     started_at: f64,
     slowdown: f64,
     running: Vec<RunningPart>,
     waiting: VecDeque<WaitingPart>,
-    /// Work that arrived within the overload window.
+    /// Work that arrived within the overload window, oldest first.
     recent_work: VecDeque<RecentWork>,
     smoothed_service_time: f64,
 }
 
 impl NodeModel {
-    /// Returns an idle node that started at that time; one of long ago has warmed up.
+    /// Creates an idle node that started at `started_at`; a time before the slow-start period gives a warm node.
     pub fn new(spec: NodeSpec, started_at: f64) -> NodeModel {
         NodeModel {
             spec,
@@ -108,18 +108,19 @@
         }
     }
 
-    /// Returns the work that one core does in a second: the slow start's share up to 1, less where it is slowed down.
+    /// Returns the seconds of work that one core does per second: the current slow-start share, up to 1, divided by the
+    /// slowdown.
     pub fn speed(&self, now: f64) -> f64 {
-        let warmth = ((now - self.started_at) / self.spec.warm_s.max(1e-9)).clamp(0.0, 1.0);
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * warmth) / self.slowdown.max(1e-9)
+        let progress = ((now - self.started_at) / self.spec.warm_s.max(1e-9)).clamp(0.0, 1.0);
+        (self.spec.cold_from + (1.0 - self.spec.cold_from) * progress) / self.slowdown.max(1e-9)
     }
 
-    /// Lets everything that begins from now on take so many times as long.
-    pub fn set_slowdown(&mut self, times: f64) {
-        self.slowdown = times;
+    /// Sets the factor by which parts that start from now on take longer.
+    pub fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor;
     }
 
-    /// Takes in a part with so many seconds of work. `first_of_call`: it carries the work of its call.
+    /// Admits or rejects a part with `work` seconds of work. The first part of a call also carries the work of the call.
     pub fn admit(&mut self, now: f64, part: u64, work: f64, first_of_call: bool) -> Admission {
         let call_work = if first_of_call {
             self.spec.call_ms / 1000.0
@@ -153,9 +154,11 @@
 
     fn is_overloaded(&self, now: f64) -> bool {
         let in_slow_start = now - self.started_at < self.spec.warm_s;
-        let sent: f64 = self.recent_work.iter().map(|recent| recent.work).sum();
+        let recent_work: f64 = self.recent_work.iter().map(|recent| recent.work).sum();
         let capacity = self.speed(now) * self.spec.cores as f64 * self.spec.fall_s;
-        in_slow_start && self.spec.fall_multiple > 0.0 && sent > self.spec.fall_multiple * capacity
+        in_slow_start
+            && self.spec.fall_multiple > 0.0
+            && recent_work > self.spec.fall_multiple * capacity
     }
 
     fn start_waiting_parts(&mut self, now: f64) {
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Gives a part up. Returns whether it never ran.
+    /// Cancels a part. Returns whether the part was still waiting, and so never ran.
     pub fn cancel(&mut self, now: f64, part: u64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| waiting.part != part);
@@ -197,7 +200,7 @@
         ends.min_by(f64::total_cmp)
     }
 
-    /// Ends what is due by now and returns it in its order, without what was cancelled.
+    /// Completes all parts that are due by `now` and returns them in order of completion, without cancelled ones.
     pub fn complete_until(&mut self, now: f64) -> Vec<u64> {
         let mut completed = Vec::new();
         while let Some(at) = self.next_completion().filter(|&at| at <= now) {
@@ -208,18 +211,18 @@
             else {
                 break;
             };
-            let ended = self.running.swap_remove(index);
-            let change = ended.service_time - self.smoothed_service_time;
+            let completed_part = self.running.swap_remove(index);
+            let change = completed_part.service_time - self.smoothed_service_time;
             self.smoothed_service_time += change * SERVICE_TIME_GAIN;
-            if !ended.cancelled {
-                completed.push(ended.part);
+            if !completed_part.cancelled {
+                completed.push(completed_part.part);
             }
             self.start_waiting_parts(at);
         }
         completed
     }
 
-    /// Returns what the node reports of itself now.
+    /// Returns the current load report.
     pub fn load_report(&self) -> LoadReport {
         LoadReport {
             queue_length: self.waiting.len() + self.running.len(),
--- a/crates/testbed/src/node_model/tests.rs
+++ b/crates/testbed/src/node_model/tests.rs
@@ -9,23 +9,23 @@
     }
 }
 
-/// Plays a node to its end; when each part was done.
-fn play(node: &mut NodeModel) -> Vec<(u64, f64)> {
-    let mut done = Vec::new();
+/// Runs a node until it is idle and returns each completed part with its completion time.
+fn run_to_idle(node: &mut NodeModel) -> Vec<(u64, f64)> {
+    let mut completions = Vec::new();
     while let Some(at) = node.next_completion() {
-        done.extend(node.complete_until(at).into_iter().map(|part| (part, at)));
+        completions.extend(node.complete_until(at).into_iter().map(|part| (part, at)));
     }
-    done
+    completions
 }
 
 #[test]
-fn cores_run_side_by_side_and_the_rest_waits_in_order() {
+fn parts_run_on_all_cores_and_the_rest_wait_in_order() {
     let mut node = NodeModel::new(spec(), -100.0);
-    let taken: Vec<Admission> = (0..6)
+    let admissions: Vec<Admission> = (0..6)
         .map(|part| node.admit(0.0, part, 0.1, false))
         .collect();
     assert_eq!(
-        taken,
+        admissions,
         [
             Admission::Accepted,
             Admission::Accepted,
@@ -35,38 +35,39 @@
             Admission::Rejected
         ]
     );
-    let done = play(&mut node);
-    let wanted = [(0, 0.1), (1, 0.1), (2, 0.2), (3, 0.2), (4, 0.3)];
+    let completions = run_to_idle(&mut node);
+    let expected = [(0, 0.1), (1, 0.1), (2, 0.2), (3, 0.2), (4, 0.3)];
     assert!(
-        done.iter()
-            .zip(wanted)
+        completions
+            .iter()
+            .zip(expected)
             .all(|(a, b)| a.0 == b.0 && (a.1 - b.1).abs() < 1e-9),
-        "{done:?}"
+        "{completions:?}"
     );
 }
 
 #[test]
-fn a_cold_node_warms_up_and_falls_over_when_too_much_comes() {
+fn a_node_in_slow_start_ramps_up_and_can_be_overloaded() {
     let mut node = NodeModel::new(spec(), 0.0);
     assert!((node.speed(0.0) - 0.23).abs() < 1e-9 && (node.speed(8.0) - 0.615).abs() < 1e-9);
     assert_eq!(node.speed(16.0), 1.0);
-    // It can do 0.46 s of work a second; 2.5 times that is 1.15.
+    // Two cores at a speed of 0.23 do 0.46 s of work per second; 2.5 times that is the limit of 1.15 s.
     assert_eq!(node.admit(0.0, 1, 1.1, false), Admission::Accepted);
     assert_eq!(node.admit(0.1, 2, 0.2, false), Admission::Overloaded);
     let mut warm = NodeModel::new(spec(), -16.0);
     assert_eq!(
         warm.admit(0.0, 1, 50.0, false),
         Admission::Accepted,
-        "a warm one only gets slow"
+        "a warm node queues the work and is not overloaded"
     );
 }
 
 #[test]
-fn a_cancel_takes_back_what_waits_and_stops_what_runs_where_that_is_so() {
-    for stops in [false, true] {
+fn cancel_removes_a_waiting_part_and_stops_a_running_one_if_configured() {
+    for cancel_stops in [false, true] {
         let mut node = NodeModel::new(
             NodeSpec {
-                cancel_stops: stops,
+                cancel_stops,
                 cores: 1,
                 ..spec()
             },
@@ -75,11 +76,14 @@
         node.admit(0.0, 1, 1.0, false);
         node.admit(0.0, 2, 1.0, false);
         node.admit(0.0, 3, 1.0, false);
-        assert!(node.cancel(0.1, 2), "it waited: it never ran");
-        assert!(!node.cancel(0.1, 1), "it had begun");
-        let done = play(&mut node);
-        let at = if stops { 1.1 } else { 2.0 };
-        assert_eq!(done.len(), 1);
-        assert!(done[0].0 == 3 && (done[0].1 - at).abs() < 1e-9, "{done:?}");
+        assert!(node.cancel(0.1, 2), "a waiting part never ran");
+        assert!(!node.cancel(0.1, 1), "a running part has begun");
+        let completions = run_to_idle(&mut node);
+        let expected_at = if cancel_stops { 1.1 } else { 2.0 };
+        assert_eq!(completions.len(), 1);
+        assert!(
+            completions[0].0 == 3 && (completions[0].1 - expected_at).abs() < 1e-9,
+            "{completions:?}"
+        );
     }
 }
--- a/crates/testbed/src/run_log.rs
+++ b/crates/testbed/src/run_log.rs
@@ -1,41 +1,41 @@
-//! Everything that reached the emulated nodes, and the rules that it is held against.
+//! The log of the parts that reached the emulated nodes, and the rules that it is checked against.
 
 use std::collections::BTreeMap;
 
-/// How long a removed server may still get something new, in seconds: the platform's rule.
-const REMOVAL_GRACE: f64 = 0.25;
+/// Seconds after its removal within which a server may still receive new parts, by the platform's rules.
+const REMOVAL_GRACE_SECONDS: f64 = 0.25;
 
-/// What a query's text says of it.
+/// Identifies a query to the emulated nodes; it is embedded in the query's text.
 ///
-/// A client's retry is a query of its own to the coordinator: what ran for the first try may run again for it.
+/// To the coordinator, a client retry is a separate query: parts that ran for the first try may run again for the retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueryMarker {
-    /// The class's index.
+    /// Index of the query's class.
     pub class: usize,
-    /// The query's number.
+    /// Number of the query.
     pub query: u64,
-    /// Which of its client's tries it is, from 1.
+    /// Number of the client's try, from 1.
     pub client_try: u32,
 }
 
 impl QueryMarker {
-    /// Returns the text that carries the marker: `~1:17:2~` is the second try of query 17, of class 1.
+    /// Returns the marker as text: `~1:17:2~` is the second try of query 17, which is of class 1.
     pub fn to_text(self) -> String {
         format!("~{}:{}:{}~", self.class, self.query, self.client_try)
     }
 }
 
-/// Finds the marker in a text, whatever is around it.
+/// Finds the marker in a query's text; `None` if there is none or it is malformed.
 pub fn parse_marker(text: &str) -> Option<QueryMarker> {
-    let mut words = text.split('~').nth(1)?.split(':');
+    let mut fields = text.split('~').nth(1)?.split(':');
     Some(QueryMarker {
-        class: words.next()?.parse().ok()?,
-        query: words.next()?.parse().ok()?,
-        client_try: words.next()?.parse().ok()?,
+        class: fields.next()?.parse().ok()?,
+        query: fields.next()?.parse().ok()?,
+        client_try: fields.next()?.parse().ok()?,
     })
 }
 
-/// Returns what a healthy node answers for a part.
+/// Returns the value that a healthy node answers for a part.
 pub fn expected_value(query: u64, shard: u32) -> String {
     format!("stock {query}/{shard}")
 }
@@ -43,38 +43,38 @@
 /// A part that reached a node.
 #[derive(Clone, Copy, Debug)]
 pub struct PartArrival {
-    /// Seconds since the fleet's start.
+    /// Arrival time, in seconds since the fleet's start.
     pub arrived_at: f64,
-    /// The node's index.
+    /// Index of the node.
     pub server: usize,
-    /// The query that it belongs to.
+    /// The query that the part belongs to.
     pub marker: QueryMarker,
-    /// Its shard.
+    /// Shard of the part.
     pub shard: u32,
-    /// Whether it began to run, or may have.
+    /// Whether the part ran or may have run; false only if the node rejected it.
     pub may_have_run: bool,
 }
 
-/// Everything that reached nodes, and when nodes were taken off the endpoint list.
+/// All parts that reached nodes, the removals of nodes from endpoint lists, and overloaded nodes.
 #[derive(Default)]
 pub struct RunLog {
-    /// All parts, in the order of their arrival.
+    /// All parts, in order of arrival.
     pub arrivals: Vec<PartArrival>,
-    /// When coordinators knew of a node's removal, by the node's index.
+    /// Time by which coordinators had noticed a node's removal, in seconds since the fleet's start, by node index.
     pub removed_at: BTreeMap<usize, f64>,
-    /// Nodes that were overloaded in slow start.
+    /// Indices of the nodes that were overloaded in slow start.
     pub overloaded: Vec<usize>,
 }
 
 impl RunLog {
-    /// Returns the rules that were broken, in words. `at_most_once`: by class, whether its parts may run once only.
+    /// Returns descriptions of all violations. `at_most_once` states, by class, whether each part may run only once.
     pub fn violations(&self, at_most_once: &[bool]) -> Vec<String> {
         let late = self.arrivals_after_removal();
         let repeated = self.repeated_runs(at_most_once);
         let overloaded = self
             .overloaded
             .iter()
-            .map(|server| format!("server {server} fell over, cold"));
+            .map(|server| format!("server {server} was overloaded in slow start"));
         late.chain(repeated).chain(overloaded).collect()
     }
 
@@ -82,11 +82,12 @@
         self.arrivals.iter().filter_map(|arrival| {
             let removed_at = self.removed_at.get(&arrival.server)?;
             let late_by = arrival.arrived_at - removed_at;
-            (late_by > REMOVAL_GRACE).then(|| {
+            (late_by > REMOVAL_GRACE_SECONDS).then(|| {
                 format!(
-                    "server {} got a part {:.0} ms after it was removed",
+                    "server {} received a part {:.0} ms after its removal; the limit is {:.0} ms",
                     arrival.server,
-                    late_by * 1000.0
+                    late_by * 1000.0,
+                    REMOVAL_GRACE_SECONDS * 1000.0
                 )
             })
         })
@@ -103,7 +104,9 @@
         }
         let repeated = runs.into_iter().filter(|(_, runs)| *runs > 1);
         repeated.map(|((query, _, shard), runs)| {
-            format!("part {shard} of query {query} may run once and ran {runs} times")
+            format!(
+                "part {shard} of query {query} ran {runs} times; its class allows at most one run"
+            )
         })
     }
 }
--- a/crates/testbed/src/run_log/tests.rs
+++ b/crates/testbed/src/run_log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn exactly_the_broken_rules_are_reported() {
+fn only_actual_violations_are_reported() {
     let marker = QueryMarker {
         class: 1,
         query: 17,
@@ -10,8 +10,8 @@
     let text = format!("{{\"q\":\"{}\"}}", marker.to_text());
     assert_eq!(parse_marker(&text), Some(marker));
     assert_eq!(parse_marker("no marker"), None);
-    let arrival = |at, server, class, ran| PartArrival {
-        arrived_at: at,
+    let arrival = |arrived_at, server, class, may_have_run| PartArrival {
+        arrived_at,
         server,
         marker: QueryMarker {
             class,
@@ -19,9 +19,9 @@
             client_try: 1,
         },
         shard: 2,
-        may_have_run: ran,
+        may_have_run,
     };
-    // An idempotent part may run twice; one that was rejected may be sent again.
+    // Allowed: an idempotent part runs twice, and a rejected part is sent again.
     let arrivals = vec![
         arrival(1.0, 0, 0, true),
         arrival(1.1, 1, 0, true),
@@ -40,8 +40,8 @@
     assert_eq!(
         violations,
         [
-            "server 1 got a part 260 ms after it was removed",
-            "part 2 of query 7 may run once and ran 2 times"
+            "server 1 received a part 260 ms after its removal; the limit is 250 ms",
+            "part 2 of query 7 ran 2 times; its class allows at most one run"
         ]
     );
 }
--- a/crates/testbed/src/statistics.rs
+++ b/crates/testbed/src/statistics.rs
@@ -1,39 +1,39 @@
-//! Means and differences with their uncertainty.
+//! Estimates means and differences with 95 % confidence intervals.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// How often the values are resampled.
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 4_000;
-/// Seed of the resampling: the same values give the same interval.
+/// Seed of the resampling, fixed so that the same values give the same interval.
 const RESAMPLING_SEED: u64 = 0x5eed;
-/// Fewer values say nothing of their spread.
+/// Minimum number of values for a finite interval; fewer don't show the spread.
 const MIN_VALUES: usize = 3;
-/// Student's 97.5 % quantile for 1, 2, 3, … degrees of freedom: one less than the number of values.
+/// The 97.5 % quantiles of Student's t-distribution for 1, 2, 3, … degrees of freedom (the number of values minus one).
 const STUDENT_QUANTILES: [f64; 9] = [12.7, 4.3, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26];
-/// The normal distribution's 97.5 % quantile.
+/// The 97.5 % quantile of the standard normal distribution.
 const NORMAL_QUANTILE: f64 = 1.96;
 
-/// A mean with the interval that holds it in 95 of 100 cases.
+/// A mean with its 95 % confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Estimate {
-    /// The mean.
+    /// The mean of the values.
     pub mean: f64,
-    /// The interval's lower end.
+    /// Lower end of the interval; negative infinity for too few values.
     pub low: f64,
-    /// The interval's upper end.
+    /// Upper end of the interval; infinity for too few values.
     pub high: f64,
 }
 
 impl Estimate {
-    /// Returns whether the interval holds 0.
+    /// Returns whether the interval contains 0, so that the mean can't be distinguished from no difference.
     pub fn is_noise(&self) -> bool {
         self.low <= 0.0 && self.high >= 0.0
     }
 }
 
-/// Estimates the mean of some values by resampling them (bootstrap), or `None` if there are none.
+/// Estimates the mean of the values by bootstrap resampling; `None` if there are no values.
 pub fn bootstrap_mean(values: &[f64]) -> Option<Estimate> {
     if values.is_empty() {
         return None;
@@ -54,7 +54,8 @@
     };
     let mut means: Vec<f64> = (0..RESAMPLES).map(resampled_mean).collect();
     means.sort_by(f64::total_cmp);
-    // Few values understate the spread; Student's quantile over the normal's widens it.
+    // The bootstrap understates the spread of few values. Widen the interval by the ratio of Student's quantile to the
+    // normal quantile.
     let widening = STUDENT_QUANTILES
         .get(count - 2)
         .map_or(1.0, |quantile| quantile / NORMAL_QUANTILE);
@@ -68,7 +69,9 @@
     })
 }
 
-/// Estimates the difference between two variants, repeat by repeat: each repeat gave both the same load and faults.
+/// Estimates the mean difference, `second` minus `first`, between two variants over their repeats.
+///
+/// Values are paired by repeat, because each repeat plays both variants with the same load and faults.
 pub fn paired_difference(first: &[f64], second: &[f64]) -> Option<Estimate> {
     let pairs = first.iter().zip(second);
     let differences: Vec<f64> = pairs.map(|(first, second)| second - first).collect();
