--- a/crates/testbed/src/fleet/frames.rs
+++ b/crates/testbed/src/fleet/frames.rs
@@ -1,4 +1,4 @@
-//! The platform's binary frames, as an emulated node reads and writes them.
+//! Implements the node side of the platform's binary frame protocol.
 
 use super::node_server::{NodeBehavior, NodeServer, ReplySender, ReplyTo, MAX_MESSAGE_BYTES};
 use super::Fleet;
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
 
-/// One part of a call, as its line and text state it.
+/// One part of a call frame.
 struct CalledPart<'a> {
     id: &'a str,
     shard: u32,
@@ -22,7 +22,7 @@
         server: &Rc<NodeServer>,
         replies: &ReplySender,
     ) -> std::io::Result<()> {
-        // Which part an id of this connection means.
+        // The node's part numbers by the ids that the client chose on this connection.
         let mut parts: HashMap<String, u64> = HashMap::new();
         loop {
             let text = read_frame(reader).await?;
@@ -102,7 +102,7 @@
     std::io::Error::from(std::io::ErrorKind::InvalidData)
 }
 
-/// Returns the frame of a part that was answered.
+/// Encodes the answer frame of a part that ran successfully.
 pub(super) fn answer_frame(id: &str, report: &LoadReport, value: &str) -> Vec<u8> {
     encode_frame(&format!("A{id} ok 1 {}\n{value}", report_fields(report)))
 }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated data nodes on loopback, speaking frames or the query API.
+//! Emulated data nodes on loopback that speak the frame protocol or the query API.
 
 mod frames;
 mod node_server;
@@ -18,22 +18,22 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// The shortest mean work of a part, in seconds: a log-normal distribution needs a positive one.
+/// Minimum mean work of a part, in seconds; a log-normal distribution needs a positive mean.
 const MIN_MEAN_WORK: f64 = 1e-6;
 
-/// What data nodes speak.
+/// The protocol that data nodes speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub enum Wire {
     /// The platform's binary frames.
     #[default]
     Frames,
-    /// The query API, one shard a request.
+    /// The query API, with one shard per request.
     OpenSearch,
 }
 
 impl Wire {
-    /// Returns the wire's name in the coordinator's settings.
+    /// Returns the protocol's name in the coordinator's settings.
     pub fn name(self) -> &'static str {
         match self {
             Wire::Frames => "frames",
@@ -42,7 +42,7 @@
     }
 }
 
-/// A wire's name that is not known.
+/// The error for an unknown protocol name.
 #[derive(Debug, thiserror::Error)]
 #[error("'{0}' is neither frames nor opensearch")]
 pub struct UnknownWire(String);
@@ -59,28 +59,28 @@
     }
 }
 
-/// The fleet of an experiment, as its file states it.
+/// The fleet of an experiment, as the experiment file states it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSpec {
-    /// Nodes at the start.
+    /// Number of nodes at the start.
     pub nodes: usize,
-    /// Nodes beyond these, which an endpoint list may name later.
+    /// Number of additional nodes that later endpoint lists may name.
     #[serde(default)]
     pub spare: usize,
-    /// Number of cells; node `i` is of cell `i` modulo this.
+    /// Number of cells; node `i` belongs to cell `i` modulo this number.
     pub cells: u32,
     /// Number of shards.
     pub shards: u32,
-    /// What the nodes speak.
+    /// The protocol that the nodes speak.
     #[serde(default)]
     pub wire: Wire,
     /// Mean work of a part by class, in milliseconds.
     pub work_ms: [f64; 2],
-    /// Spread of that work: standard deviation over mean.
+    /// Coefficient of variation of that work: its standard deviation divided by its mean.
     #[serde(default = "default_spread")]
     pub spread: f64,
-    /// What each node can do.
+    /// The capacity of each node.
     #[serde(default)]
     pub node: NodeSpec,
 }
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// Returns the distribution of a part's work in seconds.
+    /// Returns the distribution of the work of a part, in seconds.
     fn work_distribution(&self, mean_ms: f64) -> Result<LogNormal<f64>, TestbedError> {
         let sigma = (1.0 + self.spread * self.spread).ln().sqrt();
         let mean = (mean_ms / 1000.0).max(MIN_MEAN_WORK);
@@ -105,13 +105,13 @@
     }
 }
 
-/// All data nodes of a run, and the log of what reached them.
+/// All data nodes of a run, and the log of the parts that reached them.
 pub struct Fleet {
-    /// What the experiment's file states.
+    /// The sizes and parameters of the fleet.
     pub spec: FleetSpec,
     /// The nodes, spare ones last.
     pub servers: Vec<Rc<NodeServer>>,
-    /// Everything that reached the nodes.
+    /// The log of all parts that reached the nodes.
     pub run_log: RefCell<RunLog>,
     started_at: Instant,
     rng: RefCell<StdRng>,
@@ -119,11 +119,11 @@
 }
 
 impl Fleet {
-    /// Starts all nodes, warmed up.
+    /// Starts all nodes, except spare ones with slow start already completed.
     ///
     /// # Errors
     ///
-    /// Sizes that don't fit each other, a spread that can't be drawn from, or a socket that can't be opened.
+    /// Returns an error if the sizes or the spread are invalid, or if a socket can't be opened.
     pub async fn start(spec: FleetSpec, seed: u64) -> Result<Rc<Fleet>, TestbedError> {
         spec.check()?;
         let work_distributions = [
@@ -139,7 +139,7 @@
             let address = listener
                 .local_addr()
                 .map_err(TestbedError::socket(format!("node {index}")))?;
-            // Spare nodes are started cold when an endpoint list takes them in.
+            // Spare nodes go through slow start when an endpoint list first names them.
             let is_spare = index >= spec.nodes;
             let started_at = if is_spare { 0.0 } else { f64::NEG_INFINITY };
             let model = NodeModel::new(spec.node.clone(), started_at);
@@ -166,11 +166,11 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Changes how a node behaves. One that was dead comes back on its old address, cold.
+    /// Changes the behavior of a node. A dead node restarts on its old address, in slow start.
     ///
     /// # Errors
     ///
-    /// An unknown node, or an address that can't be taken again.
+    /// Returns an error if the node is unknown or its address can't be bound again.
     pub async fn set_behavior(
         self: &Rc<Self>,
         index: usize,
@@ -194,7 +194,7 @@
         Ok(())
     }
 
-    /// Lets a node's process start now, cold.
+    /// Restarts a node now, in slow start and without pending work in its model.
     pub fn restart_cold(&self, index: usize) {
         if let Some(server) = self.servers.get(index) {
             let model = NodeModel::new(self.spec.node.clone(), self.now());
@@ -202,10 +202,10 @@
         }
     }
 
-    /// Lets a node take so many times as long for everything.
-    pub fn slow_down(&self, index: usize, times: f64) {
+    /// Sets the factor by which a node takes longer for parts that start from now on.
+    pub fn slow_down(&self, index: usize, factor: f64) {
         if let Some(server) = self.servers.get(index) {
-            server.model.borrow_mut().set_slowdown(times);
+            server.model.borrow_mut().set_slowdown(factor);
         }
     }
 }
--- a/crates/testbed/src/fleet/node_server.rs
+++ b/crates/testbed/src/fleet/node_server.rs
@@ -1,4 +1,4 @@
-//! One emulated data node: its listener, its connections, and its model's clock.
+//! One emulated data node: its listener, its connections, and the task that runs its model in real time.
 
 use super::{frames, search, Fleet, Wire};
 use crate::node_model::{Admission, NodeModel};
@@ -18,75 +18,75 @@
 /// The largest frame or body that a node reads, in bytes.
 pub(super) const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// Bytes for one connection's writer.
+/// Sends encoded replies to the writer of one connection.
 pub(super) type ReplySender = mpsc::UnboundedSender<Vec<u8>>;
 
-/// How a node behaves beside its work.
+/// How a node treats connections, parts and answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum NodeBehavior {
-    /// As it should.
+    /// The node works correctly.
     #[serde(rename = "well")]
     Healthy,
-    /// Its process is gone: connections are reset, new ones refused.
+    /// The process has ended: open connections are reset and new ones refused.
     #[serde(rename = "dead")]
     Dead,
-    /// It says nothing more, though it runs what it is sent.
+    /// The node runs parts but sends no answers.
     #[serde(rename = "silent")]
     Silent,
-    /// Each answer ends in the middle, and the connection with it.
+    /// The node closes all of its connections in the middle of each answer.
     #[serde(rename = "reset")]
     ResetMidAnswer,
-    /// Each answer is noise.
+    /// Each answer consists of invalid bytes.
     #[serde(rename = "garbage")]
     Garbage,
-    /// Everything is rejected.
+    /// The node rejects every part.
     #[serde(rename = "refuse")]
     RejectAll,
-    /// Each value is another query's. No real node does so: it is for trying checkers.
+    /// Each answer holds the value of another query. No real node does this; it tests the checkers.
     #[serde(rename = "lies")]
     WrongValues,
 }
 
-/// Where a part's answer goes.
+/// The destination of a part's answer.
 pub(super) enum ReplyTo {
-    /// An answer frame with this id.
+    /// An answer frame.
     Frame {
-        /// The connection's writer.
+        /// The writer of the connection.
         writer: ReplySender,
-        /// The id that the call gave the part.
+        /// The id of the part in the call frame.
         id: String,
     },
-    /// The response of a search.
+    /// The HTTP response to a search.
     Search {
-        /// The connection's writer.
+        /// The writer of the connection.
         writer: ReplySender,
     },
 }
 
-/// A part that waits or runs.
+/// A part that is waiting or running.
 struct PendingPart {
     reply_to: ReplyTo,
     query: u64,
     shard: u32,
 }
 
-/// What became of a part that arrived.
+/// The result of receiving a part.
 pub(super) struct ReceivedPart {
-    /// The node's number for it.
+    /// The node's number for the part.
     pub(super) id: u64,
-    /// Whether it was rejected: its answer is due at once.
+    /// Whether the part was rejected, so that the caller has to send the rejection.
     pub(super) rejected: bool,
 }
 
 /// One emulated data node.
 pub struct NodeServer {
-    /// Its place in the fleet.
+    /// Index of the node in the fleet.
     pub index: usize,
-    /// Where it listens.
+    /// The address on which the node listens.
     pub address: SocketAddr,
     pub(super) model: RefCell<NodeModel>,
     pub(super) behavior: Cell<NodeBehavior>,
-    /// Counts up when all its connections end.
+    /// A counter whose increase closes all connections.
     connection_epoch: watch::Sender<u64>,
     work_arrived: Notify,
     pending: RefCell<HashMap<u64, PendingPart>>,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Ends the listener and all connections, and forgets all work.
+    /// Closes the listener and all connections, and discards all pending parts.
     pub(super) fn kill(&self) {
         if let Some(task) = self.accept_task.take() {
             task.abort();
@@ -118,7 +118,7 @@
         self.pending.borrow_mut().clear();
     }
 
-    /// Gives a part up, as a cancel asks for.
+    /// Cancels a part, so that it is not answered.
     pub(super) fn cancel(&self, now: f64, part: u64) {
         self.model.borrow_mut().cancel(now, part);
         self.pending.borrow_mut().remove(&part);
@@ -130,7 +130,7 @@
 }
 
 impl Fleet {
-    /// Accepts connections of a node in a task of its own.
+    /// Accepts connections to a node in a separate task.
     pub(super) fn listen(self: Rc<Self>, server: Rc<NodeServer>, listener: TcpListener) {
         let accepting = server.clone();
         let task = tokio::task::spawn_local(async move {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Runs a node's model on the real clock and answers what completes.
+    /// Runs a node's model in real time and answers the parts that complete.
     pub(super) async fn run_parts(self: Rc<Self>, server: Rc<NodeServer>) {
         loop {
             let next = server.model.borrow().next_completion();
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Takes in a part. `first_of_call`: it carries the work of its call.
+    /// Receives a part and records it. The first part of a call also carries the work of the call.
     pub(super) fn receive_part(
         &self,
         server: &NodeServer,
@@ -254,10 +254,10 @@
     }
 }
 
-/// Sends the answer of a part that has run, as the node's behaviour has it.
+/// Answers a part that has run, as the node's behavior requires.
 fn answer(server: &NodeServer, pending: PendingPart) {
     let behavior = server.behavior.get();
-    // Another query's value, where the node gives wrong ones.
+    // A node that gives wrong values answers with the value of the next query.
     let query = match behavior {
         NodeBehavior::WrongValues => pending.query + 1,
         _ => pending.query,
--- a/crates/testbed/src/fleet/search.rs
+++ b/crates/testbed/src/fleet/search.rs
@@ -1,4 +1,4 @@
-//! The query API, as an emulated node reads and writes it.
+//! Implements the node side of the query API.
 
 use super::node_server::{NodeServer, ReplySender, ReplyTo, MAX_MESSAGE_BYTES};
 use super::Fleet;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt};
 
-/// The body of a search that is rejected.
+/// The response body of a rejected search.
 const REJECTED_BODY: &str =
     "{\"error\":{\"type\":\"rejected_execution_exception\"},\"status\":429}";
 
@@ -22,7 +22,7 @@
         loop {
             let mut request_line = String::new();
             if reader.read_line(&mut request_line).await? == 0 {
-                // Closing the connection cancels the search that is in flight on it.
+                // A client cancels a search by closing its connection.
                 if let Some(part) = last_part {
                     server.cancel(self.now(), part);
                 }
@@ -72,7 +72,7 @@
     std::io::Error::from(std::io::ErrorKind::InvalidData)
 }
 
-/// Returns the response of a shard with one hit.
+/// Encodes the response to a search of one shard, with a single hit.
 pub(super) fn hits_response(shard: u32, value: &str) -> Vec<u8> {
     let hit = json!({
         "_index": "lab",
--- a/crates/testbed/src/workload/answer_check.rs
+++ b/crates/testbed/src/workload/answer_check.rs
@@ -1,4 +1,4 @@
-//! Answers held against what the nodes give for their queries.
+//! Checks answers against the values that the emulated nodes give.
 
 use super::classes::{AT_MOST_ONCE, SEARCH_MINIMUM_SHARE};
 use super::client::Ending;
@@ -6,16 +6,16 @@
 use crate::run_log::expected_value;
 use serde_json::{json, Value};
 
-/// Slack for shares of parts that are no exact fractions.
+/// Tolerance for rounding when a share of parts is compared with a minimum.
 const SHARE_SLACK: f64 = 1e-9;
 
-/// What an answer is, and what is wrong with it.
+/// An answer's classification, and the fault found in it, if any.
 pub(super) struct CheckedAnswer {
     pub(super) ending: Ending,
     pub(super) fault: Option<String>,
 }
 
-/// Reads an answer and holds it against the values that the nodes give.
+/// Classifies an answer by its status and checks its content against the expected values.
 pub(super) fn check_answer(arrival: &QueryArrival, status: u16, body: &Value) -> CheckedAnswer {
     let ending = match status {
         200 => Ending::Served,
@@ -50,14 +50,14 @@
     }
     if is_marked_complete(arrival, body) && found != expected {
         return Some(format!(
-            "query {query}: marked whole with {answered} of {asked} parts"
+            "query {query}: marked complete with {answered} of {asked} parts"
         ));
     }
-    let least = SEARCH_MINIMUM_SHARE * asked as f64 - SHARE_SLACK;
+    let minimum = SEARCH_MINIMUM_SHARE * asked as f64 - SHARE_SLACK;
     let needs_all = AT_MOST_ONCE[arrival.class];
-    if (answered as f64) < least || (needs_all && found != expected) {
+    if (answered as f64) < minimum || (needs_all && found != expected) {
         return Some(format!(
-            "query {query}: {answered} of {asked} parts are under its class's floor"
+            "query {query}: answered with {answered} of {asked} parts, below the minimum share of its class"
         ));
     }
     None
@@ -78,7 +78,7 @@
     }
 }
 
-/// Returns the value of a hit on the platform's front, where a hits object of the query API comes as text.
+/// Returns the value of a hit from the platform front, which may embed a hits object of the query API as text.
 fn platform_value(hit: &Value) -> String {
     let text = hit["doc"].as_str().unwrap_or("");
     if !text.starts_with('{') {
--- a/crates/testbed/src/workload/arrivals.rs
+++ b/crates/testbed/src/workload/arrivals.rs
@@ -1,35 +1,35 @@
-//! Arrivals of queries, drawn ahead.
+//! Draws the arrivals of queries in advance.
 
 use super::Workload;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 
-/// The lowest rate that can be drawn from, in queries a second.
+/// Minimum arrival rate, in queries per second; the exponential distribution needs a rate above 0.
 const MIN_RATE: f64 = 1e-6;
 
-/// A query to come.
+/// A scheduled query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryArrival {
-    /// When it is due, in seconds from the run's start.
+    /// Time at which the query is due, in seconds since the start of the run.
     pub due_at: f64,
-    /// Its number, from 1.
+    /// Number of the query, from 1.
     pub query: u64,
-    /// Its class's index.
+    /// Index of the query's class.
     pub class: usize,
-    /// The shards that it asks for.
+    /// The shards that the query needs.
     pub shards: Vec<u32>,
-    /// Whether it comes by the query front.
+    /// Whether the query is sent to the query front instead of the platform front.
     pub query_front: bool,
 }
 
-/// Draws all arrivals of a workload, the same for the same seed.
+/// Draws all arrivals of a workload. Equal seeds give equal arrivals.
 pub fn arrivals(workload: &Workload, shards: u32, seed: u64) -> Vec<QueryArrival> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     let mut due_at = 0.0;
     loop {
-        // A rate above 0 can be drawn from.
+        // Can't fail, because the rate is above 0.
         let Ok(gap) = Exp::new(rate_at(workload, due_at).max(MIN_RATE)) else {
             return arrivals;
         };
--- a/crates/testbed/src/workload/client.rs
+++ b/crates/testbed/src/workload/client.rs
@@ -1,4 +1,4 @@
-//! Clients that ask their queries when these are due, and retry.
+//! Clients that send their queries at the scheduled times and retry.
 
 use super::answer_check::check_answer;
 use super::classes::{DEADLINES, LATENCY_OBJECTIVE, LATE_ANSWER_SHARE, PRIORITY_WEIGHTS};
@@ -10,45 +10,46 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long clients listen after their deadline: by the platform's rules an answer within that time earns nothing, and
-/// one that comes later, or never, is lost.
+/// Time that clients wait for an answer after their deadline. By the platform's rules, an answer within this time earns
+/// nothing, and one that comes later or never counts as lost.
 pub const LISTEN_AFTER_DEADLINE: Duration = Duration::from_millis(500);
-/// A client with less time than this asks no more.
+/// Minimum time left to the deadline for a client to send a query.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// How a query ended for its client.
 #[derive(Clone, Debug)]
 pub struct QueryOutcome {
-    /// When it was due, in seconds from the run's start.
+    /// Time at which the query was due, in seconds since the start of the run.
     pub due_at: f64,
-    /// Its class's index.
+    /// Index of the query's class.
     pub class: usize,
-    /// Seconds from when it was due.
+    /// Seconds from when the query was due until it ended, including retries.
     pub latency: f64,
-    /// How it ended.
+    /// How the query ended.
     pub ending: Ending,
-    /// What was wrong with its answer, if anything.
+    /// What was wrong with the answer; `None` if it was correct or there was none.
     pub answer_fault: Option<String>,
 }
 
 /// The ways in which a query ends for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ending {
-    /// Answered in time.
+    /// Answered before the deadline.
     Served,
-    /// Rejected: a retry is harmless.
+    /// Rejected (status 429 or 503); a retry is safe.
     Rejected,
-    /// Failed.
+    /// Answered with an error.
     Failed,
-    /// Answered after the deadline, while the client still listened.
+    /// Answered after the deadline, while the client was still waiting.
     Late,
-    /// Not answered while the client listened.
+    /// Not answered while the client was waiting, or not sent for lack of time.
     Unanswered,
     /// The connection ended without an answer.
     Disconnected,
 }
 
-/// Returns what a query's ending earns: its priority weight within the latency objective, less of it until the deadline.
+/// Returns the value that a query earns: its priority weight if served within the latency objective, a fixed share of that
+/// until the deadline, and nothing otherwise.
 pub fn earned_value(outcome: &QueryOutcome) -> f64 {
     let weight = PRIORITY_WEIGHTS[outcome.class];
     match outcome.ending {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Connections that idle between two requests, by front.
+/// The pool of idle connections to the fronts.
 #[derive(Clone, Default)]
 pub struct IdleConnections(Rc<RefCell<Vec<(SocketAddr, Connection)>>>);
 
@@ -77,17 +78,17 @@
 /// How clients behave.
 #[derive(Clone)]
 pub struct ClientOptions {
-    /// Where they ask.
+    /// The fronts that the clients send queries to.
     pub fronts: Fronts,
-    /// The run's start, from which arrivals count.
+    /// Start of the run, to which arrival times are relative.
     pub start: Instant,
-    /// Their own retries of a query.
+    /// Maximum number of client retries of a query.
     pub retries: u32,
-    /// How long they listen after their deadline, to distinguish a late answer from none.
+    /// Time to wait after the deadline, to distinguish a late answer from none.
     pub listen_after_deadline: Duration,
 }
 
-/// Plays all arrivals; each is a task of its own, so that none waits for another. Outcomes are appended as they come.
+/// Plays all arrivals, each in a separate task so that none waits for another, and appends the outcomes as queries end.
 pub async fn play(
     arrivals: Vec<QueryArrival>,
     options: ClientOptions,
@@ -110,7 +111,7 @@
     }
 }
 
-/// Plays one client; each of its tries is a query of its own to the coordinator.
+/// Plays one client. To the coordinator, each of its tries is a separate query.
 pub async fn run_client(
     arrival: QueryArrival,
     options: ClientOptions,
@@ -129,8 +130,8 @@
         client_try += 1;
         let left = time_left.as_secs_f64();
         let asked = send_query(&arrival, client_try, options.fronts, left, &idle);
-        let listens_until = deadline + options.listen_after_deadline;
-        (ending, answer_fault) = match tokio::time::timeout_at(listens_until, asked).await {
+        let listening_ends = deadline + options.listen_after_deadline;
+        (ending, answer_fault) = match tokio::time::timeout_at(listening_ends, asked).await {
             Err(_) => (Ending::Unanswered, None),
             Ok(Err(_)) => (Ending::Disconnected, None),
             Ok(Ok(response)) => {
--- a/crates/testbed/src/workload/http_client.rs
+++ b/crates/testbed/src/workload/http_client.rs
@@ -1,4 +1,4 @@
-//! One request and its response over HTTP/1.1, on connections that are kept.
+//! Exchanges requests and responses over persistent HTTP/1.1 connections.
 
 use super::classes::CLASSES;
 use super::client::IdleConnections;
@@ -10,22 +10,23 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// Seconds until a client comes back where the response doesn't say.
+/// Seconds until a client retries if the response has no `Retry-After` header.
 const DEFAULT_RETRY_AFTER: f64 = 0.1;
 
 /// A connection to a front.
 pub(super) type Connection = BufReader<TcpStream>;
 
-/// What a front answered.
+/// The response of a front.
 pub(super) struct HttpResponse {
     pub(super) status: u16,
     pub(super) body: Value,
-    /// Seconds until the client may come back.
+    /// Seconds until the client may retry.
     pub(super) retry_after: f64,
-    closes: bool,
+    /// Whether the front closes the connection after this response.
+    closes_connection: bool,
 }
 
-/// Asks one of a client's tries, on an idle connection if there is one. `time_left` is in seconds.
+/// Sends one try of a query, on an idle connection if there is one. `time_left` is in seconds.
 pub(super) async fn send_query(
     arrival: &QueryArrival,
     client_try: u32,
@@ -43,13 +44,13 @@
     let request = encode_request(arrival, client_try, time_left);
     let mut response = exchange(&mut connection, &request).await;
     let was_closed = |error: &Error| error.kind() == ErrorKind::UnexpectedEof;
-    // A connection that was closed while it idled is no answer: the request goes once more on a new one.
+    // An idle connection may have been closed by the front. The request is then sent once more on a new connection.
     if !is_fresh && response.as_ref().is_err_and(was_closed) {
         connection = connect(address).await?;
         response = exchange(&mut connection, &request).await;
     }
     let response = response?;
-    if !response.closes {
+    if !response.closes_connection {
         idle.put(address, connection);
     }
     Ok(response)
@@ -126,7 +127,7 @@
         status: status.unwrap_or(0),
         body: Value::Null,
         retry_after: DEFAULT_RETRY_AFTER,
-        closes: false,
+        closes_connection: false,
     };
     let mut length = 0;
     loop {
@@ -139,7 +140,7 @@
         match name.to_ascii_lowercase().as_str() {
             "content-length" => length = value.parse().unwrap_or(0),
             "retry-after" => response.retry_after = value.parse().unwrap_or(DEFAULT_RETRY_AFTER),
-            "connection" => response.closes = value.eq_ignore_ascii_case("close"),
+            "connection" => response.closes_connection = value.eq_ignore_ascii_case("close"),
             _ => {}
         }
     }
--- a/crates/testbed/src/workload/mod.rs
+++ b/crates/testbed/src/workload/mod.rs
@@ -1,5 +1,5 @@
-//! The workload: arrivals drawn ahead from a seed, that never wait for answers, and clients that count from when a
-//! query was due.
+//! The open-loop workload. Arrivals are drawn in advance from a seed and never wait for answers; clients measure latency
+//! from the time at which a query was due.
 
 mod answer_check;
 mod arrivals;
@@ -20,48 +20,48 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// What clients ask, as an experiment's file states it.
+/// The load that clients generate, as an experiment file states it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
-    /// Queries a second.
+    /// Queries per second.
     pub rate: f64,
-    /// Length in seconds.
+    /// Duration in seconds.
     pub span: f64,
-    /// Times of more.
+    /// Periods of higher load; where they overlap, the highest multiple applies.
     #[serde(default)]
     pub burst: Vec<Burst>,
-    /// The share that comes by the query front.
+    /// Share of queries sent to the query front, from 0 to 1.
     #[serde(default)]
     pub query_front: f64,
-    /// How often a client retries by itself what was rejected or failed.
+    /// Maximum number of client retries of a query that was rejected or failed.
     #[serde(default)]
     pub retries: u32,
 }
 
-/// More queries for a while.
+/// A period of higher load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When it begins, in seconds.
+    /// Start, in seconds since the start of the run.
     pub at: f64,
-    /// How long it lasts, in seconds.
+    /// Duration in seconds.
     pub lasts: f64,
     /// Multiple of the usual rate.
     pub times: f64,
 }
 
-/// Where a coordinator takes requests.
+/// The addresses on which a coordinator accepts queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fronts {
-    /// The platform's front.
+    /// Address of the platform front.
     pub platform: SocketAddr,
-    /// The query front.
+    /// Address of the query front.
     pub query: SocketAddr,
 }
 
 impl Fronts {
-    /// Returns the front of one address for both kinds.
+    /// Uses one address for both fronts.
     pub fn single(address: SocketAddr) -> Fronts {
         Fronts {
             platform: address,
