--- a/crates/testbed/src/coordinator_process.rs
+++ b/crates/testbed/src/coordinator_process.rs
@@ -1,4 +1,4 @@
-//! A coordinator as a real process before a fleet.
+//! Runs a coordinator as a child process in front of a fleet.
 
 use crate::deployment::{endpoint_list, write_atomically, DeploymentSpec, ListedNode};
 use crate::error::TestbedError;
@@ -13,42 +13,43 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, ChildStderr, Command};
 
-/// How long a coordinator may take until it is ready.
+/// Time limit for a coordinator to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often its health is asked for until then.
+/// Interval between two health checks of a starting coordinator.
 const HEALTH_INTERVAL: Duration = Duration::from_millis(10);
-/// Files in which a coordinator keeps its endpoint list between two runs.
+/// Files in which a coordinator saves its endpoint list across restarts.
 const SNAPSHOT_FILES: [&str; 2] = ["roster.a", "roster.b"];
-/// Start of the response of a coordinator that is ready.
+/// Start of the health response of a coordinator that is ready.
 const HEALTHY_RESPONSE: &[u8; 12] = b"HTTP/1.1 200";
 
-/// What a coordinator is started with.
+/// The options for starting a coordinator.
 pub struct CoordinatorOptions<'a> {
-    /// The program.
+    /// Path of the coordinator binary.
     pub program: &'a Path,
-    /// The folder for its settings and its log.
+    /// The folder for the coordinator's settings and log.
     pub folder: &'a Path,
-    /// The text of its endpoint list.
+    /// The text of the endpoint list.
     pub endpoint_list: &'a str,
-    /// More lines of the project's own settings.
+    /// Additional lines of the project's own settings.
     pub project_settings: &'a str,
-    /// The addresses that it takes over; `None`: any that are free.
+    /// The addresses to listen on; `None` for free ports, and to discard saved endpoint lists.
     pub fronts: Option<Fronts>,
 }
 
-/// A running coordinator. It is killed when it is dropped.
+/// A running coordinator. Dropping it kills the process.
 pub struct Coordinator {
     child: Child,
-    /// Where it takes requests.
+    /// The addresses on which the coordinator accepts queries.
     pub fronts: Fronts,
 }
 
 impl Coordinator {
-    /// Starts a coordinator before a fleet and waits until it is ready.
+    /// Starts a coordinator in front of a fleet and waits until it is ready.
     ///
     /// # Errors
     ///
-    /// Files that can't be written, a program that can't be started, ends at once or does not become ready.
+    /// Returns an error if a file can't be written, or if the program can't be started, exits early or does not become
+    /// ready in time.
     pub async fn start(
         fleet: &Fleet,
         options: CoordinatorOptions<'_>,
@@ -70,7 +71,7 @@
             path: options.program.to_path_buf(),
             log: log.clone(),
         })?;
-        tokio::task::spawn_local(keep_log(log_lines, log, folder.join("log.txt")));
+        tokio::task::spawn_local(write_log(log_lines, log, folder.join("log.txt")));
         let coordinator = Coordinator { child, fronts };
         coordinator.wait_until_ready().await?;
         Ok(coordinator)
@@ -97,7 +98,7 @@
     let folder = options.folder;
     std::fs::create_dir_all(folder).map_err(TestbedError::file(folder))?;
     if options.fronts.is_none() {
-        // What an earlier run saved in this folder is of another fleet.
+        // An endpoint list that an earlier run saved in this folder belongs to another fleet.
         for file in SNAPSHOT_FILES {
             let _ = std::fs::remove_file(folder.join(file));
         }
@@ -126,7 +127,7 @@
     write_atomically(&folder.join("servers.toml"), options.endpoint_list)
 }
 
-/// Reads the log until it names both fronts; `None` if it ends before.
+/// Reads the log until it has stated the addresses of both fronts; `None` if it ends before.
 async fn read_fronts(
     lines: &mut Lines<BufReader<ChildStderr>>,
     log: &mut String,
@@ -151,13 +152,13 @@
     }
 }
 
-/// Returns the value of a field in a line of a coordinator's log. `name` ends with `=`.
+/// Returns the value of a field in a line of a coordinator's log. `name` includes the trailing `=`.
 pub fn log_field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let value = line.split(' ').find_map(|word| word.strip_prefix(name))?;
     Some(value.trim_matches('"'))
 }
 
-async fn keep_log(mut lines: Lines<BufReader<ChildStderr>>, mut log: String, path: PathBuf) {
+async fn write_log(mut lines: Lines<BufReader<ChildStderr>>, mut log: String, path: PathBuf) {
     while let Ok(Some(line)) = lines.next_line().await {
         log.push_str(&line);
         log.push('\n');
@@ -177,9 +178,9 @@
     stream.read_exact(&mut response).await.is_ok() && &response == HEALTHY_RESPONSE
 }
 
-/// Returns the endpoint list of these nodes of a fleet.
+/// Returns the endpoint list of the given nodes of a fleet.
 ///
-/// `just_started` names those that have just started; nodes beyond the end of `weights` weigh 1.
+/// `just_started` holds the indices of nodes that have just started. Nodes beyond the end of `weights` have weight 1.
 pub fn fleet_endpoint_list(
     fleet: &Fleet,
     generation: u64,
@@ -201,7 +202,7 @@
     endpoint_list(generation, entries)
 }
 
-/// Returns the path of the coordinator's program: beside this one, built if it isn't there.
+/// Returns the path of the coordinator binary next to the testbed's own, and builds it if it does not exist.
 ///
 /// # Errors
 ///
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! A small fleet to look at: eight emulated nodes, one coordinator with a watched endpoint list, a little load.
+//! The demo: eight emulated nodes, one coordinator that watches its endpoint list, and a light load.
 
 use crate::coordinator_process::{
     coordinator_program, fleet_endpoint_list, Coordinator, CoordinatorOptions,
@@ -16,23 +16,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the live line is printed.
+/// Interval between two printed lines of figures.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
-/// Nodes at the start.
+/// Number of nodes at the start.
 const NODES: usize = 8;
-/// Queries a second.
+/// Queries per second.
 const RATE: f64 = 20.0;
-/// How long a demo lasts that is ended by hand, at most, in seconds.
+/// Maximum duration of a demo that runs until Ctrl-C, in seconds.
 const MAX_SECONDS: f64 = 3600.0;
+/// Seed of the fleet and the workload.
 const SEED: u64 = 1;
 
 type Outcomes = Rc<RefCell<Vec<QueryOutcome>>>;
 
-/// Runs until Ctrl-C, or for so many seconds if that is above 0. Returns whether no rule was broken.
+/// Runs the demo until Ctrl-C, or for `seconds` if that is above 0. Returns whether there were no violations.
 ///
 /// # Errors
 ///
-/// A coordinator that doesn't start.
+/// Returns an error if the fleet or the coordinator does not start.
 pub async fn run(seconds: f64) -> Result<bool, TestbedError> {
     let program = coordinator_program()?;
     let fleet = Fleet::start(fleet_spec(), SEED).await?;
@@ -53,7 +54,7 @@
     let clients = start_clients(&fleet, &coordinator, limit, outcomes.clone());
     tokio::select! {
         () = print_lines(&fleet, &outcomes) => {}
-        _ = tokio::signal::ctrl_c() => println!("\nending"),
+        _ = tokio::signal::ctrl_c() => println!("\nshutting down"),
         () = tokio::time::sleep(Duration::from_secs_f64(limit)) => {}
     }
     clients.abort();
@@ -61,7 +62,7 @@
 
     let violations = fleet.run_log.borrow().violations(&AT_MOST_ONCE);
     for violation in &violations {
-        println!("broken: {violation}");
+        println!("violation: {violation}");
     }
     let _ = std::fs::remove_dir_all(&folder);
     Ok(violations.is_empty())
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The files that a coordinator of the testbed reads: its deployment's JSON and its endpoint list.
+//! Generates the files that a coordinator of the testbed reads: its deployment settings and its endpoint list.
 
 use crate::error::TestbedError;
 use crate::node_model::NodeSpec;
@@ -10,26 +10,26 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What the deployment of a run states.
+/// The parameters of a deployment.
 pub struct DeploymentSpec {
     /// Number of cells.
     pub cells: u32,
     /// Number of shards.
     pub shards: u32,
-    /// Cells in a row that hold a shard.
+    /// Number of consecutive cells that hold a shard.
     pub cells_per_shard: u32,
-    /// Share of its capacity at which a node starts.
+    /// Share of its full capacity that a node has when it starts, from 0 to 1.
     pub slow_start_share: f64,
-    /// Seconds until a node has warmed up.
+    /// Duration of slow start, in seconds.
     pub slow_start_seconds: f64,
-    /// Multiple of its capacity that overloads a node in slow start.
+    /// In slow start, the multiple of its current capacity above which work overloads a node.
     pub overload_multiple: f64,
-    /// Seconds over which that is counted.
+    /// Window over which incoming work is summed to detect overload, in seconds.
     pub overload_window_seconds: f64,
 }
 
 impl DeploymentSpec {
-    /// Returns the deployment of nodes of this kind, each shard held by one cell.
+    /// Returns the deployment for nodes of this kind, with each shard held by one cell.
     pub fn for_nodes(node: &NodeSpec, cells: u32, shards: u32) -> DeploymentSpec {
         DeploymentSpec {
             cells,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns the `settings` of the coordinator's JSON.
+    /// Returns the `settings` object of the coordinator's JSON file.
     pub fn settings(&self) -> Value {
         json!({
             "classes": [class_settings(0), class_settings(1)],
@@ -96,15 +96,16 @@
 
 /// One entry of an endpoint list.
 pub struct ListedNode {
-    /// The server's id.
+    /// Id of the server.
     pub id: String,
-    /// Its address.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Its cell.
+    /// Cell that the server belongs to.
     pub cell: usize,
-    /// Its share of turns, where the list states one.
+    /// Relative weight in load balancing; `None` to leave it out of the list.
     pub weight: Option<f64>,
-    /// Whether it started just now; others warmed up long ago, whenever the list was written.
+    /// Whether the server has just started. The list gives all others a start time far in the past, so that they are out of
+    /// slow start.
     pub just_started: bool,
 }
 
@@ -130,11 +131,11 @@
     text + "# end\n"
 }
 
-/// Writes a file whole or not at all.
+/// Replaces a file atomically, by writing a temporary file and renaming it.
 ///
 /// # Errors
 ///
-/// [`TestbedError::File`] if the system refuses it.
+/// Returns [`TestbedError::File`] if the file can't be written or renamed.
 pub fn write_atomically(path: &Path, text: &str) -> Result<(), TestbedError> {
     let temporary = path.with_extension("tmp");
     std::fs::write(&temporary, text)
--- a/crates/testbed/src/experiment/definition.rs
+++ b/crates/testbed/src/experiment/definition.rs
@@ -1,4 +1,4 @@
-//! The form of an experiment's file.
+//! Defines and reads experiment files.
 
 use crate::error::TestbedError;
 use crate::fleet::{FleetSpec, NodeBehavior};
@@ -6,27 +6,27 @@
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// An experiment as its file states it.
+/// An experiment, as its file states it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// Name of the experiment, which titles its report.
     pub name: String,
-    /// How often each variant is played.
+    /// Number of times that each variant is played.
     #[serde(default = "default_repeats")]
     pub repeats: u64,
-    /// Repeat `n` draws workload and work from `seed + n`.
+    /// Seed of the workload and of the work of parts; repeat `n` uses `seed + n`.
     #[serde(default)]
     pub seed: u64,
-    /// The data nodes.
+    /// The fleet of data nodes.
     pub fleet: FleetSpec,
-    /// What clients ask.
+    /// The load that clients generate.
     #[serde(rename = "load")]
     pub workload: Workload,
-    /// What befalls nodes.
+    /// The faults that are injected into nodes.
     #[serde(default)]
     pub fault: Vec<NodeFault>,
-    /// The ways to run it, the first to be compared with.
+    /// The variants to play; the others are compared with the first.
     pub variant: Vec<Variant>,
 }
 
@@ -35,11 +35,11 @@
 }
 
 impl Experiment {
-    /// Reads and checks an experiment's file.
+    /// Reads and validates an experiment file.
     ///
     /// # Errors
     ///
-    /// A file that can't be read, isn't of the form, or has no variant or no repeat.
+    /// Returns an error if the file can't be read, is malformed, or has no variant or no repeat.
     pub fn load(path: &Path) -> Result<Experiment, TestbedError> {
         let text = std::fs::read_to_string(path).map_err(TestbedError::file(path))?;
         let experiment: Experiment =
@@ -56,50 +56,50 @@
     }
 }
 
-/// A change of how nodes behave.
+/// A change in the behavior of nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeFault {
-    /// When, in seconds.
+    /// Time of the change, in seconds since the start of the run.
     pub at: f64,
-    /// The nodes' indices.
+    /// Indices of the affected nodes.
     pub nodes: Vec<usize>,
-    /// How they behave from then on.
+    /// The behavior of the nodes from then on.
     #[serde(rename = "mood")]
     pub behavior: Option<NodeBehavior>,
-    /// How many times as long they take from then on.
+    /// The factor by which the nodes take longer from then on.
     #[serde(rename = "slow")]
     pub slowdown: Option<f64>,
 }
 
-/// One way to run an experiment.
+/// A variant of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name.
+    /// Name of the variant.
     pub name: String,
-    /// Another program than the one beside this.
+    /// Path of the coordinator binary; by default the one next to the testbed's own.
     pub program: Option<PathBuf>,
-    /// More lines of the project's own settings.
+    /// Additional lines of the project's own settings.
     #[serde(default, rename = "own")]
     pub project_settings: String,
-    /// Endpoint lists that come into force on the way.
+    /// Endpoint lists that take effect during the run.
     #[serde(default, rename = "roster")]
     pub endpoint_lists: Vec<EndpointListChange>,
 }
 
-/// An endpoint list that is written at a moment.
+/// A change of the endpoint list during a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointListChange {
-    /// When, in seconds.
+    /// Time of the change, in seconds since the start of the run.
     pub at: f64,
-    /// It names the first so many nodes; those that were not listed before have just started.
+    /// Number of nodes on the list, counted from the first; those that were not listed before have just started.
     pub nodes: usize,
-    /// The nodes' weights; nodes beyond its end weigh 1.
+    /// Weights of the nodes, by index; nodes beyond the end have weight 1.
     #[serde(default)]
     pub weights: Vec<f64>,
-    /// Whether the coordinator is ended and started on it, instead of reading it in service.
+    /// Whether the coordinator is restarted with the list, instead of reloading it while serving.
     #[serde(default)]
     pub restart: bool,
 }
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,4 +1,5 @@
-//! Experiments: a fleet, a workload, faults by the clock, variants that are played in turn with the same draws, repeats.
+//! Plays experiments: each repeat plays all variants in turn, with the same fleet, workload, random draws and timed
+//! faults.
 
 mod definition;
 mod play;
@@ -11,14 +12,14 @@
 use std::path::Path;
 use summary::{RunResult, Summary};
 
-/// Most violations of one run that are printed.
-const PRINTED_VIOLATIONS: usize = 5;
+/// Maximum number of violations that are printed per run.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// Plays an experiment's file and writes its report. Returns whether no rule was broken.
+/// Plays an experiment file and writes its report. Returns whether there were no violations.
 ///
 /// # Errors
 ///
-/// A file that is wrong, a coordinator that doesn't start, or a report that can't be written.
+/// Returns an error if the file is invalid, a coordinator does not start, or the report can't be written.
 pub async fn run(path: &Path, out: &Path) -> Result<bool, TestbedError> {
     let experiment = Experiment::load(path)?;
     std::fs::create_dir_all(out).map_err(TestbedError::file(out))?;
@@ -56,7 +57,7 @@
         run.parts_per_query,
         run.violations.len()
     );
-    for violation in run.violations.iter().take(PRINTED_VIOLATIONS) {
+    for violation in run.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("    {violation}");
     }
 }
--- a/crates/testbed/src/experiment/play.rs
+++ b/crates/testbed/src/experiment/play.rs
@@ -1,4 +1,4 @@
-//! One run of a variant: a fleet, a coordinator, faults and endpoint lists by the clock, clients.
+//! Runs one variant: starts a fleet and a coordinator, applies timed faults and endpoint lists, and plays the clients.
 
 use super::definition::{EndpointListChange, Experiment, NodeFault, Variant};
 use super::summary::RunResult;
@@ -17,10 +17,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time from the coordinator's readiness to the run's start.
+/// Delay between the coordinator's readiness and the start of the run.
 const START_DELAY: Duration = Duration::from_millis(200);
 
-/// What the tasks of one run share.
+/// The state that the tasks of one run share.
 struct VariantRun {
     fleet: Rc<Fleet>,
     program: PathBuf,
@@ -30,7 +30,7 @@
     coordinator: RefCell<Option<Coordinator>>,
 }
 
-/// Plays one repeat of a variant. Settings and log of the coordinator stand in `folder`.
+/// Plays one repeat of a variant. The coordinator's settings and log are written to `folder`.
 pub async fn play_variant(
     experiment: &Experiment,
     variant: &Variant,
@@ -108,13 +108,13 @@
             }
             if let Some(behavior) = fault.behavior {
                 if let Err(cause) = self.fleet.set_behavior(node, behavior).await {
-                    eprintln!("fault: {cause}");
+                    eprintln!("cannot inject a fault into node {node}: {cause}");
                 }
             }
         }
     }
 
-    /// Brings an endpoint list into force. `listed_before`: how many nodes the list before named.
+    /// Applies an endpoint list at its time. `listed_before` is the number of nodes on the previous list.
     async fn change_list_at(
         self: Rc<Self>,
         change: EndpointListChange,
@@ -130,7 +130,7 @@
         let weights = &change.weights;
         let list = fleet_endpoint_list(&self.fleet, generation, &nodes, &just_started, weights);
         if let Err(cause) = self.apply_list(&list, change.restart).await {
-            eprintln!("roster: {cause}");
+            eprintln!("cannot apply endpoint list {generation}: {cause}");
         }
         let now = self.fleet.now();
         let removed = change.nodes..listed_before;
--- a/crates/testbed/src/experiment/report.rs
+++ b/crates/testbed/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! What is written of an experiment: raw counts, a summary, a page with plots.
+//! Writes the report of an experiment: raw counts as CSV, a summary as JSON, and an HTML page with plots.
 
 use super::definition::{Experiment, Variant};
 use super::summary::{RunResult, Summary};
@@ -18,14 +18,14 @@
 const TABLE_HEADER: &str = "<table border=\"1\" cellpadding=\"4\"><tr><th>variant\
                             <th>service (95 %)<th>p50 ms<th>p99 ms<th>parts a query\
                             <th>rules broken</tr>\n";
-/// Most violations of one run on the page.
-const PAGE_VIOLATIONS: usize = 50;
+/// Maximum number of violations that the page lists per run.
+const MAX_PAGE_VIOLATIONS: usize = 50;
 /// Width and height of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 320);
-/// Upper end of a plot's service axis.
+/// Upper end of a plot's service axis, just above full service.
 const SERVICE_AXIS_END: f64 = 1.05;
 
-/// Returns a difference in words; one within its own uncertainty is called noise.
+/// Describes a difference between variants, marked as noise if its interval contains 0.
 pub fn difference_sentence(first: &str, name: &str, difference: &Estimate) -> String {
     let points = |share: f64| format!("{:+.1}", share * 100.0);
     let mean = points(difference.mean);
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// A file that can't be written or a plot that can't be drawn.
+/// Returns an error if a file can't be written or a plot can't be drawn.
 pub fn write(experiment: &Experiment, summary: &Summary, out: &Path) -> Result<(), TestbedError> {
     let write_file = |name: &str, text: String| {
         let path = out.join(name);
@@ -132,7 +132,7 @@
 }
 
 fn violation_list(run: &RunResult) -> String {
-    let items = run.violations.iter().take(PAGE_VIOLATIONS);
+    let items = run.violations.iter().take(MAX_PAGE_VIOLATIONS);
     let items: String = items
         .map(|violation| format!("<li>{}", escape(violation)))
         .collect();
@@ -143,7 +143,8 @@
     )
 }
 
-/// Draws a class's mean service in each second, a line a variant; faults and endpoint lists as grey lines.
+/// Draws the mean service of a class in each second as one line per variant. Vertical grey lines mark faults and changes
+/// of the endpoint list.
 fn plot(
     experiment: &Experiment,
     summary: &Summary,
--- a/crates/testbed/src/experiment/summary.rs
+++ b/crates/testbed/src/experiment/summary.rs
@@ -1,4 +1,4 @@
-//! What an experiment's runs showed.
+//! Summarizes the runs of an experiment.
 
 use super::definition::{Experiment, Variant};
 use crate::statistics::{bootstrap_mean, paired_difference, Estimate};
@@ -7,37 +7,37 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The longest latency that is told apart, in microseconds.
+/// Upper end of the latency histogram, in microseconds; longer latencies are recorded as this one.
 const MAX_LATENCY_MICROSECONDS: u64 = 10_000_000;
-/// Significant digits of latencies.
+/// Significant decimal digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What one run of a variant showed.
+/// The result of one run of a variant.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunResult {
-    /// The variant's name.
+    /// Name of the variant.
     pub variant: String,
-    /// Which repeat, from 0.
+    /// Number of the repeat, from 0.
     pub repeat: u64,
-    /// Queries asked.
+    /// Number of queries.
     pub queries: usize,
-    /// Value earned over value asked for.
+    /// Earned value divided by the total priority weight of all queries.
     pub service: f64,
-    /// The same by class.
+    /// Service by class.
     pub by_class: [f64; CLASS_COUNT],
-    /// Queries served, rejected, failed and unanswered.
+    /// Numbers of queries that were served, rejected, failed and unanswered.
     #[serde(rename = "ends")]
     pub endings: [usize; 4],
-    /// Parts that reached nodes for each query.
+    /// Mean number of parts that reached nodes per query.
     #[serde(rename = "attempts")]
     pub parts_per_query: f64,
     /// Median latency of served queries in milliseconds.
     #[serde(rename = "p50")]
     pub p50_ms: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the latency of served queries in milliseconds.
     #[serde(rename = "p99")]
     pub p99_ms: f64,
-    /// Rules that were broken, in words.
+    /// Descriptions of all violations.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
     /// Service by class in each second of the run.
@@ -46,7 +46,8 @@
 }
 
 impl RunResult {
-    /// Adds a run's outcomes up. `span`: the run's length in seconds; `parts`: parts that reached nodes.
+    /// Summarizes the outcomes of a run. `span` is the length of the run in seconds, `parts` the number of parts that
+    /// reached nodes.
     pub fn new(
         variant: &Variant,
         repeat: u64,
@@ -82,7 +83,7 @@
     }
 }
 
-/// Returns the value earned over the value asked for, of the outcomes that are included.
+/// Returns the earned value divided by the total priority weight, over the included outcomes; 1 if there are none.
 fn service(outcomes: &[QueryOutcome], included: impl Fn(&QueryOutcome) -> bool) -> f64 {
     let included: Vec<&QueryOutcome> = outcomes.iter().filter(|one| included(one)).collect();
     let asked: f64 = included.iter().map(|one| PRIORITY_WEIGHTS[one.class]).sum();
@@ -119,21 +120,21 @@
     })
 }
 
-/// What is written of an experiment.
+/// The summary of an experiment, as written to `summary.json`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// The experiment's name.
+    /// Name of the experiment.
     pub name: String,
-    /// All runs.
+    /// The results of all runs, in the order of play.
     pub runs: Vec<RunResult>,
-    /// By variant: the mean service.
+    /// The mean service by variant.
     pub service: BTreeMap<String, Estimate>,
-    /// Each variant compared with the first.
+    /// The difference in service from the first variant, by variant.
     pub differences: BTreeMap<String, Estimate>,
 }
 
 impl Summary {
-    /// Compares an experiment's runs.
+    /// Summarizes the runs of an experiment and compares its variants.
     pub fn new(experiment: &Experiment, runs: Vec<RunResult>) -> Summary {
         let services = |name: &str| -> Vec<f64> {
             let of_variant = runs.iter().filter(|run| run.variant == name);
