--- a/crates/testbed/src/workload/tests.rs
+++ b/crates/testbed/src/workload/tests.rs
@@ -17,13 +17,17 @@
 }
 
 #[test]
-fn arrivals_are_those_of_their_seed_at_their_rate() {
-    let one = arrivals(&workload(Vec::new()), 12, 1);
-    assert_eq!(one, arrivals(&workload(Vec::new()), 12, 1));
-    assert_ne!(one, arrivals(&workload(Vec::new()), 12, 2));
-    assert!((2_700..3_300).contains(&one.len()), "{}", one.len());
-    let by_front = one.iter().filter(|due| due.query_front).count() as f64 / one.len() as f64;
-    assert!((by_front - 0.3).abs() < 0.05, "{by_front}");
+fn arrivals_depend_on_the_seed_and_follow_the_rate() {
+    let first = arrivals(&workload(Vec::new()), 12, 1);
+    assert_eq!(first, arrivals(&workload(Vec::new()), 12, 1));
+    assert_ne!(first, arrivals(&workload(Vec::new()), 12, 2));
+    assert!((2_700..3_300).contains(&first.len()), "{}", first.len());
+    let query_front_share =
+        first.iter().filter(|due| due.query_front).count() as f64 / first.len() as f64;
+    assert!(
+        (query_front_share - 0.3).abs() < 0.05,
+        "{query_front_share}"
+    );
     let burst = arrivals(
         &workload(vec![Burst {
             at: 10.0,
@@ -33,17 +37,17 @@
         12,
         1,
     );
-    let within = burst
+    let burst_count = burst
         .iter()
         .filter(|due| (10.0..20.0).contains(&due.due_at))
         .count();
-    assert!((1_700..2_100).contains(&within), "{within}");
+    assert!((1_700..2_100).contains(&burst_count), "{burst_count}");
 }
 
-/// An answer that comes after the client's time is late as long as it listens, and none after that. What is wrong
-/// with a late one is told all the same.
+/// An answer after the deadline counts as late while the client still waits, and as missing after that. The content of a
+/// late answer is checked all the same.
 #[test]
-fn a_late_answer_is_told_from_one_that_never_comes() {
+fn a_late_answer_is_distinguished_from_a_missing_one() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -92,10 +96,10 @@
     assert!(ends.1.answer_fault.unwrap().contains("no server made"));
 }
 
-/// A client that is held up still counts from when its query was due: a server that stops for a second shows in all
-/// queries that were due in that second, not in one.
+/// Guards against coordinated omission: latency counts from the time at which a query was due, so a server that stalls for
+/// a second delays all queries that were due in that second, not just one.
 #[test]
-fn a_stall_shows_in_every_query_that_was_due_in_it() {
+fn a_stall_delays_every_query_that_was_due_during_it() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -104,7 +108,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
         let start = Instant::now() + Duration::from_millis(50);
-        // Nobody is accepted for a second; then all are answered at once.
+        // The server accepts no connection for a second, and then answers all queries at once.
         tokio::task::spawn_local(async move {
             tokio::time::sleep_until(start + Duration::from_secs(1)).await;
             while let Ok((mut stream, _)) = listener.accept().await {
@@ -141,6 +145,6 @@
         took
     });
     assert_eq!(took.len(), 50);
-    // Due at any time within the stall, each ended only after it.
+    // Every query was due during the stall and ended only after it.
     assert!(took.iter().all(|&at| at >= 0.99), "{took:?}");
 }
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -1,4 +1,5 @@
-//! A short experiment from its file to its report, with every mood of nodes on both wires, and files that are wrong.
+//! Plays a short experiment from its file to its report, with every node behavior over both protocols, and tests that
+//! invalid files are rejected.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -15,14 +16,14 @@
     std::fs::write(folder.join("experiment.toml"), experiment).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_cairnroad-testbed"));
     let out = folder.join("out");
-    let told = command
+    let output = command
         .arg("run")
         .arg(folder.join("experiment.toml"))
         .arg("--out")
         .arg(&out)
         .output()
         .unwrap();
-    (told, out)
+    (output, out)
 }
 
 fn experiment(wire: &str) -> String {
@@ -89,22 +90,23 @@
     )
 }
 
-/// Guards against a laboratory that can't run, and against a coordinator that breaks a rule under any of its moods.
+/// Guards against a testbed that can't complete an experiment, and against a coordinator that causes violations under any
+/// node behavior.
 #[test]
-fn every_mood_on_both_wires_breaks_no_rule_and_is_reported() {
+fn all_node_behaviors_over_both_protocols_show_no_violations_and_are_reported() {
     for wire in ["frames", "opensearch"] {
-        let (told, out) = run(wire, &experiment(wire));
-        let said = String::from_utf8_lossy(&told.stdout).into_owned()
-            + &String::from_utf8_lossy(&told.stderr);
-        assert_eq!(told.status.code(), Some(0), "{wire}: {said}");
+        let (output, out) = run(wire, &experiment(wire));
+        let text_output = String::from_utf8_lossy(&output.stdout).into_owned()
+            + &String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(0), "{wire}: {text_output}");
         assert!(
-            said.contains("within noise"),
-            "one repeat proves nothing: {said}"
+            text_output.contains("within noise"),
+            "one repeat is too few for a finite interval: {text_output}"
         );
         let csv = std::fs::read_to_string(out.join("runs.csv")).unwrap();
         assert_eq!(csv.lines().count(), 3, "{csv}");
         let page = std::fs::read_to_string(out.join("report.html")).unwrap();
-        assert_eq!(page.matches("<svg").count(), 2, "a plot a class");
+        assert_eq!(page.matches("<svg").count(), 2, "one plot per class");
         let summary = std::fs::read_to_string(out.join("summary.json")).unwrap();
         assert!(summary.contains("\"more, then fewer\""));
         let log = std::fs::read_to_string(out.join("more, then fewer-0/log.txt")).unwrap();
@@ -113,7 +115,7 @@
 }
 
 #[test]
-fn a_file_that_is_wrong_is_refused_with_its_cause() {
+fn invalid_files_are_rejected_with_their_cause() {
     let cases = [
         (
             "rate",
@@ -144,10 +146,10 @@
             "/nowhere: No such file",
         ),
     ];
-    for (name, text, words) in cases {
-        let (told, _) = run(name, &text);
-        let said = String::from_utf8_lossy(&told.stderr).into_owned();
-        assert_eq!(told.status.code(), Some(2), "{name}: {said}");
-        assert!(said.contains(words), "{name}: {said}");
+    for (name, text, expected) in cases {
+        let (output, _) = run(name, &text);
+        let text_output = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{name}: {text_output}");
+        assert!(text_output.contains(expected), "{name}: {text_output}");
     }
 }
