--- a/crates/contract/src/asyncapi.rs
+++ b/crates/contract/src/asyncapi.rs
@@ -183,8 +183,8 @@
     }
 }
 
-/// Returns the node of a message's `schemaFormat`, which AsyncAPI 2.6 puts beside the payload; `None` if `node` is not a
-/// payload.
+/// Returns the node of a message's `schemaFormat`, which AsyncAPI 2.6 puts beside the payload; `None` if `node` is not
+/// a payload.
 fn sibling_schema_format(node: &NodeLocation) -> Option<NodeLocation> {
     node.pointer.ends_with("/payload").then(|| {
         let message = NodeLocation {
--- a/crates/contract/src/conformance/redaction.rs
+++ b/crates/contract/src/conformance/redaction.rs
@@ -6,8 +6,8 @@
 
 /// The text that replaces a secret value.
 const REDACTED: &str = "(left out)";
-/// The longest list that is formatted item by item. Of a longer list only the beginning would fit into a report, so only
-/// its length is shown.
+/// The longest list that is formatted item by item. Of a longer list only the beginning would fit into a report, so
+/// only its length is shown.
 const MAX_LIST_ITEMS_SHOWN: usize = 40;
 
 /// Formats a value as truncated text. The value is replaced if a key of its JSON pointer is secret, and so are secret
--- a/crates/contract/src/diff/operations.rs
+++ b/crates/contract/src/diff/operations.rs
@@ -112,7 +112,8 @@
         self.add(impact, &place, "this answer is gone");
     }
 
-    /// Adds a new response. Clients handle an unknown error by its range, but cannot read an unknown successful response.
+    /// Adds a new response. Clients handle an unknown error by its range, but cannot read an unknown successful
+    /// response.
     fn add_new_response(&mut self, old: &[Response], response: &Response) {
         let was_covered = old
             .iter()
--- a/crates/contract/src/diff/parameters.rs
+++ b/crates/contract/src/diff/parameters.rs
@@ -13,7 +13,8 @@
         old: &[Parameter],
         new: &[Parameter],
     ) {
-        // Path variables are identified by their position in the path, for which the order of their sorted names stands in.
+        // Path variables are identified by their position in the path, for which the order of their sorted names
+        // stands in.
         for (old, new) in path_variables(old).into_iter().zip(path_variables(new)) {
             self.compare_parameter(direction, &parameter_place(place, old), old, new);
         }
--- a/crates/contract/src/drift/listing.rs
+++ b/crates/contract/src/drift/listing.rs
@@ -169,7 +169,8 @@
         )
     }
 
-    /// Returns whether all of these servers started after all other servers, which makes a new version the likely cause.
+    /// Returns whether all of these servers started after all other servers, which makes a new version the likely
+    /// cause.
     fn are_newest_servers(&self, parties: &Parties) -> bool {
         let violating: BTreeSet<&Arc<str>> = parties.iter().map(|(party, _)| *party).collect();
         let started = |id: &Arc<str>| self.server_starts.get(id).copied().flatten();
--- a/crates/contract/src/drift/mod.rs
+++ b/crates/contract/src/drift/mod.rs
@@ -24,8 +24,8 @@
 pub const MAX_PARTIES: usize = 128;
 /// The largest number of operations whose messages are counted.
 const MAX_OPERATIONS: usize = 1024;
-/// How long an entry is kept after its last violation, in seconds. A violation that was fixed should leave the list within
-/// an operator's shift, and one that recurs every hour should stay on the list.
+/// How long an entry is kept after its last violation, in seconds. A violation that was fixed should leave the list
+/// within an operator's shift, and one that recurs every hour should stay on the list.
 pub const RETENTION_SECONDS: f64 = 2.0 * 3600.0;
 /// The place of the entry that is shared beyond [`MAX_ENTRIES_PER_OPERATION`].
 const OTHER_PLACES: &str = "(other places)";
--- a/crates/contract/src/enforcement.rs
+++ b/crates/contract/src/enforcement.rs
@@ -1,5 +1,5 @@
-//! Decides how violations are handled: which messages are checked, which requests are rejected, which responses count as
-//! failed, and which descriptions are in force. This module does no I/O and reads no clock.
+//! Decides how violations are handled: which messages are checked, which requests are rejected, which responses count
+//! as failed, and which descriptions are in force. This module does no I/O and reads no clock.
 
 use crate::conformance::{Violation, ViolationKind};
 use crate::drift::Interface;
@@ -32,8 +32,8 @@
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 impl Sampler {
-    /// Creates a sampler for a share from 0 to 1. The first message is selected unless the share is 0, so that even a tiny
-    /// share has a result.
+    /// Creates a sampler for a share from 0 to 1. The first message is selected unless the share is 0, so that even a
+    /// tiny share has a result.
     pub fn new(share: f64) -> Sampler {
         let share = if share.is_finite() {
             share.clamp(0.0, 1.0)
--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -39,7 +39,8 @@
         self == Dialect::Json2020
     }
 
-    /// Returns whether `true` and `false` are schemas everywhere. OpenAPI 3.0 allows them only in `additionalProperties`.
+    /// Returns whether `true` and `false` are schemas everywhere. OpenAPI 3.0 allows them only in
+    /// `additionalProperties`.
     fn allows_boolean_schemas(self) -> bool {
         self != Dialect::OpenApi30
     }
--- a/crates/contract/src/schema/bundle.rs
+++ b/crates/contract/src/schema/bundle.rs
@@ -1,5 +1,5 @@
-//! Prepares the description's files for the schema compiler: translates schemas to the compiler's dialect and references
-//! to URIs.
+//! Prepares the description's files for the schema compiler: translates schemas to the compiler's dialect and
+//! references to URIs.
 
 use super::{Dialect, Direction, SchemaRegistry};
 use crate::sources::{NodeLocation, Sources};
--- a/crates/contract/src/schema/compilation.rs
+++ b/crates/contract/src/schema/compilation.rs
@@ -13,8 +13,8 @@
 const MAX_PATTERN_MEMORY: usize = 256 * 1024;
 
 impl SchemaRegistry {
-    /// Compiles the wanted schemas, each for its direction. Faults are added to the sources; after a fault the result is
-    /// incomplete.
+    /// Compiles the wanted schemas, each for its direction. Faults are added to the sources; after a fault the result
+    /// is incomplete.
     pub fn compile(
         &self,
         sources: &mut Sources,
--- a/crates/coordinator/src/contract/mod.rs
+++ b/crates/coordinator/src/contract/mod.rs
@@ -1,7 +1,7 @@
 //! Checks traffic against the contracts (interface descriptions) in force.
 //!
-//! `cairnroad_contract` makes the decisions; this module passes messages to it. Under `observe` a message is handed to a
-//! separate thread ([`background_check`]) through a bounded backlog, and the sender never waits for capacity. Under
+//! `cairnroad_contract` makes the decisions; this module passes messages to it. Under `observe` a message is handed to
+//! a separate thread ([`background_check`]) through a bounded backlog, and the sender never waits for capacity. Under
 //! `enforce` a message is checked in place, before it is used.
 
 mod background_check;
@@ -217,8 +217,8 @@
     time.0 as f64 / 1e6
 }
 
-/// Locks a mutex, even after a holder has panicked. Each change of the content is a single call, so a panic never leaves
-/// the content partly changed.
+/// Locks a mutex, even after a holder has panicked. Each change of the content is a single call, so a panic never
+/// leaves the content partly changed.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -1,5 +1,5 @@
-//! Contract checks: data nodes and clients that violate the descriptions in force, in every way and on both wires, while
-//! the program serves.
+//! Contract checks: data nodes and clients that violate the descriptions in force, in every way and on both wires,
+//! while the program serves.
 
 mod common;
 
@@ -666,7 +666,11 @@
         0,
         &["compatible: POST /{class}/_search, answer 200 hits: it became required"],
     );
-    check(&["contract", "diff", &good, &bad], 2, &["nothing at"]);
+    check(
+        &["contract", "diff", &good, &bad],
+        2,
+        &["no node at #/nowhere"],
+    );
     check(
         &["contract", "replay", &good, &traffic],
         1,
