--- a/crates/contract/src/document/syntax.rs
+++ b/crates/contract/src/document/syntax.rs
@@ -14,9 +14,9 @@
 /// A line and column in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// The line, from 1; 0 for [`Position::NONE`].
+    /// The line, from 1; 0 for `Position::NONE`.
     pub line: usize,
-    /// The column, from 1; 0 for [`Position::NONE`].
+    /// The column, from 1; 0 for `Position::NONE`.
     pub column: usize,
 }
 
--- a/crates/contract/src/routing.rs
+++ b/crates/contract/src/routing.rs
@@ -43,7 +43,7 @@
     /// Two variables have no text between them, so a path does not show where the first one ends.
     #[error("adjacent path variables: expected text between them")]
     AdjacentVariables,
-    /// The path has more than [`MAX_SEGMENTS`] segments.
+    /// The path has more than `MAX_SEGMENTS` segments.
     #[error("too many path segments: expected at most {MAX_SEGMENTS}")]
     TooManySegments,
 }
