--- a/crates/contract/src/schema/bundle.rs
+++ b/crates/contract/src/schema/bundle.rs
@@ -1,23 +1,24 @@
-//! The description's files as the compiler reads them: schemas in its dialect, references as addresses.
+//! Prepares the description's files for the schema compiler: translates schemas to the compiler's dialect and references
+//! to URIs.
 
 use super::{Dialect, Direction, SchemaRegistry};
 use crate::sources::{NodeLocation, Sources};
 use serde_json::{json, Map, Value};
 
-/// Files are known to the compiler by their numbers below this address, from which nothing is ever fetched.
+/// The base URI of the files, which the compiler knows by their index. Nothing is ever fetched from this URI.
 pub(super) const BASE: &str = "cairnroad:///";
 
 impl SchemaRegistry {
-    /// The files with their schemas in the compiler's dialect, for values of one direction.
+    /// Returns the files with their schemas in the compiler's dialect, for messages of one direction.
     pub(super) fn bundle(&self, sources: &Sources, direction: Direction) -> Vec<Value> {
         let mut files: Vec<Value> = sources
             .files()
             .iter()
             .map(|file| file.value.clone())
             .collect();
-        for (loc, subschemas) in &self.schemas {
-            let Some(schema) = files[loc.file]
-                .pointer_mut(&loc.pointer)
+        for (node, subschemas) in &self.schemas {
+            let Some(schema) = files[node.file]
+                .pointer_mut(&node.pointer)
                 .and_then(Value::as_object_mut)
             else {
                 continue;
@@ -31,24 +32,24 @@
                 }
                 // The target of a reference is the first of a schema's subschemas.
                 if let Some(target) = subschemas.first() {
-                    schema.insert("$ref".into(), json!(address(&target.loc)));
+                    schema.insert("$ref".into(), json!(address(&target.node)));
                 }
             }
             if self.dialect == Dialect::OpenApi30 {
                 translate_openapi_30(schema);
             }
             if self.has_one_way_members {
-                self.drop_one_way_required(sources, loc, schema, direction);
+                self.drop_one_way_required(sources, node, schema, direction);
             }
         }
         files
     }
 
-    /// Takes from `required` the members that are not sent in this direction.
+    /// Removes the members that are not sent in this direction from `required`.
     fn drop_one_way_required(
         &self,
         sources: &Sources,
-        loc: &NodeLocation,
+        node: &NodeLocation,
         schema: &mut Map<String, Value>,
         direction: Direction,
     ) {
@@ -60,7 +61,7 @@
             Direction::Response => "writeOnly",
         };
         let is_not_sent = |value: &Value| value[not_sent] == json!(true);
-        let properties = loc.at("properties");
+        let properties = node.at("properties");
         let members = sources.get(&properties);
         required.retain(|name| {
             let name = name.as_str().unwrap_or("");
@@ -69,7 +70,7 @@
             };
             let target = || {
                 let subschemas = self.schemas.get(&properties.at(name))?;
-                sources.get(&subschemas.first()?.loc)
+                sources.get(&subschemas.first()?.node)
             };
             let is_reference = member.get("$ref").is_some();
             !(is_not_sent(member) || is_reference && target().is_some_and(is_not_sent))
@@ -77,7 +78,7 @@
     }
 }
 
-/// Rewrites the keywords of OpenAPI 3.0 to those of JSON Schema 2020-12, in place.
+/// Translates the keywords of OpenAPI 3.0 to JSON Schema 2020-12, in place.
 fn translate_openapi_30(schema: &mut Map<String, Value>) {
     if schema.remove("nullable") == Some(json!(true)) {
         if let Some(Value::String(kind)) = schema.get("type") {
@@ -100,10 +101,10 @@
     }
 }
 
-/// The address by which the compiler knows a schema.
-pub(super) fn address(loc: &NodeLocation) -> String {
-    let mut out = format!("{BASE}{}#", loc.file);
-    for byte in loc.pointer.bytes() {
+/// Returns the URI by which the compiler knows a schema.
+pub(super) fn address(node: &NodeLocation) -> String {
+    let mut out = format!("{BASE}{}#", node.file);
+    for byte in node.pointer.bytes() {
         match byte {
             b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'/' | b'-' | b'.' | b'_' | b'~' => {
                 out.push(byte as char)
@@ -114,8 +115,8 @@
     out
 }
 
-/// The place of the schema that the compiler knows by an address; `None` for an address of another form.
-pub fn place_of(address: &str) -> Option<NodeLocation> {
+/// Returns the node of the schema that the compiler knows by a URI; `None` for a URI of another form.
+pub fn location_from_uri(address: &str) -> Option<NodeLocation> {
     let (file, pointer) = address.strip_prefix(BASE)?.split_once('#')?;
     Some(NodeLocation {
         file: file.parse().ok()?,
--- a/crates/contract/src/schema/subschemas.rs
+++ b/crates/contract/src/schema/subschemas.rs
@@ -6,7 +6,7 @@
 /// How a subschema is applied, in the terms of JSON Schema.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Applicator {
-    /// To the same value: it adds a visit of that value.
+    /// To the same value, which adds a visit of that value.
     InPlace,
     /// To parts of the value.
     Child,
@@ -14,12 +14,12 @@
 
 /// A subschema, or the target of a reference.
 pub(super) struct Subschema {
-    pub(super) loc: NodeLocation,
+    pub(super) node: NodeLocation,
     pub(super) applicator: Applicator,
 }
 
 impl Subschema {
-    /// Whether it is applied to the same value as the schema around it.
+    /// Returns whether the subschema is applied to the same value as the schema that contains it.
     pub(super) fn is_in_place(&self) -> bool {
         self.applicator == Applicator::InPlace
     }
@@ -58,24 +58,24 @@
     ("dependencies", Applicator::InPlace),
 ];
 
-/// The direct subschemas of a schema; references are not followed.
-pub(super) fn subschemas(schema: &Value, loc: &NodeLocation) -> Vec<Subschema> {
+/// Returns the direct subschemas of a schema, without following references.
+pub(super) fn subschemas(schema: &Value, node: &NodeLocation) -> Vec<Subschema> {
     let Some(map) = schema.as_object() else {
         return Vec::new();
     };
     let mut found = Vec::new();
     for (key, applicator) in SINGLE {
         if map.get(key).is_some_and(is_schema) {
-            let loc = loc.at(key);
-            found.push(Subschema { loc, applicator });
+            let node = node.at(key);
+            found.push(Subschema { node, applicator });
         }
     }
     for (key, applicator) in LISTS {
         let items = map.get(key).and_then(Value::as_array);
         for (index, item) in items.into_iter().flatten().enumerate() {
             if is_schema(item) {
-                let loc = loc.at(key).item(index);
-                found.push(Subschema { loc, applicator });
+                let node = node.at(key).item(index);
+                found.push(Subschema { node, applicator });
             }
         }
     }
@@ -83,8 +83,8 @@
         let members = map.get(key).and_then(Value::as_object);
         for (name, member) in members.into_iter().flatten() {
             if is_schema(member) {
-                let loc = loc.at(key).at(name);
-                found.push(Subschema { loc, applicator });
+                let node = node.at(key).at(name);
+                found.push(Subschema { node, applicator });
             }
         }
     }
