--- a/crates/coordinator/tests/contract.rs
+++ b/crates/coordinator/tests/contract.rs
@@ -695,7 +695,11 @@
         0,
         &["compatible: POST /{class}/_search, answer 200 hits: it became required"],
     );
-    check(&["contract", "diff", &good, &bad], 2, &["nothing at"]);
+    check(
+        &["contract", "diff", &good, &bad],
+        2,
+        &["no node at #/nowhere"],
+    );
     check(
         &["contract", "replay", &good, &traffic],
         1,
